--- a/benchmarks/cell_moves.py
+++ b/benchmarks/cell_moves.py
@@ -81,7 +81,7 @@
     text = REGION_DAY if kill in REGIONAL else DAY
     recorder, day = rec.Recorder(), days.parse(read_text(text, "move"), "move")
     killer: list[Killer] = []
-    take, hold, release = Core.take, Core.hold_extent, Core._release
+    take, hold, release = Core.accept, Core.hold_extent, Core._release
 
     def see(core: Core, what: str, extent: int) -> None:
         head = killer[0].rig.heads[0].head
@@ -104,11 +104,11 @@
         for _, extent in freed:
             see(self, "switched", extent)
 
-    Core.take, Core.hold_extent, Core._release = taking, holding, releasing  # type: ignore[method-assign]
+    Core.accept, Core.hold_extent, Core._release = taking, holding, releasing  # type: ignore[method-assign]
     try:
         rig = emulate(day, seed, recorder, watch=lambda rig: killer.append(Killer(rig, step, kill, at)))
     finally:
-        Core.take, Core.hold_extent, Core._release = take, hold, release  # type: ignore[method-assign]
+        Core.accept, Core.hold_extent, Core._release = take, hold, release  # type: ignore[method-assign]
     home = rig.cells.volumes[MOVED]
     holders = [slot for slot in rig.heads if any(volume.name == MOVED for volume in slot.settings.volumes)]
     done = all(rig.cells.shards[shard] == home for one in holders for _, shard in one.extents().placed(MOVED))
--- a/benchmarks/profile.py
+++ b/benchmarks/profile.py
@@ -44,7 +44,7 @@
             profile = cProfile.Profile()
             profile.runcall(hub.run, run)
             counts = head.core.counts
-            print(f"{counts.taken} requests, {counts.sent} sends")
+            print(f"{counts.accepted} requests, {counts.sent} sends")
             pstats.Stats(profile).sort_stats("tottime").print_stats(45)
         finally:
             for server in servers:
--- a/benchmarks/strict.py
+++ b/benchmarks/strict.py
@@ -102,7 +102,7 @@
             times = [found.took.get_value_at_percentile(part) / 1000 for part in (50, 99)]
             row = [name, bound, day, "a tenth" if limited else "none", waiting.value, found.done,
                    len(found.broken), f"{times[0]:.0f}", f"{times[1]:.0f}",
-                   f"{head.core.offers / max(1, found.done):.2f}", f"{took:.1f}"]  # fmt: skip
+                   f"{head.core.resubmissions / max(1, found.done):.2f}", f"{took:.1f}"]  # fmt: skip
             print("| " + " | ".join(map(str, row)) + " |", flush=True)
             for line in found.broken[:3]:
                 print(f"  {line}", file=sys.stderr)
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -59,7 +59,7 @@
 
         def watch(rig: Rig) -> None:
             heads = [slot.head for slot in rig.heads if hasattr(slot.head, "core")]
-            most[0] = max(most[0], sum(head.core.waiting for head in heads if head is not None))
+            most[0] = max(most[0], sum(head.core.waiting_parts for head in heads if head is not None))
             rig.hub.at(rig.hub.now() + 50_000, lambda: watch(rig))
 
         rig = emulate(day, seed, recorder, watch=watch)
@@ -67,7 +67,7 @@
     for packed in scores.latency.values():
         took.add(unpacked(packed))
     asked = sum(earned.asked for earned in scores.by_class.values())
-    offers = sum(slot.head.core.offers for slot in rig.heads if slot.head is not None)
+    offers = sum(slot.head.core.resubmissions for slot in rig.heads if slot.head is not None)
     return [
         scores.share, scores.served / asked, scores.refused / asked, scores.failed / asked,
         took.get_value_at_percentile(50) / 1000, took.get_value_at_percentile(99) / 1000,
--- a/harriertrack/config/settings/module.py
+++ b/harriertrack/config/settings/module.py
@@ -65,7 +65,7 @@
         extent_bytes=head.extent_bytes,
         unit_bytes=head.unit_bytes,
         tick_us=head.tick_us,
-        held=head.limits.held,
+        max_open_parts=head.limits.held,
         classes=tuple(
             ClassRule(
                 one.name,
--- a/harriertrack/decisions/catchup.py
+++ b/harriertrack/decisions/catchup.py
@@ -14,15 +14,15 @@
 from typing import Protocol
 
 
-class Told(IntFlag):
+class CatchUpStatus(IntFlag):
     """What the other head is told of an extent."""
 
     HELD = 0
     MISSED = 1
-    DOUBTFUL = 2  # it may be missed: compare
+    UNCERTAIN = 2  # it may be missed: compare
 
 
-class Log(Protocol):
+class MissedExtents(Protocol):
     """The log on disk (`storage/missed.py`)."""
 
     whole: int
@@ -46,7 +46,7 @@
 
     volume: str
     extents: int  # how many the volume has
-    log: Log
+    log: MissedExtents
     # The other head catches up: new writes are copied to it again where it holds the rest.
     joining: bool = False
     clean: bool = False  # it said that it misses nothing, and nothing was missed since
@@ -54,17 +54,17 @@
     _read: dict[int, object] = field(default_factory=dict)
     _confirmed: set[int] = field(default_factory=set)  # what it holds, while the log says WHOLE
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """This head took the volume: nothing is known of the other one."""
         self.joining = self.clean = False
         self._read.clear()
         self._confirmed.clear()
 
-    def dropped(self) -> None:
+    def stop_joining(self) -> None:
         """The other region was recorded as out of sync, or does not answer: it has to ask anew."""
         self.joining = self.clean = False
 
-    def asked(self) -> None:
+    def start_joining(self) -> None:
         """The other head asked what it misses: it catches up from now on."""
         self.joining = True
 
@@ -73,17 +73,21 @@
         missed = self.log.missed(self.volume)
         return extent in self._confirmed if self.log.whole in missed else extent not in missed
 
-    def tell(self, extent: int) -> Told:
+    def status_of(self, extent: int) -> CatchUpStatus:
         """Return what the other head is told of an extent."""
         if self.holds(extent):
-            return Told.HELD
-        return Told.DOUBTFUL if self.log.whole in self.log.missed(self.volume) else Told.MISSED
-
-    def copies(self, extents: Iterable[int]) -> bool:
+            return CatchUpStatus.HELD
+        return (
+            CatchUpStatus.UNCERTAIN
+            if self.log.whole in self.log.missed(self.volume)
+            else CatchUpStatus.MISSED
+        )
+
+    def must_copy(self, extents: Iterable[int]) -> bool:
         """Whether a write to these extents is copied, so that the other region goes on holding them."""
         return self.joining and all(extent in self._read or self.holds(extent) for extent in extents)
 
-    def missed(self, extents: Iterable[int]) -> None:
+    def note_missed(self, extents: Iterable[int]) -> None:
         """A write to these extents was not copied: on disk when this returns, before it is acknowledged."""
         touched = list(extents)
         self.log.miss(self.volume, touched)
@@ -92,11 +96,11 @@
         self._confirmed.difference_update(touched)
         self.clean = False
 
-    def read(self, extents: Iterable[int], reader: object) -> None:
+    def note_read(self, extents: Iterable[int], reader: object) -> None:
         """The other head reads these extents here for its copy, with no write to them under way."""
         self._read.update(dict.fromkeys(extents, reader))
 
-    def purged(self, gone: Callable[[int], bool]) -> None:
+    def note_purged(self, gone: Callable[[int], bool]) -> None:
         """A close purged the extents of which `gone` says so, here; the other region does so by itself.
 
         Nothing of them is missed any more, and what was read of them before is not what is to be held now.
@@ -105,7 +109,7 @@
             del self._read[extent]
         self.log.purged(self.volume, gone)
 
-    def caught(self, extent: int, reader: object) -> None:
+    def confirm_copied(self, extent: int, reader: object) -> None:
         """It stored an extent as it last read it; where a write was missed since, that does not count.
 
         Nor does what another connection says than the one it read over: that may be word of an earlier read.
@@ -116,7 +120,7 @@
                 self._confirmed.add(extent)
             self.log.copied(self.volume, (extent,))
 
-    def caught_all(self) -> None:
+    def confirm_all_copied(self) -> None:
         """It says that it holds everything; it does if nothing was missed since it asked."""
         if len(self._confirmed) >= self.extents:
             self.log.copied(self.volume, (self.log.whole,))
@@ -124,6 +128,6 @@
         self.clean = self.joining and not self.log.missed(self.volume)
 
     @property
-    def done(self) -> bool:
+    def complete(self) -> bool:
         """Whether the other region may be recorded as in sync."""
         return self.joining and self.clean and not self.log.missed(self.volume)
--- a/harriertrack/decisions/client_connections.py
+++ b/harriertrack/decisions/client_connections.py
@@ -18,7 +18,7 @@
 from itertools import islice
 from typing import Generic, TypeVar
 
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 
 # Clients send once they are connected: one that has not after this goes first where places are short ...
 SILENT_US = 200_000
@@ -130,10 +130,10 @@
         return None
 
     def step(self, connection: C, state: ClientState, now: int) -> None:
-        """A connection comes to a state. Raises IllegalStep, or KeyError for one that is gone."""
+        """A connection comes to a state. Raises IllegalTransition, or KeyError for one that is gone."""
         before = self._state[connection]
         if (before, state) not in CLIENT_STEPS:
-            raise IllegalStep(f"a connection that is {before} can't become {state}")
+            raise IllegalTransition(f"a connection that is {before} can't become {state}")
         del self._at[before][connection]
         self._state[connection] = state
         self._at[state][connection] = now
--- a/harriertrack/decisions/connection_pool.py
+++ b/harriertrack/decisions/connection_pool.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import Generic, TypeVar
 
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 
 # A node closes what idles for the settings' time "at the latest": what is written after that is lost.
 IDLE_PARTS = (2, 3)
@@ -72,13 +72,13 @@
     def dials(self, connection: W, node: str) -> W | None:
         """A new connection is made; return one to close for it if there are too many.
 
-        Raises IllegalStep where all are in use: see `room`.
+        Raises IllegalTransition where all are in use: see `room`.
         """
         victim: W | None = None
         if len(self._state) >= self.most:
             victim = self._longest_idle()
             if victim is None:
-                raise IllegalStep("as many connections to nodes are in use as there may be")
+                raise IllegalTransition("as many connections to nodes are in use as there may be")
             self.gone(victim)
         self._state[connection] = (node, ConnectionState.DIALING)
         return victim
@@ -93,10 +93,10 @@
         return min(firsts, key=lambda first: first[1].since)[0] if firsts else None
 
     def step(self, connection: W, state: ConnectionState, now: int) -> None:
-        """A connection comes to a state. Raises IllegalStep, or KeyError for one that is gone."""
+        """A connection comes to a state. Raises IllegalTransition, or KeyError for one that is gone."""
         node, before = self._state[connection]
         if (before, state) not in CONNECTION_STEPS:
-            raise IllegalStep(f"a connection that is {before} can't become {state}")
+            raise IllegalTransition(f"a connection that is {before} can't become {state}")
         self._leave(connection, node, before)
         self._state[connection] = (node, state)
         if state is ConnectionState.IDLE:
--- a/harriertrack/decisions/copies.py
+++ b/harriertrack/decisions/copies.py
@@ -21,42 +21,42 @@
 from enum import Enum, auto
 
 from harriertrack.decisions.catchup import CatchUp
-from harriertrack.decisions.regions import Copying, RegionView
+from harriertrack.decisions.regions import CopyDecision, RegionView
 
 
-class Held(Enum):
+class WriteAction(Enum):
     """What becomes of a write that the home holds."""
 
-    ANSWER = auto()  # acknowledge it: nothing else is owed
-    COPY = auto()  # copy it, and acknowledge it then
-    COPY_BEHIND = auto()  # acknowledge it, and copy it
+    ACKNOWLEDGE = auto()  # acknowledge it: nothing else is owed
+    COPY_FIRST = auto()  # copy it, and acknowledge it then
+    ACKNOWLEDGE_AND_COPY = auto()  # acknowledge it, and copy it
 
 
-class Turn(Enum):
+class CopyAction(Enum):
     """What a copy's turn brings."""
 
-    GONE = auto()  # it ended meanwhile
-    LOST = auto()  # the lease is over: end it as failed
+    ENDED = auto()  # it ended meanwhile
+    LEASE_LOST = auto()  # the lease is over: end it as failed
     SEND = auto()
-    MISSED = auto()  # late, and the other region is out of sync: noted; end it as served
-    DROP = auto()  # late: have the other region recorded as out of sync
+    NOTED_MISSED = auto()  # late, and the other region is out of sync: noted; end it as served
+    DROP_REGION = auto()  # late: have the other region recorded as out of sync
     WAIT = auto()  # late, and that is under way
 
 
-class Crossed(Enum):
+class CloseOverlap(Enum):
     """How a write stands to a close that came while it was under way."""
 
-    NOT = auto()
-    PART = auto()  # some of its extents were purged
-    WHOLE = auto()
+    NONE = auto()
+    PARTIAL = auto()  # some of its extents were purged
+    FULL = auto()
 
 
-def crossed(extents: range, gone: Callable[[int], bool]) -> Crossed:
+def close_overlap(extents: range, gone: Callable[[int], bool]) -> CloseOverlap:
     """Return how a write to these extents stands to a close; `gone` says of an extent that it was purged."""
     count = sum(gone(extent) for extent in extents)
     if not count:
-        return Crossed.NOT
-    return Crossed.WHOLE if count == len(extents) else Crossed.PART
+        return CloseOverlap.NONE
+    return CloseOverlap.FULL if count == len(extents) else CloseOverlap.PARTIAL
 
 
 @dataclass(slots=True)
@@ -89,27 +89,27 @@
         """Return the extents that are written to."""
         return {extent for copy in self._open.values() for extent in copy.extents}
 
-    def held(self, now: int, number: int, extents: range) -> Held:
+    def add_write(self, now: int, number: int, extents: range) -> WriteAction:
         """Take a write that the home holds, or (without extents) a flush that is done there."""
-        match self.view.copying(now):
-            case Copying.WAIT:
-                found = Held.COPY
-            case Copying.LATER:
-                self.view.began_behind(number, now)
-                found = Held.COPY_BEHIND
-            case _ if extents and self.catch_up.copies(extents):
-                found = Held.COPY_BEHIND
+        match self.view.copy_decision(now):
+            case CopyDecision.WAIT:
+                found = WriteAction.COPY_FIRST
+            case CopyDecision.LATER:
+                self.view.add_behind(number, now)
+                found = WriteAction.ACKNOWLEDGE_AND_COPY
+            case _ if extents and self.catch_up.must_copy(extents):
+                found = WriteAction.ACKNOWLEDGE_AND_COPY
             case _:
                 self._miss(extents)
-                return Held.ANSWER
+                return WriteAction.ACKNOWLEDGE
         self._open[number] = Copy(extents, now)
         return found
 
-    def until(self, number: int) -> int:
+    def due_at(self, number: int) -> int:
         """Return by when the other region has to have a write."""
         return self._open[number].since + self.view.bounds.copy_us
 
-    def turn(self, now: int, number: int, alive: bool, unsettled_us: int = 0) -> Turn:
+    def next_action(self, now: int, number: int, alive: bool, unsettled_us: int = 0) -> CopyAction:
         """Take a copy's next turn.
 
         `alive`: the lease under which it was written stands. `unsettled_us`: for so long the two heads may
@@ -117,48 +117,48 @@
         """
         copy = self._open.get(number)
         if copy is None:
-            return Turn.GONE
+            return CopyAction.ENDED
         if not alive:
-            return Turn.LOST
+            return CopyAction.LEASE_LOST
         if unsettled_us:
             copy.since = now + unsettled_us
-        return self.late(now, number) if self.view.overdue(copy.since, now) else Turn.SEND
+        return self.handle_late(now, number) if self.view.copy_overdue(copy.since, now) else CopyAction.SEND
 
-    def late(self, now: int, number: int) -> Turn:
+    def handle_late(self, now: int, number: int) -> CopyAction:
         """The other region does not take a write in time."""
         if self.view.other not in self.view.in_sync:
             # Only these bytes are missed; the other head goes on catching up with the rest while it is there.
             if not self.view.reachable(now):
-                self.catch_up.dropped()
+                self.catch_up.stop_joining()
             self._miss(self._open[number].extents)
-            return Turn.MISSED
+            return CopyAction.NOTED_MISSED
         if self.dropping:
-            return Turn.WAIT
+            return CopyAction.WAIT
         self.dropping = True
-        return Turn.DROP
+        return CopyAction.DROP_REGION
 
-    def ended(self, number: int) -> None:
+    def finish(self, number: int) -> None:
         """A write is not under way to the other region any more."""
         self._open.pop(number, None)
-        self.view.caught_up(number)
+        self.view.remove_behind(number)
 
-    def miss_all(self) -> None:
+    def note_all_missed(self) -> None:
         """Note whatever is open as missed: on disk when this returns, before the witness hears of it."""
         for copy in self._open.values():
             self._miss(copy.extents)
 
-    def dropped(self, stands: bool) -> list[int]:
+    def region_dropped(self, stands: bool) -> list[int]:
         """The record that the other region is out of sync stands, or the lease is over; return what is open.
 
         All of that ends, as served if it stands.
         """
         self.dropping = False
-        self.catch_up.dropped()
+        self.catch_up.stop_joining()
         if stands:
-            self.miss_all()
+            self.note_all_missed()
         return list(self._open)
 
     def _miss(self, extents: Iterable[int]) -> None:
         touched = list(extents)
         if touched:
-            self.catch_up.missed(touched)
+            self.catch_up.note_missed(touched)
--- a/harriertrack/decisions/discovery_watch.py
+++ b/harriertrack/decisions/discovery_watch.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 from random import Random
 
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 
 # Of the time after which the rules hold a head that does not ask for told: a watch waits so long a call ...
 WAIT_PARTS = 4
@@ -140,9 +140,9 @@
         return self._wanted
 
     def call(self) -> Call:
-        """Return the call to make now. Raises IllegalStep where there is no watch."""
+        """Return the call to make now. Raises IllegalTransition where there is no watch."""
         if self.state is Watch.IDLE:
-            raise IllegalStep("nobody follows the list")
+            raise IllegalTransition("nobody follows the list")
         wait = 0 if self.state is Watch.CATCHING_UP else self._wait_us
         return Call(None if self._whole else self.version, wait, wait + self._patience(wait))
 
@@ -159,9 +159,9 @@
         return max(least_us, min(PUSHED_CYCLE_US - took_us, least_us << doublings))
 
     def answered(self, version: int, full: bool, entries: int) -> UpdateOutcome:
-        """Take an answer's version; return what it is worth. Raises IllegalStep where there is no watch."""
+        """Take an answer's version; return what it is worth. Raises IllegalTransition without a watch."""
         if self.state is Watch.IDLE:
-            raise IllegalStep("an answer without a watch")
+            raise IllegalTransition("an answer without a watch")
         if not self._whole and self.version is not None and version < self.version:
             # A source that began anew, or one that lags: only a whole list says what is true there.
             self.state, self._whole = Watch.CATCHING_UP, True
--- a/harriertrack/decisions/epochs.py
+++ b/harriertrack/decisions/epochs.py
@@ -17,15 +17,15 @@
     _leases: dict[str, int] = field(default_factory=dict)
     _closes: dict[str, int] = field(default_factory=dict)
 
-    def leased(self, volume: str, epoch: int) -> None:
+    def record_lease(self, volume: str, epoch: int) -> None:
         """Work of a volume of two regions is done under this lease from now on, its own or the holder's."""
         self._leases[volume] = max(self._leases.get(volume, 0), epoch)
 
-    def knows_lease(self, volume: str) -> bool:
+    def has_lease(self, volume: str) -> bool:
         """Whether any lease of a volume was heard of."""
         return volume in self._leases
 
-    def closed(self, volume: str, generation: int) -> bool:
+    def record_close(self, volume: str, generation: int) -> bool:
         """A close of a volume is done; return whether that is news.
 
         `generation`: its instant, one more once what several heads left of it is trimmed.
@@ -39,6 +39,6 @@
         """Return of which generation a volume's bytes are here; 0: none was ever purged."""
         return self._closes.get(volume, 0)
 
-    def of(self, volume: str) -> int:
+    def epoch_of(self, volume: str) -> int:
         """Return what nodes are told."""
         return self._leases.get(volume, 0) + self._closes.get(volume, 0)
--- a/harriertrack/decisions/linklife.py
+++ b/harriertrack/decisions/link_lifecycle.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 from harriertrack.decisions.interface import Result
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 from harriertrack.decisions.requests import Attempt
 
 
@@ -21,7 +21,7 @@
     CLOSED = "closed"
 
 
-class LinkLife:
+class LinkLifecycle:
     """One link's attempts, by the cookie that its requests carry."""
 
     def __init__(self, most_orphans: int) -> None:
@@ -48,24 +48,24 @@
         """Whether an answer may still come."""
         return bool(self._out)
 
-    def offer(self, cookie: int, attempt: Attempt) -> bool:
+    def add_attempt(self, cookie: int, attempt: Attempt) -> bool:
         """Take an attempt; return whether to send it now, else it waits until the link is open."""
         if self.state is LinkState.CLOSED:
-            raise IllegalStep("a closed link takes no attempts")
+            raise IllegalTransition("a closed link takes no attempts")
         (self._out if self.open else self._waiting)[cookie] = attempt
         return self.open
 
-    def opened(self) -> list[tuple[int, Attempt]]:
+    def complete_handshake(self) -> list[tuple[int, Attempt]]:
         """The handshake is over; return the attempts to send now."""
         if self.state is not LinkState.DIALING:
-            raise IllegalStep(f"a link that is {self.state} can't open")
+            raise IllegalTransition(f"a link that is {self.state} can't open")
         self.state = LinkState.OPEN
         ready = list(self._waiting.items())
         self._waiting.clear()
         self._out.update(ready)
         return ready
 
-    def heard(self, now: int) -> None:
+    def note_received(self, now: int) -> None:
         """Something came from the node."""
         self._heard_at = now
 
@@ -82,16 +82,16 @@
             self.retired = True
         return self.open
 
-    def answered(self, cookie: int) -> Attempt:
+    def match_reply(self, cookie: int) -> Attempt:
         """A reply came; return whose. Raises KeyError if nothing with this cookie is out."""
         attempt = self._out.pop(cookie)
-        self._orphans -= attempt.told
+        self._orphans -= attempt.reported
         return attempt
 
     @property
-    def spent(self) -> bool:
+    def can_close(self) -> bool:
         """Whether it was replaced and nobody waits for an answer over it any more: it can be closed."""
-        return self.retired and not any(attempt.awaited for attempt in self._out.values())
+        return self.retired and not any(attempt.answer_needed for attempt in self._out.values())
 
     def close(self) -> list[tuple[Attempt, Result]]:
         """The link is gone; return what that proves of each attempt.
--- a/harriertrack/decisions/moving.py
+++ b/harriertrack/decisions/moving.py
@@ -23,12 +23,12 @@
 from harriertrack.decisions.splitting import Outcome
 
 PACE_US = 5_000  # between two extents of a volume: clients' requests come first
-RETRY_US, RETRY_MOST_US = 50_000, 2_000_000  # after a refusal, doubled each time
+RETRY_US, RETRY_MAX_US = 50_000, 2_000_000  # after a refusal, doubled each time
 SETTLE_US = 3_000_000  # after an unknown outcome: longer than an attempt is on its way, or a rack remembers
-MOST_FAILURES = 12  # in a row, without one extent moved: then somebody must look
+MAX_FAILURES = 12  # in a row, without one extent moved: then somebody must look
 
 
-TRIMS = 4  # times that a trim is tried before the next start or map tries again
+MAX_TRIM_TRIES = 4  # times that a trim is tried before the next start or map tries again
 
 
 class MoveState(StrEnum):
@@ -40,7 +40,7 @@
     STOPPED = "stopped"  # it can't go on by itself; a newer map begins anew
 
 
-def misplaced(home: str, placed: Iterable[tuple[int, int]], shards: Mapping[int, str]) -> list[int]:
+def misplaced_extents(home: str, placed: Iterable[tuple[int, int]], shards: Mapping[int, str]) -> list[int]:
     """Return the extents of a volume, given as (extent, shard), that lie outside its cell."""
     return sorted(extent for extent, shard in placed if shards.get(shard) != home)
 
@@ -50,16 +50,16 @@
     """One volume's move."""
 
     volume: str
-    left: list[int]  # extents to be moved, the next first
+    remaining: list[int]  # extents to be moved, the next first
     settle_us: int  # the longest that a write taken under an earlier map may still place an extent
     now: InitVar[int] = 0
     state: MoveState = MoveState.MOVING
-    why: str = ""  # it stopped
+    stop_reason: str = ""  # it stopped
     moved: int = 0
-    busy: int = -1  # the extent that is being moved
-    after: Move | None = None  # the volume's move by the map before, until nothing of it is under way
-    trims: bool = False  # a trim of what was left behind is under way
-    quiet_at: int = 0  # when none of them can land any more
+    current_extent: int = -1  # the extent that is being moved
+    previous: Move | None = None  # the volume's move by the map before, until nothing of it is under way
+    trimming: bool = False  # a trim of what was left behind is under way
+    trims_settled_at: int = 0  # when none of them can land any more
     _next_at: int = 0
     _check_at: int = 0
     _failures: int = 0
@@ -71,50 +71,59 @@
 
     def _look(self, now: int) -> None:
         """Nothing is left: look again once every write from before the map is over."""
-        if not self.left:
+        if not self.remaining:
             self.state = MoveState.SETTLING
             self._next_at = max(now, self._check_at)
 
-    def checked(self, found: Iterable[int]) -> None:
+    def finish_check(self, found: Iterable[int]) -> None:
         """Take what still lies outside when `SETTLING` is over: more to move, or the end."""
-        self.left = sorted(found)
-        self.state = MoveState.MOVING if self.left else MoveState.DONE
+        self.remaining = sorted(found)
+        self.state = MoveState.MOVING if self.remaining else MoveState.DONE
 
-    def next(self, now: int) -> int | None:
+    def next_extent(self, now: int) -> int | None:
         """Return the extent to begin with now; None if it is not time, or one is under way."""
-        if self.state is not MoveState.MOVING or self.busy >= 0 or now < self._next_at:
+        if self.state is not MoveState.MOVING or self.current_extent >= 0 or now < self._next_at:
             return None
-        extent = next((one for one in self.left if self._settles.get(one, 0) <= now), None)
+        extent = next((one for one in self.remaining if self._settles.get(one, 0) <= now), None)
         if extent is None:
-            self._next_at = min(self._settles[one] for one in self.left)
+            self._next_at = min(self._settles[one] for one in self.remaining)
             return None
-        self.busy = extent
+        self.current_extent = extent
         return extent
 
     def wake_at(self) -> int | None:
         """Return when to ask `next`, or to look again; None while one is under way or all is over."""
         waits = self.state in (MoveState.MOVING, MoveState.SETTLING)
-        return self._next_at if waits and self.busy < 0 else None
+        return self._next_at if waits and self.current_extent < 0 else None
 
-    def may_follow(self, now: int) -> bool:
+    def successor_may_start(self, now: int) -> bool:
         """Whether nothing of this move is under way, so that another move of the volume may begin."""
-        if self.after is not None and self.after.may_follow(now):
-            self.after = None
-        return self.after is None and self.busy < 0 and not self.trims and now >= self.quiet_at
+        if self.previous is not None and self.previous.successor_may_start(now):
+            self.previous = None
+        return (
+            self.previous is None
+            and self.current_extent < 0
+            and not self.trimming
+            and now >= self.trims_settled_at
+        )
 
     @property
-    def under_way(self) -> int:
+    def extent_in_progress(self) -> int:
         """Return the extent that this move or one before it is at; -1 for none."""
-        return self.busy if self.busy >= 0 or self.after is None else self.after.under_way
+        return (
+            self.current_extent
+            if self.current_extent >= 0 or self.previous is None
+            else self.previous.extent_in_progress
+        )
 
-    def forgets(self, left: Iterable[tuple[int, int]], placed: Mapping[int, int]) -> Forgetting:
+    def leftover_trims(self, left: Iterable[tuple[int, int]], placed: Mapping[int, int]) -> LeftoverTrims:
         """Return how what was left behind, as (extent, shard), is trimmed now that the move is done."""
-        return Forgetting(self, [(extent, shard) for extent, shard in left if placed.get(extent) != shard])
+        return LeftoverTrims(self, [(extent, shard) for extent, shard in left if placed.get(extent) != shard])
 
-    def ended(self, now: int, outcome: Outcome) -> None:
+    def finish_extent(self, now: int, outcome: Outcome) -> None:
         """Take what came of the extent under way."""
-        extent, self.busy = self.busy, -1
-        self.left.remove(extent)
+        extent, self.current_extent = self.current_extent, -1
+        self.remaining.remove(extent)
         if outcome is Outcome.SERVED:
             self.moved += 1
             self._failures = 0
@@ -123,44 +132,46 @@
             return
         self._failures += 1
         if outcome is Outcome.FAILED:
-            self.left.append(extent)  # the others first
+            self.remaining.append(extent)  # the others first
             self._settles[extent] = now + SETTLE_US
             self._next_at = now + PACE_US
         else:
-            self.left.append(extent)  # another's node may be well
-            self._next_at = now + min(RETRY_MOST_US, RETRY_US << min(self._failures, 10))
-        if self._failures >= MOST_FAILURES:
+            self.remaining.append(extent)  # another's node may be well
+            self._next_at = now + min(RETRY_MAX_US, RETRY_US << min(self._failures, 10))
+        if self._failures >= MAX_FAILURES:
             self.state = MoveState.STOPPED
-            self.why = f"{self._failures} tries in a row came to nothing; {len(self.left)} extents are left"
+            self.stop_reason = (
+                f"{self._failures} tries in a row came to nothing; {len(self.remaining)} extents are left"
+            )
 
 
 @dataclass(slots=True)
-class Forgetting:
+class LeftoverTrims:
     """Trims what a done move left behind, one after another."""
 
     move: Move
-    left: list[tuple[int, int]]
+    remaining: list[tuple[int, int]]
     given_up: int = 0
     _tries: int = 0
 
-    def next(self) -> tuple[int, int] | None:
+    def next_trim(self) -> tuple[int, int] | None:
         """Return the (extent, shard) to trim now; None at the end."""
-        if not self.left:
+        if not self.remaining:
             return None
-        self.move.trims = True
-        return self.left[0]
+        self.move.trimming = True
+        return self.remaining[0]
 
-    def ended(self, now: int, outcome: Outcome) -> int:
+    def finish_trim(self, now: int, outcome: Outcome) -> int:
         """Take what came of it; return when to go on."""
-        self.move.trims = False
+        self.move.trimming = False
         self._tries += 1
-        if outcome is Outcome.SERVED or self._tries >= TRIMS:
+        if outcome is Outcome.SERVED or self._tries >= MAX_TRIM_TRIES:
             self.given_up += outcome is not Outcome.SERVED
-            self.left.pop(0)
+            self.remaining.pop(0)
             self._tries = 0
         if outcome is Outcome.SERVED:
             return now + PACE_US
         if outcome is Outcome.FAILED:
-            self.move.quiet_at = now + SETTLE_US
+            self.move.trims_settled_at = now + SETTLE_US
             return now + SETTLE_US
-        return now + min(RETRY_MOST_US, RETRY_US << self._tries)
+        return now + min(RETRY_MAX_US, RETRY_US << self._tries)
--- a/harriertrack/decisions/ranges.py
+++ b/harriertrack/decisions/ranges.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class RangeLock:
     """A place in the line; bytes from `start` to before `end`."""
 
     start: int
@@ -20,7 +20,7 @@
     grant: Callable[[], None]
     granted: bool = False
 
-    def conflicts(self, other: Ticket) -> bool:
+    def conflicts(self, other: RangeLock) -> bool:
         """Whether the two may not go together."""
         return (self.exclusive or other.exclusive) and self.start < other.end and other.start < self.end
 
@@ -29,14 +29,14 @@
     """The ranges of one volume."""
 
     def __init__(self) -> None:
-        self._line: dict[Ticket, None] = {}
+        self._line: dict[RangeLock, None] = {}
 
     def __len__(self) -> int:
         return len(self._line)
 
-    def ask(self, start: int, end: int, exclusive: bool, grant: Callable[[], None]) -> Ticket:
+    def acquire(self, start: int, end: int, exclusive: bool, grant: Callable[[], None]) -> RangeLock:
         """Stand in line; `grant` is called at once, or when all that goes before is released."""
-        ticket = Ticket(start, end, exclusive, grant)
+        ticket = RangeLock(start, end, exclusive, grant)
         free = not any(ticket.conflicts(earlier) for earlier in self._line)
         self._line[ticket] = None
         if free:
@@ -44,11 +44,11 @@
             grant()
         return ticket
 
-    def release(self, ticket: Ticket) -> None:
+    def release(self, ticket: RangeLock) -> None:
         """Leave the line, granted or not; releasing twice is releasing once."""
         if self._line.pop(ticket, False) is False:
             return
-        passed: list[Ticket] = []
+        passed: list[RangeLock] = []
         freed = []
         for waiting in self._line:
             if not waiting.granted and waiting.conflicts(ticket):
--- a/harriertrack/decisions/regions.py
+++ b/harriertrack/decisions/regions.py
@@ -35,7 +35,7 @@
     REFUSE = "refuse"
 
 
-class Copying(StrEnum):
+class CopyDecision(StrEnum):
     """What is to be done with a write that the home holds."""
 
     WAIT = "wait"  # copy it, and acknowledge it when the other region has it
@@ -80,26 +80,26 @@
     home: str  # where the volume belongs
     bounds: Bounds
     in_sync: frozenset[str] = frozenset()
-    heard_at: int = -(1 << 60)  # when the newest word of the other head was asked for
+    last_contact: int = -(1 << 60)  # when the newest word of the other head was asked for
     free_since: int | None = None  # nobody holds the volume, as far as the witness said
-    both_since: int | None = None
+    in_sync_since: int | None = None
     behind: dict[int, int] = field(default_factory=dict)  # mode HOME: writes on their way, and since when
 
     # -- what is heard
 
-    def recorded(self, in_sync: frozenset[str], now: int) -> None:
+    def set_in_sync(self, in_sync: frozenset[str], now: int) -> None:
         """The witness's record was read or written."""
         if len(in_sync) == 2:
-            self.both_since = now if self.both_since is None else self.both_since
+            self.in_sync_since = now if self.in_sync_since is None else self.in_sync_since
         else:
-            self.both_since = None
+            self.in_sync_since = None
         self.in_sync = in_sync
 
-    def heard(self, asked_at: int) -> None:
+    def note_contact(self, asked_at: int) -> None:
         """The other head answered a call that began then."""
-        self.heard_at = max(self.heard_at, asked_at)
+        self.last_contact = max(self.last_contact, asked_at)
 
-    def free(self, is_free: bool, now: int) -> None:
+    def set_free(self, is_free: bool, now: int) -> None:
         """The witness told whether somebody holds the volume."""
         if not is_free:
             self.free_since = None
@@ -110,7 +110,7 @@
 
     def reachable(self, now: int) -> bool:
         """Whether the other head was heard from lately enough to be passed work."""
-        return now - self.heard_at <= self.bounds.fresh_us
+        return now - self.last_contact <= self.bounds.fresh_us
 
     def route(self, epoch: int, now: int) -> Route:
         """Return where a client's request goes.
@@ -121,30 +121,30 @@
             return Route.HERE
         return Route.OTHER if self.reachable(now) else Route.REFUSE
 
-    def copying(self, now: int) -> Copying:
+    def copy_decision(self, now: int) -> CopyDecision:
         """Return what a write that the home holds has to wait for."""
         if self.other not in self.in_sync:
-            return Copying.NOTE
+            return CopyDecision.NOTE
         if self.bounds.mode is Mode.BOTH:
-            return Copying.WAIT
+            return CopyDecision.WAIT
         if len(self.behind) >= self.bounds.behind_writes:
-            return Copying.WAIT
+            return CopyDecision.WAIT
         oldest = next(iter(self.behind.values()), now)
-        return Copying.WAIT if now - oldest >= self.bounds.behind_us else Copying.LATER
+        return CopyDecision.WAIT if now - oldest >= self.bounds.behind_us else CopyDecision.LATER
 
-    def began_behind(self, number: int, now: int) -> None:
+    def add_behind(self, number: int, now: int) -> None:
         """Mode HOME: a write was acknowledged that the other region does not hold yet."""
         self.behind[number] = now
 
-    def caught_up(self, number: int) -> None:
+    def remove_behind(self, number: int) -> None:
         """The other region holds that write now."""
         self.behind.pop(number, None)
 
-    def overdue(self, since: int, now: int) -> bool:
+    def copy_overdue(self, since: int, now: int) -> bool:
         """Whether a copy that began then counts as failed."""
         return now - since >= self.bounds.copy_us
 
-    def next_overdue(self, now: int) -> int | None:
+    def behind_overdue_at(self, now: int) -> int | None:
         """Mode HOME.
 
         When the oldest write behind passes the bound, after which the other region must be dropped.
@@ -152,7 +152,7 @@
         oldest = next(iter(self.behind.values()), None)
         return None if oldest is None else oldest + self.bounds.behind_us
 
-    def may_take(self, now: int, wish: str = "") -> bool:
+    def may_acquire(self, now: int, wish: str = "") -> bool:
         """Whether this region may ask for a volume that nobody holds.
 
         Only a region in sync holds all that was acknowledged. The region that operators wish it in, else its
@@ -172,7 +172,7 @@
         target = wish or self.home
         if target != self.other or self.other not in self.in_sync or not self.reachable(now):
             return False
-        return self.both_since is not None and now - self.both_since >= self.bounds.settle_us
+        return self.in_sync_since is not None and now - self.in_sync_since >= self.bounds.settle_us
 
     def may_join(self, now: int) -> bool:
         """Whether the witness may record that the other region, which misses nothing any more, is in sync."""
@@ -192,7 +192,7 @@
     old. No clock but this one is read, and no estimate of the link's delay is relied on.
     """
 
-    most_us: int
+    max_age_us: int
     _born: int = -1
 
     def tick(self, now: int) -> int:
@@ -207,4 +207,4 @@
 
     def fresh(self, token: int, now: int) -> bool:
         """Whether a message that names this tick is young enough to be acted on."""
-        return self.age(token, now) <= self.most_us
+        return self.age(token, now) <= self.max_age_us
--- a/harriertrack/decisions/requests/__init__.py
+++ b/harriertrack/decisions/requests/__init__.py
@@ -15,20 +15,26 @@
 
 from harriertrack.decisions.requests.core import Core
 from harriertrack.decisions.requests.model import Attempt, ClientRequest, Origin, Part, Volume
-from harriertrack.decisions.requests.port import Module
-from harriertrack.decisions.requests.rules import ANSWER_TICKS, CHANGING, ClassRule, Placed, RequestRules
+from harriertrack.decisions.requests.port import DecisionModule
+from harriertrack.decisions.requests.rules import (
+    ANSWER_TICKS,
+    MODIFYING_KINDS,
+    ClassRule,
+    ClientPlacement,
+    RequestRules,
+)
 
 __all__ = [
     "ANSWER_TICKS",
-    "CHANGING",
+    "MODIFYING_KINDS",
     "Attempt",
     "ClassRule",
     "ClientRequest",
     "Core",
-    "Module",
+    "DecisionModule",
     "Origin",
     "Part",
-    "Placed",
+    "ClientPlacement",
     "RequestRules",
     "Volume",
 ]
--- a/harriertrack/decisions/requests/closing.py
+++ b/harriertrack/decisions/requests/closes.py
@@ -5,69 +5,69 @@
 from collections.abc import Callable
 
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.life import PartState, PartStep
-from harriertrack.decisions.requests.board import Board
-from harriertrack.decisions.requests.ending import Ending
+from harriertrack.decisions.lifecycle import PartState, PartStep
+from harriertrack.decisions.requests.completion import Completion
 from harriertrack.decisions.requests.model import ClientRequest
-from harriertrack.decisions.requests.placing import Placing
-from harriertrack.decisions.requests.rules import CHANGING
+from harriertrack.decisions.requests.placement import Placement
+from harriertrack.decisions.requests.rules import MODIFYING_KINDS
+from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.splitting import Outcome
 
 CLOSED = "a close may have come"
 
 
-class Closing:
+class CloseHandling:
     """What becomes of requests that a close covers."""
 
-    def __init__(self, board: Board, placing: Placing, ending: Ending) -> None:
-        self._board, self._placing, self._ending = board, placing, ending
+    def __init__(self, state: CoreState, placement: Placement, completion: Completion) -> None:
+        self._state, self._placement, self._completion = state, placement, completion
         self._waiting: dict[ClientRequest, int] = {}  # when they begin anew: their clients wait
 
-    def turns_away(self, now: int, request: ClientRequest) -> bool:
+    def intercept(self, now: int, request: ClientRequest) -> bool:
         """Refuse a request that a close may cover, or let it wait, before anything is done for it."""
-        closings = self._board.closings
+        closings = self._state.close_guard
         if closings is None or (hint := closings.refuses(request)) is None:
             return False
         if not self._waits(now, request, hint):
-            request.hint_us, request.why = hint, CLOSED
-            self._ending.finish(request, Outcome.REFUSED)
+            request.hint_us, request.reason = hint, CLOSED
+            self._completion.finish(request, Outcome.REFUSED)
         return True
 
-    def withholds(self, now: int, request: ClientRequest) -> bool:
+    def withhold_answer(self, now: int, request: ClientRequest) -> bool:
         """Refuse a request that is about to be answered, if a close may have come meanwhile.
 
         Return whether it is not answered now, for its client waits.
         """
-        closings = self._board.closings
+        closings = self._state.close_guard
         if closings is None or (hint := closings.refuses(request)) is None:
             return False
         return self._withdraw(request, hint) and self._begins_anew(now, request, hint)
 
-    def again(self, now: int) -> list[ClientRequest]:
+    def due_restarts(self, now: int) -> list[ClientRequest]:
         """Return the requests that begin anew now."""
         found = [request for request, when in self._waiting.items() if when <= now]
         for request in found:
             del self._waiting[request]
         return [request for request in found if request.outcome is None]  # else its client left
 
-    def next_at(self) -> int | None:
+    def next_restart_at(self) -> int | None:
         """Return when the next one does."""
         return min(self._waiting.values(), default=None)
 
-    def stop(self, why: str) -> None:
+    def stop_waiting(self, why: str) -> None:
         """Let nothing wait any more: what does is refused."""
         waiting, self._waiting = self._waiting, {}
         for request in waiting:
             if request.outcome is None:
-                request.why = why
-                self._ending.finish(request, Outcome.REFUSED)
+                request.reason = why
+                self._completion.finish(request, Outcome.REFUSED)
 
     def _waits(self, now: int, request: ClientRequest, hint: int) -> bool:
         """Let a request of which nothing ran begin anew after the hint, if its client waits that long."""
-        board = self._board
-        if not request.patience_us or board.closing or now + hint >= board.last_answer(request):
+        state = self._state
+        if not request.patience_us or state.stop_reason or now + hint >= state.last_answer(request):
             return False
-        request.parts, request.pieces, request.open, request.outcome = [], [], 0, None
+        request.parts, request.pieces, request.open_parts, request.outcome = [], [], 0, None
         self._waiting[request] = now + hint
         return True
 
@@ -75,7 +75,7 @@
         """Take a refusal back that was not answered."""
         if request.outcome is not Outcome.REFUSED or not self._waits(now, request, hint):
             return False
-        self._board.counts.refused -= 1
+        self._state.counts.refused -= 1
         return True
 
     def close_off(self, now: int, covers: Callable[[str, int, int], bool]) -> tuple[int, int]:
@@ -83,34 +83,34 @@
 
         What may have run is failed, all else is refused. Returns how many parts were refused and failed.
         """
-        board, refused, failed = self._board, 0, 0
-        for part in list(board.parts.values()):
+        state, refused, failed = self._state, 0, 0
+        for part in list(state.parts.values()):
             request = part.request
-            if part.state.over or part.extent < 0 or request.at_shard >= 0:
+            if part.state.is_final or part.extent < 0 or request.trim_shard >= 0:
                 continue
             if not covers(request.volume.settings.name, part.offset, part.length):
                 continue
-            if part.state not in (PartState.WAITING, PartState.KEPT):
-                board.add(api.ClientGone(part.number))
-            ran = request.kind in CHANGING and part.touched
-            if ran and board.closings is not None:
-                board.closings.may_run(request.volume.settings.name, part.extent)
+            if part.state not in (PartState.AWAITING_PLACEMENT, PartState.QUEUED):
+                state.queue_event(api.ClientGone(part.number))
+            ran = request.kind in MODIFYING_KINDS and part.may_have_effect
+            if ran and state.close_guard is not None:
+                state.close_guard.may_run(request.volume.settings.name, part.extent)
             refused, failed = refused + (not ran), failed + ran
-            request.why = CLOSED
-            self._ending.given_up(part, PartStep.FAIL if ran else PartStep.REFUSE, 1)
-        for request in list(board.answers):
+            request.reason = CLOSED
+            self._completion.give_up(part, PartStep.FAIL if ran else PartStep.REFUSE, 1)
+        for request in list(state.pending_answers):
             if covers(request.volume.settings.name, request.offset, request.length):
                 refused += self._withdraw(request, 1)
                 if self._begins_anew(now, request, 1):
-                    board.answers.remove(request)
-        self._placing.record()
+                    state.pending_answers.remove(request)
+        self._placement.write_placements()
         return refused, failed
 
     def _withdraw(self, request: ClientRequest, hint: int) -> bool:
         """Refuse a read that was served and not answered."""
-        if request.kind in CHANGING or request.outcome is not Outcome.SERVED:
+        if request.kind in MODIFYING_KINDS or request.outcome is not Outcome.SERVED:
             return False
-        self._board.counts.served -= 1
-        self._board.counts.refused += 1
-        request.outcome, request.hint_us, request.why = Outcome.REFUSED, hint, CLOSED
+        self._state.counts.served -= 1
+        self._state.counts.refused += 1
+        request.outcome, request.hint_us, request.reason = Outcome.REFUSED, hint, CLOSED
         return True
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -5,20 +5,27 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.life import AttemptStep, PartState, PartStep, step_attempt
-from harriertrack.decisions.requests.acting import Acting
-from harriertrack.decisions.requests.arriving import Arriving
+from harriertrack.decisions.lifecycle import AttemptStep, PartState, PartStep, next_attempt_state
+from harriertrack.decisions.requests.admission import Admission
 from harriertrack.decisions.requests.attempts import Attempts
-from harriertrack.decisions.requests.board import Board
-from harriertrack.decisions.requests.closing import Closing
-from harriertrack.decisions.requests.ending import Ending
-from harriertrack.decisions.requests.facts import Beside, VolumeFacts
-from harriertrack.decisions.requests.keeping import Keeping
+from harriertrack.decisions.requests.closes import CloseHandling
+from harriertrack.decisions.requests.completion import Completion
+from harriertrack.decisions.requests.dispatch import ActionDispatcher
+from harriertrack.decisions.requests.inputs import ReplyMetadata, VolumeFacts
 from harriertrack.decisions.requests.model import Attempt, ClientRequest, Part, Volume
-from harriertrack.decisions.requests.offering import Offering
-from harriertrack.decisions.requests.placing import Placing
-from harriertrack.decisions.requests.port import Closings, Holder, Module, NodeBook, Places, Port
-from harriertrack.decisions.requests.rules import Placed, RequestRules
+from harriertrack.decisions.requests.placement import Placement
+from harriertrack.decisions.requests.port import (
+    CloseGuard,
+    DecisionModule,
+    HoldOwner,
+    NodeDirectory,
+    PlacementStore,
+    Port,
+)
+from harriertrack.decisions.requests.retry_queue import RetryQueue
+from harriertrack.decisions.requests.rules import ClientPlacement, RequestRules
+from harriertrack.decisions.requests.state import CoreState
+from harriertrack.decisions.requests.submission import Submission
 from harriertrack.decisions.splitting import Kind, Outcome
 
 
@@ -28,46 +35,48 @@
     def __init__(
         self,
         rules: RequestRules,
-        module: Module,
+        module: DecisionModule,
         volumes: Iterable[VolumeFacts],
         port: Port,
-        nodes: NodeBook,
-        places: Places,
+        nodes: NodeDirectory,
+        places: PlacementStore,
         restored: Iterable[api.NodeEntry] = (),
     ) -> None:
-        self.nodes, self.places = nodes, places
+        self.nodes, self.placements = nodes, places
         self.volumes = {volume.name: Volume(volume) for volume in volumes}
         self._module, self._port = module, port
-        board = self._board = Board(rules, port, places)
-        self.counts = board.counts
-        self._arriving = Arriving(board)
-        self._placing = Placing(board, self._arriving)
-        self._keeping = Keeping(board, self._placing)
-        self._ending = Ending(board, self._placing, self._keeping)
-        self._offering = Offering(board, self._arriving, self._placing, self._keeping, self._ending)
-        self._attempts = Attempts(board, nodes, self._keeping, self._ending, self._offering)
-        self._acting = Acting(board, self._ending, self._offering, self._attempts)
-        self._closing = Closing(board, self._placing, self._ending)
+        state = self._state = CoreState(rules, port, places)
+        self.counts = state.counts
+        self._submission = Submission(state)
+        self._placement = Placement(state, self._submission)
+        self._retry_queue = RetryQueue(state, self._placement)
+        self._completion = Completion(state, self._placement, self._retry_queue)
+        self._admission = Admission(
+            state, self._submission, self._placement, self._retry_queue, self._completion
+        )
+        self._attempts = Attempts(state, nodes, self._retry_queue, self._completion, self._admission)
+        self._dispatcher = ActionDispatcher(state, self._completion, self._admission, self._attempts)
+        self._closes = CloseHandling(state, self._placement, self._completion)
         for volume in self.volumes.values():  # what an earlier life wrote without a flush is not known
             name, fixed = volume.settings.name, volume.settings.shards
             volume.dirty = dict.fromkeys(fixed or {shard for _, shard in places.placed(name)}, 0)
-        board.add(api.NodesChanged(api.ListKind.RESTORED, list(restored)))
+        state.queue_event(api.NodesChanged(api.ListKind.RESTORED, list(restored)))
 
     # -- what it is told
 
     @property
     def rules(self) -> RequestRules:
         """Return what it goes by."""
-        return self._board.rules
+        return self._state.rules
 
-    def retell(self, now: int, rules: RequestRules, settings: api.Settings) -> None:
+    def apply_settings(self, now: int, rules: RequestRules, settings: api.Settings) -> None:
         """Go by other deadlines and bounds for what is taken from now on, and let the module go by its own.
 
         Classes, and how requests are cut, stay.
         """
-        self._board.retell(rules)
-        self._keeping.patience.retell(now, rules.patience)
-        self._board.add(api.SettingsChanged(settings))
+        self._state.apply_rules(rules)
+        self._retry_queue.patience.retell(now, rules.patience)
+        self._state.queue_event(api.SettingsChanged(settings))
 
     def nodes_changed(self, news: api.NodesChanged | None) -> None:
         """Take news of the node list; None is none.
@@ -78,91 +87,91 @@
             stood_from = self._attempts.standstill.stood_from
             if stood_from is not None:
                 news.told_at = min(news.told_at or stood_from, stood_from)
-            self._board.add(news)
+            self._state.queue_event(news)
 
     def list_failed(self) -> None:
         """The source can't be reached; the list in hand stays."""
-        self._board.add(api.NodesChanged(api.ListKind.FAILED))
+        self._state.queue_event(api.NodesChanged(api.ListKind.FAILED))
 
-    def begin_looks(self, now: int) -> None:
+    def begin_standstill_checks(self, now: int) -> None:
         """Let `look` be called each `standstill.LOOK_US` from now on."""
         self._attempts.standstill.begin(now)
 
-    def look(self, now: int) -> None:
+    def check_standstill(self, now: int) -> None:
         """Look whether the process stood still: then nothing is sent before the list was asked for."""
-        self._attempts.look(now)
+        self._attempts.check_standstill(now)
 
-    def must_ask(self, now: int) -> bool:
+    def needs_list_refresh(self, now: int) -> bool:
         """Look; return whether the list has to be asked for before anything is sent."""
-        return self._attempts.must_ask(now)
+        return self._attempts.needs_list_refresh(now)
 
-    def list_heard(self, began: int, answered: bool) -> None:
+    def list_call_ended(self, began: int, answered: bool) -> None:
         """A call for the list that began then was answered, or failed at its source."""
         self._attempts.standstill.heard(began, answered)
-        self._board.soon()
+        self._state.request_flush()
 
     # -- requests
 
     def deadline_of(self, now: int, kind: Kind, length: int) -> int:
         """Return when a client that asks now gives up."""
-        return now + self._board.deadlines[self._board.class_of(kind, length)]
+        return now + self._state.deadlines[self._state.class_of(kind, length)]
 
-    def full(self) -> bool:
+    def at_capacity(self) -> bool:
         """Return whether as many parts are open as the settings allow."""
-        return len(self._board.parts) >= self._board.rules.held
+        return len(self._state.parts) >= self._state.rules.max_open_parts
 
-    def take(self, now: int, request: ClientRequest) -> None:
+    def accept(self, now: int, request: ClientRequest) -> None:
         """Take a request: from now on it is owed one final answer."""
-        board = self._board
-        board.counts.taken += 1
+        state = self._state
+        state.counts.accepted += 1
         class_name = self._class_of(request)
         if not request.deadline:
-            came = min(request.came or now, now)
-            request.deadline = came + max(board.deadlines[class_name], request.patience_us)
+            came = min(request.arrived_at or now, now)
+            request.deadline = came + max(state.deadlines[class_name], request.patience_us)
         self._begin(now, request, class_name)
 
     def _begin(self, now: int, request: ClientRequest, class_name: str) -> None:
         """Cut a request and let its parts go on, unless a close stands in its way."""
-        if self._closing.turns_away(now, request):
+        if self._closes.intercept(now, request):
             return
-        self._board.cut(request, class_name)
-        request.open = len(request.parts)
+        self._state.split_request(request, class_name)
+        request.open_parts = len(request.parts)
         if not request.parts:
-            self._ending.finish(request, Outcome.SERVED)
+            self._completion.finish(request, Outcome.SERVED)
         for part in list(request.parts):
-            if part.state is PartState.WAITING:  # else the one before ended the request
-                self._offering.admit(now, part)
+            if part.state is PartState.AWAITING_PLACEMENT:  # else the one before ended the request
+                self._admission.admit(now, part)
 
     def _class_of(self, request: ClientRequest) -> str:
         kind = request.kind
         own = Kind.OWN_READ if kind is Kind.READ else Kind.MOVE if request.moving else Kind.CATCH_UP
-        return self._board.class_of(own if request.background else kind, request.length)
+        return self._state.class_of(own if request.background else kind, request.length)
 
-    def take_placed(self, now: int, request: ClientRequest, placed: Placed) -> None:
+    def accept_placed(self, now: int, request: ClientRequest, placed: ClientPlacement) -> None:
         """Take a request that is one part and says itself where it lies; its deadline is set.
 
         Raises ValueError for one that would wait on hints: waiting goes by extents, which it has not.
         """
         if request.patience_us or not request.deadline:
             raise ValueError("a request that is placed by its client has a deadline and no patience")
-        self.counts.taken += 1
-        part = self._board.part(request, placed.class_name, -1, 0, request.length, placed.shard)
-        part.placed = placed
+        self.counts.accepted += 1
+        part = self._state.open_part(request, placed.class_name, -1, 0, request.length, placed.shard)
+        part.client_placement = placed
         request.pieces.append(part)
-        request.open = 1
-        self._arriving.tell(now, part)
+        request.open_parts = 1
+        self._submission.submit(now, part)
 
-    def client_gone(self, request: ClientRequest) -> None:
+    def client_left(self, request: ClientRequest) -> None:
         """The client left: no answer is owed any more."""
         if request.outcome is None:
             request.outcome = Outcome.FAILED
-            self.counts.left += 1
-            self._ending.drop_parts(request)
+            self.counts.clients_left += 1
+            self._completion.drop_parts(request)
 
-    def answer_outside(self, request: ClientRequest) -> None:
+    def queue_answer(self, request: ClientRequest) -> None:
         """Give an answer that was decided around the core at the end of the next flush, as all are."""
-        self._board.answers.append(request)
-        self._board.soon()
+        self._state.pending_answers.append(request)
+        self._state.request_flush()
 
     # -- what is open
 
@@ -170,88 +179,88 @@
     def open_requests(self) -> int:
         """How many requests were taken and have no final answer yet."""
         counts = self.counts
-        return counts.taken - counts.served - counts.refused - counts.failed - counts.left
+        return counts.accepted - counts.served - counts.refused - counts.failed - counts.clients_left
 
     @property
     def open_parts(self) -> int:
         """How many parts are open, or have attempts out."""
-        return len(self._board.parts)
+        return len(self._state.parts)
 
     @property
-    def waiting(self) -> int:
+    def waiting_parts(self) -> int:
         """How many parts wait on a hint."""
-        return len(self._keeping.patience)
+        return len(self._retry_queue.patience)
 
     @property
-    def offers(self) -> int:
+    def resubmissions(self) -> int:
         """How often a part that waited was offered to the module."""
-        return self._keeping.patience.offered
+        return self._retry_queue.patience.offered
 
-    def kept_parts(self) -> Iterator[Part]:
+    def parts_that_waited(self) -> Iterator[Part]:
         """Yield the open parts that wait, or have waited, on a hint."""
-        return (part for part in self._board.parts.values() if part.kept and not part.state.over)
+        return (part for part in self._state.parts.values() if part.has_waited and not part.state.is_final)
 
     # -- the head's end
 
     def fail_open(self) -> None:
         """The head ends now: fail whatever is open, which is true of anything that may yet run."""
-        for part in list(self._board.parts.values()):
-            if not part.state.over:
-                self._board.add(api.ClientGone(part.number))
-                self._ending.given_up(part, PartStep.FAIL)
+        for part in list(self._state.parts.values()):
+            if not part.state.is_final:
+                self._state.queue_event(api.ClientGone(part.number))
+                self._completion.give_up(part, PartStep.FAIL)
 
-    def close(self, why: str) -> None:
+    def stop_waiting(self, why: str) -> None:
         """Let nothing wait on a hint any more: what does is refused."""
-        self._board.closing = why
-        self._closing.stop(why)
-        for part in [part for part in self._board.parts.values() if part.state is PartState.KEPT]:
-            if part.state is PartState.KEPT:  # else a sibling's refusal has dropped it
-                part.request.why = why
-                self._ending.time_up(part)
+        self._state.stop_reason = why
+        self._closes.stop_waiting(why)
+        for part in [part for part in self._state.parts.values() if part.state is PartState.QUEUED]:
+            if part.state is PartState.QUEUED:  # else a sibling's refusal has dropped it
+                part.request.reason = why
+                self._completion.expire(part)
 
     # -- extents
 
     def shard_of(self, volume: Volume, extent: int) -> int | None:
         """Return the shard that holds an extent; None if it was never written."""
-        return self._board.shard_of(volume, extent)
+        return self._state.shard_of(volume, extent)
 
-    def hold_extent(self, volume: str, extent: int, holder: Holder) -> None:
+    def hold_extent(self, volume: str, extent: int, holder: HoldOwner) -> None:
         """Let later requests for an extent wait; `holder.held` follows once no earlier one is open.
 
         It ends with `free_extent`, or with the end of a `moving` write to the extent. Raises ValueError if it
         is held already, or was never placed.
         """
-        self._placing.hold(volume, extent, holder)
+        self._placement.hold_extent(volume, extent, holder)
 
-    def free_extent(self, volume: str, extent: int) -> None:
+    def release_extent(self, volume: str, extent: int) -> None:
         """Let those that wait for an extent go on; not while a `moving` write to it is under way."""
-        self._placing.free(volume, extent)
+        self._placement.release_extent(volume, extent)
 
     # -- closes
 
     @property
-    def closings(self) -> Closings | None:
+    def close_guard(self) -> CloseGuard | None:
         """Return what guards ranges that are purged at closes; None: the head's fleet has no calendars."""
-        return self._board.closings
+        return self._state.close_guard
 
-    @closings.setter
-    def closings(self, closings: Closings) -> None:
-        self._board.closings = closings
+    @close_guard.setter
+    def close_guard(self, close_guard: CloseGuard) -> None:
+        self._state.close_guard = close_guard
 
     def close_off(self, now: int, covers: Callable[[str, int, int], bool]) -> tuple[int, int]:
         """Give up what is open of the (volume, offset, length) that a close covers; put placements on disk.
 
         What may have run is failed, all else is refused. Returns how many parts were refused and failed.
         """
-        return self._closing.close_off(now, covers)
+        return self._closes.close_off(now, covers)
 
-    def keep_purged(self, places: Iterable[tuple[str, int]]) -> None:
+    def hold_purged(self, places: Iterable[tuple[str, int]]) -> None:
         """Let requests for these (volume, extent) wait until `free_trimmed`; nothing of them is open."""
-        self._placing.keep_purged(places)
+        self._placement.hold_purged(places)
 
-    def free_trimmed(self, volume: str, extent: int) -> None:
+    def release_trimmed(self, volume: str, extent: int) -> None:
         """Let those that wait for a purged extent go on."""
-        self._placing.free(volume, extent, purged=True)
+        self._placement.release_extent(volume, extent, purged=True)
 
     # -- attempts
 
@@ -262,50 +271,55 @@
         """
         return self._attempts.may_begin(now, attempt)
 
-    def sent(self, attempt: Attempt, at: int = 0) -> None:
+    def attempt_sent(self, attempt: Attempt, at: int = 0) -> None:
         """The attempt's bytes were handed to its link; `at` tells when, where it was dialled first."""
-        attempt.state = step_attempt(attempt.state, AttemptStep.SEND)
+        attempt.state = next_attempt_state(attempt.state, AttemptStep.SEND)
         attempt.left_at = at
 
-    def ended(self, now: int, attempt: Attempt, result: api.Result, data: bytes = b"",
-              report: Beside | None = None) -> None:  # fmt: skip
+    def attempt_ended(self, now: int, attempt: Attempt, result: api.Result, data: bytes = b"",
+              report: ReplyMetadata | None = None) -> None:  # fmt: skip
         """Take an attempt's outcome from its link; one that was called off has told the module already."""
-        self._attempts.ended(now, attempt, result, data, report)
+        self._attempts.attempt_ended(now, attempt, result, data, report)
 
     # -- the module
 
     def flush(self, now: int) -> None:
         """Hand the module what has happened, do what it says, and give the answers that are due."""
-        board, placing, acting, patience = self._board, self._placing, self._acting, self._keeping.patience
-        self.look(now)
+        state, placement, dispatcher, patience = (
+            self._state,
+            self._placement,
+            self._dispatcher,
+            self._retry_queue.patience,
+        )
+        self.check_standstill(now)
         while True:
-            acting.expire(now)
-            if board.events:
-                events, board.events = board.events, []
+            dispatcher.run_timers(now)
+            if state.events:
+                events, state.events = state.events, []
                 for action in self._module.handle(now, events):
-                    acting.act(now, action)
-            placing.record()
-            placing.release(now)
+                    dispatcher.execute(now, action)
+            placement.write_placements()
+            placement.release_queued(now)
             for part in patience.due(now):
-                if part.state is PartState.KEPT:  # else one before it in this list ended their request
-                    self._offering.again(now, part)
-            for request in self._closing.again(now):
+                if part.state is PartState.QUEUED:  # else one before it in this list ended their request
+                    self._admission.resubmit(now, part)
+            for request in self._closes.due_restarts(now):
                 self._begin(now, request, self._class_of(request))
             self._attempts.release(now)
-            if not board.events:
+            if not state.events:
                 break
-        board.asked_soon = False
-        for part in board.retiring:
-            if not part.out:
-                board.parts.pop(part.number, None)
-        board.retiring.clear()
-        answers, board.answers = board.answers, []
+        state.flush_requested = False
+        for part in state.finished_parts:
+            if not part.open_attempts:
+                state.parts.pop(part.number, None)
+        state.finished_parts.clear()
+        answers, state.pending_answers = state.pending_answers, []
         for request in answers:
-            if not self._closing.withholds(now, request):
+            if not self._closes.withhold_answer(now, request):
                 self._port.answer(request)
-        placing.tell_holders()
-        times = [board.due[0][0]] if board.due else []
-        others = (patience.next_at(now), self._closing.next_at(), self._attempts.standstill.until())
+        placement.notify_owners()
+        times = [state.timers[0][0]] if state.timers else []
+        others = (patience.next_at(now), self._closes.next_restart_at(), self._attempts.standstill.until())
         times += [when for when in others if when is not None]
         if times:
             self._port.wake_at(min(times))
--- /dev/null
+++ b/harriertrack/decisions/requests/dispatch.py
@@ -0,0 +1,63 @@
+"""What is done at the module's word, and when time is up."""
+
+from __future__ import annotations
+
+import heapq
+
+from harriertrack.decisions import interface as api
+from harriertrack.decisions.lifecycle import PartState
+from harriertrack.decisions.requests.admission import Admission
+from harriertrack.decisions.requests.attempts import Attempts
+from harriertrack.decisions.requests.completion import Completion
+from harriertrack.decisions.requests.model import Attempt
+from harriertrack.decisions.requests.state import CoreState
+
+
+class ActionDispatcher:
+    """Carries verdicts out, each one."""
+
+    def __init__(
+        self, state: CoreState, completion: Completion, admission: Admission, attempts: Attempts
+    ) -> None:
+        self._state, self._completion, self._admission, self._attempts = (
+            state,
+            completion,
+            admission,
+            attempts,
+        )
+
+    def run_timers(self, now: int) -> None:
+        """Do what is due: time-outs, and the module's timers."""
+        due = self._state.timers
+        while due and due[0][0] <= now:
+            what = heapq.heappop(due)[2]
+            if isinstance(what, str):
+                self._state.events.append(api.Woken(what))
+            elif isinstance(what, Attempt):
+                self._attempts.expire(now, what)
+            elif what.state in (PartState.AWAITING_PLACEMENT, PartState.QUEUED):
+                self._completion.expire(what)
+
+    def execute(self, now: int, action: api.Action) -> None:
+        """Do what the module says."""
+        state, parts = self._state, self._state.parts
+        match action:
+            case api.Send():
+                self._attempts.send(now, action)
+            case api.SetTimer():
+                state.schedule(action.at_us, action.token)
+            case api.Refuse():
+                if not (part := parts[action.request]).state.is_final:
+                    self._admission.handle_refusal(now, part, action.retry_after_us)
+            case api.Fail():
+                if not (part := parts[action.request]).state.is_final:
+                    self._admission.handle_failure(now, part)
+            case api.Cancel():
+                attempt = parts[action.request].attempts[action.attempt]
+                self._attempts.call_off(now, attempt, api.Result.CANCELLED)
+            case api.Subscribe():
+                state.port.subscribe(action.on)
+            case api.Log():
+                state.port.note(action.text)
+            case api.Probe():
+                raise RuntimeError("the module probes, though it was told that it may not")
--- a/harriertrack/decisions/requests/facts.py
+++ b/harriertrack/decisions/requests/inputs.py
@@ -39,7 +39,7 @@
         """
 
 
-class Listed(Protocol):
+class ListedNode(Protocol):
     """A node of the list, with whatever links need to reach it."""
 
     @property
@@ -47,7 +47,7 @@
         """Return what the module knows of it."""
 
 
-class Beside(Protocol):
+class ReplyMetadata(Protocol):
     """What a node told beside an answer."""
 
     @property
--- a/harriertrack/decisions/requests/model.py
+++ b/harriertrack/decisions/requests/model.py
@@ -6,10 +6,10 @@
 from enum import Enum
 from typing import Protocol
 
-from harriertrack.decisions.life import AttemptState, PartState
+from harriertrack.decisions.lifecycle import AttemptState, PartState
 from harriertrack.decisions.patience import Place
-from harriertrack.decisions.requests.facts import Listed, VolumeFacts
-from harriertrack.decisions.requests.rules import CHANGING, Placed
+from harriertrack.decisions.requests.inputs import ListedNode, VolumeFacts
+from harriertrack.decisions.requests.rules import MODIFYING_KINDS, ClientPlacement
 from harriertrack.decisions.splitting import Kind, Outcome
 
 
@@ -29,7 +29,7 @@
     COPY = "copy"
 
 
-class Asker(Protocol):
+class Requester(Protocol):
     """Whom a request's answer is given to."""
 
     def answer(self, request: ClientRequest) -> None:
@@ -43,7 +43,7 @@
         """Take the one final answer."""
 
 
-NOBODY = _Nobody()
+NO_REQUESTER = _Nobody()
 
 
 @dataclass(slots=True, eq=False)
@@ -59,21 +59,21 @@
     length: int
     data: bytes
     flags: int
-    token: Asker
+    requester: Requester
     deadline: int = 0  # 0: its class says
-    came: int = 0  # when it may have come at the earliest; 0: now
+    arrived_at: int = 0  # when it may have come at the earliest; 0: now
     patience_us: int = 0  # how long its client waits for a refused one to be offered again; 0: not at all
     background: bool = False  # of the class for catching up
     hint_us: int = 0
     parts: list[Part] = field(default_factory=list)
     pieces: list[bytes | int | Part] = field(default_factory=list)  # of a read, in order; numbers are holes
-    open: int = 0  # parts without a final state
+    open_parts: int = 0  # parts without a final state
     outcome: Outcome | None = None
-    why: str = ""  # of a refusal or failure, where there is more to say
+    reason: str = ""  # of a refusal or failure, where there is more to say
     origin: Origin = Origin.CLIENT
     epoch: int = 0  # of a copy: the holder's
     moving: bool = False  # the head's own, for an extent that it holds; such a write is placed anew
-    at_shard: int = -1  # of a moving trim: where the extent was
+    trim_shard: int = -1  # of a moving trim: where the extent was
     tick: int = 0  # of the other head's: the newest tick of ours that it had
     reader: object = None  # the connection over which the other head reads this for its copy
     generation: int = 0  # of such a reading: that of the bytes which the other head has
@@ -94,33 +94,33 @@
     offset: int
     length: int
     shard: int
-    state: PartState = PartState.WAITING
+    state: PartState = PartState.AWAITING_PLACEMENT
     attempts: list[Attempt] = field(default_factory=list)
-    out: int = 0  # attempts without an outcome
+    open_attempts: int = 0  # attempts without an outcome
     may_have_run: bool = False
-    risky_at: int = 0  # when the first attempt that may have run was sent
-    places: bool = False  # it is the one that places its new extent
-    lined: bool = False  # it stands in the line for its extent's placement
-    placed: Placed | None = None  # its client says where it lies
-    until: int = 0  # when the module's time for it ends
-    kept: bool = False  # it has waited on a hint
+    may_have_run_since: int = 0  # when the first attempt that may have run was sent
+    places_extent: bool = False  # it is the one that places its new extent
+    queued_for_placement: bool = False  # it stands in the line for its extent's placement
+    client_placement: ClientPlacement | None = None  # its client says where it lies
+    module_deadline: int = 0  # when the module's time for it ends
+    has_waited: bool = False  # it has waited on a hint
     hint_us: int = 0  # of its latest refusal
     data: bytes = b""
 
     @property
-    def touched(self) -> bool:
+    def may_have_effect(self) -> bool:
         """Whether an attempt of it ran, may have run, or may run yet."""
         return self.may_have_run or any(
             attempt.state in (AttemptState.SENT, AttemptState.CALLED_OFF) for attempt in self.attempts
         )
 
     @property
-    def place(self) -> Place:
+    def lane(self) -> Place:
         """Return the lane that it waits in."""
         return (self.request.volume.settings.name, self.shard, self.class_name)
 
     @property
-    def listens(self) -> bool:
+    def may_be_answered(self) -> bool:
         """Whether an attempt that was called off may still be answered."""
         return any(one.state in (AttemptState.SENT, AttemptState.CALLED_OFF) for one in self.attempts)
 
@@ -139,21 +139,21 @@
 
     part: Part
     number: int
-    member: Listed
+    member: ListedNode
     sent_at: int
     left_at: int = 0  # when its last byte left, where its link says; until then the node had no part in it
     state: AttemptState = AttemptState.DIALING
-    told: bool = False  # the module has its outcome
+    reported: bool = False  # the module has its outcome
     write_number: int = 0
-    until: int = 0  # when the module stops waiting for it
+    times_out_at: int = 0  # when the module stops waiting for it
     begin_before: int = 0  # its last byte leaves before this time, or never
 
     @property
-    def awaited(self) -> bool:
+    def answer_needed(self) -> bool:
         """Whether its answer is still of use: the module waits, or a client that waits for what may run."""
         request = self.part.request
-        return not self.told or (
-            request.patience_us > 0 and request.kind in CHANGING and not self.part.state.over
+        return not self.reported or (
+            request.patience_us > 0 and request.kind in MODIFYING_KINDS and not self.part.state.is_final
         )
 
     @property
--- a/harriertrack/decisions/requests/port.py
+++ b/harriertrack/decisions/requests/port.py
@@ -6,25 +6,25 @@
 from typing import Protocol
 
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.requests.facts import Listed
+from harriertrack.decisions.requests.inputs import ListedNode
 from harriertrack.decisions.requests.model import Attempt, ClientRequest
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     """What decides: the scheduler, or one for each cell."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         """Take the events of one moment and return the actions, in order."""
 
 
-class NodeBook(Protocol):
+class NodeDirectory(Protocol):
     """The node list in hand."""
 
-    def find(self, node: str) -> Listed | None:
+    def find(self, node: str) -> ListedNode | None:
         """Return a node that a list has named."""
 
 
-class Places(Protocol):
+class PlacementStore(Protocol):
     """Where extents were placed, on disk."""
 
     def shard_of(self, volume: str, extent: int) -> int | None:
@@ -43,14 +43,14 @@
         """The bytes left there are gone; on disk when this returns."""
 
 
-class Holder(Protocol):
+class HoldOwner(Protocol):
     """Who keeps an extent to itself for a while."""
 
     def held(self) -> None:
         """Take note that no earlier request for the extent is open any more."""
 
 
-class Closings(Protocol):
+class CloseGuard(Protocol):
     """What guards ranges that are purged at closes."""
 
     def refuses(self, request: ClientRequest) -> int | None:
--- a/harriertrack/decisions/requests/rules.py
+++ b/harriertrack/decisions/requests/rules.py
@@ -7,7 +7,7 @@
 from harriertrack.decisions.patience import PatienceRules
 from harriertrack.decisions.splitting import Kind
 
-CHANGING = frozenset((Kind.WRITE, Kind.TRIM, Kind.ZERO))
+MODIFYING_KINDS = frozenset((Kind.WRITE, Kind.TRIM, Kind.ZERO))
 # A request that the module does not know yet is answered this many ticks before its time is up.
 ANSWER_TICKS = 2
 
@@ -18,14 +18,14 @@
 
     name: str
     kinds: frozenset[Kind]
-    at_least_bytes: int
+    min_bytes: int
     deadline_us: int
     in_order: bool = False
     window_us: int = 0  # how long a rack drops repeats; 0: nothing of this class may run again
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class ClientPlacement:
     """What a client itself says of its request's class and place: nothing is cut, placed or looked up."""
 
     class_name: str
@@ -42,7 +42,7 @@
     extent_bytes: int
     unit_bytes: int
     tick_us: int
-    held: int  # the most parts that may be open at once
+    max_open_parts: int  # the most parts that may be open at once
     classes: tuple[ClassRule, ...]
     drain_grace_us: int  # how long after it was told of a drain a node may still be sent to
     patience: PatienceRules = PatienceRules()
--- a/harriertrack/decisions/requests/board.py
+++ b/harriertrack/decisions/requests/state.py
@@ -7,9 +7,9 @@
 
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.requests.model import Attempt, ClientRequest, Part, Volume
-from harriertrack.decisions.requests.port import Closings, Places, Port
+from harriertrack.decisions.requests.port import CloseGuard, PlacementStore, Port
 from harriertrack.decisions.requests.rules import ANSWER_TICKS, RequestRules
-from harriertrack.decisions.splitting import Kind, class_of, cut
+from harriertrack.decisions.splitting import Kind, class_of, split_at_extents
 
 
 @dataclass(slots=True)
@@ -19,59 +19,59 @@
     The rules are judged elsewhere, from what the sockets carried.
     """
 
-    taken: int = 0
+    accepted: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    left: int = 0
+    clients_left: int = 0
     sent: int = 0
     moot: int = 0
-    kept: int = 0  # parts that waited on a hint
+    waited: int = 0  # parts that waited on a hint
 
 
-class Board:
+class CoreState:
     """The open parts, what the module is told next, the answers that are due, and what happens in time."""
 
-    def __init__(self, rules: RequestRules, port: Port, places: Places) -> None:
-        self.rules, self.port, self.places = rules, port, places
-        self.closings: Closings | None = None  # of heads whose fleet has calendars
+    def __init__(self, rules: RequestRules, port: Port, places: PlacementStore) -> None:
+        self.rules, self.port, self.placements = rules, port, places
+        self.close_guard: CloseGuard | None = None  # of heads whose fleet has calendars
         self.counts = Counts()
         self.deadlines = {one.name: one.deadline_us for one in rules.classes}
         self.windows = {one.name: one.window_us for one in rules.classes}
         self.in_order = frozenset(one.name for one in rules.classes if one.in_order)
-        self.closing = ""  # why nothing waits on a hint any more
+        self.stop_reason = ""  # why nothing waits on a hint any more
         self.events: list[api.Event] = []
         self.parts: dict[int, Part] = {}
-        self.answers: list[ClientRequest] = []
-        self.retiring: list[Part] = []  # over; forgotten at the end of a flush, if no attempt is out
-        self.due: list[tuple[int, int, Part | Attempt | str]] = []  # time-outs, and the module's timers
-        self.number = 0  # of the latest part
-        self.asked_soon = False
+        self.pending_answers: list[ClientRequest] = []
+        self.finished_parts: list[Part] = []  # over; forgotten at the end of a flush, if no attempt is out
+        self.timers: list[tuple[int, int, Part | Attempt | str]] = []  # time-outs, and the module's timers
+        self.last_part_number = 0  # of the latest part
+        self.flush_requested = False
         self._serial = 0
-        self._classes = [(one.name, one.kinds, one.at_least_bytes) for one in rules.classes]
+        self._classes = [(one.name, one.kinds, one.min_bytes) for one in rules.classes]
 
-    def retell(self, rules: RequestRules) -> None:
+    def apply_rules(self, rules: RequestRules) -> None:
         """Go by other deadlines and bounds from now on; classes, and how requests are cut, stay."""
         self.rules = rules
         self.deadlines = {one.name: one.deadline_us for one in rules.classes}
 
-    def add(self, event: api.Event) -> None:
+    def queue_event(self, event: api.Event) -> None:
         """Tell the module of something at the next flush."""
         self.events.append(event)
-        if not self.asked_soon:
-            self.asked_soon = True
+        if not self.flush_requested:
+            self.flush_requested = True
             self.port.soon()
 
-    def soon(self) -> None:
+    def request_flush(self) -> None:
         """Ask for a flush at the end of this round."""
-        if not self.asked_soon:
-            self.asked_soon = True
+        if not self.flush_requested:
+            self.flush_requested = True
             self.port.soon()
 
-    def push(self, when: int, what: Part | Attempt | str) -> None:
+    def schedule(self, when: int, what: Part | Attempt | str) -> None:
         """Let something happen in time."""
         self._serial += 1
-        heapq.heappush(self.due, (when, self._serial, what))
+        heapq.heappush(self.timers, (when, self._serial, what))
 
     def class_of(self, kind: Kind, length: int) -> str:
         """Return the class of a request."""
@@ -84,34 +84,36 @@
     def shard_of(self, volume: Volume, extent: int) -> int | None:
         """Return the shard that holds an extent; None if it was never written."""
         fixed = volume.settings.shards
-        return fixed[extent % len(fixed)] if fixed else self.places.shard_of(volume.settings.name, extent)
+        return fixed[extent % len(fixed)] if fixed else self.placements.shard_of(volume.settings.name, extent)
 
-    def part(self, request: ClientRequest, class_name: str, extent: int, offset: int, length: int,
+    def open_part(self, request: ClientRequest, class_name: str, extent: int, offset: int, length: int,
              shard: int) -> Part:  # fmt: skip
         """Open a part of a request."""
-        self.number += 1
-        part = Part(self.number, request, class_name, extent, offset, length, shard)
+        self.last_part_number += 1
+        part = Part(self.last_part_number, request, class_name, extent, offset, length, shard)
         self.parts[part.number] = part
         request.parts.append(part)
         return part
 
-    def cut(self, request: ClientRequest, class_name: str) -> None:
+    def split_request(self, request: ClientRequest, class_name: str) -> None:
         """Open the parts of a request: one for each extent, of a flush one for each shard with writes."""
         volume, kind = request.volume, request.kind
         if kind is Kind.FLUSH:
             for dirty in volume.dirty:
-                self.part(request, class_name, -1, 0, 0, dirty)
+                self.open_part(request, class_name, -1, 0, 0, dirty)
             return
-        for extent, offset, length in cut(request.offset, request.length, self.rules.extent_bytes):
+        for extent, offset, length in split_at_extents(
+            request.offset, request.length, self.rules.extent_bytes
+        ):
             shard = self.shard_of(volume, extent)
             if request.moving and kind is Kind.WRITE:
-                self.part(request, class_name, extent, offset, length, -1)
-            elif request.at_shard >= 0:
-                self.part(request, class_name, extent, offset, length, request.at_shard)
+                self.open_part(request, class_name, extent, offset, length, -1)
+            elif request.trim_shard >= 0:
+                self.open_part(request, class_name, extent, offset, length, request.trim_shard)
             elif shard is not None:
-                request.pieces.append(self.part(request, class_name, extent, offset, length, shard))
+                request.pieces.append(self.open_part(request, class_name, extent, offset, length, shard))
             elif kind is Kind.WRITE:
-                self.part(request, class_name, extent, offset, length, -1)
+                self.open_part(request, class_name, extent, offset, length, -1)
             # Nothing was ever written there: it reads as zeroes, and there is nothing to zero or trim.
             else:
                 request.pieces.append(length)
--- /dev/null
+++ b/harriertrack/decisions/requests/submission.py
@@ -0,0 +1,60 @@
+"""Parts told to the module."""
+
+from __future__ import annotations
+
+from harriertrack.decisions import interface as api
+from harriertrack.decisions.lifecycle import PartStep, next_part_state
+from harriertrack.decisions.requests.model import Part
+from harriertrack.decisions.requests.rules import MODIFYING_KINDS
+from harriertrack.decisions.requests.state import CoreState
+from harriertrack.decisions.splitting import units_of
+
+# An offer of what a rack drops repeats of lasts so many tenths of its window: the rest is for another one.
+OFFER_TENTHS = 6
+
+
+class Submission:
+    """What the module has, as far as its order matters."""
+
+    def __init__(self, state: CoreState) -> None:
+        self._state = state
+        self.in_order: dict[tuple[str, int], dict[int, Part]] = {}  # of classes in order, by extent
+
+    def submit(self, now: int, part: Part) -> None:
+        """Tell the module of a part."""
+        part.state = next_part_state(part.state, PartStep.SUBMIT)
+        state, request = self._state, part.request
+        volume = request.volume.settings
+        part.module_deadline = request.deadline
+        if request.patience_us:  # one offer takes no longer than its class allows; then there may be another
+            length = state.deadlines[part.class_name]
+            window = state.windows[part.class_name]
+            if window and part.class_name not in state.in_order:
+                length = min(length, window * OFFER_TENTHS // 10)
+            part.module_deadline = min(part.module_deadline, now + length)
+        if part.class_name in state.in_order:
+            self.in_order.setdefault((volume.name, part.extent), {})[part.number] = part
+        if (placed := part.client_placement) is not None:
+            state.queue_event(api.Arrived(
+                part.number, part.class_name, volume.plan, volume.name, placed.key, part.shard, placed.units,
+                part.module_deadline - now, volume.hosts, placed.repeat,
+            ))  # fmt: skip
+            return
+        state.queue_event(api.Arrived(
+            part.number, part.class_name, volume.plan, volume.name,
+            f"{volume.name}/{part.extent}" if part.extent >= 0 else "",
+            part.shard, units_of(part.length, state.rules.unit_bytes), part.module_deadline - now,
+            volume.hosts,
+            further_part=part is not request.parts[0], kept=part.has_waited, tried=len(part.attempts),
+            ran_us=now - part.may_have_run_since
+            if part.may_have_run and request.kind in MODIFYING_KINDS else -1,
+        ))  # fmt: skip
+
+    def withdraw(self, part: Part) -> None:
+        """The module has nothing of a part any more, or never had."""
+        if part.class_name in self._state.in_order:
+            key = (part.request.volume.settings.name, part.extent)
+            told = self.in_order.get(key, {})
+            told.pop(part.number, None)
+            if not told:
+                self.in_order.pop(key, None)
--- a/harriertrack/decisions/splitting.py
+++ b/harriertrack/decisions/splitting.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 from enum import Enum, StrEnum
 
-from harriertrack.decisions.life import PartState
+from harriertrack.decisions.lifecycle import PartState
 
 
 class Kind(StrEnum):
@@ -34,7 +34,7 @@
     FAILED = "failed"  # nothing is promised about its effect
 
 
-def cut(offset: int, length: int, extent_bytes: int) -> Iterator[tuple[int, int, int]]:
+def split_at_extents(offset: int, length: int, extent_bytes: int) -> Iterator[tuple[int, int, int]]:
     """Yield (extent, offset, length) of each piece, in order."""
     end = offset + length
     while offset < end:
@@ -44,7 +44,7 @@
         offset = stop
 
 
-def runs(pieces: Iterable[tuple[int, int]]) -> Iterator[tuple[int, int]]:
+def merge_runs(pieces: Iterable[tuple[int, int]]) -> Iterator[tuple[int, int]]:
     """Join neighbouring (length, flags) with the same flags."""
     length, flags = 0, 0
     for more, its in pieces:
@@ -56,7 +56,7 @@
         yield length, flags
 
 
-def whole_outcome(given_up: PartState, others: Iterable[tuple[PartState, bool]], changes: bool) -> Outcome:
+def request_outcome(given_up: PartState, others: Iterable[tuple[PartState, bool]], changes: bool) -> Outcome:
     """Return the answer to a request one part of which was given up on.
 
     `others` are the states of its other parts, each with whether it may have run. The whole is refused only
--- a/harriertrack/gateway/background.py
+++ b/harriertrack/gateway/background.py
@@ -31,7 +31,7 @@
     """Do a background request and wait for its end, which its class's deadline bounds."""
     waiter = Waiter(hub)
     request = ClientRequest(core.volumes[volume], kind, start, length, data, 0, waiter,
-                            background=True, moving=moving, at_shard=at_shard)  # fmt: skip
-    core.take(hub.now(), request)
+                            background=True, moving=moving, trim_shard=at_shard)  # fmt: skip
+    core.accept(hub.now(), request)
     waiter.wait()
     return request
--- a/harriertrack/gateway/fleet/carrier.py
+++ b/harriertrack/gateway/fleet/carrier.py
@@ -158,8 +158,8 @@
         """Note from time to time how busy the head is (a task)."""
         settings, core = self._settings, self._parts.core
         while True:
-            taken, refused = core.counts.taken - self._taken, core.counts.refused - self._refused
-            self._taken, self._refused = core.counts.taken, core.counts.refused
+            taken, refused = core.counts.accepted - self._taken, core.counts.refused - self._refused
+            self._taken, self._refused = core.counts.accepted, core.counts.refused
             self._about = About(
                 volumes=len(self._parts.settings.volumes), open=core.open_requests,
                 taken=round(taken * 1e6 / settings.note_us), refused=100 * refused // taken if taken else 0,
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -97,12 +97,12 @@
         """Guard what closes touch from now on, and go on with what an earlier life left."""
         parts, core = self._parts, self._parts.core
         lefts = self._trimming.known()
-        core.keep_purged({(left.volume, left.extent) for left in lefts})
+        core.hold_purged({(left.volume, left.extent) for left in lefts})
         now = self._hub.now()  # what an earlier life sent may run yet
         self._trims.add(now, lefts, self._place(), dict.fromkeys(lefts, now + self._settle_us))
-        core.closings = self._guard
+        core.close_guard = self._guard
         for volume, epoch in self._places.closing.raised.items():
-            self._epochs.closed(volume, epoch)
+            self._epochs.record_close(volume, epoch)
         if self._regional is not None:
             self._regional.generations = self._guard
         for calendar in self._places.closing.generations:
@@ -263,7 +263,7 @@
             lambda volume, extent: self._covers(close, volume, extent * size, size),
         )  # fmt: skip
         fence.purged(close.number)
-        core.keep_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})
+        core.hold_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})
         self._sweeps.follow(fence)
         self._raise_epochs()
         if self._regional is not None:
@@ -289,7 +289,7 @@
             if left.volume not in self._several:
                 self._places.trimmed(left.volume, left.extent, left.shard)
                 if not any(extent == left.extent for extent, _ in closing.lefts[left.volume]):
-                    core.free_trimmed(left.volume, left.extent)
+                    core.release_trimmed(left.volume, left.extent)
 
         return trimmed
 
@@ -304,7 +304,7 @@
                     if close.number > fence.done or not any(one.names(volume) for one in close.purges):
                         continue
                     swept = volume in self._several and close.number <= fence.schedule.swept_of(volume)
-                    if self._epochs.closed(volume, close.at_us + swept):
+                    if self._epochs.record_close(volume, close.at_us + swept):
                         self._places.raise_to(volume, close.at_us + swept)
 
     def _emptied(self) -> None:
--- a/harriertrack/gateway/fleet/closing/guard.py
+++ b/harriertrack/gateway/fleet/closing/guard.py
@@ -36,7 +36,7 @@
     def refuses(self, request: ClientRequest) -> int | None:
         """Return the hint with which a request is refused now; None: it passes."""
         volume = request.volume.settings.name
-        if request.kind is Kind.FLUSH or request.at_shard >= 0 or not self._fences.guards(volume):
+        if request.kind is Kind.FLUSH or request.trim_shard >= 0 or not self._fences.guards(volume):
             return None
         hint = self._fences.refuses(self.reading(), volume, request.offset, request.length)
         if hint is None and request.moving and request.kind is Kind.WRITE:
--- a/harriertrack/gateway/fleet/closing/trimming.py
+++ b/harriertrack/gateway/fleet/closing/trimming.py
@@ -32,7 +32,7 @@
         for left in lefts:
             if left in self._requests:
                 request, waiter = self._requests[left]
-                self._parts.core.client_gone(request)
+                self._parts.core.client_left(request)
                 waiter.answer(request)
 
     def known(self) -> list[Left]:
@@ -57,9 +57,9 @@
         length = min(size, self._sizes[left.volume] - start)
         trimmed, waiter = self.begins(left), background.Waiter(parts.hub)
         request = ClientRequest(parts.core.volumes[left.volume], Kind.TRIM, start, length, b"", 0, waiter,
-                                background=True, moving=True, at_shard=left.shard)  # fmt: skip
+                                background=True, moving=True, trim_shard=left.shard)  # fmt: skip
         self._requests[left] = request, waiter
-        parts.core.take(parts.hub.now(), request)
+        parts.core.accept(parts.hub.now(), request)
         waiter.wait()
         del self._requests[left]
         gone = request.outcome is Outcome.SERVED
--- a/harriertrack/gateway/fleet/observing.py
+++ b/harriertrack/gateway/fleet/observing.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from harriertrack.decisions.interface import Action, Event
-from harriertrack.decisions.requests import Module
+from harriertrack.decisions.requests import DecisionModule
 
 
 class Observer(Protocol):
@@ -18,7 +18,7 @@
 class Observed:
     """A decision module, and who sees what it hears and does."""
 
-    def __init__(self, module: Module, observer: Observer) -> None:
+    def __init__(self, module: DecisionModule, observer: Observer) -> None:
         self._module, self._observer = module, observer
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
--- a/harriertrack/gateway/front.py
+++ b/harriertrack/gateway/front.py
@@ -13,7 +13,7 @@
 
 from harriertrack.config.settings import HeadSettings
 from harriertrack.decisions.requests import ClientRequest, Origin, Part
-from harriertrack.decisions.splitting import Kind, Outcome, cut, runs
+from harriertrack.decisions.splitting import Kind, Outcome, merge_runs, split_at_extents
 from harriertrack.gateway.links import COMMANDS
 from harriertrack.gateway.reception import CLOSING, Reception, TurnedAway
 from harriertrack.gateway.regional import CLOSED, digest_of
@@ -57,10 +57,10 @@
 def error_of(request: ClientRequest) -> tuple[Errno, str]:
     """Return the error and its text for a request that was not served."""
     if request.outcome is Outcome.REFUSED:
-        if request.why == CLOSING.why:
+        if request.reason == CLOSING.why:
             return error_of_turned_away(CLOSING)
         hint = f"; retry-after-us={request.hint_us}" if request.hint_us else ""
-        return REFUSED, request.why or f"refused: not done{hint}"
+        return REFUSED, request.reason or f"refused: not done{hint}"
     return FAILED, "failed: nothing is known of its effect"
 
 
@@ -250,7 +250,7 @@
             digest = digest_of(request)
             self._nbd.reply_done(cookie, Report(load=(float(digest >> 32), float(digest & 0xFFFFFFFF))))
         else:
-            self._nbd.reply_error(cookie, REFUSED, request.why or "refused: not done")
+            self._nbd.reply_error(cookie, REFUSED, request.reason or "refused: not done")
         self._push()
 
     def _request(self, event: Request) -> None:
@@ -277,7 +277,7 @@
         request = ClientRequest(
             volume, kind, event.offset, event.length, event.data, event.flags, self,
             origin=self.origin, epoch=self._epoch, tick=event.token, reader=self if pulled else None,
-            generation=self._generation, came=self._stream.came_at,
+            generation=self._generation, arrived_at=self._stream.came_at,
         )  # fmt: skip
         if not self.hears_hints:
             self._stream.drain()  # what waits is taken only as fast as its client takes answers
@@ -295,8 +295,10 @@
         """Return what is allocated: extents that were never written are holes."""
         core, hole = self._front.core, int(ExtentFlags.HOLE | ExtentFlags.ZERO)
         volume = core.volumes[self.volume]
-        pieces = cut(event.offset, event.length, self._front.settings.extent_bytes)
-        told = runs((length, hole if core.shard_of(volume, at) is None else 0) for at, _, length in pieces)
+        pieces = split_at_extents(event.offset, event.length, self._front.settings.extent_bytes)
+        told = merge_runs(
+            (length, hole if core.shard_of(volume, at) is None else 0) for at, _, length in pieces
+        )
         return islice(told, 1) if event.flags & CommandFlags.REQ_ONE else told
 
     def answer(self, request: ClientRequest) -> None:
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -13,7 +13,7 @@
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions import Scheduler, interface as api, standstill
 from harriertrack.decisions.celled import Celled, HeadMap, OldMap
-from harriertrack.decisions.requests import Attempt, ClientRequest, Core, Module
+from harriertrack.decisions.requests import Attempt, ClientRequest, Core, DecisionModule
 from harriertrack.gateway.front import NbdFront
 from harriertrack.gateway.links import Links
 from harriertrack.gateway.listing import Listing
@@ -111,7 +111,7 @@
                 self._serve(scope, listeners)
                 if settings.fleet is not None:
                     self._join(parts, settings.fleet, extents)
-                self.core.begin_looks(hub.now())
+                self.core.begin_standstill_checks(hub.now())
                 self._heartbeat.start()
                 self.ready.set()
                 self._stopping.wait()
@@ -148,7 +148,7 @@
 
             self._portions = portions_of(settings, hub)
         self.module = self._module(self._told(settings), seed)
-        decides: Module = self.module
+        decides: DecisionModule = self.module
         if self._portions is not None and fleet is not None and fleet.zones is not None:
             from harriertrack.decisions.fleet.zones.evidence import Evidence
             from harriertrack.gateway.fleet.observing import Observed
@@ -255,7 +255,7 @@
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
             self._portions.retell(now, plans, others, divided_of(settings.fleet.budgets))
-        self.core.retell(now, request_rules(settings), told)
+        self.core.apply_settings(now, request_rules(settings), told)
         self._links.settings = settings
         self.mover.retell(settings)
         if self.regional is not None:
@@ -311,8 +311,8 @@
     def send(self, attempt: Attempt) -> None:
         """Start an attempt, unless the process stood still since it was decided."""
         now = self.hub.now()
-        if self.core.must_ask(now):
-            self.hub.at_end_of_round(lambda: self.core.ended(now, attempt, api.Result.MOOT))
+        if self.core.needs_list_refresh(now):
+            self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
             return
         if self.trace is not None:
             self.trace(attempt)
@@ -327,7 +327,7 @@
         self.reception.ended(request)
         if self._counting is not None:
             self._counting.answered(self.hub.now(), request)
-        request.token.answer(request)
+        request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
         """Follow the node list, or stop."""
@@ -350,7 +350,7 @@
         self._note("module", text=text)
 
     def _look(self) -> None:
-        self.core.look(self.hub.now())
+        self.core.check_standstill(self.hub.now())
 
     def _flush(self) -> None:
         self.core.flush(self.hub.now())
--- a/harriertrack/gateway/links.py
+++ b/harriertrack/gateway/links.py
@@ -9,7 +9,7 @@
 
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.epochs import Epochs
-from harriertrack.decisions.linklife import LinkLife
+from harriertrack.decisions.link_lifecycle import LinkLifecycle
 from harriertrack.decisions.requests import Attempt
 from harriertrack.decisions.splitting import Kind
 from harriertrack.gateway.parts import HeadParts
@@ -42,22 +42,22 @@
         self.node, self.volume, self.epoch = node, volume, epoch
         self.counted = False  # it is one of those that the fleet may have open at a time
         self._links, self._hub = links, links.hub
-        self.life = LinkLife(links.settings.limits.orphans)
+        self.life = LinkLifecycle(links.settings.limits.orphans)
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt now, or once the link is open."""
         cookie = cookie_of(attempt.part.number, attempt.number)
-        if self.life.offer(cookie, attempt):
+        if self.life.add_attempt(cookie, attempt):
             self._request(cookie, attempt)
 
     def _send_waiting(self) -> None:
         """The link is open: send what waited for it, as far as that may still begin."""
         core, now = self._links.core, self._hub.now()
-        for cookie, attempt in self.life.opened():
+        for cookie, attempt in self.life.complete_handshake():
             if core.may_begin(now, attempt):
                 self._request(cookie, attempt)
             else:
-                core.ended(now, self.life.answered(cookie), api.Result.MOOT)
+                core.attempt_ended(now, self.life.match_reply(cookie), api.Result.MOOT)
 
     def call_off(self, attempt: Attempt) -> None:
         """Forget an attempt that waits for the link, or tell the node where it understands that."""
@@ -110,7 +110,7 @@
         offset = 0 if kind is Kind.FLUSH else part.offset
         self._nbd.request(COMMANDS[kind], cookie, offset, part.length, body, flags)
         self._push()
-        self._links.core.sent(attempt)
+        self._links.core.attempt_sent(attempt)
 
     def _cancel(self, cookie: int) -> None:
         if self._nbd.extended:
@@ -118,7 +118,7 @@
             self._push()
 
     def _close_if_spent(self) -> None:
-        if self.life.spent and self._stream is not None:
+        if self.life.can_close and self._stream is not None:
             self._stream.abort()
 
     def _push(self) -> None:
@@ -134,7 +134,7 @@
             self._close_if_spent()
             self._rest()
             while self._stream is not None and (data := self._stream.read()):
-                self.life.heard(self._hub.now())
+                self.life.note_received(self._hub.now())
                 for event in self._nbd.receive(data):
                     if isinstance(event, Reply):
                         self._answered(event)
@@ -149,7 +149,7 @@
         self._links.closed(self, why)
         now = self._hub.now()
         for attempt, result in lost:
-            self._links.core.ended(now, attempt, result)
+            self._links.core.attempt_ended(now, attempt, result)
 
     def _close(self) -> list[tuple[Attempt, api.Result]]:
         lost = self.life.close()
@@ -197,9 +197,9 @@
                     return event  # type: ignore[return-value]
 
     def _answered(self, reply: Reply) -> None:
-        attempt = self.life.answered(reply.cookie)
+        attempt = self.life.match_reply(reply.cookie)
         result = api.Result.FULL if reply.unseen else api.Result.ERROR if reply.error else api.Result.OK
-        self._links.core.ended(self._hub.now(), attempt, result, reply.data, reply.report)
+        self._links.core.attempt_ended(self._hub.now(), attempt, result, reply.data, reply.report)
         self._close_if_spent()
         if not self.life.busy:
             self._rest()
@@ -244,7 +244,7 @@
     def send(self, attempt: Attempt) -> None:
         """Send an attempt over its node's link for its volume, opening one if there is none."""
         key = (attempt.member.entry.node, attempt.volume)
-        link, epoch = self._links.get(key), self.epochs.of(key[1])
+        link, epoch = self._links.get(key), self.epochs.epoch_of(key[1])
         if link is not None and link.epoch != epoch:
             link.retire()
             link = None
--- a/harriertrack/gateway/listing.py
+++ b/harriertrack/gateway/listing.py
@@ -103,7 +103,7 @@
                     self._told(members)
                     known = members
             finally:
-                self._core.list_heard(asked_at, answered=True)
+                self._core.list_call_ended(asked_at, answered=True)
             self._hub.sleep(self._settings.poll_us)
 
     def _await_call(self) -> None:
@@ -148,6 +148,6 @@
                 older.give_up()
             self._index = call.next_index
             self._told(call.members)
-        self._core.list_heard(call.began, not call.failure)
+        self._core.list_call_ended(call.began, not call.failure)
         if call is not self._current and not call.failure:
             self.subscribe(True)
--- a/harriertrack/gateway/mover.py
+++ b/harriertrack/gateway/mover.py
@@ -6,7 +6,7 @@
 
 from harriertrack.config.settings import HeadSettings
 from harriertrack.decisions.celled import HeadMap
-from harriertrack.decisions.moving import Move, MoveState, misplaced
+from harriertrack.decisions.moving import Move, MoveState, misplaced_extents
 from harriertrack.decisions.requests import ClientRequest, Core
 from harriertrack.decisions.splitting import Kind, Outcome
 from harriertrack.gateway import background
@@ -40,48 +40,50 @@
             home = cells.volumes.get(name, "")
             if volume.settings.shards:
                 fixed = enumerate(volume.settings.shards)
-                if misplaced(home, fixed, cells.shards):
+                if misplaced_extents(home, fixed, cells.shards):
                     self._note("can't move", volume=name, why="its extents were allocated beforehand")
                 continue
-            left = misplaced(home, self._core.places.placed(name), cells.shards)
+            left = misplaced_extents(home, self._core.placements.placed(name), cells.shards)
             before = self.moves.get(name)
-            if before is not None and before.under_way >= 0:  # that one lands where its write was sent
-                left = sorted({*left, before.under_way})
-            move = self.moves[name] = Move(name, left, self._settle_us, self._hub.now(), after=before)
+            if (
+                before is not None and before.extent_in_progress >= 0
+            ):  # that one lands where its write was sent
+                left = sorted({*left, before.extent_in_progress})
+            move = self.moves[name] = Move(name, left, self._settle_us, self._hub.now(), previous=before)
             if left:
                 self._note("move begins", volume=name, cell=home, extents=len(left))
             self._scope.spawn(f"move {name}", self._run, move, cells)
 
     def _run(self, move: Move, cells: HeadMap) -> None:
-        while not move.may_follow(self._hub.now()):
+        while not move.successor_may_start(self._hub.now()):
             self._hub.sleep(10_000)
         while (when := move.wake_at()) is not None and self._version == cells.version:
             self._hub.sleep_until(when)
             while not self._may_act(move.volume):
                 self._hub.sleep(WAIT_US)
             if move.state is MoveState.SETTLING:
-                placed = self._core.places.placed(move.volume)
-                move.checked(misplaced(cells.volumes[move.volume], placed, cells.shards))
+                placed = self._core.placements.placed(move.volume)
+                move.finish_check(misplaced_extents(cells.volumes[move.volume], placed, cells.shards))
                 continue
-            extent = move.next(self._hub.now())
+            extent = move.next_extent(self._hub.now())
             if extent is None:
                 continue
-            shard = self._core.places.shard_of(move.volume, extent)
+            shard = self._core.placements.shard_of(move.volume, extent)
             if shard is None or cells.shards.get(shard) == cells.volumes[move.volume]:
-                move.ended(self._hub.now(), Outcome.SERVED)  # it is there, by the move before
+                move.finish_extent(self._hub.now(), Outcome.SERVED)  # it is there, by the move before
             else:
-                move.ended(self._hub.now(), self._move(move.volume, extent))
+                move.finish_extent(self._hub.now(), self._move(move.volume, extent))
         if move.state is MoveState.STOPPED or move.moved:
-            self._note(f"move {move.state}", volume=move.volume, extents=move.moved, why=move.why)
+            self._note(f"move {move.state}", volume=move.volume, extents=move.moved, why=move.stop_reason)
         if move.state is MoveState.DONE:
             self._forget(move, cells)
 
     def _forget(self, move: Move, cells: HeadMap) -> None:
         """Trim what the volume left behind, by this move or by one that a kill kept from it."""
-        places, volume = self._core.places, move.volume
-        forgetting = move.forgets(places.left(volume), dict(places.placed(volume)))
-        count = len(forgetting.left)
-        while self._version == cells.version and (left := forgetting.next()) is not None:
+        places, volume = self._core.placements, move.volume
+        forgetting = move.leftover_trims(places.left(volume), dict(places.placed(volume)))
+        count = len(forgetting.remaining)
+        while self._version == cells.version and (left := forgetting.next_trim()) is not None:
             extent, shard = left
             start = extent * self._extent_bytes
             length = min(self._extent_bytes, self._sizes[volume] - start)
@@ -89,9 +91,9 @@
             assert done.outcome is not None
             if done.outcome is Outcome.SERVED:
                 places.forgot(volume, extent, shard)
-            self._hub.sleep_until(forgetting.ended(self._hub.now(), done.outcome))
+            self._hub.sleep_until(forgetting.finish_trim(self._hub.now(), done.outcome))
         if count:
-            gone = count - forgetting.given_up - len(forgetting.left)
+            gone = count - forgetting.given_up - len(forgetting.remaining)
             self._note("left behind trimmed", volume=volume, extents=gone, given_up=forgetting.given_up)
 
     def _move(self, volume: str, extent: int) -> Outcome:
@@ -103,7 +105,7 @@
         length = min(self._extent_bytes, self._sizes[volume] - start)
         read = self._do(volume, Kind.READ, start, length)
         if read.outcome is not Outcome.SERVED:
-            self._core.free_extent(volume, extent)
+            self._core.release_extent(volume, extent)
             return Outcome.REFUSED  # nothing was changed anywhere
         done = self._do(volume, Kind.WRITE, start, length, read.bytes_read())  # its end frees the extent
         assert done.outcome is not None
--- a/harriertrack/gateway/nvme.py
+++ b/harriertrack/gateway/nvme.py
@@ -15,7 +15,7 @@
 
 from harriertrack.config.settings import Digest, NvmeSettings, VolumeSettings
 from harriertrack.decisions.regions import Route
-from harriertrack.decisions.requests import CHANGING, ClientRequest, Origin
+from harriertrack.decisions.requests import MODIFYING_KINDS, ClientRequest, Origin
 from harriertrack.decisions.splitting import Kind, Outcome
 from harriertrack.gateway.reception import CLOSING, Reception
 from harriertrack.gateway.regional import NOT_HOLDER
@@ -363,7 +363,7 @@
         pieces = asked.ranges if asked.opcode is Io.DATASET else ((asked.offset, asked.length),)
         data = one.data if asked.opcode is Io.WRITE else b""
         return [
-            ClientRequest(volume, kind, offset, length, data, FUA if asked.fua else 0, one, came=came)
+            ClientRequest(volume, kind, offset, length, data, FUA if asked.fua else 0, one, arrived_at=came)
             for volume in volumes
             for offset, length in pieces
         ]
@@ -371,10 +371,10 @@
     def completion_of(self, cid: int, request: ClientRequest) -> Cqe:
         """Return what tells that a request was not served."""
         if request.outcome is Outcome.FAILED:
-            return Cqe(cid, Status.INTERNAL, dnr=request.kind in CHANGING)
-        if request.why == NOT_HOLDER:
+            return Cqe(cid, Status.INTERNAL, dnr=request.kind in MODIFYING_KINDS)
+        if request.reason == NOT_HOLDER:
             return Cqe(cid, Status.INACCESSIBLE)
-        if request.why == CLOSING.why:
+        if request.reason == CLOSING.why:
             return Cqe(cid, Status.ABORT_REQUESTED)
         delays = self.subsystem.traits.retry_delays
         fitting = (at for at, delay in enumerate(delays, 1) if delay * DELAY_UNIT_US >= request.hint_us)
--- a/harriertrack/gateway/reception.py
+++ b/harriertrack/gateway/reception.py
@@ -173,9 +173,9 @@
             return CLOSING
         limits = self.settings.limits
         if request.origin is not Origin.CLIENT:  # the other head's work is bounded there
-            return TOO_MUCH if open_requests >= limits.in_flight or self.core.full() else None
+            return TOO_MUCH if open_requests >= limits.in_flight or self.core.at_capacity() else None
         size = len(request.data)
-        why = "too much is open" if self.core.full() else ""
+        why = "too much is open" if self.core.at_capacity() else ""
         if why := why or self.door.enters(self.hub.now(), guest, request.volume.settings.name, size):
             return TurnedAway(f"refused: not done; {why}")
         self._counted[request] = guest, size
@@ -192,7 +192,7 @@
         elsewhere = guest.multipath and self.regional is not None and settings.name in self.regional.volumes
         if request.origin is Origin.CLIENT and waits(settings.waiting, guest.hears_hints) and not elsewhere:
             request.patience_us = min(settings.patience_us, guest.most_patience_us or settings.patience_us)
-        now, full = self.hub.now(), self.core.full()
+        now, full = self.hub.now(), self.core.at_capacity()
         if not request.patience_us or self.closing:
             then(self.turns_away(guest, request, open_requests))
             return None
@@ -202,7 +202,7 @@
             then(None)
             return None
         # The last moment at which "not done" is still an honest answer.
-        last = (request.came or now) + request.patience_us - ANSWER_TICKS * self.settings.tick_us
+        last = (request.arrived_at or now) + request.patience_us - ANSWER_TICKS * self.settings.tick_us
         knock.timer = self.hub.at(last, partial(self.leaves_door, knock, TOO_MUCH))
         self._knocks[knock] = None
         return knock
@@ -263,7 +263,7 @@
         self.closing = True
         for knock in list(self._knocks):
             self.leaves_door(knock, CLOSING)
-        self.core.close(CLOSING.why)
+        self.core.stop_waiting(CLOSING.why)
         if self.visits is not None:
             self.visits.close(CLOSING.why)
 
@@ -275,7 +275,7 @@
             else:
                 self.regional.take(request)
         else:
-            self.core.take(self.hub.now(), request)
+            self.core.accept(self.hub.now(), request)
 
     def ended(self, request: ClientRequest) -> None:
         """A request has its answer, or nobody waits for it any more: its room is free again."""
@@ -295,4 +295,4 @@
             else:
                 self.regional.client_gone(request)
         else:
-            self.core.client_gone(request)
+            self.core.client_left(request)
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -18,12 +18,19 @@
 import xxhash
 
 from harriertrack.config.settings import HeadSettings
-from harriertrack.decisions.catchup import CatchUp, Told
-from harriertrack.decisions.copies import Copies, Crossed, Held, Turn, crossed
-from harriertrack.decisions.holding import Care, Look, Taking, after_look, after_taking, to_tend
+from harriertrack.decisions.catchup import CatchUp, CatchUpStatus
+from harriertrack.decisions.copies import CloseOverlap, Copies, CopyAction, WriteAction, close_overlap
 from harriertrack.decisions.regions import Bounds, Expiry, Generations, RegionView, Route
-from harriertrack.decisions.requests import CHANGING, ClientRequest, Core, Origin
-from harriertrack.decisions.splitting import Kind, Outcome, cut, runs
+from harriertrack.decisions.requests import MODIFYING_KINDS, ClientRequest, Core, Origin
+from harriertrack.decisions.splitting import Kind, Outcome, merge_runs, split_at_extents
+from harriertrack.decisions.volume_locks import (
+    AcquiredAction,
+    HolderDuty,
+    LockAction,
+    acquired_action,
+    holder_duty,
+    lock_action,
+)
 from harriertrack.gateway import background
 from harriertrack.gateway.links import COMMANDS, Links
 from harriertrack.gateway.peer import Peer, PeerLink
@@ -113,7 +120,7 @@
         """Take a request on a volume of two regions, from a client or from the other head."""
         now = self._hub.now()
         volume = self.volumes[request.volume.settings.name]
-        deadline = self._core.deadline_of(request.came or now, request.kind, request.length)
+        deadline = self._core.deadline_of(request.arrived_at or now, request.kind, request.length)
         request.deadline = min(deadline, request.deadline or deadline)
         volume.asked += 1
         if request.origin is Origin.RELAY:
@@ -140,7 +147,7 @@
 
     def acts_on(self, volume: str) -> bool:
         """Whether this head knows under which epoch it works on a volume, as holder or with the copy."""
-        return volume not in self.volumes or self._links.epochs.knows_lease(volume)
+        return volume not in self.volumes or self._links.epochs.has_lease(volume)
 
     def route(self, volume: str, now: int) -> Route:
         """Return where a client's request on a volume would go."""
@@ -159,19 +166,19 @@
             self.volumes[request.volume.settings.name].passed.pop(request, None)
             work = self._under_way.pop(request, None)
             if work is not None and work.inner is not None:
-                self._core.client_gone(work.inner)
-                touched = any(part.touched for part in work.inner.parts)
-                if touched and request.kind in CHANGING and not work.copy:
+                self._core.client_left(work.inner)
+                touched = any(part.may_have_effect for part in work.inner.parts)
+                if touched and request.kind in MODIFYING_KINDS and not work.copy:
                     self._after_unknown(work)
                 else:
                     self._release(work)
 
     def _answer(self, request: ClientRequest, outcome: Outcome, why: str = "") -> None:
         if request.outcome is None:
-            request.outcome, request.why = outcome, why
+            request.outcome, request.reason = outcome, why
             self.open -= 1
             self.volumes[request.volume.settings.name].passed.pop(request, None)
-            self._core.answer_outside(request)
+            self._core.queue_answer(request)
 
     def _refuse(self, request: ClientRequest, why: str) -> None:
         self._answer(request, Outcome.REFUSED, why)
@@ -181,8 +188,8 @@
         self._number += 1
         work.number = self._number
         work.timer = self._hub.at(request.deadline - self._tick, lambda: self._expire(work))
-        exclusive = request.kind in CHANGING
-        work.ticket = work.volume.locks.ask(
+        exclusive = request.kind in MODIFYING_KINDS
+        work.ticket = work.volume.locks.acquire(
             request.offset, request.offset + request.length, exclusive, lambda: self._start(work)
         )
 
@@ -190,7 +197,7 @@
         """Whether the lease (or, of a copy, the holder's epoch) still stands."""
         name = work.volume.name
         if work.copy:
-            return self.fence.admits(name, work.epoch) and work.volume.copy_session is work.request.token
+            return self.fence.admits(name, work.epoch) and work.volume.copy_session is work.request.requester
         return self.holding.epoch(name, self._hub.now()) == work.epoch
 
     def _start(self, work: Work) -> None:
@@ -202,12 +209,12 @@
             self._refuse(request, NOT_HOLDER)
             self._release(work)
             return
-        if request.kind in CHANGING and not work.copy:
+        if request.kind in MODIFYING_KINDS and not work.copy:
             volume.works[work.number] = work
             self._log.begin_write(volume.name, work.extents)
         if request.reader is not None:  # not a client's read, which says nothing of the other region's copy
-            volume.catch_up.read(work.extents, request.reader)
-        self._links.epochs.leased(volume.name, work.epoch)
+            volume.catch_up.note_read(work.extents, request.reader)
+        self._links.epochs.record_lease(volume.name, work.epoch)
         self._do(work, request.kind, request.data)
 
     def _do(self, work: Work, kind: Kind, data: bytes, background: bool = False) -> None:
@@ -217,16 +224,16 @@
             request.volume, kind, request.offset, request.length, data, request.flags, work,
             deadline=deadline, background=background,
         )  # fmt: skip
-        self._core.take(self._hub.now(), work.inner)
+        self._core.accept(self._hub.now(), work.inner)
 
     def core_answered(self, work: Work, inner: ClientRequest) -> None:
         """This region did its part, or did not."""
         request, outcome, alive = work.request, inner.outcome, self._may_act(work)
         self._under_way.pop(request, None)
         assert outcome is not None
-        if inner.kind is Kind.READ and request.kind in CHANGING:
+        if inner.kind is Kind.READ and request.kind in MODIFYING_KINDS:
             self._read_back(work, inner)
-        elif work.copy or request.kind not in (*CHANGING, Kind.FLUSH):
+        elif work.copy or request.kind not in (*MODIFYING_KINDS, Kind.FLUSH):
             request.pieces, request.hint_us = inner.pieces, inner.hint_us
             if outcome is Outcome.SERVED and not alive:
                 outcome = Outcome.FAILED if work.copy else Outcome.REFUSED
@@ -242,10 +249,12 @@
         elif not alive:
             self._answer(request, Outcome.FAILED)
             self._release(work)
-        elif work.crossed is not Crossed.NOT:  # it ran before the close: what of it is left is not known
+        elif (
+            work.crossed is not CloseOverlap.NONE
+        ):  # it ran before the close: what of it is left is not known
             self._answer(request, Outcome.FAILED)
             self._after_unknown(work)
-        elif request.kind in CHANGING and not inner.parts:
+        elif request.kind in MODIFYING_KINDS and not inner.parts:
             # There was nothing to trim or zero: the other region holds no more there than this one.
             self._answer(request, outcome)
             self._release(work)
@@ -257,7 +266,7 @@
 
         Read back what is there, so that both regions hold the same.
         """
-        if work.request.kind is Kind.FLUSH or not self._may_act(work) or work.crossed is Crossed.WHOLE:
+        if work.request.kind is Kind.FLUSH or not self._may_act(work) or work.crossed is CloseOverlap.FULL:
             self._release(work)
         else:
             self._do(work, Kind.READ, b"", background=True)
@@ -277,10 +286,10 @@
         copies, extents = work.volume.copies, work.extents
         if work.request.kind is Kind.FLUSH:
             extents = range(0)
-        found = copies.held(self._hub.now(), work.number, extents)
-        if found is not Held.COPY:
+        found = copies.add_write(self._hub.now(), work.number, extents)
+        if found is not WriteAction.COPY_FIRST:
             self._answer(work.request, Outcome.SERVED)
-        if found is Held.ANSWER:
+        if found is WriteAction.ACKNOWLEDGE:
             self._release(work)
         else:
             work.volume.works[work.number] = work
@@ -288,7 +297,7 @@
 
     def _expire(self, work: Work) -> None:
         """The client's time is up. What is under way goes on, but nobody waits for it any more."""
-        touched = work.inner is not None and work.request.kind in CHANGING
+        touched = work.inner is not None and work.request.kind in MODIFYING_KINDS
         self._answer(work.request, Outcome.FAILED if touched else Outcome.REFUSED)
 
     def _release(self, work: Work) -> None:
@@ -306,16 +315,16 @@
     def _copy(self, work: Work) -> None:
         """Take a copy's turn: send it, now or again, or end it."""
         volume, request, now = work.volume, work.request, self._hub.now()
-        match volume.copies.turn(now, work.number, self._may_act(work), self._unsettled_us(volume)):
-            case Turn.GONE | Turn.WAIT:
+        match volume.copies.next_action(now, work.number, self._may_act(work), self._unsettled_us(volume)):
+            case CopyAction.ENDED | CopyAction.WAIT:
                 return
-            case Turn.LOST:
+            case CopyAction.LEASE_LOST:
                 self._copy_ends(work, Outcome.FAILED)
                 return
-            case Turn.MISSED:
+            case CopyAction.NOTED_MISSED:
                 self._copy_ends(work, Outcome.SERVED)
                 return
-            case Turn.DROP:
+            case CopyAction.DROP_REGION:
                 self._scope.spawn(f"drop copy of {volume.name}", self._drop, volume, work.epoch)
                 return
         kind, data = (request.kind, request.data) if work.data is None else (Kind.WRITE, work.data)
@@ -331,22 +340,22 @@
                 link.drop()  # what it still carries must not arrive after what comes later
             self._hub.at(self._hub.now() + RETRY_US, lambda: self._copy(work))
 
-        flags, until = request.flags & 0b01, volume.copies.until(work.number)
+        flags, until = request.flags & 0b01, volume.copies.due_at(work.number)
         offset, length = (0, 0) if kind is Kind.FLUSH else (request.offset, request.length)
         link.call(COMMANDS[kind], offset, length, data, flags, self._peer.token, until, then)
 
     def _copy_ends(self, work: Work, outcome: Outcome) -> None:
-        work.volume.copies.ended(work.number)
+        work.volume.copies.finish(work.number)
         self._answer(work.request, outcome)
         self._release(work)
 
     def _copies_late(self, volume: RegionalVolume) -> None:
         """Mode HOME: the other region is behind for longer than stated."""
         work = volume.works[next(iter(volume.copies))]
-        match volume.copies.late(self._hub.now(), work.number):
-            case Turn.MISSED:
+        match volume.copies.handle_late(self._hub.now(), work.number):
+            case CopyAction.NOTED_MISSED:
                 self._copy_ends(work, Outcome.SERVED)
-            case Turn.DROP:
+            case CopyAction.DROP_REGION:
                 self._scope.spawn(f"drop copy of {volume.name}", self._drop, volume, work.epoch)
 
     def _drop(self, volume: RegionalVolume, epoch: int) -> None:
@@ -358,12 +367,12 @@
         alone = frozenset((volume.view.here,))
         while self.holding.epoch(volume.name, self._hub.now()) == epoch:
             # On disk before the witness hears, so that a kill between the two loses nothing.
-            volume.copies.miss_all()
+            volume.copies.note_all_missed()
             if self._record(volume, alone):
                 break
             self._hub.sleep(RETRY_US * 5)
         alive = self.holding.epoch(volume.name, self._hub.now()) == epoch and volume.view.in_sync == alone
-        for number in volume.copies.dropped(alive):
+        for number in volume.copies.region_dropped(alive):
             self._copy_ends(volume.works[number], Outcome.SERVED if alive else Outcome.FAILED)
         self._note("copy dropped" if alive else "lease lost while the copy was dropped", volume=volume.name)
 
@@ -384,7 +393,7 @@
         except FAILURES:
             return False
         volume.index = index
-        volume.view.recorded(in_sync, self._hub.now())
+        volume.view.set_in_sync(in_sync, self._hub.now())
         return True
 
     # -- copies, at the other head
@@ -404,13 +413,13 @@
             self._refuse(request, NOT_HOLDER)
             return
         end = request.offset + request.length
-        work.ticket = volume.locks.ask(request.offset, end, True, lambda: self._start(work))
+        work.ticket = volume.locks.acquire(request.offset, end, True, lambda: self._start(work))
 
     # -- requests passed on to the holder
 
     def _pass_on(self, volume: RegionalVolume, request: ClientRequest) -> None:
         until = request.deadline - self._tick
-        changes, token = request.kind in CHANGING, self._peer.token
+        changes, token = request.kind in MODIFYING_KINDS, self._peer.token
 
         def then(reply: Reply | None) -> None:
             now = self._hub.now()
@@ -470,23 +479,23 @@
             if not covers(name, 0, volume.settings.size_bytes):
                 continue
             volume.copy_session = None  # of the generation before; the holder comes anew
-            volume.catch_up.purged(gone)
+            volume.catch_up.note_purged(gone)
             for request in list(volume.passed):
                 if request.kind is Kind.READ and covers(name, request.offset, request.length):
                     self._refuse(request, CLOSED)
             if epoch := self.holding.epoch(name, self._hub.now()):  # what is written next finds it open
                 self._peer.copy(name, epoch, self._generation(name)).open()
             for work in list(volume.works.values()):
-                if (how := crossed(work.extents, gone)) is not Crossed.NOT:
+                if (how := close_overlap(work.extents, gone)) is not CloseOverlap.NONE:
                     self._crossed(work, how)
 
-    def _crossed(self, work: Work, how: Crossed) -> None:
+    def _crossed(self, work: Work, how: CloseOverlap) -> None:
         """A close purged what a write under way had written, or a part of that."""
         volume, copies = work.volume, work.volume.copies
-        work.crossed = how if work.crossed is not Crossed.WHOLE else work.crossed
+        work.crossed = how if work.crossed is not CloseOverlap.FULL else work.crossed
         if work.number not in copies:
             return  # the core has it; it hears of its end
-        copies.ended(work.number)
+        copies.finish(work.number)
         del volume.works[work.number]
         self._number += 1  # what was sent under the one before is answered to nobody
         work.number = self._number
@@ -516,7 +525,7 @@
             elif not reply.error and reply.report is not None and reply.report.load:
                 self._peer.token = int(reply.report.load[0])
                 for volume in self.volumes.values():
-                    volume.view.heard(asked_at)
+                    volume.view.note_contact(asked_at)
 
         until = asked_at + self.region.fresh_us
         self._heartbeat.call(Command.TICK, 0, length, b"", 0, self._peer.token, until, then)
@@ -531,9 +540,9 @@
         if not self.same_generation(volume, generation):
             return None
         if self.holding.epoch(volume, self._hub.now()):
-            one.catch_up.asked()
-        pieces = cut(offset, length, self.extent_bytes)
-        return list(runs((piece, int(one.catch_up.tell(extent))) for extent, _, piece in pieces))
+            one.catch_up.start_joining()
+        pieces = split_at_extents(offset, length, self.extent_bytes)
+        return list(merge_runs((piece, int(one.catch_up.status_of(extent))) for extent, _, piece in pieces))
 
     def caught(self, volume: str, offset: int, length: int, generation: int, reader: object) -> None:
         """The other head holds an extent as it last read it over the same connection, `reader`.
@@ -544,9 +553,9 @@
         if not self.same_generation(volume, generation):
             return
         if length:
-            catch_up.caught(offset // self.extent_bytes, reader)
+            catch_up.confirm_copied(offset // self.extent_bytes, reader)
         else:
-            catch_up.caught_all()
+            catch_up.confirm_all_copied()
 
     # -- the witness
 
@@ -608,17 +617,17 @@
             if lock.session != mine:
                 self.holding.gave(volume.name)
                 if self.generations is not None:  # trims after closes wait for no copy to bring its epoch
-                    self._links.epochs.leased(volume.name, lock.epoch)
+                    self._links.epochs.record_lease(volume.name, lock.epoch)
         acts = bool(self.holding.epoch(volume.name, now))
-        match after_look(view, lock, mine, acts, volume.wish, now), lock:
-            case Look.CREATE, _:
+        match lock_action(view, lock, mine, acts, volume.wish, now), lock:
+            case LockAction.CREATE, _:
                 self._acquire(volume, Standing(view.home, tuple(sorted((view.here, view.other)))), 0)
-            case Look.ACQUIRE, Lock():
+            case LockAction.ACQUIRE, Lock():
                 if view.home == view.here or self._its_turn(volume):
                     self._acquire(volume, lock.standing, lock.index)
-            case Look.TOOK, Lock():
+            case LockAction.ACTIVATE, Lock():
                 self._took(volume, lock)
-            case Look.TEND, _:
+            case LockAction.MAINTAIN, _:
                 self._tend(volume, now)
 
     def _acquire(self, volume: RegionalVolume, standing: Standing, index: int) -> None:
@@ -632,32 +641,32 @@
     def _took(self, volume: RegionalVolume, lock: Lock) -> None:
         view, in_sync = volume.view, frozenset(lock.standing.in_sync)
         opened = self._log.opened(volume.name)
-        match after_taking(view, in_sync, bool(opened)):
-            case Taking.GIVE_BACK:
+        match acquired_action(view, in_sync, bool(opened)):
+            case AcquiredAction.RELEASE:
                 self._witness.give(volume.name, self.session.id, lock.standing, lock.index)
                 return
-            case Taking.GO_ALONE:
+            case AcquiredAction.RECORD_ALONE:
                 self._log.miss(volume.name, opened)
                 in_sync = frozenset((view.here,))
                 if not self._record(volume, in_sync):
                     return
         view.behind.clear()
-        view.recorded(in_sync, self._hub.now())
+        view.set_in_sync(in_sync, self._hub.now())
         volume.handing = False
-        volume.catch_up.begin()
+        volume.catch_up.reset()
         self.fence.admits(volume.name, lock.epoch)
-        self._links.epochs.leased(volume.name, lock.epoch)
+        self._links.epochs.record_lease(volume.name, lock.epoch)
         self.holding.took(volume.name, lock.epoch)
         self._note("volume held", volume=volume.name, epoch=lock.epoch, in_sync=sorted(in_sync))
 
     def _tend(self, volume: RegionalVolume, now: int) -> None:
         """What the holder looks after: bounds, the other region's return, handing over."""
-        match to_tend(volume.view, volume.catch_up.done, len(volume.copies), volume.wish, now):
-            case Care.DROP:
+        match holder_duty(volume.view, volume.catch_up.complete, len(volume.copies), volume.wish, now):
+            case HolderDuty.DROP_OTHER:
                 self._copies_late(volume)
-            case Care.JOIN:
+            case HolderDuty.ADD_OTHER:
                 self._join(volume)
-            case Care.HAND_OVER:
+            case HolderDuty.HAND_OVER:
                 if self._its_turn(volume):
                     self._hand_over(volume)
 
@@ -665,7 +674,7 @@
         """The other region misses nothing: from now on writes wait for it again, and the witness may know."""
         view = volume.view
         both = frozenset((view.here, view.other))
-        view.recorded(both, self._hub.now())
+        view.set_in_sync(both, self._hub.now())
         if self._record(volume, both):
             self._log.forget_open(volume.name)
             self._note("in sync", volume=volume.name)
@@ -744,7 +753,7 @@
             for piece, flag in reply.extents:
                 extents = range(at // self.extent_bytes, -(-(at + piece) // self.extent_bytes))
                 if flag:
-                    (missed if flag == Told.MISSED else doubtful).update(extents)
+                    (missed if flag == CatchUpStatus.MISSED else doubtful).update(extents)
                 at += piece
         return missed, doubtful
 
@@ -757,7 +766,7 @@
         start = extent * self.extent_bytes
         length = min(self.extent_bytes, volume.settings.size_bytes - start)
         granted = Event(self._hub)
-        ticket = volume.locks.ask(start, start + length, True, granted.set)
+        ticket = volume.locks.acquire(start, start + length, True, granted.set)
         try:
             granted.wait()
             generation = self._generation(volume.name)
@@ -765,7 +774,7 @@
                 reply = self._ask_peer(volume, Command.READ, start, length, CommandFlags.DF)
                 if reply is None or generation != self._generation(volume.name):
                     return False
-                self._links.epochs.leased(volume.name, self.fence.highest(volume.name))
+                self._links.epochs.record_lease(volume.name, self.fence.highest(volume.name))
                 if self._own(volume, Kind.WRITE, start, length, reply.data).outcome is not Outcome.SERVED:
                     return False
             return self._ask_peer(volume, Command.CAUGHT, start, length) is not None
--- a/harriertrack/gateway/regional_volume.py
+++ b/harriertrack/gateway/regional_volume.py
@@ -7,8 +7,8 @@
 
 from harriertrack.config.settings import VolumeRegionSettings, VolumeSettings
 from harriertrack.decisions.catchup import CatchUp
-from harriertrack.decisions.copies import Copies, Crossed
-from harriertrack.decisions.ranges import RangeLocks, Ticket
+from harriertrack.decisions.copies import CloseOverlap, Copies
+from harriertrack.decisions.ranges import RangeLock, RangeLocks
 from harriertrack.decisions.regions import RegionView
 from harriertrack.decisions.requests import ClientRequest
 from harriertrack.runtime.hub import Timer
@@ -27,10 +27,10 @@
     epoch: int
     copy: bool = False  # it is the holder's write, done here
     number: int = 0
-    ticket: Ticket | None = None
+    ticket: RangeLock | None = None
     timer: Timer | None = None
     inner: ClientRequest | None = None
-    crossed: Crossed = Crossed.NOT  # a close that came since it was begun in this region
+    crossed: CloseOverlap = CloseOverlap.NONE  # a close that came since it was begun in this region
     data: bytes | None = None  # what was read back after a write whose effect is not known
 
     def answer(self, inner: ClientRequest) -> None:
--- a/harriertrack/gateway/visits.py
+++ b/harriertrack/gateway/visits.py
@@ -53,7 +53,7 @@
     def take(self, request: ClientRequest) -> None:
         """Take a client's request: from now on it is owed one final answer."""
         now = self._hub.now()
-        request.deadline = min(request.came or now, now) + request.patience_us
+        request.deadline = min(request.arrived_at or now, now) + request.patience_us
         self._tickets += 1
         visit = self._of[request] = Visit(self, request, self._tickets)
         last = max(now, request.deadline - ANSWER_TICKS * self._tick)
@@ -88,13 +88,13 @@
                 self._wake()
                 return
         request.outcome, request.pieces = inner.outcome, inner.pieces
-        request.why, request.hint_us = self.closing or inner.why, inner.hint_us
+        request.reason, request.hint_us = self.closing or inner.reason, inner.hint_us
         self._finish(visit)
 
     def _finish(self, visit: Visit) -> None:
         self._forget(visit)
         self._ended(visit.request)
-        visit.request.token.answer(visit.request)
+        visit.request.requester.answer(visit.request)
 
     def _forget(self, visit: Visit) -> None:
         self._patience.drop(visit)
@@ -105,7 +105,7 @@
     def _time_up(self, visit: Visit) -> None:
         """The last moment at which "not done" is honest; what is being asked has its own, no later one."""
         if visit in self._patience:
-            visit.request.outcome, visit.request.why = Outcome.REFUSED, self.closing
+            visit.request.outcome, visit.request.reason = Outcome.REFUSED, self.closing
             self._finish(visit)
 
     def client_gone(self, request: ClientRequest) -> None:
--- a/harriertrack/lab/emulator.py
+++ b/harriertrack/lab/emulator.py
@@ -151,14 +151,14 @@
         offset = 0 if kind is Kind.FLUSH else part.offset
         request = Request(cookie, COMMANDS[kind], self._links.flags(part.request.flags, kind), offset,
                           part.length, body)  # fmt: skip
-        self._links.core.sent(attempt)
+        self._links.core.attempt_sent(attempt)
         self._to_node(lambda shelf: shelf.receive(self, request, self.volume, self._links.head_id, True))
 
     def _cancel(self, cookie: int) -> None:
         self._to_node(lambda shelf: shelf.cancel(self, cookie))
 
     def _close_if_spent(self) -> None:
-        if self.life.spent:
+        if self.life.can_close:
             self._end()
 
     def _end(self) -> None:
@@ -173,7 +173,7 @@
             self._hub.at_outside(self._hub.now() + 1, lambda: shelf.left(self))
         now = self._hub.now()
         for attempt, result in lost:
-            self._links.core.ended(now, attempt, result)
+            self._links.core.attempt_ended(now, attempt, result)
 
     def drop(self) -> None:
         """The head died: its machine resets the link."""
@@ -184,9 +184,9 @@
     def _answered(self, cookie: int, result: api.Result, data: bytes, report: Any) -> None:
         if self.life.closed:
             return
-        self.life.heard(self._hub.now())
-        attempt = self.life.answered(cookie)
-        self._links.core.ended(self._hub.now(), attempt, result, data, report)
+        self.life.note_received(self._hub.now())
+        attempt = self.life.match_reply(cookie)
+        self._links.core.attempt_ended(self._hub.now(), attempt, result, data, report)
         self._close_if_spent()
 
     # -- messages
@@ -286,7 +286,7 @@
 
     def _asked(self, asked_at: int) -> None:
         self._fetch()
-        self._core.list_heard(asked_at, answered=True)
+        self._core.list_call_ended(asked_at, answered=True)
 
     def _later(self, act: Callable[[], None]) -> None:
         trip = 2 * self._air.delay("", "list") + self._service.slow_us
@@ -438,7 +438,7 @@
                 return  # the connection broke before
             volume = head.core.volumes[self.volume]
             command = KINDS[CLIENT_COMMANDS[kind]]
-            request = ClientRequest(volume, command, start * SECTOR, size, data, 0, asker, came=when)
+            request = ClientRequest(volume, command, start * SECTOR, size, data, 0, asker, arrived_at=when)
             self._unread.append((asker, request))
             self._read_on(head)
 
--- a/harriertrack/lab/fleet/rehearsal.py
+++ b/harriertrack/lab/fleet/rehearsal.py
@@ -53,4 +53,4 @@
             super().send(attempt)
             return
         now = self._hub.now()
-        self._hub.at(now, lambda: self.core.ended(now, attempt, api.Result.ERROR))
+        self._hub.at(now, lambda: self.core.attempt_ended(now, attempt, api.Result.ERROR))
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -110,13 +110,13 @@
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
-        epoch, now = self.epochs.of(VOLUME), self._hub.now()
+        epoch, now = self.epochs.epoch_of(VOLUME), self._hub.now()
         self._hub.at_for(HEAD, now, lambda: self._leaves(attempt, epoch))
 
     def _leaves(self, attempt: Attempt, epoch: int) -> None:
-        if not attempt.awaited:
+        if not attempt.answer_needed:
             return  # it was given up before
-        self.core.sent(attempt)
+        self.core.attempt_sent(attempt)
         takes = SLOW_US if self.slow else TAKE_US
         self._hub.at_for(NODE, self._hub.now() + takes, lambda: self._runs(attempt, epoch))
 
@@ -136,15 +136,15 @@
         self._hub.at_for(HEAD, self._hub.now(), lambda: self._answered(attempt, result, data))
 
     def _answered(self, attempt: Attempt, result: api.Result, data: bytes) -> None:
-        if attempt.awaited:
-            self.core.ended(self._hub.now(), attempt, result, data)
+        if attempt.answer_needed:
+            self.core.attempt_ended(self._hub.now(), attempt, result, data)
 
     def call_off(self, attempt: Attempt) -> None:
         """The node goes on."""
 
     def answer(self, request: ClientRequest) -> None:
         """Give the client its answer."""
-        request.token.answer(request)
+        request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
         """There is one list."""
@@ -228,7 +228,7 @@
             clients.append(one)
             data = bytes([one.tag]) * BLOCK if kind is Kind.WRITE else b""
             request = ClientRequest(link.core.volumes[VOLUME], kind, 0, BLOCK, data, 0, one)
-            link.core.take(hub.now(), request)
+            link.core.accept(hub.now(), request)
 
         def head() -> None:
             places = ExtentMap(None)
--- a/harriertrack/lab/interleaving/scenarios/links.py
+++ b/harriertrack/lab/interleaving/scenarios/links.py
@@ -31,7 +31,7 @@
     number: int = 1
     volume: str = VOLUME
     sent_at: int = 0
-    told: bool = False
+    reported: bool = False
     offered: bool = False  # to the links
     sent: int = 0
     dropped: bool = False  # called off before it was sent
@@ -39,9 +39,9 @@
     member: Any = field(default_factory=lambda: SimpleNamespace(entry=SimpleNamespace(node=NODE)))
 
     @property
-    def awaited(self) -> bool:
+    def answer_needed(self) -> bool:
         """Whether its answer is of use."""
-        return not self.told
+        return not self.reported
 
 
 def _tried(number: int) -> _Tried:
@@ -53,10 +53,10 @@
     def may_begin(self, _now: int, _one: _Tried) -> bool:
         return True  # client, time and node allow it; what was called off the link has to forget by itself
 
-    def sent(self, one: _Tried) -> None:
+    def attempt_sent(self, one: _Tried) -> None:
         one.sent += 1
 
-    def ended(self, _now: int, one: _Tried, result: Result, *_more: object) -> None:
+    def attempt_ended(self, _now: int, one: _Tried, result: Result, *_more: object) -> None:
         one.ends.append(result)
 
 
@@ -95,7 +95,7 @@
         def call_off() -> None:
             one = tried[0]
             if one.offered and not one.ends:
-                one.told, one.dropped = True, not one.sent
+                one.reported, one.dropped = True, not one.sent
                 found[0].call_off(cast(Attempt, one))
 
         world.spawn(NODE, "node", node)
@@ -115,11 +115,11 @@
             return None
 
         def finish() -> str | None:
-            if len(tried[1].ends) != 1 or (not tried[0].told and len(tried[0].ends) != 1):
+            if len(tried[1].ends) != 1 or (not tried[0].reported and len(tried[0].ends) != 1):
                 return f"an attempt has no end: {[one.ends for one in tried]}"
             return f"{len(found[0])} links are left" if len(found[0]) else None
 
-        world.view = lambda: tuple((one.sent, tuple(one.ends), one.told) for one in tried)
+        world.view = lambda: tuple((one.sent, tuple(one.ends), one.reported) for one in tried)
         world.judge, world.finish = judge, finish
 
     return build
--- a/harriertrack/lab/interleaving/scenarios/watch.py
+++ b/harriertrack/lab/interleaving/scenarios/watch.py
@@ -33,7 +33,7 @@
     def nodes_changed(self, _news: NodesChanged) -> None:
         self.heard += 1
 
-    def list_heard(self, _began: int, _answered: bool) -> None:
+    def list_call_ended(self, _began: int, _answered: bool) -> None:
         """Nothing waits for it."""
 
     def log(self, event: str, **_fields: object) -> None:
--- a/harriertrack/lab/troubles.py
+++ b/harriertrack/lab/troubles.py
@@ -11,8 +11,8 @@
 
 from harriertrack.decisions.celled import Celled, HeadMap
 from harriertrack.decisions.interface import NodeState
-from harriertrack.decisions.life import PartState
-from harriertrack.decisions.requests import CHANGING, Part
+from harriertrack.decisions.lifecycle import PartState
+from harriertrack.decisions.requests import MODIFYING_KINDS, Part
 from harriertrack.decisions.splitting import Kind
 from harriertrack.lab.day import TroubleKind, TroubleSettings
 from harriertrack.lab.rig import MOVED, HeadSlot, Rig
@@ -209,10 +209,12 @@
 
 # The steps of a wait at which a head is killed.
 WAIT_STEPS: tuple[Callable[[Part], bool], ...] = (
-    lambda part: part.state is PartState.KEPT and not part.attempts,  # never sent
-    lambda part: part.state is PartState.HELD and not part.attempts,  # offered again, held by the module
-    lambda part: part.state is PartState.OUT and part.request.kind in CHANGING,  # a write, sent after a wait
-    lambda part: part.state is PartState.KEPT and bool(part.attempts),  # sent, and waiting again
+    lambda part: part.state is PartState.QUEUED and not part.attempts,  # never sent
+    lambda part: part.state is PartState.SUBMITTED and not part.attempts,  # offered again, held by the module
+    lambda part: (
+        part.state is PartState.IN_FLIGHT and part.request.kind in MODIFYING_KINDS
+    ),  # a write, sent after a wait
+    lambda part: part.state is PartState.QUEUED and bool(part.attempts),  # sent, and waiting again
     lambda part: part.request.kind is Kind.FLUSH,
 )
 
@@ -228,7 +230,7 @@
             for slot in rig.heads:
                 core = getattr(slot.head, "core", None)
                 alive = slot.task is not None and not slot.task.done
-                if alive and core is not None and any(map(step, core.kept_parts())):
+                if alive and core is not None and any(map(step, core.parts_that_waited())):
                     struck = slot
         if struck is not None:
             rig.kill_head(struck)
--- a/harriertrack/service/discovery.py
+++ b/harriertrack/service/discovery.py
@@ -180,7 +180,7 @@
         if made.failure:
             self._open.failed(made)
             self._put_off(made, late)
-        self._core.list_heard(made.began, not made.failure)
+        self._core.list_call_ended(made.began, not made.failure)
         if late:
             self._log.ended_late(made, len(self._open), self._watch.version)
             self._go_on_from(made)
--- a/harriertrack/service/front.py
+++ b/harriertrack/service/front.py
@@ -20,7 +20,7 @@
     ClientState,
 )
 from harriertrack.decisions.graceful_shutdown import GracefulShutdown
-from harriertrack.decisions.requests import ClientRequest, Core, Placed, Volume
+from harriertrack.decisions.requests import ClientPlacement, ClientRequest, Core, Volume
 from harriertrack.decisions.splitting import Kind, Outcome
 from harriertrack.protocol.platform.asked import Asked, BadRequest, Ready, RequestParser, parting
 from harriertrack.runtime.hub import Hub, Scope, Waiters
@@ -217,8 +217,10 @@
         request = ClientRequest(volume, kind, 0, len(asked.body), asked.body, 0, call, deadline)
         self._request = request
         front.open[asked.trace] = call
-        front.core.take_placed(
-            now, request, Placed(asked.class_name, asked.object, asked.shard, asked.units, asked.repeat)
+        front.core.accept_placed(
+            now,
+            request,
+            ClientPlacement(asked.class_name, asked.object, asked.shard, asked.units, asked.repeat),
         )
         self._stream.watch_end(self.leave)
 
@@ -284,10 +286,10 @@
         """The client has gone: if a request of it is open, nobody waits for its answer."""
         request, self._request = self._request, None
         if request is not None:
-            call = request.token
+            call = request.requester
             assert isinstance(call, Call)
             self._front.open.pop(call.asked.trace, None)
-            self._front.core.client_gone(request)
+            self._front.core.client_left(request)
             self._closed = True
             self._changed.notify()
 
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -117,7 +117,7 @@
             self._log,
         )
         self.front = Front(hub, scope, self.core, configuration, self.leaving, self._log)
-        self.core.begin_looks(hub.now())
+        self.core.begin_standstill_checks(hub.now())
         self._heartbeat.start()
         return watching
 
@@ -173,11 +173,11 @@
         ends = {f"ended_{result.name.lower()}": count for result, count in storage_nodes.counts.ends.items()}
         self._log(
             "counts",
-            taken=core.taken,
+            taken=core.accepted,
             served=core.served,
             refused=core.refused,
             failed=core.failed,
-            left=core.left,
+            left=core.clients_left,
             open=self.core.open_requests,
             sent=core.sent,
             moot=core.moot,
@@ -215,7 +215,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt, unless its client has gone since its connection was last polled."""
-        call, now = attempt.part.request.token, self.hub.now()
+        call, now = attempt.part.request.requester, self.hub.now()
         assert isinstance(call, Call)
         if call.client_left(now):
             self.hub.at_end_of_round(lambda: self._client_left(now, call, attempt))
@@ -224,7 +224,7 @@
 
     def _client_left(self, now: int, call: Call, attempt: Attempt) -> None:
         call.session.leave()
-        self.core.ended(now, attempt, api.Result.MOOT)
+        self.core.attempt_ended(now, attempt, api.Result.MOOT)
 
     def call_off(self, attempt: Attempt) -> None:
         """Give an attempt up."""
@@ -232,7 +232,7 @@
 
     def answer(self, request: ClientRequest) -> None:
         """Hand a final answer to whoever asked."""
-        request.token.answer(request)
+        request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
         """Follow the node list, or stop."""
@@ -255,7 +255,7 @@
         self._log("module", text=text)
 
     def _look(self) -> None:
-        self.core.look(self.hub.now())
+        self.core.check_standstill(self.hub.now())
 
     def _flush(self) -> None:
         self.core.flush(self.hub.now())
--- a/harriertrack/service/storage_nodes.py
+++ b/harriertrack/service/storage_nodes.py
@@ -11,7 +11,7 @@
 
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.connection_pool import ConnectionPool, ConnectionState
-from harriertrack.decisions.life import AttemptState
+from harriertrack.decisions.lifecycle import AttemptState
 from harriertrack.decisions.requests import Attempt, Core
 from harriertrack.membership.nodes import Member
 from harriertrack.protocol.platform.exchange import Answer, Exchange, Spoilt
@@ -83,7 +83,7 @@
         if connection is None and not self.pool.room:
             self.counts.no_room += 1
             # Not sent, for want of this head's own descriptors: that says nothing of the node.
-            self.hub.at_end_of_round(lambda: self.core.ended(now, attempt, api.Result.MOOT))
+            self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
             return
         if connection is None:
             self.counts.dialled += 1
@@ -110,9 +110,9 @@
         self._connection_of.pop(attempt, None)
         self.counts.ends[result] = self.counts.ends.get(result, 0) + 1
         if answer is not None and result is api.Result.OK:
-            self.core.ended(at, attempt, result, answer.body, beside_of(answer))
+            self.core.attempt_ended(at, attempt, result, answer.body, beside_of(answer))
         else:
-            self.core.ended(at, attempt, result)
+            self.core.attempt_ended(at, attempt, result)
 
     def spoilt(self, node: str, why: str) -> None:
         """An answer could not be read: say so now and then."""
@@ -158,10 +158,10 @@
         assert self._stream is not None
         owner = self._owner
         self._attempt = attempt
-        call = attempt.part.request.token
+        call = attempt.part.request.requester
         assert isinstance(call, Call)
         asked = call.asked
-        left = max(1, (attempt.until - owner.hub.now()) // 1000)
+        left = max(1, (attempt.times_out_at - owner.hub.now()) // 1000)
         headers = [
             (b"Host", b"api.internal"), (b"X-Trace-Id", asked.trace), (b"X-Expires-In-Ms", b"%d" % left),
         ]  # fmt: skip
@@ -176,7 +176,7 @@
             return
         self._open = True
         self._stream.write(self._exchange.request)
-        self._stream.push(lambda: owner.core.sent(attempt, owner.hub.now()))
+        self._stream.push(lambda: owner.core.attempt_sent(attempt, owner.hub.now()))
 
     def _keep(self, attempt: Attempt) -> None:
         """Let an attempt go that may not begin: nothing was sent, and the connection can carry another."""
@@ -218,7 +218,7 @@
 
     def _may_begin(self, now: int, attempt: Attempt) -> bool:
         """Whether an attempt may still be sent; its client may have gone while the connection came up."""
-        call = attempt.part.request.token
+        call = attempt.part.request.requester
         assert isinstance(call, Call)
         if call.client_left(now):
             call.session.leave()
--- a/harriertrack/standin/node.py
+++ b/harriertrack/standin/node.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from harriertrack.config.settings import ShelfSettings
-from harriertrack.decisions.splitting import cut, units_of
+from harriertrack.decisions.splitting import split_at_extents, units_of
 from harriertrack.membership.leases import Fence
 from harriertrack.protocol.nbd import extension
 from harriertrack.protocol.nbd.server import Request
@@ -75,7 +75,7 @@
     def read(self, volume: str, offset: int, length: int) -> bytes:
         """Return stored bytes; what was never written is zero."""
         parts = []
-        for extent, start, size in cut(offset, length, self.extent_bytes):
+        for extent, start, size in split_at_extents(offset, length, self.extent_bytes):
             stored, at = self._extents.get((volume, extent)), start % self.extent_bytes
             parts.append(bytes(size) if stored is None else bytes(stored[at : at + size]))
         return b"".join(parts)
@@ -83,7 +83,7 @@
     def write(self, volume: str, offset: int, data: bytes) -> None:
         """Store bytes."""
         done = 0
-        for extent, start, size in cut(offset, len(data), self.extent_bytes):
+        for extent, start, size in split_at_extents(offset, len(data), self.extent_bytes):
             stored = self._extents.setdefault((volume, extent), bytearray(self.extent_bytes))
             at = start % self.extent_bytes
             stored[at : at + size] = data[done : done + size]
--- a/tests/closing/test_closing_copies.py
+++ b/tests/closing/test_closing_copies.py
@@ -5,7 +5,7 @@
 from harriertrack.config.settings import ClosingSettings, Kind, VolumeRegionSettings
 from harriertrack.config.settings.checks import _check_closing
 from harriertrack.decisions.catchup import CatchUp
-from harriertrack.decisions.copies import Copies, Crossed, Held, Turn, crossed
+from harriertrack.decisions.copies import Copies, CloseOverlap, WriteAction, CopyAction, close_overlap
 from harriertrack.decisions.epochs import Epochs
 from harriertrack.decisions.fleet.closing.clocks import Interval
 from harriertrack.decisions.fleet.closing.fences import Fences
@@ -27,63 +27,78 @@
 def copies(mode=Mode.BOTH, in_sync=BOTH, **bounds):
     log = MissedLog(None)
     view = RegionView("a", "b", "a", Bounds(mode, **bounds))
-    view.recorded(in_sync, 0)
+    view.set_in_sync(in_sync, 0)
     return Copies(view, CatchUp("v", 16, log)), log
 
 
 def test_a_write_is_copied_before_it_is_acknowledged_and_dropped_when_late():
     one, log = copies(copy_us=100)
-    assert one.held(0, 1, range(2)) is Held.COPY and one.held(5, 2, range(0)) is Held.COPY
-    assert one.turn(50, 1, True) is Turn.SEND and one.until(1) == 100 and one.busy() == {0, 1}
-    assert one.turn(100, 1, True) is Turn.DROP and one.turn(101, 1, True) is Turn.WAIT
-    one.miss_all()
+    assert (
+        one.add_write(0, 1, range(2)) is WriteAction.COPY_FIRST
+        and one.add_write(5, 2, range(0)) is WriteAction.COPY_FIRST
+    )
+    assert one.next_action(50, 1, True) is CopyAction.SEND and one.due_at(1) == 100 and one.busy() == {0, 1}
+    assert (
+        one.next_action(100, 1, True) is CopyAction.DROP_REGION
+        and one.next_action(101, 1, True) is CopyAction.WAIT
+    )
+    one.note_all_missed()
     assert log.missed("v") == {0, 1}
-    assert one.turn(102, 2, False) is Turn.LOST
-    assert one.dropped(True) == [1, 2] and not one.dropping
-    one.ended(1)
-    assert one.turn(103, 1, True) is Turn.GONE and list(one) == [2]
+    assert one.next_action(102, 2, False) is CopyAction.LEASE_LOST
+    assert one.region_dropped(True) == [1, 2] and not one.dropping
+    one.finish(1)
+    assert one.next_action(103, 1, True) is CopyAction.ENDED and list(one) == [2]
 
 
 def test_while_the_other_region_is_out_of_sync_a_write_is_missed_or_copied_behind():
     one, log = copies(in_sync=frozenset("a"), copy_us=100)
-    assert one.held(0, 1, range(1)) is Held.ANSWER and log.missed("v") == {0}
-    assert one.held(0, 2, range(0)) is Held.ANSWER
-    one.catch_up.asked()
-    assert one.held(0, 3, range(4, 5)) is Held.COPY_BEHIND and one.turn(100, 3, True) is Turn.MISSED
+    assert one.add_write(0, 1, range(1)) is WriteAction.ACKNOWLEDGE and log.missed("v") == {0}
+    assert one.add_write(0, 2, range(0)) is WriteAction.ACKNOWLEDGE
+    one.catch_up.start_joining()
+    assert (
+        one.add_write(0, 3, range(4, 5)) is WriteAction.ACKNOWLEDGE_AND_COPY
+        and one.next_action(100, 3, True) is CopyAction.NOTED_MISSED
+    )
     assert log.missed("v") == {0, 4} and not one.dropping
 
 
 def test_mode_home_counts_what_is_behind_until_it_ends():
     one, _ = copies(Mode.HOME, behind_writes=1)
-    assert one.held(0, 1, range(1)) is Held.COPY_BEHIND and one.held(0, 2, range(1)) is Held.COPY
-    one.ended(1)
-    assert one.held(0, 3, range(1)) is Held.COPY_BEHIND
+    assert (
+        one.add_write(0, 1, range(1)) is WriteAction.ACKNOWLEDGE_AND_COPY
+        and one.add_write(0, 2, range(1)) is WriteAction.COPY_FIRST
+    )
+    one.finish(1)
+    assert one.add_write(0, 3, range(1)) is WriteAction.ACKNOWLEDGE_AND_COPY
 
 
 def test_around_a_close_the_other_regions_time_begins_when_both_are_over_it():
     one, _ = copies(copy_us=100)
-    one.held(0, 1, range(1))
-    assert one.turn(90, 1, True, unsettled_us=50) is Turn.SEND and one.until(1) == 240
-    assert one.turn(239, 1, True) is Turn.SEND and one.turn(240, 1, True) is Turn.DROP
+    one.add_write(0, 1, range(1))
+    assert one.next_action(90, 1, True, unsettled_us=50) is CopyAction.SEND and one.due_at(1) == 240
+    assert (
+        one.next_action(239, 1, True) is CopyAction.SEND
+        and one.next_action(240, 1, True) is CopyAction.DROP_REGION
+    )
 
 
 def test_how_a_write_stands_to_a_close():
     gone = {0, 1}.__contains__
-    assert [crossed(one, gone) for one in (range(2), range(1, 3), range(2, 4), range(0))] == [
-        Crossed.WHOLE, Crossed.PART, Crossed.NOT, Crossed.NOT]  # fmt: skip
+    assert [close_overlap(one, gone) for one in (range(2), range(1, 3), range(2, 4), range(0))] == [
+        CloseOverlap.FULL, CloseOverlap.PARTIAL, CloseOverlap.NONE, CloseOverlap.NONE]  # fmt: skip
 
 
 def test_a_close_takes_what_was_read_for_the_copy_and_what_is_missed():
     one, log = copies(in_sync=frozenset("a"))
-    one.catch_up.missed((0, 1, 2))
-    one.catch_up.read((0, 2), "reader")
+    one.catch_up.note_missed((0, 1, 2))
+    one.catch_up.note_read((0, 2), "reader")
     log.begin_write("v", (1, 2))
-    one.catch_up.purged({0, 1}.__contains__)
+    one.catch_up.note_purged({0, 1}.__contains__)
     assert log.missed("v") == {2} == log.opened("v")
-    one.catch_up.missed((0,))  # written anew
-    one.catch_up.caught(0, "reader")
+    one.catch_up.note_missed((0,))  # written anew
+    one.catch_up.confirm_copied(0, "reader")
     assert log.missed("v") == {0, 2}, "what was read before the close is not what is missed now"
-    one.catch_up.caught(2, "reader")
+    one.catch_up.confirm_copied(2, "reader")
     assert log.missed("v") == {0}
 
 
@@ -104,17 +119,17 @@
 
 def test_epochs_grow_with_lease_and_close_and_never_back():
     one = Epochs()
-    seen = [one.of("v")]
-    for step in (lambda: one.leased("v", 3), lambda: one.closed("v", 1000), lambda: one.leased("v", 4),
-                 lambda: one.closed("v", 2000)):  # fmt: skip
+    seen = [one.epoch_of("v")]
+    for step in (lambda: one.record_lease("v", 3), lambda: one.record_close("v", 1000), lambda: one.record_lease("v", 4),
+                 lambda: one.record_close("v", 2000)):  # fmt: skip
         step()
-        seen.append(one.of("v"))
+        seen.append(one.epoch_of("v"))
     assert seen == sorted(set(seen)) and one.generation("v") == 2000
-    one.leased("v", 2)
-    assert not one.closed("v", 1500) and one.of("v") == seen[-1]
-    assert one.of("w") == 0 and not one.knows_lease("w") and one.knows_lease("v")
-    one.closed("w", 5)
-    assert not one.knows_lease("w"), "a close is no lease: nothing is moved by it"
+    one.record_lease("v", 2)
+    assert not one.record_close("v", 1500) and one.epoch_of("v") == seen[-1]
+    assert one.epoch_of("w") == 0 and not one.has_lease("w") and one.has_lease("v")
+    one.record_close("w", 5)
+    assert not one.has_lease("w"), "a close is no lease: nothing is moved by it"
 
 
 def test_under_which_epoch_work_is_sent_outlives_the_closes_that_are_remembered(tmp_path):
--- a/tests/closing/test_closing_core.py
+++ b/tests/closing/test_closing_core.py
@@ -24,7 +24,7 @@
         self.hint, self.waited, self.risky, self._places = None, [], [], places
 
     def refuses(self, request):
-        return self.hint if request.kind is not Kind.FLUSH and request.at_shard < 0 else None
+        return self.hint if request.kind is not Kind.FLUSH and request.trim_shard < 0 else None
 
     def placing(self, volume, extent, shard):
         self._places.doubt(volume, extent, shard)
@@ -43,7 +43,7 @@
 @pytest.fixture
 def rig():
     rig = _CORE.Rig()
-    rig.core.closings = Closings(rig.extents)
+    rig.core.close_guard = Closings(rig.extents)
     return rig
 
 
@@ -51,7 +51,7 @@
     """Step over a close, as a head does."""
     counts = rig.core.close_off(rig.now, everything)
     lefts = rig.extents.purge("c", number, 1000 * number, lambda _volume, _extent: True)
-    rig.core.keep_purged({(volume, extent) for volume, extent, _ in lefts})
+    rig.core.hold_purged({(volume, extent) for volume, extent, _ in lefts})
     rig.flush()
     return counts, lefts
 
@@ -74,14 +74,14 @@
         None,
         background=True,
         moving=True,
-        at_shard=shard,
+        trim_shard=shard,
     )
-    rig.core.take(rig.now, request)
+    rig.core.accept(rig.now, request)
     rig.flush()
     rig.end(rig.port.sent[-1])
     assert request.outcome is Outcome.SERVED
     rig.extents.trimmed("v", extent, shard)
-    rig.core.free_trimmed("v", extent)
+    rig.core.release_trimmed("v", extent)
     rig.flush()
 
 
@@ -93,7 +93,7 @@
     assert read.outcome is Outcome.SERVED and read.bytes_read() == bytes(512)
     sent = len(rig.port.sent)
     write = rig.ask(Kind.WRITE, data=b"n" * 512)
-    assert len(rig.port.sent) == sent and rig.core.closings.waited == [("v", 0)]
+    assert len(rig.port.sent) == sent and rig.core.close_guard.waited == [("v", 0)]
     trim(rig, 0, shard)
     assert rig.port.sent[-1].part.body() == b"n" * 512
     rig.end(rig.port.sent[-1])
@@ -104,11 +104,11 @@
     written(rig)
     read = rig.ask(Kind.READ)
     sent = rig.ask(Kind.WRITE, data=b"b" * 512)
-    rig.core.sent(rig.port.sent[-1])
+    rig.core.attempt_sent(rig.port.sent[-1])
     unsent = rig.ask(Kind.WRITE, offset=512, data=b"c" * 512)
     assert close(rig)[0] == (2, 1)
     assert (read.outcome, sent.outcome, unsent.outcome) == (Outcome.REFUSED, Outcome.FAILED, Outcome.REFUSED)
-    assert set(rig.core.closings.risky) == {("v", 0)}
+    assert set(rig.core.close_guard.risky) == {("v", 0)}
     before = len(rig.port.answers)
     for attempt in list(rig.port.sent[1:]):
         if attempt.state.value in ("sent", "dialing"):
@@ -119,8 +119,8 @@
 def test_a_read_that_was_served_and_not_answered_when_the_close_came_is_refused(rig):
     written(rig)
     read = rig.ask(Kind.READ)
-    rig.core.sent(rig.port.sent[-1])
-    rig.core.ended(rig.now, rig.port.sent[-1], api.Result.OK, b"a" * 512)
+    rig.core.attempt_sent(rig.port.sent[-1])
+    rig.core.attempt_ended(rig.now, rig.port.sent[-1], api.Result.OK, b"a" * 512)
     close(rig)
     assert read.outcome is Outcome.REFUSED and rig.port.answers.count(read) == 1
 
@@ -128,7 +128,7 @@
 def test_nothing_is_taken_or_answered_while_a_close_may_have_come(rig):
     written(rig)
     read = rig.ask(Kind.READ)
-    rig.core.closings.hint = 700
+    rig.core.close_guard.hint = 700
     rig.end(rig.port.sent[-1], data=b"a" * 512)
     later = rig.ask(Kind.WRITE, data=b"x" * 512)
     assert (read.outcome, read.hint_us) == (Outcome.REFUSED, 700) == (later.outcome, later.hint_us)
@@ -138,7 +138,7 @@
 def test_a_first_write_whose_end_is_not_known_at_the_close_is_trimmed_where_it_may_lie(rig):
     rig.ask(Kind.WRITE, data=b"a" * 512)
     attempt = rig.port.sent[-1]
-    rig.core.sent(attempt)
+    rig.core.attempt_sent(attempt)
     _, lefts = close(rig)
     shard = attempt.member.entry.shard
     assert lefts == [("v", 0, shard)]
@@ -161,13 +161,13 @@
     move = ClientRequest(
         rig.core.volumes["v"], Kind.WRITE, 0, EXTENT, bytes(EXTENT), 0, None, background=True, moving=True
     )
-    rig.core.take(rig.now, move)
+    rig.core.accept(rig.now, move)
     rig.flush()
     target = rig.port.sent[-1].member.entry.shard
-    rig.core.sent(rig.port.sent[-1])
+    rig.core.attempt_sent(rig.port.sent[-1])
     _, lefts = close(rig)
     assert move.outcome is Outcome.FAILED and {one[2] for one in lefts} == {shard, target}
-    rig.core.free_extent("v", 0)  # as the mover does when its read was refused
+    rig.core.release_extent("v", 0)  # as the mover does when its read was refused
     sent = len(rig.port.sent)
     rig.ask(Kind.WRITE, data=b"n" * 512)
     assert len(rig.port.sent) == sent, "still kept until it is trimmed"
@@ -224,7 +224,7 @@
     request = ClientRequest(
         rig.core.volumes["v"], kind, 0, len(data) or 512, data, 0, None, patience_us=20_000_000
     )
-    rig.core.take(rig.now, request)
+    rig.core.accept(rig.now, request)
     rig.flush()
     return request
 
@@ -232,13 +232,13 @@
 def test_a_client_that_waits_is_not_refused_but_begins_anew_after_the_close(rig):
     shard = written(rig)
     read, write = patient(rig, Kind.READ), patient(rig, Kind.WRITE, b"b" * 512)
-    rig.core.closings.hint = 300_000
+    rig.core.close_guard.hint = 300_000
     rig.end(rig.port.sent[-2], data=b"a" * 512)  # the read: it ends while the close may have come
     close(rig)  # the write has not been sent: it is given up, and not refused
     later = patient(rig, Kind.READ)
     assert read.outcome is write.outcome is later.outcome is None
     assert not {read, write, later} & set(rig.port.answers)
-    rig.core.closings.hint = None
+    rig.core.close_guard.hint = None
     rig.run(400_000)
     assert (
         read.outcome is later.outcome is Outcome.SERVED
@@ -252,15 +252,15 @@
 
 
 def test_waiting_for_a_close_ends_with_the_patience_the_client_or_the_head(rig):
-    rig.core.closings.hint = 300_000
+    rig.core.close_guard.hint = 300_000
     gone, stopped, tired = (patient(rig, Kind.READ) for _ in range(3))
-    rig.core.client_gone(gone)
+    rig.core.client_left(gone)
     rig.run(19_000_000)
     assert stopped.outcome is tired.outcome is None
     rig.run(1_100_000)
     assert tired.outcome is Outcome.REFUSED and rig.port.answers.count(tired) == 1
     late = patient(rig, Kind.READ)
-    rig.core.close("shutting down")
+    rig.core.stop_waiting("shutting down")
     rig.flush()
     assert late.outcome is Outcome.REFUSED and gone not in rig.port.answers and rig.core.open_requests == 0
 
--- a/tests/closing/test_closing_days.py
+++ b/tests/closing/test_closing_days.py
@@ -66,7 +66,7 @@
 
 
 def does_not_wait_for_trims(monkeypatch):
-    monkeypatch.setattr(Core, "keep_purged", lambda _self, _places: None)
+    monkeypatch.setattr(Core, "hold_purged", lambda _self, _places: None)
 
 
 def sweeps_nothing(monkeypatch):
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -76,8 +76,8 @@
     def start_head(self, slot):
         super().start_head(slot)
         closes = self.closes.setdefault(slot.name, Closes())
-        slot.head.core.closings = slot.head.regional.generations = closes
-        slot.head._links.epochs.closed(VOLUME, closes.done)
+        slot.head.core.close_guard = slot.head.regional.generations = closes
+        slot.head._links.epochs.record_close(VOLUME, closes.done)
 
     def head(self, region):
         return self.slots[region].head
@@ -111,8 +111,8 @@
         head.core.close_off(self.hub.now(), covers)
         lefts = slot.extents().purge("c", at, at, lambda volume, extent: covers(volume, extent * size, size))
         self.closes[slot.name].done = at
-        head.core.keep_purged({(volume, extent) for volume, extent, _ in lefts})
-        head._links.epochs.closed(VOLUME, at)
+        head.core.hold_purged({(volume, extent) for volume, extent, _ in lefts})
+        head._links.epochs.record_close(VOLUME, at)
         head.regional.closed(covers)
         for _, extent, shard in lefts:
             self.scope.spawn("trim", self._trim, head, slot.extents(), extent, shard)
@@ -122,7 +122,7 @@
         while do(moving=True, at_shard=shard).outcome is not Outcome.SERVED:
             self.hub.sleep(50 * MS)
         places.trimmed(VOLUME, extent, shard)
-        head.core.free_trimmed(VOLUME, extent)
+        head.core.release_trimmed(VOLUME, extent)
 
     def slow(self, us):
         for way in self.ways.values():
@@ -317,7 +317,7 @@
     (a_write_over_the_edge, fault("a copy is kept that a close cut", where=f"{REGIONAL}._crossed",
                                   right="if work.number not in copies:", wrong="if True:")),
     (a_write_over_the_edge, fault("what a close left of a write is not read back", where=f"{REGIONAL}._after_unknown",
-                                  right="work.crossed is Crossed.WHOLE", wrong="work.crossed is not Crossed.NOT")),
+                                  right="work.crossed is CloseOverlap.FULL", wrong="work.crossed is not CloseOverlap.NONE")),
     (the_copy_is_behind, fault("a region's generation is skipped", where=f"{REGIONAL}.copy_opened",
                                right="not self.generations.admits(volume, generation)", wrong="False")),
     (the_copy_is_ahead, fault("a copy's generation is not looked at", where=f"{REGIONAL}.copy_opened",
@@ -326,7 +326,7 @@
                                            right=" or generation != self._generation(volume.name)", wrong="")),
     (a_region_is_behind_and_catches_up, fault("who is behind catches up", where=f"{REGIONAL}.same_generation",
                                               right="theirs == self._generation(volume)", wrong="True")),
-    (a_region_was_dark, fault("the log is not dropped", where="decisions.catchup:CatchUp.purged",
+    (a_region_was_dark, fault("the log is not dropped", where="decisions.catchup:CatchUp.note_purged",
                               right="self.log.purged(self.volume, gone)", wrong="pass")),
     (a_read_that_was_passed_on, fault("a read is passed back over a close", where=f"{REGIONAL}.closed",
                                       right="self._refuse(request, CLOSED)", wrong="pass")),
--- a/tests/endings/test_attempt_ends.py
+++ b/tests/endings/test_attempt_ends.py
@@ -36,7 +36,7 @@
         site.until(lambda: site.net.waiting)
         end(client)
         site.net.up.set()
-        site.until(lambda: site.head.core.counts.left)
+        site.until(lambda: site.head.core.counts.clients_left)
         served_over_the_kept_connection(site)
 
     LoopbackSite(tmp_path).run(act)
@@ -54,7 +54,7 @@
         site.scope.spawn("end", end, client)
         site.leap_first(40 * MS)
         site.net.up.set()
-        site.until(lambda: site.head.core.counts.left)
+        site.until(lambda: site.head.core.counts.clients_left)
         served_over_the_kept_connection(site)
 
     LoopbackSite(tmp_path).run(act)
@@ -94,7 +94,7 @@
     def act(site):
         client, there = stuck(site, kept)
         end(client)
-        site.until(lambda: site.head.core.counts.left)
+        site.until(lambda: site.head.core.counts.clients_left)
         there.until_ended()
         assert there.broken and len(there.received) < len(LARGE)
         assert site.head.module.results() == [api.Result.MOOT if kept else api.Result.CANCELLED]
@@ -110,13 +110,13 @@
         _, there = stuck(site)
         (way,), (part,) = (
             site.head.storage_nodes._connection_of.values(),
-            site.head.core._board.parts.values(),
+            site.head.core._state.parts.values(),
         )
         site.until(lambda: there.receive(512) and way._stream.buffered <= SMALL)
         assert way._stream.buffered
         while there.receive():
             pass
-        site.head.core.client_gone(part.request)
+        site.head.core.client_left(part.request)
         there.until_ended()
         assert there.broken and len(there.received) < len(LARGE)
         assert site.head.module.results() == [api.Result.MOOT]
@@ -330,7 +330,7 @@
         site.hub.sleep(5 * MS)
         assert site.head.module.results() in ([api.Result.OK], [api.Result.CANCELLED])
         counts = site.head.core.counts
-        assert (counts.left, counts.served) in ((1, 0), (0, 1))
+        assert (counts.clients_left, counts.served) in ((1, 0), (0, 1))
         assert site.head.core.open_requests == site.head.core.open_parts == 0
 
     once(tmp_path).run(act)
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -76,7 +76,7 @@
         client.send(b"x" * 4096)
         end(client)
         site.until(lambda: site.shelfs[1].ended)
-        assert site.head.core.open_requests == 0 and site.head.core.counts.left == 1
+        assert site.head.core.open_requests == 0 and site.head.core.counts.clients_left == 1
 
     LoopbackSite(tmp_path).run(act)
 
@@ -92,7 +92,7 @@
             client.send(site.request() + behind)
             end(client)
         site.until(lambda: site.head.front.counts.taken == 20 and not len(site.head.front.connections))
-        assert site.head.core.counts.taken == site.head.core.counts.sent == 0
+        assert site.head.core.counts.accepted == site.head.core.counts.sent == 0
         assert not site.shelfs[1].got
 
     LoopbackSite(tmp_path).run(act)
@@ -147,7 +147,7 @@
         site.head.module.acts = leave
         for client in list(clients):
             client.send(site.request())
-        site.until(lambda: site.head.core.counts.left == 10)
+        site.until(lambda: site.head.core.counts.clients_left == 10)
         site.hub.sleep(20 * MS)
         assert len(site.shelfs[1].got) == 10 and not site.head.core.open_requests and not site.head.front.open
 
@@ -172,7 +172,7 @@
         monkeypatch.setattr(ClientConnection, "_take", takes)
         fresh.send(same)
         assert fresh.until_answered()[2] == b"fresh"
-        assert site.head.core.counts.left == 1 and not site.head.front.open
+        assert site.head.core.counts.clients_left == 1 and not site.head.front.open
 
     LoopbackSite(tmp_path).run(act)
 
--- a/tests/endings/test_crowded_fleet.py
+++ b/tests/endings/test_crowded_fleet.py
@@ -42,7 +42,7 @@
         wait = int(LEAST_WAIT_US * (1 + self.hub.random.random()))
         self.hub.at(self.hub.now() + wait, lambda: self.discovery.subscribe(True))
 
-    def list_heard(self, _began, _answered):
+    def list_call_ended(self, _began, _answered):
         pass
 
     def gone(self, _node):
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -52,7 +52,7 @@
 KEEPING, WRITING = "gateway.fleet.changes.keeping", "decisions.fleet.changes.writing"
 WATCH, LIST = "decisions.discovery_watch:DiscoveryWatch", "service.discovery:Discovery"
 LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:Holder"
-LINK = "decisions.linklife:LinkLife"
+LINK = "decisions.link_lifecycle:LinkLifecycle"
 CLOSING = "decisions.fleet.closing"
 BUDGETS, TERMS = "decisions.fleet.budgets", "decisions.fleet.terms:Candidate"
 ZONES = "decisions.fleet.zones.evacuation:Evacuation"
@@ -60,7 +60,7 @@
 WEIGHTS = "gateway.fleet.scoring.carrier:Scoring"
 LAUNCHING = "decisions.fleet.rollout.launching:Launching"
 LAUNCHER = "gateway.fleet.rollout.launcher.launcher:Launcher"
-CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closing:Closing"
+CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closes:CloseHandling"
 ROLLOUT = "decisions.fleet.rollout.rollout:Rollout"
 FOLLOWING = "decisions.fleet.changes.following:Follower"
 
@@ -213,7 +213,13 @@
         "self.state is LinkState.DIALING",
         "True",
     ),
-    Fault("what waited is told twice", "link-node-dies", f"{LINK}.opened", "self._waiting.clear()", "pass"),
+    Fault(
+        "what waited is told twice",
+        "link-node-dies",
+        f"{LINK}.complete_handshake",
+        "self._waiting.clear()",
+        "pass",
+    ),
     Fault(
         "a broken link tells nobody",
         "link-node-dies",
@@ -548,7 +554,7 @@
         "a new write overtakes a trim",
         "close-write",
         f"{CLOSES}._close",
-        "core.keep_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
+        "core.hold_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
         "pass",
     ),
     Fault(
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -161,12 +161,12 @@
     name, core, reception = WAYS[path][0][-1], head.core, head.reception
     limits = head._links.settings.limits
     special = {
-        "max-hint": core._keeping.patience.rules.most_us,
-        "class: deadline": core._board.deadlines["read"],
+        "max-hint": core._retry_queue.patience.rules.most_us,
+        "class: deadline": core._state.deadlines["read"],
         "limits: connections": reception.shares.limits.connections,
         "limits: in-flight": reception.door.bounds.requests,
         "limits: in-flight-bytes": reception.door.bounds.request_bytes,
-        "limits: offers": core._keeping.patience.rules.offers,
+        "limits: offers": core._retry_queue.patience.rules.offers,
         "limits: held": core.rules.held,
         "limits: borrow": reception.shares.limits.borrow,
         "limits: dial": limits.dial_us,
