--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,8 +14,8 @@
     request_rules,
 )
 from harriertrack.decisions import Scheduler, interface as api
-from harriertrack.decisions.life import PartState
-from harriertrack.decisions.splitting import Outcome, class_of, cut, units_of, whole_outcome
+from harriertrack.decisions.lifecycle import PartState
+from harriertrack.decisions.splitting import Outcome, class_of, split_at_extents, units_of, request_outcome
 from harriertrack.decisions.requests import ClientRequest, Core
 from harriertrack.membership.nodes import Member, NodeList
 from harriertrack.storage.extents import ExtentMap
@@ -111,15 +111,15 @@
 
     def ask(self, kind, offset=0, length=512, data=b""):
         request = ClientRequest(self.core.volumes["v"], kind, offset, len(data) or length, data, 0, None)
-        self.core.take(self.now, request)
+        self.core.accept(self.now, request)
         self.flush()
         return request
 
     def end(self, attempt, result=api.Result.OK, data=b"", sent=True):
         if sent:
-            self.core.sent(attempt)
+            self.core.attempt_sent(attempt)
         self.now += 5 * MS
-        self.core.ended(self.now, attempt, result, data)
+        self.core.attempt_ended(self.now, attempt, result, data)
         self.flush()
 
 
@@ -127,7 +127,7 @@
     rig = Rig()
     first, second = rig.ask(Kind.WRITE, data=b"a" * 512), rig.ask(Kind.WRITE, offset=512, data=b"b" * 512)
     (attempt,) = rig.port.sent  # the second waits for the first's placement
-    assert second.parts[0].state is PartState.WAITING
+    assert second.parts[0].state is PartState.AWAITING_PLACEMENT
     rig.end(attempt)
     assert rig.port.answers == [first] and first.outcome is Outcome.SERVED
     assert rig.extents.shard_of("v", 0) == attempt.member.entry.shard
@@ -139,17 +139,19 @@
     rig = Rig(nodes=0)
     first, second = rig.ask(Kind.WRITE, data=b"a"), rig.ask(Kind.WRITE, data=b"b")
     assert [one.outcome for one in (first, second)] == [Outcome.REFUSED] * 2 and not rig.port.sent
-    assert rig.extents.shard_of("v", 0) is None and not rig.core._placing.lines and not rig.core._board.parts
+    assert (
+        rig.extents.shard_of("v", 0) is None and not rig.core._placement.queues and not rig.core._state.parts
+    )
 
 
 def test_a_write_that_comes_in_the_moment_of_the_placement_follows_it():
     rig = Rig()
     rig.ask(Kind.WRITE, data=b"a")
     attempt = rig.port.sent[0]
-    rig.core.sent(attempt)
-    rig.core.ended(rig.now, attempt, api.Result.OK)
+    rig.core.attempt_sent(attempt)
+    rig.core.attempt_ended(rig.now, attempt, api.Result.OK)
     request = ClientRequest(rig.core.volumes["v"], Kind.WRITE, 8, 1, b"b", 0, None)
-    rig.core.take(rig.now, request)  # before the flush that commits the placement
+    rig.core.accept(rig.now, request)  # before the flush that commits the placement
     rig.flush()
     assert (
         rig.port.sent[1].member == attempt.member
@@ -160,7 +162,7 @@
 def test_a_waiter_is_answered_though_the_first_hangs():
     rig = Rig()
     first = rig.ask(Kind.WRITE, data=b"a")
-    rig.core.sent(rig.port.sent[0])
+    rig.core.attempt_sent(rig.port.sent[0])
     rig.now += 100 * MS
     second = rig.ask(Kind.WRITE, data=b"b")
     rig.run(3_000 * MS)
@@ -191,19 +193,19 @@
     rig.end(one, data=b"1" * 100)
     assert rig.port.answers == [request]
     assert b"".join(piece.data for piece in request.pieces) == b"1" * 100 + b"2" * 100
-    assert not rig.core._board.parts
+    assert not rig.core._state.parts
 
 
 def test_a_split_write_of_which_one_part_fails_is_failed_at_once_and_the_rest_called_off():
     rig = Rig(shards=(0, 1))
     request = rig.ask(Kind.WRITE, offset=EXTENT - 100, data=b"w" * 200)
     one, two = rig.port.sent
-    rig.core.sent(two)
+    rig.core.attempt_sent(two)
     rig.end(one, api.Result.FULL)
     assert request.outcome is Outcome.FAILED  # the other part may have run
     assert rig.port.answers == [request] and rig.port.called_off == [two]
     rig.end(two, sent=False)  # its late answer changes nothing
-    assert rig.port.answers == [request] and not rig.core._board.parts
+    assert rig.port.answers == [request] and not rig.core._state.parts
     assert rig.core.counts.failed == 1 and rig.core.open_requests == 0
 
 
@@ -213,7 +215,7 @@
     one, two = rig.port.sent  # the second waits for its link
     rig.end(one, api.Result.FULL)
     assert request.outcome is Outcome.REFUSED and rig.port.called_off == [two]
-    assert rig.port.answers == [request] and not rig.core._board.parts
+    assert rig.port.answers == [request] and not rig.core._state.parts
 
 
 def test_a_write_that_never_left_is_refused_not_failed():
@@ -247,25 +249,25 @@
 def test_a_client_that_leaves_is_owed_nothing_and_its_attempts_are_called_off():
     rig = Rig(shards=(0,))
     request = rig.ask(Kind.READ)
-    rig.core.sent(rig.port.sent[0])
-    rig.core.client_gone(request)
+    rig.core.attempt_sent(rig.port.sent[0])
+    rig.core.client_left(request)
     rig.flush()
     assert rig.port.called_off == rig.port.sent and not rig.port.answers
     rig.end(rig.port.sent[0], sent=False)
-    assert not rig.core._board.parts and rig.core.open_requests == 0
-    rig.core.client_gone(request)  # twice is once
-    assert rig.core.counts.left == 1
+    assert not rig.core._state.parts and rig.core.open_requests == 0
+    rig.core.client_left(request)  # twice is once
+    assert rig.core.counts.clients_left == 1
 
 
 def test_an_unanswered_read_is_answered_before_its_time_is_up():
     rig = Rig(shards=(0,))
     start = rig.now
     request = rig.ask(Kind.READ)
-    rig.core.sent(rig.port.sent[0])
+    rig.core.attempt_sent(rig.port.sent[0])
     rig.run(1500 * MS)
     assert request.outcome is Outcome.REFUSED and rig.now <= start + 1500 * MS
     assert rig.port.called_off == rig.port.sent
-    assert not rig.core._board.parts or all(part.out for part in rig.core._board.parts.values())
+    assert not rig.core._state.parts or all(part.open_attempts for part in rig.core._state.parts.values())
 
 
 def test_flush_goes_where_writes_went_and_is_not_needed_twice():
@@ -321,8 +323,8 @@
 
 
 def test_cutting_and_units():
-    assert list(cut(10, 0, 100)) == []
-    assert list(cut(90, 220, 100)) == [(0, 90, 10), (1, 100, 100), (2, 200, 100), (3, 300, 10)]
+    assert list(split_at_extents(10, 0, 100)) == []
+    assert list(split_at_extents(90, 220, 100)) == [(0, 90, 10), (1, 100, 100), (2, 200, 100), (3, 300, 10)]
     assert [units_of(length, 4096) for length in (0, 1, 4096, 4097)] == [1, 1, 1, 2]
     classes = [("big", frozenset("r"), 100), ("all", frozenset("rw"), 0)]
     assert [class_of(classes, *one) for one in (("r", 100), ("r", 99), ("w", 500), ("x", 1))] == [
@@ -340,10 +342,15 @@
         (PartState.FAILED, [], False, Outcome.FAILED),
         (PartState.REFUSED, [(PartState.SERVED, False)], False, Outcome.REFUSED),
         (PartState.REFUSED, [(PartState.SERVED, False)], True, Outcome.FAILED),
-        (PartState.REFUSED, [(PartState.OUT, True)], True, Outcome.FAILED),
-        (PartState.REFUSED, [(PartState.HELD, True)], True, Outcome.FAILED),
-        (PartState.REFUSED, [(PartState.HELD, False), (PartState.WAITING, False)], True, Outcome.REFUSED),
+        (PartState.REFUSED, [(PartState.IN_FLIGHT, True)], True, Outcome.FAILED),
+        (PartState.REFUSED, [(PartState.SUBMITTED, True)], True, Outcome.FAILED),
+        (
+            PartState.REFUSED,
+            [(PartState.SUBMITTED, False), (PartState.AWAITING_PLACEMENT, False)],
+            True,
+            Outcome.REFUSED,
+        ),
     ],
 )
 def test_the_whole_of_parts(given_up, others, changes, outcome):
-    assert whole_outcome(given_up, others, changes) is outcome
+    assert request_outcome(given_up, others, changes) is outcome
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -11,7 +11,7 @@
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.celled import HeadMap
 from harriertrack.decisions.moving import (
-    MOST_FAILURES, PACE_US, RETRY_MOST_US, RETRY_US, SETTLE_US, TRIMS, Move, MoveState, misplaced,
+    MAX_FAILURES, PACE_US, RETRY_MAX_US, RETRY_US, SETTLE_US, MAX_TRIM_TRIES, Move, MoveState, misplaced_extents,
 )  # fmt: skip
 from harriertrack.decisions.requests import ClientRequest
 from harriertrack.decisions.splitting import Outcome
@@ -33,29 +33,29 @@
 
 def test_what_lies_outside_its_cell_is_to_be_moved():
     placed = [(0, 0), (1, 1), (2, 0), (3, 7)]
-    assert misplaced("b", placed, {0: "a", 1: "b"}) == [0, 2, 3]
+    assert misplaced_extents("b", placed, {0: "a", 1: "b"}) == [0, 2, 3]
 
 
 def test_one_extent_after_another_at_a_pace():
     move = Move("v", [3, 5], SETTLED)
-    assert move.next(0) == 3 and move.next(0) is None and move.wake_at() is None
-    move.ended(100, Outcome.SERVED)
-    assert move.next(100) is None and move.wake_at() == 100 + PACE_US
-    assert move.next(100 + PACE_US) == 5
-    move.ended(200 + PACE_US, Outcome.SERVED)
-    assert move.state is MoveState.SETTLING and move.wake_at() == SETTLED and move.next(10**9) is None
-    move.checked([])
-    assert move.state is MoveState.DONE and move.moved == 2 and move.next(10**9) is None
+    assert move.next_extent(0) == 3 and move.next_extent(0) is None and move.wake_at() is None
+    move.finish_extent(100, Outcome.SERVED)
+    assert move.next_extent(100) is None and move.wake_at() == 100 + PACE_US
+    assert move.next_extent(100 + PACE_US) == 5
+    move.finish_extent(200 + PACE_US, Outcome.SERVED)
+    assert move.state is MoveState.SETTLING and move.wake_at() == SETTLED and move.next_extent(10**9) is None
+    move.finish_check([])
+    assert move.state is MoveState.DONE and move.moved == 2 and move.next_extent(10**9) is None
 
 
 def test_what_lands_under_the_old_map_is_found_and_moved_too():
     move = Move("v", [], SETTLED, 1000)
     assert move.state is MoveState.SETTLING and move.wake_at() == 1000 + SETTLED
-    move.checked([7])
-    assert move.state is MoveState.MOVING and move.next(1000 + SETTLED) == 7
-    move.ended(2000 + SETTLED, Outcome.SERVED)
+    move.finish_check([7])
+    assert move.state is MoveState.MOVING and move.next_extent(1000 + SETTLED) == 7
+    move.finish_extent(2000 + SETTLED, Outcome.SERVED)
     assert move.state is MoveState.SETTLING and move.wake_at() == 2000 + SETTLED
-    move.checked([])
+    move.finish_check([])
     assert move.state is MoveState.DONE
 
 
@@ -63,21 +63,21 @@
     move, now, waits = Move("v", [1], SETTLED), 0, []
     while move.state is MoveState.MOVING:
         now = move.wake_at()
-        assert move.next(now) == 1
-        move.ended(now, Outcome.REFUSED)
+        assert move.next_extent(now) == 1
+        move.finish_extent(now, Outcome.REFUSED)
         waits.append((move.wake_at() or now) - now)
-    assert waits[:3] == [2 * RETRY_US, 4 * RETRY_US, 8 * RETRY_US] and max(waits) == RETRY_MOST_US
-    assert len(waits) == MOST_FAILURES and "1 extents are left" in move.why
+    assert waits[:3] == [2 * RETRY_US, 4 * RETRY_US, 8 * RETRY_US] and max(waits) == RETRY_MAX_US
+    assert len(waits) == MAX_FAILURES and "1 extents are left" in move.stop_reason
 
 
 def test_an_unknown_write_rests_while_the_others_go_on():
     move = Move("v", [1, 2], SETTLED)
-    assert move.next(0) == 1
-    move.ended(10, Outcome.FAILED)
-    assert move.next(10 + PACE_US) == 2
-    move.ended(20 + PACE_US, Outcome.SERVED)
-    assert move.next(20 + 2 * PACE_US) is None and move.wake_at() == 10 + SETTLE_US
-    assert move.next(10 + SETTLE_US) == 1
+    assert move.next_extent(0) == 1
+    move.finish_extent(10, Outcome.FAILED)
+    assert move.next_extent(10 + PACE_US) == 2
+    move.finish_extent(20 + PACE_US, Outcome.SERVED)
+    assert move.next_extent(20 + 2 * PACE_US) is None and move.wake_at() == 10 + SETTLE_US
+    assert move.next_extent(10 + SETTLE_US) == 1
 
 
 @given(st.lists(st.sampled_from(list(Outcome)), max_size=60), st.integers(1, 6))
@@ -87,14 +87,14 @@
     script = iter(outcomes)
     while move.state is MoveState.MOVING:
         now = max(now, move.wake_at())
-        extent = move.next(now)
+        extent = move.next_extent(now)
         if extent is None:
             continue
         outcome = next(script, Outcome.SERVED)
         moved += [extent] if outcome is Outcome.SERVED else []
-        move.ended(now, outcome)
-    assert sorted(moved + move.left) == list(range(count))
-    assert (move.state is MoveState.STOPPED) == bool(move.left)
+        move.finish_extent(now, outcome)
+    assert sorted(moved + move.remaining) == list(range(count))
+    assert (move.state is MoveState.STOPPED) == bool(move.remaining)
 
 
 # -- holds in the core
@@ -128,7 +128,7 @@
     assert early.outcome is Outcome.SERVED and holder.times == 1 and late.outcome is None
     with pytest.raises(ValueError):
         rig.core.hold_extent("v", 0, holder)
-    rig.core.free_extent("v", 0)
+    rig.core.release_extent("v", 0)
     rig.flush()
     assert len(rig.port.sent) == sent + 1 and late.outcome is None
     rig.end(rig.port.sent[-1], data=b"a" * 512)
@@ -145,7 +145,7 @@
     request = ClientRequest(
         rig.core.volumes["v"], kind, 0, EXTENT, data, 0, None, background=True, moving=True
     )
-    rig.core.take(rig.now, request)
+    rig.core.accept(rig.now, request)
     rig.flush()
     return request
 
@@ -200,30 +200,32 @@
     late, sent = rig.ask(Kind.READ), len(rig.port.sent)
     rig.run(2_000_000)
     assert late.outcome is Outcome.REFUSED
-    rig.core.free_extent("v", 0)
+    rig.core.release_extent("v", 0)
     rig.flush()
     assert len(rig.port.sent) == sent
 
 
 def test_what_was_left_behind_is_trimmed_one_after_another_and_tried_so_often():
     move = Move("v", [], 0)
-    move.checked([])
-    forgetting = move.forgets([(1, 0), (2, 0), (3, 0)], {1: 5, 2: 5, 3: 0})  # the last one is back there
-    assert forgetting.next() == (1, 0) and not move.may_follow(10)
-    assert forgetting.ended(10, Outcome.SERVED) == 10 + PACE_US and move.may_follow(10)
-    for _ in range(TRIMS):
-        assert forgetting.next() == (2, 0)
-        when = forgetting.ended(20, Outcome.REFUSED)
-        assert 20 < when <= 20 + RETRY_MOST_US and move.may_follow(20)
-    assert forgetting.next() is None and forgetting.given_up == 1
+    move.finish_check([])
+    forgetting = move.leftover_trims(
+        [(1, 0), (2, 0), (3, 0)], {1: 5, 2: 5, 3: 0}
+    )  # the last one is back there
+    assert forgetting.next_trim() == (1, 0) and not move.successor_may_start(10)
+    assert forgetting.finish_trim(10, Outcome.SERVED) == 10 + PACE_US and move.successor_may_start(10)
+    for _ in range(MAX_TRIM_TRIES):
+        assert forgetting.next_trim() == (2, 0)
+        when = forgetting.finish_trim(20, Outcome.REFUSED)
+        assert 20 < when <= 20 + RETRY_MAX_US and move.successor_may_start(20)
+    assert forgetting.next_trim() is None and forgetting.given_up == 1
 
 
 def test_the_next_move_waits_for_a_trim_that_may_still_land():
     move = Move("v", [], 0)
-    forgetting = move.forgets([(1, 0)], {1: 5})
-    forgetting.next()
-    assert forgetting.ended(10, Outcome.FAILED) == 10 + SETTLE_US
-    assert not move.may_follow(9 + SETTLE_US) and move.may_follow(10 + SETTLE_US)
+    forgetting = move.leftover_trims([(1, 0)], {1: 5})
+    forgetting.next_trim()
+    assert forgetting.finish_trim(10, Outcome.FAILED) == 10 + SETTLE_US
+    assert not move.successor_may_start(9 + SETTLE_US) and move.successor_may_start(10 + SETTLE_US)
 
 
 # -- heads
@@ -243,7 +245,7 @@
 
     def test(site):
         rng, model = random.Random(3), bytearray(64 * HEAD_EXTENT)
-        client, places = site.client(), site.head.core.places
+        client, places = site.client(), site.head.core.placements
 
         def work(steps):
             for _ in range(steps):
@@ -323,8 +325,8 @@
     from harriertrack.decisions.requests import Core
 
     def no_hold(self, volume, extent, holder):
-        self._placing._held.append(type("Hold", (), {"holder": holder, "left": set()})())
-        self._board.soon()
+        self._placement._held.append(type("Hold", (), {"owner": holder, "earlier_parts": set()})())
+        self._state.soon()
 
     monkeypatch.setattr(Core, "hold_extent", no_hold)
     broken = set()
--- a/tests/test_nvme_front.py
+++ b/tests/test_nvme_front.py
@@ -318,7 +318,7 @@
         for _ in range(20):
             waits.start(io_sqe(Io.READ, SHARED, 0, 1, expects=512), b"", ended.append)
         site.hub.sleep(2_000_000)
-        assert not ended and site.head.core.waiting > 0
+        assert not ended and site.head.core.waiting_parts > 0
         for shelf in site.shelves:
             shelf.start(site.scope)
         site.hub.sleep(8_000_000)
--- a/tests/test_platform_states.py
+++ b/tests/test_platform_states.py
@@ -14,7 +14,7 @@
     ClientState,
 )
 from harriertrack.decisions.graceful_shutdown import GracefulShutdown, Phase
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 from harriertrack.decisions.discovery_watch import DiscoveryWatch, UpdateOutcome
 from harriertrack.decisions.connection_pool import REST_US, ConnectionPool, ConnectionState
 from harriertrack.protocol.platform import MOST_HEAD
@@ -26,7 +26,7 @@
 
 def test_the_first_answer_is_news_though_nothing_changed_and_the_next_call_waits():
     watching = DiscoveryWatch(10 * S, 41)
-    with pytest.raises(IllegalStep):
+    with pytest.raises(IllegalTransition):
         watching.call()
     assert watching.subscribe(True) and not watching.subscribe(True)
     assert (watching.call().since, watching.call().wait_us) == (41, 0)
@@ -115,7 +115,7 @@
     assert callers.overdue(NEW_US - 1 + READ_US) == ["a", "d"] and NEW_US + READ_US < 3 * S
     assert callers.overdue(2 + IDLE_US) == ["a", "d", "c"] and len(callers) == 4
     for state in (ClientState.READING, ClientState.IDLE, ClientState.LINGERING):
-        with pytest.raises(IllegalStep):
+        with pytest.raises(IllegalTransition):
             callers.step("b", state, 3)
 
 
@@ -153,7 +153,7 @@
             assert victim is None or ways.state(victim) is None
             live = [way for way in live if way != victim] + [serial]
         elif step == "dial":
-            with pytest.raises(IllegalStep):
+            with pytest.raises(IllegalTransition):
                 ways.dials(serial + 1, "s0")
         elif live:
             way = live[which % len(live)]
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -12,10 +12,17 @@
 
 from harriertrack.cli.main import main
 from harriertrack.config.settings import load
-from harriertrack.decisions.catchup import CatchUp, Told
-from harriertrack.decisions.holding import Care, Look, Taking, after_look, after_taking, to_tend
+from harriertrack.decisions.catchup import CatchUp, CatchUpStatus
+from harriertrack.decisions.volume_locks import (
+    HolderDuty,
+    LockAction,
+    AcquiredAction,
+    lock_action,
+    acquired_action,
+    holder_duty,
+)
 from harriertrack.decisions.ranges import RangeLocks
-from harriertrack.decisions.regions import Bounds, Copying, Expiry, Mode, RegionView, Route
+from harriertrack.decisions.regions import Bounds, CopyDecision, Expiry, Mode, RegionView, Route
 from harriertrack.decisions.requests import Origin
 from harriertrack.decisions.splitting import Kind
 from harriertrack.gateway import regional
@@ -35,7 +42,7 @@
 
 def view(mode=Mode.BOTH, home="a", **bounds):
     one = RegionView("a", "b", home, Bounds(mode, **bounds))
-    one.recorded(BOTH, 0)
+    one.set_in_sync(BOTH, 0)
     return one
 
 
@@ -43,52 +50,52 @@
     one = view(fresh_us=S)
     assert one.route(7, 0) is Route.HERE
     assert one.route(0, 10 * S) is Route.REFUSE  # nothing was heard of the other head
-    one.heard(9 * S)
+    one.note_contact(9 * S)
     assert one.route(0, 10 * S) is Route.OTHER and one.route(0, 10 * S + 1) is Route.REFUSE
 
 
 def test_a_write_waits_for_both_until_the_witness_says_otherwise():
     one = view()
-    assert one.copying(0) is Copying.WAIT
-    one.recorded(frozenset("a"), 0)
-    assert one.copying(0) is Copying.NOTE
+    assert one.copy_decision(0) is CopyDecision.WAIT
+    one.set_in_sync(frozenset("a"), 0)
+    assert one.copy_decision(0) is CopyDecision.NOTE
 
 
 def test_mode_home_bounds_how_far_the_other_region_is_behind():
     one = view(Mode.HOME, behind_us=S, behind_writes=2)
-    assert one.copying(0) is Copying.LATER
-    one.began_behind(1, 0)
-    assert one.copying(S - 1) is Copying.LATER and one.copying(S) is Copying.WAIT
-    one.began_behind(2, 5)
-    assert one.copying(6) is Copying.WAIT and one.next_overdue(6) == S
-    one.caught_up(1)
-    assert one.copying(6) is Copying.LATER
+    assert one.copy_decision(0) is CopyDecision.LATER
+    one.add_behind(1, 0)
+    assert one.copy_decision(S - 1) is CopyDecision.LATER and one.copy_decision(S) is CopyDecision.WAIT
+    one.add_behind(2, 5)
+    assert one.copy_decision(6) is CopyDecision.WAIT and one.behind_overdue_at(6) == S
+    one.remove_behind(1)
+    assert one.copy_decision(6) is CopyDecision.LATER
 
 
 def test_only_a_region_in_sync_takes_a_free_volume_and_its_home_goes_first():
     one = view(home="b", takeover_us=500)
-    assert not one.may_take(0)
-    one.free(True, 100)
-    one.free(True, 300)
-    assert not one.may_take(599) and one.may_take(600)
-    one.recorded(frozenset("b"), 0)
-    assert not one.may_take(10**9)
+    assert not one.may_acquire(0)
+    one.set_free(True, 100)
+    one.set_free(True, 300)
+    assert not one.may_acquire(599) and one.may_acquire(600)
+    one.set_in_sync(frozenset("b"), 0)
+    assert not one.may_acquire(10**9)
     home = view(home="a")
-    home.free(True, 100)
-    assert home.may_take(100)
-    home.free(False, 200)
-    assert not home.may_take(300)
+    home.set_free(True, 100)
+    assert home.may_acquire(100)
+    home.set_free(False, 200)
+    assert not home.may_acquire(300)
 
 
 def test_a_volume_goes_home_only_when_both_were_in_sync_for_a_while():
     one = view(home="b", settle_us=S)
-    one.heard(10 * S)
+    one.note_contact(10 * S)
     assert one.should_hand_over("", 10 * S) and not one.should_hand_over("a", 10 * S)
-    one.recorded(frozenset("a"), 10 * S)
+    one.set_in_sync(frozenset("a"), 10 * S)
     assert not one.should_hand_over("", 10 * S)
-    one.recorded(BOTH, 10 * S)
+    one.set_in_sync(BOTH, 10 * S)
     assert not one.should_hand_over("", 11 * S - 1)
-    one.heard(11 * S)
+    one.note_contact(11 * S)
     assert one.should_hand_over("", 11 * S) and one.may_join(11 * S) is False
 
 
@@ -146,7 +153,7 @@
     locks, order = RangeLocks(), []
 
     def ask(name, start, end, exclusive):
-        return locks.ask(start, end, exclusive, lambda: order.append(name))
+        return locks.acquire(start, end, exclusive, lambda: order.append(name))
 
     write, read = ask("write", 0, 10, True), ask("read", 5, 8, False)
     ask("apart", 10, 12, True)
@@ -281,47 +288,54 @@
 
 
 def test_only_the_home_makes_a_volumes_key():
-    assert after_look(view_of("a"), None, "me", False, "", 0) is Look.CREATE
-    assert after_look(view_of("b"), None, "me", False, "", 0) is Look.LEAVE
+    assert lock_action(view_of("a"), None, "me", False, "", 0) is LockAction.CREATE
+    assert lock_action(view_of("b"), None, "me", False, "", 0) is LockAction.LEAVE
 
 
 def test_who_may_take_a_free_volume_and_when():
     home, other = view_of("a"), view_of("b")
-    assert after_look(home, seen(), "me", False, "", 0) is Look.ACQUIRE
-    assert after_look(other, seen(), "me", False, "", 0) is Look.LEAVE  # the home goes first
-    assert after_look(other, seen(), "me", False, "", 300) is Look.ACQUIRE
-    assert after_look(other, seen("them"), "me", False, "", 400) is Look.LEAVE
-    assert after_look(other, seen(), "me", False, "", 500) is Look.LEAVE  # free anew: the wait begins anew
-    assert after_look(view_of("b"), seen("", "a"), "me", False, "b", 9000) is Look.LEAVE  # out of sync, never
-    assert after_look(view_of("b"), seen(), "me", False, "b", 0) is Look.ACQUIRE  # wished here
+    assert lock_action(home, seen(), "me", False, "", 0) is LockAction.ACQUIRE
+    assert lock_action(other, seen(), "me", False, "", 0) is LockAction.LEAVE  # the home goes first
+    assert lock_action(other, seen(), "me", False, "", 300) is LockAction.ACQUIRE
+    assert lock_action(other, seen("them"), "me", False, "", 400) is LockAction.LEAVE
+    assert (
+        lock_action(other, seen(), "me", False, "", 500) is LockAction.LEAVE
+    )  # free anew: the wait begins anew
+    assert (
+        lock_action(view_of("b"), seen("", "a"), "me", False, "b", 9000) is LockAction.LEAVE
+    )  # out of sync, never
+    assert lock_action(view_of("b"), seen(), "me", False, "b", 0) is LockAction.ACQUIRE  # wished here
 
 
 def test_what_is_ours_is_taken_once_and_then_tended():
-    assert after_look(view_of(), seen("me"), "me", False, "", 0) is Look.TOOK
-    assert after_look(view_of(), seen("me"), "me", True, "", 0) is Look.TEND
-    assert after_taking(view_of("b"), frozenset("a"), False) is Taking.GIVE_BACK
-    assert after_taking(view_of(), frozenset("ab"), True) is Taking.GO_ALONE
+    assert lock_action(view_of(), seen("me"), "me", False, "", 0) is LockAction.ACTIVATE
+    assert lock_action(view_of(), seen("me"), "me", True, "", 0) is LockAction.MAINTAIN
+    assert acquired_action(view_of("b"), frozenset("a"), False) is AcquiredAction.RELEASE
+    assert acquired_action(view_of(), frozenset("ab"), True) is AcquiredAction.RECORD_ALONE
     assert (
-        after_taking(view_of(), frozenset("a"), True)
-        is after_taking(view_of(), frozenset("ab"), False)
-        is Taking.ACT
+        acquired_action(view_of(), frozenset("a"), True)
+        is acquired_action(view_of(), frozenset("ab"), False)
+        is AcquiredAction.ACTIVATE
     )
 
 
 def test_what_a_holder_looks_after():
     one = view_of()
-    one.recorded(frozenset("a"), 0)
-    assert to_tend(one, True, 0, "", 0) is Care.NOTHING  # nobody was heard from
-    one.heard(0)
-    assert to_tend(one, True, 0, "", 10) is Care.JOIN and to_tend(one, False, 0, "b", 10) is Care.NOTHING
-    one.recorded(frozenset("ab"), 10)
-    assert to_tend(one, False, 0, "b", 1009) is Care.NOTHING
-    assert to_tend(one, False, 0, "b", 1010) is Care.HAND_OVER
-    assert to_tend(one, False, 2, "b", 1010) is Care.NOTHING  # not while copies are under way
-    one.began_behind(1, 20)
+    one.set_in_sync(frozenset("a"), 0)
+    assert holder_duty(one, True, 0, "", 0) is HolderDuty.NOTHING  # nobody was heard from
+    one.note_contact(0)
+    assert (
+        holder_duty(one, True, 0, "", 10) is HolderDuty.ADD_OTHER
+        and holder_duty(one, False, 0, "b", 10) is HolderDuty.NOTHING
+    )
+    one.set_in_sync(frozenset("ab"), 10)
+    assert holder_duty(one, False, 0, "b", 1009) is HolderDuty.NOTHING
+    assert holder_duty(one, False, 0, "b", 1010) is HolderDuty.HAND_OVER
+    assert holder_duty(one, False, 2, "b", 1010) is HolderDuty.NOTHING  # not while copies are under way
+    one.add_behind(1, 20)
     late = 20 + one.bounds.behind_us
-    assert to_tend(one, False, 1, "", late - 1) is Care.NOTHING
-    assert to_tend(one, False, 1, "", late) is Care.DROP
+    assert holder_duty(one, False, 1, "", late - 1) is HolderDuty.NOTHING
+    assert holder_duty(one, False, 1, "", late) is HolderDuty.DROP_OTHER
 
 
 LINK = object()
@@ -330,48 +344,58 @@
 def test_catching_up_counts_only_what_was_not_written_since():
     log = MissedLog(None, most=3)
     one = CatchUp("v", 4, log)
-    one.missed([0, 1])
-    assert not one.copies([2]) and one.tell(0) is Told.MISSED and one.tell(2) is Told.HELD
-    one.asked()
-    assert one.copies([2]) and not one.copies([1, 2])
-    one.read([0], LINK)
-    one.read([1], LINK)
-    one.missed([1])  # a write that was not copied, after the read
-    one.caught(0, object())  # word of an earlier reading, over a connection that broke
+    one.note_missed([0, 1])
+    assert (
+        not one.must_copy([2])
+        and one.status_of(0) is CatchUpStatus.MISSED
+        and one.status_of(2) is CatchUpStatus.HELD
+    )
+    one.start_joining()
+    assert one.must_copy([2]) and not one.must_copy([1, 2])
+    one.note_read([0], LINK)
+    one.note_read([1], LINK)
+    one.note_missed([1])  # a write that was not copied, after the read
+    one.confirm_copied(0, object())  # word of an earlier reading, over a connection that broke
     assert log.missed("v") == {0, 1}
-    one.caught(0, LINK)
-    one.caught(1, LINK)
+    one.confirm_copied(0, LINK)
+    one.confirm_copied(1, LINK)
     assert log.missed("v") == {1}
-    one.caught_all()
-    assert not one.done
-    one.read([1], LINK)
-    assert one.copies([1])  # the other head waits with it until it stored what it read
-    one.caught(1, LINK)
-    one.caught_all()
-    assert one.done
-    one.missed([3])
-    assert not one.done
+    one.confirm_all_copied()
+    assert not one.complete
+    one.note_read([1], LINK)
+    assert one.must_copy([1])  # the other head waits with it until it stored what it read
+    one.confirm_copied(1, LINK)
+    one.confirm_all_copied()
+    assert one.complete
+    one.note_missed([3])
+    assert not one.complete
 
 
 def test_past_the_bound_every_extent_has_to_be_confirmed():
     log = MissedLog(None, most=1)
     one = CatchUp("v", 3, log)
-    one.missed([0, 1])
-    one.asked()
-    assert {one.tell(extent) for extent in range(3)} == {Told.DOUBTFUL} and not one.copies([2])
+    one.note_missed([0, 1])
+    one.start_joining()
+    assert {one.status_of(extent) for extent in range(3)} == {CatchUpStatus.UNCERTAIN} and not one.must_copy(
+        [2]
+    )
     for extent in range(3):
-        one.read([extent], LINK)
-        one.caught(extent, LINK)
-    assert one.copies([0, 1, 2])
-    one.missed([1])
-    one.caught_all()
-    assert not one.done and one.tell(1) is Told.DOUBTFUL and one.tell(0) is Told.HELD
-    one.read([1], LINK)
-    one.caught(1, LINK)
-    one.caught_all()
-    assert one.done and not log.missed("v")
-    one.begin()
-    assert not one.joining and not one.done
+        one.note_read([extent], LINK)
+        one.confirm_copied(extent, LINK)
+    assert one.must_copy([0, 1, 2])
+    one.note_missed([1])
+    one.confirm_all_copied()
+    assert (
+        not one.complete
+        and one.status_of(1) is CatchUpStatus.UNCERTAIN
+        and one.status_of(0) is CatchUpStatus.HELD
+    )
+    one.note_read([1], LINK)
+    one.confirm_copied(1, LINK)
+    one.confirm_all_copied()
+    assert one.complete and not log.missed("v")
+    one.reset()
+    assert not one.joining and not one.complete
 
 
 # -- linearizability
@@ -676,7 +700,7 @@
 
 
 def test_a_head_that_acknowledges_before_both_hold_it_is_caught(monkeypatch):
-    monkeypatch.setattr(regional.RegionView, "copying", lambda self, now: Copying.LATER)
+    monkeypatch.setattr(regional.RegionView, "copy_decision", lambda self, now: CopyDecision.LATER)
     assert 0 in broken(play("two-regions-burst", seed=1))  # much is under way when the region is cut off
 
 
@@ -691,7 +715,7 @@
 
     def start(self, work):
         if work.request.origin is Origin.RELAY and work.request.kind is Kind.READ:
-            work.request.reader = work.request.reader or work.request.token
+            work.request.reader = work.request.reader or work.request.requester
         begin(self, work)
 
     monkeypatch.setattr(regional.Regional, "_start", start)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from harriertrack.decisions import interface as api, life, requests, scheduler
+from harriertrack.decisions import interface as api, lifecycle, requests, scheduler
 from harriertrack.decisions.requests import attempts
 from harriertrack.gateway import front, head
 from harriertrack.lab import day as days, rig
@@ -237,7 +237,7 @@
 
 
 def test_a_head_that_takes_silence_for_proof(monkeypatch):
-    monkeypatch.setattr(attempts, "lost_result", lambda state, otherwise: api.Result.CONNECT_FAILED)
+    monkeypatch.setattr(attempts, "result_without_answer", lambda state, otherwise: api.Result.CONNECT_FAILED)
     assert 2 in broken_in("answer_reset")
 
 
@@ -294,9 +294,9 @@
 
 
 def test_the_machines_refuse_illegal_steps():
-    with pytest.raises(life.IllegalStep):
-        life.step_part(life.PartState.SERVED, life.PartStep.SEND)
-    with pytest.raises(life.IllegalStep):
-        life.step_attempt(life.AttemptState.ENDED, life.AttemptStep.END)
-    over = [state for state in life.PartState if state.over]
-    assert not [key for key in life.PART_STEPS if key[0] in over]
+    with pytest.raises(lifecycle.IllegalTransition):
+        lifecycle.next_part_state(lifecycle.PartState.SERVED, lifecycle.PartStep.SEND)
+    with pytest.raises(lifecycle.IllegalTransition):
+        lifecycle.next_attempt_state(lifecycle.AttemptState.ENDED, lifecycle.AttemptStep.END)
+    over = [state for state in lifecycle.PartState if state.is_final]
+    assert not [key for key in lifecycle.PART_TRANSITIONS if key[0] in over]
--- a/tests/test_visits.py
+++ b/tests/test_visits.py
@@ -22,8 +22,8 @@
         self.asked.append((self.hub.now(), request))
         if self.verdict is not None:
             request.outcome = self.verdict
-            request.why = NOT_HOLDER if self.verdict is Outcome.REFUSED else ""
-            self.hub.at(self.hub.now() + 10, lambda: request.token.answer(request))
+            request.reason = NOT_HOLDER if self.verdict is Outcome.REFUSED else ""
+            self.hub.at(self.hub.now() + 10, lambda: request.requester.answer(request))
 
     def client_gone(self, request):
         self.gone.append(request)
@@ -111,6 +111,8 @@
         hub.sleep(50 * MS)
         visits.close("shutting down")
         hub.sleep(600 * MS)
-        assert answers == [request] and request.outcome is Outcome.REFUSED and request.why == "shutting down"
+        assert (
+            answers == [request] and request.outcome is Outcome.REFUSED and request.reason == "shutting down"
+        )
 
     play(test)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -9,11 +9,11 @@
 
 from harriertrack.config.settings import ClassSettings, Kind, LimitSettings, PlanSettings, VolumeSettings
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.life import PartState, PartStep
+from harriertrack.decisions.lifecycle import PartState, PartStep
 from harriertrack.decisions.patience import Waiting
 from harriertrack.decisions.requests import Attempt, ClientRequest, core
-from harriertrack.decisions.requests.ending import Ending
-from harriertrack.decisions.requests.offering import Offering
+from harriertrack.decisions.requests.completion import Completion
+from harriertrack.decisions.requests.admission import Admission
 from harriertrack.decisions.splitting import Outcome
 from harriertrack.gateway.client import NbdClient
 from harriertrack.lab import day as days, rig
@@ -46,8 +46,8 @@
     def wait(self, kind, offset=0, length=512, data=b"", patience=PATIENCE):
         request = ClientRequest(self.core.volumes["v"], kind, offset, len(data) or length, data, 0, None,
                                 patience_us=patience)  # fmt: skip
-        self.refuse.add(self.core._board.number + 1)
-        self.core.take(self.now, request)
+        self.refuse.add(self.core._state.last_part_number + 1)
+        self.core.accept(self.now, request)
         self.flush()
         return request
 
@@ -63,16 +63,20 @@
     rig.write()
     request = rig.wait(Kind.READ)
     (part,) = request.parts
-    assert part.state is PartState.KEPT and rig.core.waiting == 1 and rig.port.answers == rig.port.answers[:1]
+    assert (
+        part.state is PartState.QUEUED
+        and rig.core.waiting_parts == 1
+        and rig.port.answers == rig.port.answers[:1]
+    )
     rig.run(25 * MS)
-    assert rig.core.waiting == 1 and [one.kept for one in rig.arrived[-2:]] == [False, True]
+    assert rig.core.waiting_parts == 1 and [one.kept for one in rig.arrived[-2:]] == [False, True]
     rig.refuse.clear()
     rig.run(500 * MS)
     attempt = rig.port.sent[-1]
-    assert attempt.part is part and part.state is PartState.OUT
+    assert attempt.part is part and part.state is PartState.IN_FLIGHT
     rig.end(attempt, data=b"x" * 512)
     assert rig.port.answers[1:] == [request] and request.outcome is Outcome.SERVED
-    assert not rig.core._board.parts and rig.core.counts.served == 2
+    assert not rig.core._state.parts and rig.core.counts.served == 2
 
 
 def test_a_client_that_hears_hints_is_refused_on_arrival():
@@ -89,9 +93,9 @@
     rig.run(2_997 * MS)
     assert request.outcome is None
     rig.run(2 * MS)
-    assert request.outcome is Outcome.REFUSED and rig.core.waiting == 0
+    assert request.outcome is Outcome.REFUSED and rig.core.waiting_parts == 0
     assert not [one for one in rig.port.sent if one.part.request is request]
-    assert {one.request.kind for one in rig.core._board.parts.values()} <= {Kind.FLUSH}  # a scout: see below
+    assert {one.request.kind for one in rig.core._state.parts.values()} <= {Kind.FLUSH}  # a scout: see below
 
 
 def test_an_offer_that_was_sent_and_not_answered_is_offered_again_as_a_further_attempt():
@@ -101,7 +105,7 @@
     rig.refuse.clear()
     rig.run(30 * MS)
     first = rig.port.sent[-1]
-    rig.core.sent(first)
+    rig.core.attempt_sent(first)
     rig.run(1_600 * MS)  # an offer lasts as long as its class allows
     assert rig.port.called_off[-1:] == [first] and request.outcome is None
     while rig.port.sent[-1] is first:
@@ -110,7 +114,7 @@
     assert again.part is first.part and again.number >= 1 and rig.arrived[-1].tried >= 1
     rig.end(again, data=b"z" * 512)
     assert request.outcome is Outcome.SERVED
-    rig.core.ended(rig.now, first, api.Result.OK, b"late")
+    rig.core.attempt_ended(rig.now, first, api.Result.OK, b"late")
     rig.flush()
     assert rig.port.answers.count(request) == 1
 
@@ -122,22 +126,22 @@
     rig.refuse.clear()
     rig.run(30 * MS)
     attempt = rig.port.sent[-1]
-    rig.core.sent(attempt)
+    rig.core.attempt_sent(attempt)
     return rig, request, attempt
 
 
 def test_a_write_that_may_have_run_is_sent_again_only_while_its_rack_drops_repeats():
     rig, request, first = write_without_answer()
     rig.run(10_000 * MS)
-    assert request.outcome is None and rig.core.waiting == 0
+    assert request.outcome is None and rig.core.waiting_parts == 0
     again = [one for one in rig.port.sent if one.part is first.part and one is not first]
     assert all(one.sent_at < first.sent_at + 2_500 * MS and one.member is first.member for one in again)
     for one in again:
-        rig.core.ended(rig.now, one, api.Result.RESET)
-    rig.core.ended(rig.now, first, api.Result.RESET)
+        rig.core.attempt_ended(rig.now, one, api.Result.RESET)
+    rig.core.attempt_ended(rig.now, first, api.Result.RESET)
     rig.flush()
     assert (
-        request.outcome is Outcome.FAILED and not rig.core._board.parts
+        request.outcome is Outcome.FAILED and not rig.core._state.parts
     )  # nothing will be heard of it any more
 
 
@@ -150,8 +154,8 @@
     rig.end(unreached, api.Result.CONNECT_FAILED, sent=False)
     first = rig.port.sent[-1]
     assert first is not unreached
-    rig.core.sent(first)
-    rig.core.ended(rig.now + MS, first, api.Result.RESET)
+    rig.core.attempt_sent(first)
+    rig.core.attempt_ended(rig.now + MS, first, api.Result.RESET)
     rig.now += 2 * MS
     rig.flush()
     rig.run(700 * MS)  # held for its aim at that node, given up, kept, offered again
@@ -159,19 +163,19 @@
     assert again is not first and again.member is first.member
     rig.end(again)
     assert request.outcome is Outcome.SERVED and rig.extents.shard_of("v", 0) == first.member.entry.shard
-    assert not rig.core._placing.lines
+    assert not rig.core._placement.queues
 
 
 def test_a_late_answer_to_a_write_that_was_called_off_serves_the_client_that_waited():
     rig, request, first = write_without_answer()
     rig.run(10_000 * MS)
-    rig.core.ended(rig.now, first, api.Result.OK)
+    rig.core.attempt_ended(rig.now, first, api.Result.OK)
     rig.flush()
     assert request.outcome is Outcome.SERVED and rig.port.answers.count(request) == 1
     for one in rig.port.sent[2:]:
-        rig.core.ended(rig.now, one, api.Result.RESET)
+        rig.core.attempt_ended(rig.now, one, api.Result.RESET)
     rig.flush()
-    assert not rig.core._board.parts and rig.port.answers.count(request) == 1
+    assert not rig.core._state.parts and rig.port.answers.count(request) == 1
 
 
 def test_what_comes_later_stands_behind_what_waits_and_leaves_with_its_client():
@@ -180,14 +184,14 @@
     first = rig.wait(Kind.READ)
     later = rig.wait(Kind.READ, offset=512)
     assert len([one for one in rig.arrived if one.request == later.parts[0].number]) == 0  # not even offered
-    rig.core.client_gone(first)
+    rig.core.client_left(first)
     rig.flush()
     rig.refuse.clear()
     rig.run(30 * MS)
     assert [attempt.part.request for attempt in rig.port.sent[1:]] == [later]
-    rig.core.client_gone(later)
+    rig.core.client_left(later)
     rig.end(rig.port.sent[-1])
-    assert not rig.core._board.parts and rig.core.waiting == 0
+    assert not rig.core._state.parts and rig.core.waiting_parts == 0
 
 
 def test_an_extent_that_moved_while_a_request_waited_is_asked_for_where_it_is_now():
@@ -211,7 +215,7 @@
     rig.refuse.clear()
     rig.run(100 * MS)
     assert len(rig.port.sent) == 1  # it waits for the move now
-    rig.core.free_extent("v", 0)
+    rig.core.release_extent("v", 0)
     rig.flush()
     assert len(rig.port.sent) == 2
 
@@ -231,7 +235,7 @@
     second = ClientRequest(
         rig.core.volumes["v"], Kind.WRITE, 512, 512, b"b" * 512, 0, None, patience_us=PATIENCE
     )
-    rig.core.take(rig.now, second)
+    rig.core.accept(rig.now, second)
     impatient = rig.ask(Kind.WRITE, 1024, data=b"c" * 512)
     assert impatient.outcome is Outcome.REFUSED  # it may not overtake, and does not wait
     rig.run(200 * MS)
@@ -253,31 +257,33 @@
         request = ClientRequest(
             rig.core.volumes["v"], Kind.WRITE, at * 512, 512, b"b" * 512, 0, None, patience_us=PATIENCE
         )
-        rig.core.take(rig.now, request)
+        rig.core.accept(rig.now, request)
         requests.append(request)
     rig.flush()
-    assert [one.parts[0].state for one in requests] == [PartState.HELD] * 2
-    rig.core._offering.refused(rig.now, requests[0].parts[0], 20 * MS)
-    rig.core._board.add(api.ClientGone(requests[0].parts[0].number))  # as if the module had given it up
+    assert [one.parts[0].state for one in requests] == [PartState.SUBMITTED] * 2
+    rig.core._admission.handle_refusal(rig.now, requests[0].parts[0], 20 * MS)
+    rig.core._state.queue_event(
+        api.ClientGone(requests[0].parts[0].number)
+    )  # as if the module had given it up
     rig.flush()
-    assert [one.parts[0].state for one in requests] == [PartState.KEPT] * 2
+    assert [one.parts[0].state for one in requests] == [PartState.QUEUED] * 2
     rig.end(rig.port.sent[-1])
     assert blocker.outcome is Outcome.SERVED
     for _ in range(2):
         rig.run(1_000 * MS)
         rig.end(rig.port.sent[-1])
     assert [one.part.request for one in rig.port.sent[2:]] == requests
-    assert not rig.core._keeping.in_order and not rig.core._arriving.in_order
+    assert not rig.core._retry_queue.in_order and not rig.core._submission.in_order
 
 
 def test_at_the_end_of_a_head_nothing_waits_on():
     rig = Rig()
     rig.write()
     requests = [rig.wait(Kind.READ, offset=at * 512) for at in range(3)]
-    rig.core.close("shutting down")
+    rig.core.stop_waiting("shutting down")
     rig.flush()
-    assert [one.outcome for one in requests] == [Outcome.REFUSED] * 3 and not rig.core._board.parts
-    assert requests[0].why == "shutting down"
+    assert [one.outcome for one in requests] == [Outcome.REFUSED] * 3 and not rig.core._state.parts
+    assert requests[0].reason == "shutting down"
 
 
 # -- a whole head, and a client that takes no error
@@ -305,7 +311,7 @@
         for shelf in site.shelves:
             shelf.faults.slow = 20
         exercise(site, load, 6_000 * MS, seed=seed)
-        assert site.head.core.counts.refused == 0 and site.head.core.offers > 0
+        assert site.head.core.counts.refused == 0 and site.head.core.resubmissions > 0
 
     play(test, classes=PATIENT)
 
@@ -340,7 +346,7 @@
 
         site.scope.spawn("harm", harm)
         exercise(site, Load(4, 8, 512, EXTENT), 9_000 * MS)
-        assert site.head.core.counts.refused == 0 and site.head.core.counts.kept > 0
+        assert site.head.core.counts.refused == 0 and site.head.core.counts.waited > 0
 
     # What was in flight may run again while its rack drops repeats, so that has to outlast the trouble.
     play(
@@ -382,7 +388,7 @@
                 lambda reply: replies.append((site.hub.now(), reply)),
             )
         site.hub.sleep(60_000 * MS)
-        assert 40 <= len(replies) <= 80 and site.head.core.offers < 60 * 20  # nobody storms the module
+        assert 40 <= len(replies) <= 80 and site.head.core.resubmissions < 60 * 20  # nobody storms the module
         site.hub.sleep(90_000 * MS)
         assert len(replies) == 128 and not any(reply.error for _, reply in replies)
         assert replies[-1][0] - began > 120_000 * MS
@@ -408,7 +414,7 @@
         client.abort()
         site.hub.sleep(5 * MS)
         assert site.head.core.open_requests == 0 and len(reception.door) == 0 and reception.sessions == 0
-        assert not reception._counted and not site.head.core.waiting
+        assert not reception._counted and not site.head.core.waiting_parts
         got = sum(type(one).__name__ == "Got" for one in site.recorder.records)
         for shelf in site.shelves:
             shelf.faults.hang = False
@@ -437,7 +443,7 @@
                 data = b"" if at % 2 else b"b" * 512
                 client.start(kind, at % 60 * EXTENT + 4096, 512 * (at % 2), data, replies.append)
         site.hub.sleep(35_000 * MS)
-        assert site.head.core.waiting > 1900 and site.head.core.offers < 35 * 100
+        assert site.head.core.waiting_parts > 1900 and site.head.core.resubmissions < 35 * 100
         assert all(reply.error == Errno.EIO for reply in replies) and len(replies) < 20  # sent into the hang
         for shelf in site.shelves:
             shelf.faults.hang = False
@@ -448,7 +454,7 @@
         )  # what the nodes took and forgot is listened to while its client waits
         site.hub.sleep(220_000 * MS)
         assert len(replies) == 16 * 128 and sum(reply.error != 0 for reply in replies) < 20
-        assert not site.head.core.waiting and not site.head.core.open_requests
+        assert not site.head.core.waiting_parts and not site.head.core.open_requests
 
     play(test, classes=PATIENT)
 
@@ -504,7 +510,7 @@
             client.start(Command.WRITE, (number % 60) * EXTENT, 0, b"a" * 4096, replies.append)
         client.start(Command.FLUSH, 0, 0, b"", replies.append)
         site.hub.sleep(4_000 * MS)
-        assert not replies and site.head.core.waiting > 20
+        assert not replies and site.head.core.waiting_parts > 20
         site.head.stop()
         site.hub.sleep(5 * MS)
         # What was sent and may run can't be called not done.
@@ -563,38 +569,38 @@
 # -- what the rule checker sees of it
 
 
-class AnswersTwice(Ending):
+class AnswersTwice(Completion):
     """A head that answers again when a second offer is served."""
 
-    def served(self, part, attempt, data):
-        super().served(part, attempt, data)
-        if part.kept and part.request.outcome is Outcome.SERVED and len(part.request.parts) == 1:
-            session, cookie = part.request.token, part.request.token._open[part.request]
-            hub = self._board.port.hub
+    def part_served(self, part, attempt, data):
+        super().part_served(part, attempt, data)
+        if part.has_waited and part.request.outcome is Outcome.SERVED and len(part.request.parts) == 1:
+            session, cookie = part.request.requester, part.request.requester._open[part.request]
+            hub = self._state.port.hub
             hub.at(hub.now() + MS, lambda: (session._nbd.reply_done(cookie), session._push()))
 
 
-class SendsAfter(Ending):
+class SendsAfter(Completion):
     """A head that offers a request again though its client has its answer."""
 
-    def given_up(self, part, step, hint=0):
-        super().given_up(part, step, hint)
-        if part.kept and part.shard >= 0 and not part.out:
-            port = self._board.port
+    def give_up(self, part, step, hint=0):
+        super().give_up(part, step, hint)
+        if part.has_waited and part.shard >= 0 and not part.open_attempts:
+            port = self._state.port
             late = Attempt(part, len(part.attempts), port.core.nodes.find("node0"), 0)
             part.attempts.append(late)
-            part.out += 1
+            part.open_attempts += 1
             port.hub.at(port.hub.now() + 10 * MS, lambda: port.send(late))
 
 
-class GivesUpEarly(Offering):
+class GivesUpEarly(Admission):
     """A head that refuses what has waited for half a second."""
 
-    def again(self, now, part):
+    def resubmit(self, now, part):
         if now > part.request.deadline - part.request.patience_us + 500 * MS:
-            self._ending.given_up(part, PartStep.REFUSE)
+            self._completion.give_up(part, PartStep.REFUSE)
         else:
-            super().again(now, part)
+            super().resubmit(now, part)
 
 
 @pytest.mark.parametrize("fault, rule, patience", [
