--- a/harriertrack/decisions/catchup.py
+++ b/harriertrack/decisions/catchup.py
@@ -1,9 +1,9 @@
-"""What the holder of a volume knows of a region that catches up: which extents it holds already.
+"""What the holder of a volume knows of a region that is catching up: which extents that already holds.
 
 The log of what the other region misses names extents, or says `WHOLE`: anything may be missed. While the
 other head pulls extents, new writes go on; each is either copied to it (it holds the extent, or has just read
-it here and waits with later copies until it has stored what it read), or noted as missed. Pure: the log is
-handed in.
+it here and delays later copies until it has stored what it read), or noted as missed. Pure: the log is passed
+in.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CatchUpStatus(IntFlag):
-    """What the other head is told of an extent."""
+    """What is reported to the other head about an extent."""
 
     HELD = 0
     MISSED = 1
@@ -34,38 +34,38 @@
         """Note extents as missed."""
 
     def copied(self, volume: str, extents: Iterable[int]) -> None:
-        """The other region holds these extents now."""
+        """Remove extents that the other region holds now."""
 
     def purged(self, volume: str, gone: Callable[[int], bool]) -> None:
-        """Forget the extents of which `gone` says so: a close purged them in both regions."""
+        """Remove the extents for which `gone` is true: a close purged them in both regions."""
 
 
 @dataclass(slots=True)
 class CatchUp:
-    """One volume, while the other region is out of sync."""
+    """The state of one volume while the other region is out of sync."""
 
     volume: str
-    extents: int  # how many the volume has
+    extents: int  # of the volume
     log: MissedExtents
-    # The other head catches up: new writes are copied to it again where it holds the rest.
+    # The other head is catching up: new writes to extents that it holds are copied to it again.
     joining: bool = False
-    clean: bool = False  # it said that it misses nothing, and nothing was missed since
-    # Extents that it read here for its copy and has not confirmed, and over which connection it read them.
+    clean: bool = False  # the other head reported that it misses nothing, and nothing was missed since
+    # Extents that the other head read here and has not confirmed, with the connection that it used.
     _read: dict[int, object] = field(default_factory=dict)
-    _confirmed: set[int] = field(default_factory=set)  # what it holds, while the log says WHOLE
+    _confirmed: set[int] = field(default_factory=set)  # extents that it holds, while the log says WHOLE
 
     def reset(self) -> None:
-        """This head took the volume: nothing is known of the other one."""
+        """Start without knowledge of the other region: this head just acquired the volume."""
         self.joining = self.clean = False
         self._read.clear()
         self._confirmed.clear()
 
     def stop_joining(self) -> None:
-        """The other region was recorded as out of sync, or does not answer: it has to ask anew."""
+        """Handle that the other region was recorded as out of sync, or does not answer: it must ask again."""
         self.joining = self.clean = False
 
     def start_joining(self) -> None:
-        """The other head asked what it misses: it catches up from now on."""
+        """Handle the other head's request for what it misses: from now on it is catching up."""
         self.joining = True
 
     def holds(self, extent: int) -> bool:
@@ -74,7 +74,7 @@
         return extent in self._confirmed if self.log.whole in missed else extent not in missed
 
     def status_of(self, extent: int) -> CatchUpStatus:
-        """Return what the other head is told of an extent."""
+        """Return what is reported to the other head about an extent."""
         if self.holds(extent):
             return CatchUpStatus.HELD
         return (
@@ -84,11 +84,11 @@
         )
 
     def must_copy(self, extents: Iterable[int]) -> bool:
-        """Whether a write to these extents is copied, so that the other region goes on holding them."""
+        """Whether a write to these extents is copied, so that the other region still holds them after it."""
         return self.joining and all(extent in self._read or self.holds(extent) for extent in extents)
 
     def note_missed(self, extents: Iterable[int]) -> None:
-        """A write to these extents was not copied: on disk when this returns, before it is acknowledged."""
+        """Note a write that was not copied; on disk when this returns, before the write is acknowledged."""
         touched = list(extents)
         self.log.miss(self.volume, touched)
         for extent in touched:
@@ -97,22 +97,22 @@
         self.clean = False
 
     def note_read(self, extents: Iterable[int], reader: object) -> None:
-        """The other head reads these extents here for its copy, with no write to them under way."""
+        """Note that the other head reads these extents for its copy, with no write to them in progress."""
         self._read.update(dict.fromkeys(extents, reader))
 
     def note_purged(self, gone: Callable[[int], bool]) -> None:
-        """A close purged the extents of which `gone` says so, here; the other region does so by itself.
+        """Forget the extents for which `gone` is true: a close purged them here, and purges them there.
 
-        Nothing of them is missed any more, and what was read of them before is not what is to be held now.
+        They are not missed any more, and what was read of them before must not be stored now.
         """
         for extent in [one for one in self._read if gone(one)]:
             del self._read[extent]
         self.log.purged(self.volume, gone)
 
     def confirm_copied(self, extent: int, reader: object) -> None:
-        """It stored an extent as it last read it; where a write was missed since, that does not count.
+        """Note that the other head stored an extent as last read; ignored if a write was missed since.
 
-        Nor does what another connection says than the one it read over: that may be word of an earlier read.
+        Also ignored from another connection than the one used to read: it may confirm an earlier read.
         """
         if extent in self._read and self._read[extent] is reader:
             del self._read[extent]
@@ -121,7 +121,7 @@
             self.log.copied(self.volume, (extent,))
 
     def confirm_all_copied(self) -> None:
-        """It says that it holds everything; it does if nothing was missed since it asked."""
+        """Handle the report that the other head holds everything: true if nothing was missed since it asked."""
         if len(self._confirmed) >= self.extents:
             self.log.copied(self.volume, (self.log.whole,))
             self._confirmed.clear()
--- a/harriertrack/decisions/lifecycle.py
+++ b/harriertrack/decisions/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of a part of a request and of an attempt: two small state machines without time or I/O.
+"""The lifecycles of request parts and of attempts: two small state machines without time or I/O.
 
-A client's request is cut at extent boundaries into parts; the module decides on parts. Each table names every
-legal step; a step that is not in it raises `IllegalTransition`, for it would break a rule of the product.
+A client's request is split at extent boundaries into parts; the module decides on parts. Each table lists the
+legal transitions; any other raises `IllegalTransition`, since it would break a rule of the product.
 (StrEnum: the hash of a plain Enum is computed in Python, and these are looked up several times a request.)
 """
 
@@ -13,26 +13,26 @@
 
 
 class IllegalTransition(RuntimeError):
-    """A step that the state does not have: the caller is wrong."""
+    """A step that is not legal in the state: a fault of the caller."""
 
 
 class PartState(StrEnum):
-    """Where a part of a request is."""
+    """The states of a part. The values appear in messages."""
 
     AWAITING_PLACEMENT = (
-        "waiting"  # while another request places the same new extent; the module is not told yet
+        "waiting"  # another request places the same new extent; not submitted to the module yet
     )
-    SUBMITTED = "held"  # the module has it, no attempt is out
-    IN_FLIGHT = "out"  # at least one attempt is out
-    QUEUED = "kept"  # refused harmlessly, or behind such: it waits in the head to be offered (again)
+    SUBMITTED = "held"  # the module has it, no attempt is open
+    IN_FLIGHT = "out"  # at least one attempt is open
+    QUEUED = "kept"  # refused harmlessly, or behind such parts: waits in the head to be submitted (again)
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    DROPPED = "dropped"  # its client left, or its request ended by another part
+    DROPPED = "dropped"  # its client left, or its request ended through another part
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing more may be sent for it."""
+        """Whether nothing more may be sent for the part."""
         return self in _OVER
 
 
@@ -40,13 +40,13 @@
 
 
 class PartStep(StrEnum):
-    """What can happen to a part."""
+    """The events of a part."""
 
-    SUBMIT = "tell"  # the module is told of it
-    QUEUE = "keep"  # it waits on a hint
-    AWAIT_PLACEMENT = "place"  # it waits for another one's placement
+    SUBMIT = "tell"  # it is submitted to the module
+    QUEUE = "keep"  # it waits for a retry hint to pass
+    AWAIT_PLACEMENT = "place"  # it waits for another part to place its extent
     SEND = "send"
-    ATTEMPTS_LOST = "lost"  # the last attempt that was out ended unserved
+    ATTEMPTS_LOST = "lost"  # its last open attempt ended without being served
     SERVE = "serve"
     REFUSE = "refuse"
     FAIL = "fail"
@@ -59,7 +59,7 @@
     (
         PartState.AWAITING_PLACEMENT,
         PartStep.SERVE,
-    ): PartState.SERVED,  # here and below: by an earlier offer's attempt
+    ): PartState.SERVED,  # here and below: by an attempt of an earlier submission
     (PartState.AWAITING_PLACEMENT, PartStep.REFUSE): PartState.REFUSED,
     (PartState.AWAITING_PLACEMENT, PartStep.DROP): PartState.DROPPED,
     (PartState.QUEUED, PartStep.SUBMIT): PartState.SUBMITTED,
@@ -85,16 +85,18 @@
 
 
 class AttemptState(StrEnum):
-    """Where an attempt is."""
+    """The states of an attempt."""
 
-    DIALING = "dialing"  # its link is not up: nothing has left this head
+    DIALING = "dialing"  # its link is not open yet: nothing has left this head
     SENT = "sent"  # its bytes were handed to the link: it may run
-    CALLED_OFF = "called off"  # the module has its outcome; what the node still says is not listened to
+    CALLED_OFF = (
+        "called off"  # cancelled: its outcome was reported to the module, whatever the node replies later
+    )
     ENDED = "ended"
 
 
 class AttemptStep(StrEnum):
-    """What can happen to an attempt."""
+    """The events of an attempt."""
 
     SEND = "send"
     CALL_OFF = "call off"
@@ -128,10 +130,10 @@
 
 
 def result_without_answer(state: AttemptState, otherwise: Result) -> Result:
-    """Return what the end of an attempt proves when no answer came.
+    """Return what the end of an attempt without an answer proves.
 
-    One whose bytes never left this head is known not to have run, whatever ended it. One that was called off
-    before, since nobody waits any more, says nothing of its node either.
+    If its bytes never left this head, it is known not to have run, whatever ended it. If it was cancelled
+    before that because its answer is not needed any more, this proves nothing about its node either.
     """
     if state is not AttemptState.DIALING:
         return otherwise
--- a/harriertrack/decisions/regions.py
+++ b/harriertrack/decisions/regions.py
@@ -1,16 +1,16 @@
-"""Where a request on a volume of two regions goes, and when a write is acknowledged.
+"""Routing of requests on a volume of two regions, and when a write is acknowledged.
 
-One head, the holder of the volume's lease, acts on a volume at a time; the other region's head passes
-clients' requests on to it and keeps the copy. Inside a region the decision module decides as always; nothing
-here sends to a node. Pure: the time is handed in, and the caller tells what it heard and when.
+One head, the holder of the volume's lease, processes a volume's requests at a time; the other region's head
+relays clients' requests to it and stores the copy. Inside a region the decision module decides as always;
+nothing here sends to a node. Pure functions of state: the caller passes in the time and what it received.
 
-What may be acknowledged rests on the witness's record of which regions are in sync:
+What may be acknowledged depends on the witness's record of which regions are in sync:
 
 - mode BOTH: a write is acknowledged once both regions hold it, or once the witness has recorded that the
-  other is out of sync. So whoever is in sync holds all that was acknowledged, and only such a region may take
+  other is out of sync. So a region in sync holds all acknowledged writes, and only such a region may take
   over.
 - mode HOME: a write is acknowledged once the home holds it, as long as the other region is behind by no more
-  than the stated time and number of writes. That is what a dark home can lose.
+  than the configured time and number of writes. This is the most that a failed home can lose.
 """
 
 from __future__ import annotations
@@ -36,59 +36,59 @@
 
 
 class CopyDecision(StrEnum):
-    """What is to be done with a write that the home holds."""
+    """What to do with a write that the home holds."""
 
     WAIT = "wait"  # copy it, and acknowledge it when the other region has it
-    LATER = "later"  # acknowledge it, and copy it behind
+    LATER = "later"  # acknowledge it, and copy it in the background
     NOTE = "note"  # acknowledge it, and note that the other region misses it
 
 
 class Generations(Protocol):
-    """Which closes a head has stepped over, as the layer of two regions asks for it."""
+    """The closes that a head has applied, as needed by the layer of two regions."""
 
     def generation(self, volume: str) -> int:
-        """Return of which generation a volume's bytes are here; 0: none was ever purged."""
+        """Return the generation of a volume's bytes here; 0: none was ever purged."""
 
     def admits(self, volume: str, theirs: int) -> bool:
-        """Whether a copy by a holder that has this generation may be stored here now."""
+        """Whether a copy from a holder at generation `theirs` may be stored here now."""
 
     def unsettled_us(self, volume: str) -> int:
-        """Return for how long the other region's head may stand on another side of a volume's close."""
+        """Return for how long the other region's head may differ from this one about a volume's close."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of a volume of two regions; times in microseconds."""
+    """The bounds of a volume of two regions; times in microseconds."""
 
     mode: Mode
-    copy_us: int = 400_000  # the longest that a write waits for the other region before that counts as gone
-    fresh_us: int = 1_000_000  # the other head is passed requests only if heard from more lately than this
+    copy_us: int = 400_000  # a write waits this long for the other region before that counts as unreachable
+    fresh_us: int = 1_000_000  # requests are relayed to the other head only if it answered within this time
     behind_us: int = 2_000_000  # mode HOME: the other region is behind by no more than this ...
     behind_writes: int = 1_000  # ... and this many writes
     takeover_us: int = (
         300_000  # how long a region waits before it takes a free volume whose home is the other
     )
-    settle_us: int = 2_000_000  # a volume goes home only after both were in sync for so long
+    settle_us: int = 2_000_000  # a volume returns home only after both were in sync for this long
 
 
 @dataclass(slots=True)
 class RegionView:
-    """What one head knows of one volume of two regions, and what follows from it."""
+    """What one head knows of one volume of two regions, and the decisions that follow."""
 
     here: str
     other: str
-    home: str  # where the volume belongs
+    home: str  # the region where the volume belongs
     bounds: Bounds
     in_sync: frozenset[str] = frozenset()
-    last_contact: int = -(1 << 60)  # when the newest word of the other head was asked for
-    free_since: int | None = None  # nobody holds the volume, as far as the witness said
+    last_contact: int = -(1 << 60)  # when the latest call that the other head answered was begun
+    free_since: int | None = None  # since when the witness has reported no holder; None: the volume is held
     in_sync_since: int | None = None
-    behind: dict[int, int] = field(default_factory=dict)  # mode HOME: writes on their way, and since when
+    behind: dict[int, int] = field(default_factory=dict)  # mode HOME: writes being copied, and since when
 
-    # -- what is heard
+    # -- observations
 
     def set_in_sync(self, in_sync: frozenset[str], now: int) -> None:
-        """The witness's record was read or written."""
+        """Update the witness's record, as read or written."""
         if len(in_sync) == 2:
             self.in_sync_since = now if self.in_sync_since is None else self.in_sync_since
         else:
@@ -96,33 +96,33 @@
         self.in_sync = in_sync
 
     def note_contact(self, asked_at: int) -> None:
-        """The other head answered a call that began then."""
+        """Note that the other head answered a call begun at that time."""
         self.last_contact = max(self.last_contact, asked_at)
 
     def set_free(self, is_free: bool, now: int) -> None:
-        """The witness told whether somebody holds the volume."""
+        """Update whether the witness reports the volume as free."""
         if not is_free:
             self.free_since = None
         elif self.free_since is None:
             self.free_since = now
 
-    # -- what follows
+    # -- decisions
 
     def reachable(self, now: int) -> bool:
-        """Whether the other head was heard from lately enough to be passed work."""
+        """Whether the other head answered recently enough to be relayed requests."""
         return now - self.last_contact <= self.bounds.fresh_us
 
     def route(self, epoch: int, now: int) -> Route:
         """Return where a client's request goes.
 
-        `epoch` is what this head holds the volume under, 0 if it does not.
+        `epoch` is the epoch under which this head holds the volume, 0 if it does not.
         """
         if epoch:
             return Route.HERE
         return Route.OTHER if self.reachable(now) else Route.REFUSE
 
     def copy_decision(self, now: int) -> CopyDecision:
-        """Return what a write that the home holds has to wait for."""
+        """Return what to do with a write that the home holds."""
         if self.other not in self.in_sync:
             return CopyDecision.NOTE
         if self.bounds.mode is Mode.BOTH:
@@ -133,43 +133,42 @@
         return CopyDecision.WAIT if now - oldest >= self.bounds.behind_us else CopyDecision.LATER
 
     def add_behind(self, number: int, now: int) -> None:
-        """Mode HOME: a write was acknowledged that the other region does not hold yet."""
+        """Mode HOME: add a write that was acknowledged before the other region holds it."""
         self.behind[number] = now
 
     def remove_behind(self, number: int) -> None:
-        """The other region holds that write now."""
+        """Remove a write that the other region holds now, if it was behind."""
         self.behind.pop(number, None)
 
     def copy_overdue(self, since: int, now: int) -> bool:
-        """Whether a copy that began then counts as failed."""
+        """Whether a copy begun at that time counts as failed."""
         return now - since >= self.bounds.copy_us
 
     def behind_overdue_at(self, now: int) -> int | None:
-        """Mode HOME.
+        """Mode HOME: return when the oldest write behind exceeds the bound, None if there is none.
 
-        When the oldest write behind passes the bound, after which the other region must be dropped.
+        From then on the other region must be recorded as out of sync.
         """
         oldest = next(iter(self.behind.values()), None)
         return None if oldest is None else oldest + self.bounds.behind_us
 
-    def may_acquire(self, now: int, wish: str = "") -> bool:
-        """Whether this region may ask for a volume that nobody holds.
+    def may_acquire(self, now: int, preferred: str = "") -> bool:
+        """Whether this region may acquire a volume that is free.
 
-        Only a region in sync holds all that was acknowledged. The region that operators wish it in, else its
+        Only a region in sync holds all that was acknowledged. The region requested by operators, else the
         home, goes first: the other waits a little.
         """
         if self.here not in self.in_sync or self.free_since is None:
             return False
-        return self.here == (wish or self.home) or now - self.free_since >= self.bounds.takeover_us
+        return self.here == (preferred or self.home) or now - self.free_since >= self.bounds.takeover_us
 
-    def should_hand_over(self, wish: str, now: int) -> bool:
-        """Whether the holder gives the volume to the other region: by an operator's wish, or since it belongs
-        there.
+    def should_hand_over(self, preferred: str, now: int) -> bool:
+        """Whether the holder hands the volume to the other region: on an operator's request, or as its home.
 
-        Never to a region out of sync or out of reach, and not before both were in sync for a while: a
+        Never to a region that is out of sync or unreachable, and only after both were in sync for a while: a
         flapping link must not make the volume change hands with it.
         """
-        target = wish or self.home
+        target = preferred or self.home
         if target != self.other or self.other not in self.in_sync or not self.reachable(now):
             return False
         return self.in_sync_since is not None and now - self.in_sync_since >= self.bounds.settle_us
@@ -179,32 +178,32 @@
         return self.other not in self.in_sync and self.reachable(now)
 
 
-TOKENS = 1 << 10  # tick tokens count up to this and begin again
+TOKENS = 1 << 10  # tick tokens count up to this and wrap around
 TICK_US = 50_000
 
 
 @dataclass(slots=True)
 class Expiry:
-    """How old a message from the other region can be at most, by this head's own clock.
+    """The maximum age of a message from the other region, by this head's own clock.
 
-    This head hands out a numbered tick with each answer to the other's heartbeat; a message names the newest
-    tick that its sender had. It can't have been sent before that tick was handed out, so it is at most that
-    old. No clock but this one is read, and no estimate of the link's delay is relied on.
+    This head sends a numbered tick with each answer to the other's heartbeat; a message carries the newest
+    tick that its sender had received. It can't have been sent before that tick was, so it is at most that
+    old. No other clock is read, and no estimate of the link's delay is relied on.
     """
 
     max_age_us: int
-    _born: int = -1
+    _started_at: int = -1
 
     def tick(self, now: int) -> int:
-        """Return the present tick."""
-        if self._born < 0:
-            self._born = now
-        return (now - self._born) // TICK_US % TOKENS
+        """Return the current tick."""
+        if self._started_at < 0:
+            self._started_at = now
+        return (now - self._started_at) // TICK_US % TOKENS
 
     def age(self, token: int, now: int) -> int:
-        """Return how old a message that names this tick can be, in microseconds (modulo 51 s)."""
+        """Return the maximum age of a message with this tick, in microseconds (modulo 51 s)."""
         return ((self.tick(now) - token) % TOKENS + 1) * TICK_US
 
     def fresh(self, token: int, now: int) -> bool:
-        """Whether a message that names this tick is young enough to be acted on."""
+        """Whether a message with this tick is recent enough to be acted on."""
         return self.age(token, now) <= self.max_age_us
--- a/harriertrack/decisions/requests/__init__.py
+++ b/harriertrack/decisions/requests/__init__.py
@@ -1,16 +1,17 @@
-"""The head without its sockets: it takes clients' requests, tells the decision module, and does what that
-says.
+"""The core of a head, without its sockets: accepts clients' requests, submits them to the decision module,
+and carries out the module's actions.
 
-No I/O and no clock of its own: fronts and links hand events in with the time, and the core asks through
-`Port` for what is to be done. Events of one moment gather until `flush`, where the module sees them together.
-Each verdict is carried out; one that can't be (its request is over, or its extent lies elsewhere) comes back
-to the module as MOOT, which proves that nothing was sent.
+It performs no I/O and has no clock: fronts and links pass in events with the time, and the core acts on its
+surroundings through `Port`. Events of one moment are collected until `flush`, which hands them to the module
+together. Every action of the module is carried out; a send that no longer can be (the request is finished, or
+its extent is on another shard) is reported to the module as MOOT, which proves that nothing was sent.
 
-`Core` is what fronts and links call. What is open stands on one `Board`; each module beside does one thing
-with it: `arriving` tells the module of parts, `placing` gives new extents their place and keeps extents to
-somebody, `keeping` has what waits on a hint, `ending` gives parts their ends and requests their one answer,
-`offering` decides what waits and is offered again, `attempts` sends and calls off, `closing` gives up what a
-close covers, `acting` does what the module says.
+`Core` is the interface for fronts and links. All open work is in one `CoreState`; each other module has one
+task: `submission` submits parts to the module, `placement` places new extents and holds extents for exclusive
+use, `retry_queue` stores parts that wait for a retry hint to pass, `completion` finishes parts and gives each
+request its one answer, `admission` decides which parts wait and when they are submitted again, `attempts`
+sends and cancels attempts, `closes` gives up the requests covered by a close, `dispatch` executes the
+module's actions.
 """
 
 from harriertrack.decisions.requests.core import Core
--- a/harriertrack/decisions/requests/admission.py
+++ b/harriertrack/decisions/requests/admission.py
@@ -1,4 +1,4 @@
-"""Parts offered to the module, first and again, and what becomes of those that it turns down."""
+"""First and repeated submission of parts, and the handling of those that the module refuses or fails."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from harriertrack.decisions.requests.submission import Submission
 from harriertrack.decisions.splitting import Kind
 
-# A cookie has eight bits for an attempt's number: a part that had so many does not wait for more.
+# A cookie has eight bits for the number of an attempt: a part with this many attempts does not wait for more.
 MOST_ATTEMPTS = 250
-SCOUT_US = 2_000_000  # nothing was heard of a shard for so long
+TEST_FLUSH_US = 2_000_000  # a shard without an answer for this long gets a test flush
 
 
 class Admission:
-    """Which parts wait when the module turns them down, and when they are offered again."""
+    """Decides which parts wait when the module refuses them, and when they are submitted again."""
 
     def __init__(self, state: CoreState, submission: Submission, placement: Placement,
                  retry_queue: RetryQueue, completion: Completion) -> None:  # fmt: skip
         self._state, self._submission, self._placement = state, submission, placement
         self._retry_queue, self._completion = retry_queue, completion
-        self.last_answer_at: dict[int, int] = {}  # when a shard's node last answered
-        self._scouted: dict[int, int] = {}
+        self.last_answer_at: dict[int, int] = {}  # by shard: when its node last answered
+        self._test_flush_at: dict[int, int] = {}
 
     def admit(self, now: int, part: Part) -> None:
-        """Tell the module of a new part, or let it wait behind those that wait already."""
+        """Submit a new part to the module, or queue it behind the parts that wait already."""
         ahead = self._retry_queue.lane_ahead(part)
         if not part.request.patience_us:
-            if ahead is not None:  # it would overtake them
+            if ahead is not None:  # submitting it now would overtake them
                 self._completion.give_up(part, PartStep.REFUSE, self._state.rules.patience.most_us)
             else:
                 self._placement.submit_or_queue(now, part)
@@ -42,10 +42,10 @@
             self._placement.submit_or_queue(now, part)
 
     def resubmit(self, now: int, part: Part) -> None:
-        """Offer a part that waited to the module, as things are now: its extent may have moved meanwhile."""
+        """Submit a waiting part again, to its extent's present shard: the extent may have moved meanwhile."""
         self._retry_queue.remove(part)
         if part.request.kind in MODIFYING_KINDS and part.may_have_effect:
-            # It may run again only there, and no move of its extent begins before it is over.
+            # It may run again only on the same shard; no move of its extent begins before it is finished.
             if now < part.may_have_run_since + self._state.windows[part.class_name]:
                 self._submission.submit(now, part)
             elif not part.may_be_answered:
@@ -57,27 +57,27 @@
         self._placement.submit_or_queue(now, part)
 
     def handle_refusal(self, now: int, part: Part, hint: int) -> None:
-        """The module refuses a part: the client is told, or it waits if that client waits."""
+        """Handle a refusal by the module: refuse the request, or queue the part if its client waits."""
         if part.state is PartState.QUEUED:
-            return  # called back in this same moment
+            return  # recalled in this same flush
         state, request = self._state, part.request
-        if not self._waits(now, part) or (request.kind in MODIFYING_KINDS and part.may_have_effect):
+        if not self._may_wait(now, part) or (request.kind in MODIFYING_KINDS and part.may_have_effect):
             if state.stop_reason:
                 request.reason = state.stop_reason
             self._completion.give_up(part, PartStep.REFUSE, hint)
             return
         placed = part.places_extent
         self._retry_queue.enqueue(now, part, hint)
-        self._scout(now, part)
-        if placed:  # those that waited for its placement wait behind it now
+        self._send_test_flush(now, part)
+        if placed:  # the parts that waited for its placement now wait behind it
             for later in self._placement.parts_in_queue(part):
                 if later.state is PartState.AWAITING_PLACEMENT and later.request.patience_us:
                     self._retry_queue.enqueue(now, later, None)
         if part.class_name in state.in_order:
-            self._call_back(now, part, hint)
+            self._recall_later_parts(now, part, hint)
 
-    def _call_back(self, now: int, part: Part, hint: int) -> None:
-        """Later ones that the module still holds, or that wait for a placement, would be sent before it."""
+    def _recall_later_parts(self, now: int, part: Part, hint: int) -> None:
+        """Recall later parts submitted or awaiting placement: they would be sent before the refused one."""
         key = (part.request.volume.settings.name, part.extent)
         for later in [
             *self._submission.in_order.get(key, {}).values(),
@@ -95,17 +95,17 @@
                     self._completion.give_up(later, PartStep.REFUSE, hint)
 
     def handle_failure(self, now: int, part: Part) -> None:
-        """The module gives up a part that may have run: it can't wait for an outcome.
+        """Handle a part that the module gives up although it may have run, as it can't await its outcome.
 
-        A client that waits can. While the rack drops repeats the part is offered again; later its attempts
-        are listened to, as long as one of them may still be answered.
+        A client that waits can. As long as the rack drops repeats, the part is submitted again; after that,
+        the core waits for its attempts while one of them may still be answered.
         """
-        # Of a class in order the next one goes as soon as the module gave this one up.
+        # In an ordered class the next part is sent as soon as the module gives this one up.
         state = self._state
         repeats = state.windows[part.class_name] > 0 and part.request.kind in MODIFYING_KINDS
         repeats = repeats and part.class_name not in state.in_order
-        if repeats and self._waits(now, part):
-            if part.shard < 0:  # the rack that may have run it is where its extent will lie
+        if repeats and self._may_wait(now, part):
+            if part.shard < 0:  # its extent will lie on the shard whose rack may have run it
                 part.shard = next(
                     one.member.entry.shard for one in part.attempts
                     if one.state in (AttemptState.SENT, AttemptState.CALLED_OFF)
@@ -115,25 +115,26 @@
         else:
             self._completion.give_up(part, PartStep.FAIL)
 
-    def _waits(self, now: int, part: Part) -> bool:
+    def _may_wait(self, now: int, part: Part) -> bool:
         request, state = part.request, self._state
         waits = request.patience_us > 0 and not state.stop_reason and now < state.last_answer(request)
         return waits and len(part.attempts) < MOST_ATTEMPTS
 
-    def _scout(self, now: int, part: Part) -> None:
-        """Ask for a flush where only writes wait and nothing was heard for long.
+    def _send_test_flush(self, now: int, part: Part) -> None:
+        """Send a flush to a shard where only writes wait and no node has answered for long.
 
-        The module tries whether a silent node is back with safe work alone. Where all clients write and wait
-        there would never be any.
+        The module tests an unresponsive node with safe requests only. If all clients write and wait, there
+        would be no such request.
         """
         quiet = (
-            now - max(self.last_answer_at.get(part.shard, 0), self._scouted.get(part.shard, 0)) >= SCOUT_US
+            now - max(self.last_answer_at.get(part.shard, 0), self._test_flush_at.get(part.shard, 0))
+            >= TEST_FLUSH_US
         )
         if part.shard < 0 or not quiet or part.request.kind not in MODIFYING_KINDS:
             return
-        self._scouted[part.shard] = now
+        self._test_flush_at[part.shard] = now
         state = self._state
-        scout = ClientRequest(part.request.volume, Kind.FLUSH, 0, 0, b"", 0, NO_REQUESTER, open_parts=1)
+        flush = ClientRequest(part.request.volume, Kind.FLUSH, 0, 0, b"", 0, NO_REQUESTER, open_parts=1)
         class_name = state.class_of(Kind.FLUSH, 0)
-        scout.deadline = now + state.deadlines[class_name]
-        self._submission.submit(now, state.open_part(scout, class_name, -1, 0, 0, part.shard))
+        flush.deadline = now + state.deadlines[class_name]
+        self._submission.submit(now, state.open_part(flush, class_name, -1, 0, 0, part.shard))
--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sent, called off, ended; the module hears of each once."""
+"""Attempts: sent, cancelled, ended; the outcome of each is reported to the module once."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Attempts:
-    """The life of attempts, as the module and the links see it."""
+    """Carries attempts through their states, between the module and the links."""
 
     def __init__(self, state: CoreState, nodes: NodeDirectory, retry_queue: RetryQueue,
                  completion: Completion, admission: Admission) -> None:  # fmt: skip
@@ -34,11 +34,11 @@
         self.standstill: Standstill[Attempt] = Standstill()
 
     def send(self, now: int, action: api.Send) -> None:
-        """Send a part to a node, as the module says; MOOT if that can't be any more."""
+        """Send a part to a node, as the module says; reports MOOT if that is no longer possible."""
         state = self._state
         part, member = state.parts[action.request], self._nodes.find(action.node)
         if member is None:
-            raise RuntimeError(f"the module sends to {action.node}, which no list has named")
+            raise RuntimeError(f"the module sends to {action.node}, which is on no node list")
         request = part.request
         attempt = Attempt(part, len(part.attempts), member, now)
         part.attempts.append(attempt)
@@ -58,7 +58,7 @@
         )
         attempt.times_out_at = until
         state.schedule(until, attempt)
-        attempt.begin_before = self._begin_before(now, attempt)
+        attempt.begin_before = self._latest_begin(now, attempt)
         if attempt.begin_before < until:
             state.schedule(attempt.begin_before, attempt)
         if part.places_extent and state.close_guard is not None:
@@ -69,42 +69,43 @@
             state.port.send(attempt)
 
     def check_standstill(self, now: int) -> None:
-        """Look whether the process stood still; if so the list has to be asked for."""
+        """Check whether the process stood still; if so, fetch the list again."""
         if self.standstill.look(now, self._state.rules.drain_grace_us):
             self._state.port.ask_list()
             self._state.request_flush()
 
     def needs_list_refresh(self, now: int) -> bool:
-        """Look; return whether the list has to be asked for before anything is sent."""
+        """Check for a standstill; return whether the list has to be fetched before anything is sent."""
         self.check_standstill(now)
         return self.standstill.holds(now)
 
     def release(self, now: int) -> None:
-        """Send what waited for the list, if that is waited for no longer, as far as it may still begin."""
+        """Send the attempts that waited for the list, once it is here, if they may still begin."""
         for attempt in self.standstill.release(now):
             if self.may_begin(now, attempt):
                 self._state.port.send(attempt)
             else:
                 self.attempt_ended(now, attempt, api.Result.MOOT, b"", None)
 
-    def _begin_before(self, now: int, attempt: Attempt) -> int:
-        """Return from when on an attempt may not begin, though its time is not up."""
+    def _latest_begin(self, now: int, attempt: Attempt) -> int:
+        """Return the time from which an attempt may no longer begin, even before it times out."""
         part, before = attempt.part, attempt.times_out_at
         if attempt.member.entry.state is not api.NodeState.UP:
-            # The module sends to a node that drains in the first half of the grace: it begins in the second.
+            # The module sends to a draining node in the first half of the grace; attempts may begin in the
+            # second.
             before = min(before, now + self._state.rules.drain_grace_us // 2)
         window = self._state.windows[part.class_name]
-        # A read has no effect, though its class be keyed; what a placed request does, its class alone tells.
+        # A read has no effect, even in a keyed class; of a client-placed request only the class is known.
         changes = part.client_placement is not None or part.request.kind in MODIFYING_KINDS
-        if window and changes and part.may_have_run:  # later its rack may have forgotten what ran
+        if window and changes and part.may_have_run:  # later its rack may have forgotten the earlier attempt
             before = min(before, part.may_have_run_since + window)
         return before
 
     def may_begin(self, now: int, attempt: Attempt) -> bool:
         """Return whether an attempt that waited for its connection may still be sent.
 
-        Not to a node that drains or is gone since the module chose it: that has to choose again. Nor while
-        the list has to be asked for: the process may stand still in the middle of a decision, too.
+        It may not if its node began to drain or left the list since the module chose it: the module has to
+        choose again. Nor while the list has to be fetched: a standstill may also fall inside a decision.
         """
         if self.needs_list_refresh(now):
             return False
@@ -114,15 +115,17 @@
         return listed is not None and listed.entry.state is chosen.state
 
     def expire(self, now: int, attempt: Attempt) -> None:
-        """An attempt can't be waited for any longer, or can't begin any more."""
+        """End an attempt that timed out, or that can no longer begin."""
         if now >= attempt.times_out_at and not self.standstill.has(attempt):
             self.call_off(now, attempt, api.Result.TIMEOUT)
-        elif attempt.state is AttemptState.DIALING:  # it would come too late, which says nothing of its node
+        elif (
+            attempt.state is AttemptState.DIALING
+        ):  # it would start too late, which proves nothing about its node
             self.call_off(now, attempt, api.Result.CANCELLED)
 
     def attempt_ended(self, now: int, attempt: Attempt, result: api.Result, data: bytes,
               report: ReplyMetadata | None) -> None:  # fmt: skip
-        """Take an attempt's outcome from its link; one that was called off has told the module already."""
+        """Process an attempt's outcome from its link; that of a cancelled one was already reported."""
         if attempt.state is AttemptState.ENDED:
             return
         if result in (api.Result.RESET, api.Result.TIMEOUT):
@@ -138,7 +141,7 @@
                     and part not in self._retry_queue.patience
                     and not part.may_be_answered
                 ):
-                    self._completion.give_up(part, PartStep.FAIL)  # nothing will be heard of it any more
+                    self._completion.give_up(part, PartStep.FAIL)  # no attempt can be answered any more
             return
         if result is api.Result.OK:
             self._admission.last_answer_at[attempt.member.entry.shard] = now
@@ -149,7 +152,7 @@
         self._report(now, attempt, result, report)
 
     def call_off(self, now: int, attempt: Attempt, result: api.Result) -> None:
-        """Stop waiting for an attempt; what its node still says of it is not listened to."""
+        """Cancel an attempt; a later reply of its node is not reported to the module."""
         if attempt.reported:
             return
         result = result_without_answer(attempt.state, result)
@@ -166,12 +169,12 @@
             min(part.may_have_run_since, attempt.sent_at) if part.may_have_run else attempt.sent_at
         )
         part.may_have_run = True
-        closings = self._state.close_guard
-        if closings is not None and part.request.kind in MODIFYING_KINDS:
-            closings.may_run(part.request.volume.settings.name, part.extent)
+        close_guard = self._state.close_guard
+        if close_guard is not None and part.request.kind in MODIFYING_KINDS:
+            close_guard.may_run(part.request.volume.settings.name, part.extent)
 
     def _report(self, now: int, attempt: Attempt, result: api.Result, report: ReplyMetadata | None) -> None:
-        """Tell the module an attempt's one outcome."""
+        """Report an attempt's one outcome to the module."""
         part = attempt.part
         attempt.reported = True
         part.open_attempts -= 1
--- a/harriertrack/decisions/requests/completion.py
+++ b/harriertrack/decisions/requests/completion.py
@@ -1,4 +1,4 @@
-"""How parts and requests end."""
+"""The completion of parts and requests."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Completion:
-    """The ends of parts, and the one answer of each request."""
+    """Finishes parts, and gives each request its one answer."""
 
     def __init__(self, state: CoreState, placement: Placement, retry_queue: RetryQueue) -> None:
         self._state, self._placement, self._retry_queue = state, placement, retry_queue
         self._writes = 0
 
     def part_served(self, part: Part, attempt: Attempt, data: bytes) -> None:
-        """A node served a part."""
+        """Complete a part that a node served."""
         self._retry_queue.remove(part)
         part.state = next_part_state(part.state, PartStep.SERVE)
         part.data = data
@@ -31,21 +31,21 @@
             self._writes += 1
             request.volume.dirty[shard] = self._writes
         elif request.kind is Kind.FLUSH and request.volume.dirty.get(shard) == attempt.write_number:
-            del request.volume.dirty[shard]  # nothing was written there since the flush was sent
+            del request.volume.dirty[shard]  # no write to the shard since the flush was sent
         self._close_part(part)
         request.open_parts -= 1
         if not request.open_parts and request.outcome is None:
             self.finish(request, Outcome.SERVED)
 
     def part_served_late(self, part: Part, attempt: Attempt, data: bytes) -> None:
-        """An attempt was answered that an earlier offer had called off: its answer is as good as any."""
-        told = part.state in (PartState.SUBMITTED, PartState.IN_FLIGHT)
+        """Complete a part by a late reply to an attempt of an earlier submission, as good as any other."""
+        submitted = part.state in (PartState.SUBMITTED, PartState.IN_FLIGHT)
         self.part_served(part, attempt, data)
-        if told:
+        if submitted:
             self._state.queue_event(api.ClientGone(part.number))
 
     def give_up(self, part: Part, step: PartStep, hint: int = 0) -> None:
-        """A part is given up: its request is answered at once, and its other parts are dropped."""
+        """Give a part up: answer its request at once, and drop the request's other parts."""
         self._retry_queue.remove(part)
         part.state = next_part_state(part.state, step)
         self._close_part(part)
@@ -57,7 +57,7 @@
             self.drop_parts(request)
 
     def expire(self, part: Part) -> None:
-        """What waits can wait no longer."""
+        """End a waiting part whose time is up."""
         touched = part.request.kind in MODIFYING_KINDS and part.may_have_effect
         self.give_up(part, PartStep.FAIL if touched else PartStep.REFUSE)
 
@@ -65,15 +65,15 @@
         """Drop the parts of a request that are still open."""
         for part in request.parts:
             if not part.state.is_final:
-                told = part.state not in (PartState.AWAITING_PLACEMENT, PartState.QUEUED)
+                submitted = part.state not in (PartState.AWAITING_PLACEMENT, PartState.QUEUED)
                 self._retry_queue.remove(part)
                 part.state = next_part_state(part.state, PartStep.DROP)
-                if told:
+                if submitted:
                     self._state.queue_event(api.ClientGone(part.number))
                 self._close_part(part)
 
     def finish(self, request: ClientRequest, outcome: Outcome) -> None:
-        """Give a request its outcome; its answer goes out at the end of the next flush."""
+        """Give a request its outcome; its answer is given at the end of the next flush."""
         request.outcome = outcome
         if request.requester is NO_REQUESTER:
             return
@@ -89,6 +89,6 @@
         self._state.request_flush()
 
     def _close_part(self, part: Part) -> None:
-        """Nothing more is sent for a part: let who waits for its placement go on, and forget it in time."""
+        """Schedule a finished part for removal, and let the parts that wait for its placement go on."""
         self._state.finished_parts.append(part)
         self._placement.withdraw(part)
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -1,4 +1,4 @@
-"""The core as fronts and links call it, and what it does when the module has spoken."""
+"""The interface of the core for fronts and links, and the processing of the module's actions."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Core:
-    """One head."""
+    """The core of one head."""
 
     def __init__(
         self,
@@ -57,31 +57,32 @@
         self._attempts = Attempts(state, nodes, self._retry_queue, self._completion, self._admission)
         self._dispatcher = ActionDispatcher(state, self._completion, self._admission, self._attempts)
         self._closes = CloseHandling(state, self._placement, self._completion)
-        for volume in self.volumes.values():  # what an earlier life wrote without a flush is not known
+        for volume in self.volumes.values():  # an earlier incarnation may have written without a flush
             name, fixed = volume.settings.name, volume.settings.shards
             volume.dirty = dict.fromkeys(fixed or {shard for _, shard in places.placed(name)}, 0)
         state.queue_event(api.NodesChanged(api.ListKind.RESTORED, list(restored)))
 
-    # -- what it is told
+    # -- settings and node list
 
     @property
     def rules(self) -> RequestRules:
-        """Return what it goes by."""
+        """Return the rules in force."""
         return self._state.rules
 
     def apply_settings(self, now: int, rules: RequestRules, settings: api.Settings) -> None:
-        """Go by other deadlines and bounds for what is taken from now on, and let the module go by its own.
+        """Use other deadlines and bounds for requests accepted from now on, and pass the module its settings.
 
-        Classes, and how requests are cut, stay.
+        Classes, and how requests are split, stay the same.
         """
         self._state.apply_rules(rules)
         self._retry_queue.patience.retell(now, rules.patience)
         self._state.queue_event(api.SettingsChanged(settings))
 
     def nodes_changed(self, news: api.NodesChanged | None) -> None:
-        """Take news of the node list; None is none.
+        """Pass an update of the node list to the module; None: there is none.
 
-        What a head hears first after it stood still may have come to this machine as early as it fell asleep.
+        The first update after a standstill of the process may have reached this machine as early as the
+        standstill began.
         """
         if news is not None:
             stood_from = self._attempts.standstill.stood_from
@@ -90,30 +91,30 @@
             self._state.queue_event(news)
 
     def list_failed(self) -> None:
-        """The source can't be reached; the list in hand stays."""
+        """The source of the list can't be reached; the current list stays in use."""
         self._state.queue_event(api.NodesChanged(api.ListKind.FAILED))
 
     def begin_standstill_checks(self, now: int) -> None:
-        """Let `look` be called each `standstill.LOOK_US` from now on."""
+        """Start the checks: `check_standstill` is called every `standstill.LOOK_US` from now on."""
         self._attempts.standstill.begin(now)
 
     def check_standstill(self, now: int) -> None:
-        """Look whether the process stood still: then nothing is sent before the list was asked for."""
+        """Check whether the process stood still; if so, nothing is sent until the list was fetched again."""
         self._attempts.check_standstill(now)
 
     def needs_list_refresh(self, now: int) -> bool:
-        """Look; return whether the list has to be asked for before anything is sent."""
+        """Check for a standstill; return whether the list has to be fetched before anything is sent."""
         return self._attempts.needs_list_refresh(now)
 
     def list_call_ended(self, began: int, answered: bool) -> None:
-        """A call for the list that began then was answered, or failed at its source."""
+        """Note that a call for the list, begun at that time, was answered, or failed at its source."""
         self._attempts.standstill.heard(began, answered)
         self._state.request_flush()
 
     # -- requests
 
     def deadline_of(self, now: int, kind: Kind, length: int) -> int:
-        """Return when a client that asks now gives up."""
+        """Return when the client of a request that arrives now gives up."""
         return now + self._state.deadlines[self._state.class_of(kind, length)]
 
     def at_capacity(self) -> bool:
@@ -121,7 +122,7 @@
         return len(self._state.parts) >= self._state.rules.max_open_parts
 
     def accept(self, now: int, request: ClientRequest) -> None:
-        """Take a request: from now on it is owed one final answer."""
+        """Accept a request: from now on it is owed one final answer."""
         state = self._state
         state.counts.accepted += 1
         class_name = self._class_of(request)
@@ -131,7 +132,7 @@
         self._begin(now, request, class_name)
 
     def _begin(self, now: int, request: ClientRequest, class_name: str) -> None:
-        """Cut a request and let its parts go on, unless a close stands in its way."""
+        """Split a request and admit its parts, unless a close forbids it."""
         if self._closes.intercept(now, request):
             return
         self._state.split_request(request, class_name)
@@ -139,7 +140,7 @@
         if not request.parts:
             self._completion.finish(request, Outcome.SERVED)
         for part in list(request.parts):
-            if part.state is PartState.AWAITING_PLACEMENT:  # else the one before ended the request
+            if part.state is PartState.AWAITING_PLACEMENT:  # else an earlier part ended the request
                 self._admission.admit(now, part)
 
     def _class_of(self, request: ClientRequest) -> str:
@@ -148,9 +149,9 @@
         return self._state.class_of(own if request.background else kind, request.length)
 
     def accept_placed(self, now: int, request: ClientRequest, placed: ClientPlacement) -> None:
-        """Take a request that is one part and says itself where it lies; its deadline is set.
+        """Accept a request that is one part and whose client names its shard; its deadline is set.
 
-        Raises ValueError for one that would wait on hints: waiting goes by extents, which it has not.
+        Raises ValueError if it would wait for retry hints: waiting goes by extents, and it has none.
         """
         if request.patience_us or not request.deadline:
             raise ValueError("a request that is placed by its client has a deadline and no patience")
@@ -162,59 +163,59 @@
         self._submission.submit(now, part)
 
     def client_left(self, request: ClientRequest) -> None:
-        """The client left: no answer is owed any more."""
+        """Drop a request whose client has left: no answer is owed any more."""
         if request.outcome is None:
             request.outcome = Outcome.FAILED
             self.counts.clients_left += 1
             self._completion.drop_parts(request)
 
     def queue_answer(self, request: ClientRequest) -> None:
-        """Give an answer that was decided around the core at the end of the next flush, as all are."""
+        """Queue an answer that was decided outside the core; it is given at the end of the next flush."""
         self._state.pending_answers.append(request)
         self._state.request_flush()
 
-    # -- what is open
+    # -- open work
 
     @property
     def open_requests(self) -> int:
-        """How many requests were taken and have no final answer yet."""
+        """Return how many accepted requests have no final answer yet."""
         counts = self.counts
         return counts.accepted - counts.served - counts.refused - counts.failed - counts.clients_left
 
     @property
     def open_parts(self) -> int:
-        """How many parts are open, or have attempts out."""
+        """Return how many parts are open or have open attempts."""
         return len(self._state.parts)
 
     @property
     def waiting_parts(self) -> int:
-        """How many parts wait on a hint."""
+        """Return how many parts wait for a retry hint to pass."""
         return len(self._retry_queue.patience)
 
     @property
     def resubmissions(self) -> int:
-        """How often a part that waited was offered to the module."""
+        """Return how often a waiting part was submitted to the module again."""
         return self._retry_queue.patience.offered
 
     def parts_that_waited(self) -> Iterator[Part]:
-        """Yield the open parts that wait, or have waited, on a hint."""
+        """Yield the open parts that wait, or have waited, for a retry hint to pass."""
         return (part for part in self._state.parts.values() if part.has_waited and not part.state.is_final)
 
-    # -- the head's end
+    # -- shutdown
 
     def fail_open(self) -> None:
-        """The head ends now: fail whatever is open, which is true of anything that may yet run."""
+        """Fail all open requests because the head stops now; any of them may still run."""
         for part in list(self._state.parts.values()):
             if not part.state.is_final:
                 self._state.queue_event(api.ClientGone(part.number))
                 self._completion.give_up(part, PartStep.FAIL)
 
     def stop_waiting(self, why: str) -> None:
-        """Let nothing wait on a hint any more: what does is refused."""
+        """Stop waiting for retry hints; what waits is refused."""
         self._state.stop_reason = why
         self._closes.stop_waiting(why)
         for part in [part for part in self._state.parts.values() if part.state is PartState.QUEUED]:
-            if part.state is PartState.QUEUED:  # else a sibling's refusal has dropped it
+            if part.state is PartState.QUEUED:  # else the refusal of another part dropped it
                 part.request.reason = why
                 self._completion.expire(part)
 
@@ -225,22 +226,22 @@
         return self._state.shard_of(volume, extent)
 
     def hold_extent(self, volume: str, extent: int, holder: HoldOwner) -> None:
-        """Let later requests for an extent wait; `holder.held` follows once no earlier one is open.
+        """Make later requests for an extent wait; `holder.held` is called once no earlier one is open.
 
-        It ends with `free_extent`, or with the end of a `moving` write to the extent. Raises ValueError if it
-        is held already, or was never placed.
+        The hold ends with `release_extent`, or with the end of a `moving` write to the extent. Raises
+        ValueError if the extent is held already, or was never placed.
         """
         self._placement.hold_extent(volume, extent, holder)
 
     def release_extent(self, volume: str, extent: int) -> None:
-        """Let those that wait for an extent go on; not while a `moving` write to it is under way."""
+        """End the hold of an extent; not allowed while a `moving` write to it is in progress."""
         self._placement.release_extent(volume, extent)
 
     # -- closes
 
     @property
     def close_guard(self) -> CloseGuard | None:
-        """Return what guards ranges that are purged at closes; None: the head's fleet has no calendars."""
+        """Return the guard of ranges that are purged at closes; None: the head's fleet has no calendars."""
         return self._state.close_guard
 
     @close_guard.setter
@@ -248,18 +249,19 @@
         self._state.close_guard = close_guard
 
     def close_off(self, now: int, covers: Callable[[str, int, int], bool]) -> tuple[int, int]:
-        """Give up what is open of the (volume, offset, length) that a close covers; put placements on disk.
+        """Give up the open requests for (volume, offset, length) covered by a close; put placements on disk.
 
-        What may have run is failed, all else is refused. Returns how many parts were refused and failed.
+        Changes that may have run are failed, all else is refused. Returns how many parts were refused, and
+        how many failed.
         """
         return self._closes.close_off(now, covers)
 
     def hold_purged(self, places: Iterable[tuple[str, int]]) -> None:
-        """Let requests for these (volume, extent) wait until `free_trimmed`; nothing of them is open."""
+        """Make requests for these (volume, extent) wait until `release_trimmed`; none of them may be open."""
         self._placement.hold_purged(places)
 
     def release_trimmed(self, volume: str, extent: int) -> None:
-        """Let those that wait for a purged extent go on."""
+        """End the hold of a purged extent."""
         self._placement.release_extent(volume, extent, purged=True)
 
     # -- attempts
@@ -267,24 +269,24 @@
     def may_begin(self, now: int, attempt: Attempt) -> bool:
         """Return whether an attempt that waited for its connection may still be sent.
 
-        If not it is MOOT: nothing was sent, which says nothing of its node.
+        If not, its outcome is MOOT: nothing was sent, which proves nothing about its node.
         """
         return self._attempts.may_begin(now, attempt)
 
     def attempt_sent(self, attempt: Attempt, at: int = 0) -> None:
-        """The attempt's bytes were handed to its link; `at` tells when, where it was dialled first."""
+        """Note that an attempt's bytes were handed to its link; `at` is the time, if it was dialled first."""
         attempt.state = next_attempt_state(attempt.state, AttemptStep.SEND)
         attempt.left_at = at
 
     def attempt_ended(self, now: int, attempt: Attempt, result: api.Result, data: bytes = b"",
               report: ReplyMetadata | None = None) -> None:  # fmt: skip
-        """Take an attempt's outcome from its link; one that was called off has told the module already."""
+        """Process an attempt's outcome from its link; that of a cancelled one was already reported."""
         self._attempts.attempt_ended(now, attempt, result, data, report)
 
     # -- the module
 
     def flush(self, now: int) -> None:
-        """Hand the module what has happened, do what it says, and give the answers that are due."""
+        """Pass pending events to the module, execute its actions, and give the answers that are due."""
         state, placement, dispatcher, patience = (
             self._state,
             self._placement,
@@ -301,7 +303,7 @@
             placement.write_placements()
             placement.release_queued(now)
             for part in patience.due(now):
-                if part.state is PartState.QUEUED:  # else one before it in this list ended their request
+                if part.state is PartState.QUEUED:  # else an earlier part in this list ended their request
                     self._admission.resubmit(now, part)
             for request in self._closes.due_restarts(now):
                 self._begin(now, request, self._class_of(request))
--- a/harriertrack/decisions/requests/dispatch.py
+++ b/harriertrack/decisions/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""What is done at the module's word, and when time is up."""
+"""Execution of the module's actions and of timers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ActionDispatcher:
-    """Carries verdicts out, each one."""
+    """Executes the actions of the module."""
 
     def __init__(
         self, state: CoreState, completion: Completion, admission: Admission, attempts: Attempts
@@ -27,7 +27,7 @@
         )
 
     def run_timers(self, now: int) -> None:
-        """Do what is due: time-outs, and the module's timers."""
+        """Run the timers that are due: time-outs, and timers of the module."""
         due = self._state.timers
         while due and due[0][0] <= now:
             what = heapq.heappop(due)[2]
@@ -39,7 +39,7 @@
                 self._completion.expire(what)
 
     def execute(self, now: int, action: api.Action) -> None:
-        """Do what the module says."""
+        """Execute an action of the module."""
         state, parts = self._state, self._state.parts
         match action:
             case api.Send():
@@ -60,4 +60,4 @@
             case api.Log():
                 state.port.note(action.text)
             case api.Probe():
-                raise RuntimeError("the module probes, though it was told that it may not")
+                raise RuntimeError("the module sent a probe, which its settings do not allow")
--- a/harriertrack/decisions/requests/inputs.py
+++ b/harriertrack/decisions/requests/inputs.py
@@ -1,4 +1,4 @@
-"""What the core reads of volumes, nodes and nodes' answers."""
+"""The properties of volumes, nodes and nodes' replies that the core reads."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 
 
 class VolumeFacts(Protocol):
-    """What the core needs to know of a volume."""
+    """The properties of a volume that the core needs."""
 
     @property
     def name(self) -> str:
-        """Return its name, which is also its export's."""
+        """Return the volume's name, which is also the name of its export."""
 
     @property
     def plan(self) -> str:
-        """Return its plan's name."""
+        """Return the name of the volume's service plan."""
 
     @property
     def hosts(self) -> int:
-        """Return through how many heads its requests come."""
+        """Return through how many heads the volume's requests arrive."""
 
     @property
     def waiting(self) -> Waiting:
-        """Return whose requests wait when the module refuses them."""
+        """Return which clients' requests wait in the head when the module refuses them."""
 
     @property
     def patience_us(self) -> int:
-        """Return how long such a request is kept at most."""
+        """Return the longest time that such a request waits."""
 
     @property
     def shards(self) -> tuple[int, ...]:
-        """Return the shards that its extents were allocated to beforehand, in turn.
+        """Return the shards to which the extents are statically allocated, in turn.
 
-        Empty if they are placed.
+        Empty if extents are placed on their first write.
         """
 
 
 class ListedNode(Protocol):
-    """A node of the list, with whatever links need to reach it."""
+    """A node of the node list, with the address data that links need."""
 
     @property
     def entry(self) -> api.NodeEntry:
-        """Return what the module knows of it."""
+        """Return the entry that the module sees."""
 
 
 class ReplyMetadata(Protocol):
-    """What a node told beside an answer."""
+    """What a node reports along with a reply."""
 
     @property
     def used_percent(self) -> int:
-        """Return the volume's meter."""
+        """Return the usage meter of the volume, in percent."""
 
     @property
     def elsewhere(self) -> float:
-        """Return what the node served the volume through other heads."""
+        """Return how much of the volume's work the node served through other heads."""
 
     @property
     def load(self) -> tuple[float, ...]:
-        """Return its load report."""
+        """Return the node's load report."""
--- a/harriertrack/decisions/requests/model.py
+++ b/harriertrack/decisions/requests/model.py
@@ -1,4 +1,4 @@
-"""Clients' requests, their parts, and the attempts of these."""
+"""Client requests, the parts they are split into, and the attempts of each part."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 @dataclass(slots=True, eq=False)
 class Volume:
-    """An export, and which of its shards got writes that no flush has covered."""
+    """An export, and which of its shards have writes not yet covered by a flush."""
 
     settings: VolumeFacts
     dirty: dict[int, int] = field(default_factory=dict)  # shard: number of its latest write
 
 
 class Origin(Enum):
-    """Who asks: a client, or the other region's head for one (RELAY), or with a write of its own (COPY)."""
+    """The source of a request: a client, or the other region's head, which relays a client's request (RELAY)
+    or copies a write of its own (COPY)."""
 
     CLIENT = "client"
     RELAY = "relay"
@@ -30,27 +31,27 @@
 
 
 class Requester(Protocol):
-    """Whom a request's answer is given to."""
+    """Receives the answer to a request."""
 
     def answer(self, request: ClientRequest) -> None:
-        """Take the one final answer."""
+        """Receive the one final answer."""
 
 
-class _Nobody:
-    """Asks for the head itself."""
+class _NoRequester:
+    """The requester of the head's internal requests; discards the answer."""
 
     def answer(self, request: ClientRequest) -> None:
-        """Take the one final answer."""
+        """Receive the one final answer."""
 
 
-NO_REQUESTER = _Nobody()
+NO_REQUESTER = _NoRequester()
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """What a client asked for.
+    """A request of a client, or an internal one of the head.
 
-    `token` is its front's own; offsets and lengths are bytes, times microseconds.
+    `requester` belongs to the front; offsets and lengths are bytes, times microseconds.
     """
 
     volume: Volume
@@ -60,32 +61,32 @@
     data: bytes
     flags: int
     requester: Requester
-    deadline: int = 0  # 0: its class says
-    arrived_at: int = 0  # when it may have come at the earliest; 0: now
-    patience_us: int = 0  # how long its client waits for a refused one to be offered again; 0: not at all
-    background: bool = False  # of the class for catching up
+    deadline: int = 0  # 0: given by its class
+    arrived_at: int = 0  # the earliest time at which it may have arrived; 0: now
+    patience_us: int = 0  # how long its client waits for resubmission after a refusal; 0: not at all
+    background: bool = False  # belongs to the class for catching up
     hint_us: int = 0
     parts: list[Part] = field(default_factory=list)
     pieces: list[bytes | int | Part] = field(default_factory=list)  # of a read, in order; numbers are holes
     open_parts: int = 0  # parts without a final state
     outcome: Outcome | None = None
-    reason: str = ""  # of a refusal or failure, where there is more to say
+    reason: str = ""  # details of a refusal or failure, if any
     origin: Origin = Origin.CLIENT
-    epoch: int = 0  # of a copy: the holder's
-    moving: bool = False  # the head's own, for an extent that it holds; such a write is placed anew
-    trim_shard: int = -1  # of a moving trim: where the extent was
-    tick: int = 0  # of the other head's: the newest tick of ours that it had
+    epoch: int = 0  # of a copy: the epoch of the volume's holder
+    moving: bool = False  # internal, for an extent that the head holds; such a write places the extent again
+    trim_shard: int = -1  # of a trim after a move: the extent's previous shard
+    tick: int = 0  # of the other head's request: the newest of our ticks that it had received
     reader: object = None  # the connection over which the other head reads this for its copy
-    generation: int = 0  # of such a reading: that of the bytes which the other head has
+    generation: int = 0  # of such a read: the generation of the bytes that the other head has
 
     def bytes_read(self) -> bytes:
-        """Return what a served read brought; holes are zeroes."""
+        """Return the data of a served read; holes are zeroes."""
         return b"".join(one.data if isinstance(one, Part) else bytes(one) for one in self.pieces)
 
 
 @dataclass(slots=True, eq=False)
 class Part:
-    """What of a request lies in one extent: the unit that the module decides on. Its number is its key."""
+    """The share of a request that lies in one extent: the unit of the module's decisions, keyed by number."""
 
     number: int
     request: ClientRequest
@@ -99,33 +100,33 @@
     open_attempts: int = 0  # attempts without an outcome
     may_have_run: bool = False
     may_have_run_since: int = 0  # when the first attempt that may have run was sent
-    places_extent: bool = False  # it is the one that places its new extent
-    queued_for_placement: bool = False  # it stands in the line for its extent's placement
-    client_placement: ClientPlacement | None = None  # its client says where it lies
-    module_deadline: int = 0  # when the module's time for it ends
-    has_waited: bool = False  # it has waited on a hint
+    places_extent: bool = False  # this part's write places its new extent
+    queued_for_placement: bool = False  # it is in the placement queue of its extent
+    client_placement: ClientPlacement | None = None  # set if the client names the shard
+    module_deadline: int = 0  # when the module's time for this submission ends
+    has_waited: bool = False  # it has waited for a retry hint to pass
     hint_us: int = 0  # of its latest refusal
     data: bytes = b""
 
     @property
     def may_have_effect(self) -> bool:
-        """Whether an attempt of it ran, may have run, or may run yet."""
+        """Whether one of its attempts ran, may have run, or may still run."""
         return self.may_have_run or any(
             attempt.state in (AttemptState.SENT, AttemptState.CALLED_OFF) for attempt in self.attempts
         )
 
     @property
     def lane(self) -> Place:
-        """Return the lane that it waits in."""
+        """Return the lane of the retry queue in which it waits."""
         return (self.request.volume.settings.name, self.shard, self.class_name)
 
     @property
     def may_be_answered(self) -> bool:
-        """Whether an attempt that was called off may still be answered."""
+        """Whether an attempt, cancelled or not, may still be answered."""
         return any(one.state in (AttemptState.SENT, AttemptState.CALLED_OFF) for one in self.attempts)
 
     def body(self) -> bytes | memoryview:
-        """Return the part's share of what the client writes."""
+        """Return the part's share of the data to write."""
         request = self.request
         if len(request.parts) == 1 or request.kind is not Kind.WRITE:
             return request.data
@@ -141,16 +142,18 @@
     number: int
     member: ListedNode
     sent_at: int
-    left_at: int = 0  # when its last byte left, where its link says; until then the node had no part in it
+    left_at: int = (
+        0  # when its last byte left, if the link reports it; the delay before that is not the node's
+    )
     state: AttemptState = AttemptState.DIALING
-    reported: bool = False  # the module has its outcome
+    reported: bool = False  # its outcome was reported to the module
     write_number: int = 0
     times_out_at: int = 0  # when the module stops waiting for it
-    begin_before: int = 0  # its last byte leaves before this time, or never
+    begin_before: int = 0  # its last byte is sent before this time, or never
 
     @property
     def answer_needed(self) -> bool:
-        """Whether its answer is still of use: the module waits, or a client that waits for what may run."""
+        """Whether its answer is of use: to the module, or to a client that waits for a write's outcome."""
         request = self.part.request
         return not self.reported or (
             request.patience_us > 0 and request.kind in MODIFYING_KINDS and not self.part.state.is_final
@@ -158,5 +161,5 @@
 
     @property
     def volume(self) -> str:
-        """Return the name of the volume, which is the node's export."""
+        """Return the name of the volume, which is also the name of the node's export."""
         return self.part.request.volume.settings.name
--- a/harriertrack/decisions/requests/placement.py
+++ b/harriertrack/decisions/requests/placement.py
@@ -1,4 +1,4 @@
-"""Extents that get their place, and extents that are kept to somebody for a while."""
+"""Placement of new extents, and exclusive holds of extents."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
 @dataclass(slots=True, eq=False)
 class Hold:
-    """An extent that is kept: later requests wait. `left` are the earlier ones that are still open."""
+    """A held extent: later requests for it wait. `earlier_parts` are the earlier ones that are still open."""
 
     owner: HoldOwner
     earlier_parts: set[int]
-    purged: bool = False  # by a close: until what that left is trimmed
+    purged: bool = False  # by a close: held until the bytes left on the shard are trimmed
 
 
-class _Nobody:
-    """Keeps an extent for nobody who would have to hear of it."""
+class _NoOwner:
+    """The owner of a purged extent's hold; needs no notification."""
 
     def held(self) -> None:
-        """Take note that no earlier request for the extent is open any more."""
+        """Do nothing."""
 
 
-_NOBODY = _Nobody()
+_NO_OWNER = _NoOwner()
 
 
 class Placement:
-    """Who waits until another one has placed an extent, or let it go."""
+    """Places new extents, and queues parts until their extent is placed or its hold ends."""
 
     def __init__(self, state: CoreState, submission: Submission) -> None:
         self._state, self._submission = state, submission
-        self.queues: dict[tuple[str, int], deque[Part]] = {}  # the first of each places its extent
+        self.queues: dict[tuple[str, int], deque[Part]] = {}  # the first of each queue places its extent
         self._holds: dict[tuple[str, int], Hold] = {}
-        self._held: list[Hold] = []  # holds that have become so
+        self._acquired: list[Hold] = []  # holds whose owners are still to be notified
         self._placements: list[tuple[str, int, int]] = []
         self._released: list[tuple[str, int]] = []
 
     def submit_or_queue(self, now: int, part: Part) -> None:
-        """Tell the module of a part, or let it wait while another one places the same new extent.
+        """Submit a part to the module, or queue it while another part places the same new extent.
 
         Two first writes to one extent must not be placed on two shards; the second waits for the first's end.
         """
@@ -57,10 +57,11 @@
                 self.queues.setdefault(key, deque()).appendleft(part)
         elif part.extent >= 0 and (part.shard < 0 or held or key in self.queues):
             part.shard = -1
-            line = self.queues.setdefault(key, deque())
-            line.append(part)
+            queue = self.queues.setdefault(key, deque())
+            queue.append(part)
             part.queued_for_placement = True
-            if held or line[0] is not part or key in self._released:  # the one before may just have placed it
+            # If the extent was just released, the part before may have placed it.
+            if held or queue[0] is not part or key in self._released:
                 if part.state is PartState.QUEUED:
                     part.state = next_part_state(part.state, PartStep.AWAIT_PLACEMENT)
                 if held and self._state.close_guard is not None and self._holds[key].purged:
@@ -71,21 +72,21 @@
         self._submission.submit(now, part)
 
     def parts_in_queue(self, part: Part) -> list[Part]:
-        """Return who stands in line for a part's extent."""
+        """Return the placement queue of a part's extent."""
         return list(self.queues.get((part.request.volume.settings.name, part.extent), ()))
 
     def add_placement(self, part: Part, shard: int) -> None:
-        """A part was served that places its extent."""
+        """Note the shard where a part that places its extent was served."""
         self._placements.append((part.request.volume.settings.name, part.extent, shard))
 
     def write_placements(self) -> None:
-        """Write down what was placed: on disk before any answer that promises it."""
+        """Write new placements to disk, before any answer that relies on them."""
         if self._placements:
             placements, self._placements = self._placements, []
             self._state.placements.place(placements)
 
     def withdraw(self, part: Part) -> None:
-        """The module has nothing of a part any more, or never had: who waits for its placement may go on."""
+        """Dequeue a part that the module no longer has, or never had, and let the parts behind it go on."""
         self._submission.withdraw(part)
         hold = self._holds.get((part.request.volume.settings.name, part.extent)) if self._holds else None
         if (
@@ -95,7 +96,7 @@
         ):
             hold.earlier_parts.discard(part.number)
             if not hold.earlier_parts:
-                self._held.append(hold)
+                self._acquired.append(hold)
         if part.queued_for_placement:
             key = (part.request.volume.settings.name, part.extent)
             self.queues[key].remove(part)
@@ -106,33 +107,33 @@
                 self._released.append(key)
 
     def release_queued(self, now: int) -> None:
-        """Let parts go on that waited for an extent's placement.
+        """Submit the parts that waited for an extent's placement or release.
 
-        To where it was placed, or one to place it.
+        If the extent is placed, all go to its shard; else the first of them places it.
         """
         if not self._released:
             return
         released, self._released = self._released, []
         for key in released:
-            if key in self._holds:  # held again in the meantime: those who wait go on waiting
+            if key in self._holds:  # held again meanwhile: the queued parts wait on
                 continue
-            line = self.queues.get(key, deque())
+            queue = self.queues.get(key, deque())
             shard = self._state.placements.shard_of(*key)
-            while line:
-                part = line[0]
+            while queue:
+                part = queue[0]
                 if shard is None:
                     part.places_extent = True
                     self._submission.submit(now, part)
                     break
                 part.shard = shard
-                line.popleft()
+                queue.popleft()
                 part.queued_for_placement = False
                 self._submission.submit(now, part)
-            if not line:
+            if not queue:
                 self.queues.pop(key, None)
 
     def hold_extent(self, volume: str, extent: int, holder: HoldOwner) -> None:
-        """Keep an extent to somebody. Raises ValueError if it is kept already, or was never placed."""
+        """Hold an extent exclusively. Raises ValueError if it is held already, or was never placed."""
         key, state = (volume, extent), self._state
         if key in self._holds or state.placements.shard_of(*key) is None:
             raise ValueError(f"extent {extent} of {volume} is held already, or was never placed")
@@ -144,11 +145,11 @@
         }  # fmt: skip
         self._holds[key] = hold = Hold(holder, left)
         if not left:
-            self._held.append(hold)
+            self._acquired.append(hold)
         state.request_flush()
 
     def release_extent(self, volume: str, extent: int, purged: bool = False) -> None:
-        """Keep an extent no more that was kept to somebody, or was purged."""
+        """End the hold of an extent; with `purged`, that of a purged extent."""
         key = (volume, extent)
         hold = self._holds.get(key)
         if hold is not None and hold.purged is purged:
@@ -157,15 +158,15 @@
             self._state.request_flush()
 
     def hold_purged(self, places: Iterable[tuple[str, int]]) -> None:
-        """Let requests for these (volume, extent) wait until they are freed as purged."""
+        """Hold these (volume, extent) until they are released as purged."""
         for key in places:
             if (before := self._holds.get(key)) is not None and not before.purged:
-                self._held.append(before)  # its holder finds that the extent is nowhere
+                self._acquired.append(before)  # its owner will find that the extent has no placement
                 self._state.request_flush()
-            self._holds[key] = Hold(_NOBODY, set(), purged=True)
+            self._holds[key] = Hold(_NO_OWNER, set(), purged=True)
 
     def notify_owners(self) -> None:
-        """Tell those whose extents have become theirs."""
-        held, self._held = self._held, []
-        for hold in held:
+        """Notify the owners of the holds that were acquired."""
+        acquired, self._acquired = self._acquired, []
+        for hold in acquired:
             hold.owner.held()
--- a/harriertrack/decisions/requests/port.py
+++ b/harriertrack/decisions/requests/port.py
@@ -1,4 +1,4 @@
-"""What the core asks of its surroundings."""
+"""The interfaces that the core requires of its surroundings."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class DecisionModule(Protocol):
-    """What decides: the scheduler, or one for each cell."""
+    """The decision maker: the scheduler, or one for each cell."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Take the events of one moment and return the actions, in order."""
+        """Handle the events of one moment and return the actions, in order."""
 
 
 class NodeDirectory(Protocol):
-    """The node list in hand."""
+    """The current node list."""
 
     def find(self, node: str) -> ListedNode | None:
-        """Return a node that a list has named."""
+        """Return a node that some version of the list has named."""
 
 
 class PlacementStore(Protocol):
-    """Where extents were placed, on disk."""
+    """The shard of each placed extent, on disk."""
 
     def shard_of(self, volume: str, extent: int) -> int | None:
         """Return the shard that holds an extent; None if it was never placed."""
@@ -37,61 +37,61 @@
         """Record (volume, extent, shard); on disk when this returns."""
 
     def left(self, volume: str) -> list[tuple[int, int]]:
-        """Return (extent, shard) where a volume's bytes were left behind."""
+        """Return (extent, shard) where bytes of a volume remain after a move."""
 
     def forgot(self, volume: str, extent: int, shard: int) -> None:
-        """The bytes left there are gone; on disk when this returns."""
+        """Record that the bytes remaining there were trimmed; on disk when this returns."""
 
 
 class HoldOwner(Protocol):
-    """Who keeps an extent to itself for a while."""
+    """The party for which an extent is held exclusively."""
 
     def held(self) -> None:
-        """Take note that no earlier request for the extent is open any more."""
+        """Handle that no earlier request for the extent is open any more."""
 
 
 class CloseGuard(Protocol):
-    """What guards ranges that are purged at closes."""
+    """Guards ranges that are purged at closes."""
 
     def refuses(self, request: ClientRequest) -> int | None:
-        """Return the hint with which a request is refused now; None: it passes."""
+        """Return the retry hint with which a request is refused now; None: it is allowed."""
 
     def placing(self, volume: str, extent: int, shard: int) -> None:
-        """A first write to an extent is about to be sent to a shard."""
+        """Note that a first write to an extent is about to be sent to a shard."""
 
     def may_run(self, volume: str, extent: int) -> None:
-        """What was sent for an extent may still run at its node, though nobody waits for it."""
+        """Note that an attempt for an extent may still run at its node, though its outcome is not awaited."""
 
     def awaited(self, volume: str, extent: int) -> None:
-        """Somebody waits until an extent is trimmed."""
+        """Note that a request waits until an extent is trimmed."""
 
 
 class Port(Protocol):
-    """What the core asks of its surroundings; none of these may call back into the core at once."""
+    """The core's outgoing interface; none of these methods may call back into the core synchronously."""
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt; `Core.sent` follows when its bytes leave, and `Core.ended` when it is over.
+        """Start an attempt; `Core.attempt_sent` is called when its bytes leave, `attempt_ended` at its end.
 
-        Where it has to wait for a connection, `Core.may_begin` is asked before anything of it is sent.
+        If it has to wait for a connection, `Core.may_begin` is called before any byte of it is sent.
         """
 
     def call_off(self, attempt: Attempt) -> None:
-        """Tell the node that nobody waits for this attempt any more, as far as it understands that."""
+        """Cancel an attempt at its node, as far as the node's protocol allows."""
 
     def answer(self, request: ClientRequest) -> None:
         """Give the client its one final answer."""
 
     def subscribe(self, on: bool) -> None:
-        """Follow the node list from now on; each failure is told by `Core.list_failed`."""
+        """Follow the node list from now on; each failure is reported through `Core.list_failed`."""
 
     def ask_list(self) -> None:
-        """Ask for the node list now, whatever call is under way; `Core.list_heard` follows when that ends."""
+        """Fetch the node list now, whatever call is in progress; `Core.list_call_ended` follows."""
 
     def wake_at(self, when: int) -> None:
-        """Call `Core.flush` at a time or before; each flush that leaves something due asks again."""
+        """Call `Core.flush` at or before this time; each flush that leaves timers requests this again."""
 
     def soon(self) -> None:
-        """Call `Core.flush` at the end of this round."""
+        """Call `Core.flush` at the end of this round of the event loop."""
 
     def note(self, text: str) -> None:
         """Log a line of the module."""
--- a/harriertrack/decisions/requests/retry_queue.py
+++ b/harriertrack/decisions/requests/retry_queue.py
@@ -1,4 +1,4 @@
-"""Parts that wait on a hint."""
+"""Parts that wait for a retry hint to pass."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 
 
 class RetryQueue:
-    """What waits, and in which lane."""
+    """The waiting parts, in lanes by volume, shard and class."""
 
     def __init__(self, state: CoreState, placement: Placement) -> None:
         self._state, self._placement = state, placement
         self.patience: Patience[Part] = Patience(state.rules.patience)
-        # Of classes in order, by extent: where those wait that the module refused.
+        # Ordered classes, by extent: the lanes of the refused parts that wait.
         self.in_order: dict[tuple[str, int], dict[int, Place]] = {}
 
     def enqueue(self, now: int, part: Part, hint: int | None) -> None:
-        """Let a part wait: refused with a hint, or None: behind others."""
-        if (
-            not part.places_extent or not part.may_have_effect
-        ):  # else its extent is placed where it may have run, or not yet
+        """Queue a part: refused with a hint, or behind other parts if the hint is None."""
+        # A part that places its extent and may have run keeps its turn: the extent may be placed there yet.
+        if not part.places_extent or not part.may_have_effect:
             self._placement.withdraw(part)
         state = self._state
         part.state = next_part_state(part.state, PartStep.QUEUE)
@@ -36,11 +35,11 @@
             place = next(iter(line.values()), place)
             line[part.number] = place
         part.hint_us = hint or 0
-        if not part.open_attempts:  # else an attempt could not be called off: it waits for that one's end
+        if not part.open_attempts:  # else an attempt could not be cancelled: it is queued when that ends
             self.patience.keep(now, part, part.number, place, hint)
 
     def remove(self, part: Part) -> None:
-        """A part that waited is offered again, or over."""
+        """Remove a part that is submitted again or finished."""
         self.patience.drop(part)
         if part.class_name in self._state.in_order:
             key = (part.request.volume.settings.name, part.extent)
@@ -50,12 +49,12 @@
                     del self.in_order[key]
 
     def attempts_ended(self, now: int, part: Part) -> None:
-        """The last attempt of a part that waits is over: now its hint counts."""
+        """Queue a waiting part with its hint, now that its last attempt ended."""
         if part not in self.patience:
             self.patience.keep(now, part, part.number, part.lane, part.hint_us)
 
     def lane_ahead(self, part: Part) -> Place | None:
-        """Return where those wait that a part of a class in order must not overtake; None: there are none."""
+        """Return the lane of the waiting parts that a part of an ordered class must not overtake, if any."""
         if part.class_name not in self._state.in_order:
             return None
         line = self.in_order.get((part.request.volume.settings.name, part.extent))
--- a/harriertrack/decisions/requests/state.py
+++ b/harriertrack/decisions/requests/state.py
@@ -1,4 +1,4 @@
-"""What a head has open, and what it owes: the one state that the modules beside work on."""
+"""The state shared by the modules of the core: open parts, pending events, answers and timers."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What became of requests, for operators.
+    """Totals of requests by outcome, for operators.
 
-    The rules are judged elsewhere, from what the sockets carried.
+    Compliance with the rules is checked elsewhere, from recordings of the socket traffic.
     """
 
     accepted: int = 0
@@ -26,50 +26,50 @@
     clients_left: int = 0
     sent: int = 0
     moot: int = 0
-    waited: int = 0  # parts that waited on a hint
+    waited: int = 0  # parts that waited for a retry hint to pass
 
 
 class CoreState:
-    """The open parts, what the module is told next, the answers that are due, and what happens in time."""
+    """The open parts, the module's next events, the answers that are due, and the timers."""
 
     def __init__(self, rules: RequestRules, port: Port, places: PlacementStore) -> None:
         self.rules, self.port, self.placements = rules, port, places
-        self.close_guard: CloseGuard | None = None  # of heads whose fleet has calendars
+        self.close_guard: CloseGuard | None = None  # None: the head's fleet has no calendars
         self.counts = Counts()
         self.deadlines = {one.name: one.deadline_us for one in rules.classes}
         self.windows = {one.name: one.window_us for one in rules.classes}
         self.in_order = frozenset(one.name for one in rules.classes if one.in_order)
-        self.stop_reason = ""  # why nothing waits on a hint any more
+        self.stop_reason = ""  # why parts no longer wait for retry hints; "": they do
         self.events: list[api.Event] = []
         self.parts: dict[int, Part] = {}
         self.pending_answers: list[ClientRequest] = []
-        self.finished_parts: list[Part] = []  # over; forgotten at the end of a flush, if no attempt is out
+        self.finished_parts: list[Part] = []  # dropped at the end of a flush unless an attempt is still open
         self.timers: list[tuple[int, int, Part | Attempt | str]] = []  # time-outs, and the module's timers
-        self.last_part_number = 0  # of the latest part
+        self.last_part_number = 0
         self.flush_requested = False
         self._serial = 0
         self._classes = [(one.name, one.kinds, one.min_bytes) for one in rules.classes]
 
     def apply_rules(self, rules: RequestRules) -> None:
-        """Go by other deadlines and bounds from now on; classes, and how requests are cut, stay."""
+        """Use other deadlines and bounds from now on; classes, and how requests are split, stay the same."""
         self.rules = rules
         self.deadlines = {one.name: one.deadline_us for one in rules.classes}
 
     def queue_event(self, event: api.Event) -> None:
-        """Tell the module of something at the next flush."""
+        """Queue an event for the module; it is delivered by the next flush."""
         self.events.append(event)
         if not self.flush_requested:
             self.flush_requested = True
             self.port.soon()
 
     def request_flush(self) -> None:
-        """Ask for a flush at the end of this round."""
+        """Request a flush at the end of this round of the event loop."""
         if not self.flush_requested:
             self.flush_requested = True
             self.port.soon()
 
     def schedule(self, when: int, what: Part | Attempt | str) -> None:
-        """Let something happen in time."""
+        """Add a timer: a time-out of a part or attempt, or a timer of the module."""
         self._serial += 1
         heapq.heappush(self.timers, (when, self._serial, what))
 
@@ -78,7 +78,7 @@
         return class_of(self._classes, kind, length) or self._classes[0][0]
 
     def last_answer(self, request: ClientRequest) -> int:
-        """Return when a request that the module does not know is answered at the latest."""
+        """Return the latest time to answer a request that is not submitted to the module."""
         return request.deadline - ANSWER_TICKS * self.rules.tick_us
 
     def shard_of(self, volume: Volume, extent: int) -> int | None:
@@ -96,7 +96,7 @@
         return part
 
     def split_request(self, request: ClientRequest, class_name: str) -> None:
-        """Open the parts of a request: one for each extent, of a flush one for each shard with writes."""
+        """Open the parts of a request: one for each extent, or for a flush one for each shard with writes."""
         volume, kind = request.volume, request.kind
         if kind is Kind.FLUSH:
             for dirty in volume.dirty:
@@ -114,6 +114,6 @@
                 request.pieces.append(self.open_part(request, class_name, extent, offset, length, shard))
             elif kind is Kind.WRITE:
                 self.open_part(request, class_name, extent, offset, length, -1)
-            # Nothing was ever written there: it reads as zeroes, and there is nothing to zero or trim.
+            # Nothing was ever written there: a read returns zeroes, and there is nothing to zero or trim.
             else:
                 request.pieces.append(length)
--- a/harriertrack/decisions/requests/submission.py
+++ b/harriertrack/decisions/requests/submission.py
@@ -1,4 +1,4 @@
-"""Parts told to the module."""
+"""Submission of parts to the module."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.splitting import units_of
 
-# An offer of what a rack drops repeats of lasts so many tenths of its window: the rest is for another one.
+# For keyed parts, one submission takes at most so many tenths of the window in which the rack drops repeats;
+# the rest is left for another one.
 OFFER_TENTHS = 6
 
 
 class Submission:
-    """What the module has, as far as its order matters."""
+    """Submits parts to the module, and tracks those of ordered classes."""
 
     def __init__(self, state: CoreState) -> None:
         self._state = state
-        self.in_order: dict[tuple[str, int], dict[int, Part]] = {}  # of classes in order, by extent
+        # Ordered classes: the submitted parts, by extent.
+        self.in_order: dict[tuple[str, int], dict[int, Part]] = {}
 
     def submit(self, now: int, part: Part) -> None:
-        """Tell the module of a part."""
+        """Submit a part to the module."""
         part.state = next_part_state(part.state, PartStep.SUBMIT)
         state, request = self._state, part.request
         volume = request.volume.settings
         part.module_deadline = request.deadline
-        if request.patience_us:  # one offer takes no longer than its class allows; then there may be another
+        if request.patience_us:  # limited to its class's deadline: there may be another submission
             length = state.deadlines[part.class_name]
             window = state.windows[part.class_name]
             if window and part.class_name not in state.in_order:
@@ -51,10 +53,10 @@
         ))  # fmt: skip
 
     def withdraw(self, part: Part) -> None:
-        """The module has nothing of a part any more, or never had."""
+        """Stop tracking a part that the module no longer has, or never had."""
         if part.class_name in self._state.in_order:
             key = (part.request.volume.settings.name, part.extent)
-            told = self.in_order.get(key, {})
-            told.pop(part.number, None)
-            if not told:
+            submitted = self.in_order.get(key, {})
+            submitted.pop(part.number, None)
+            if not submitted:
                 self.in_order.pop(key, None)
--- a/harriertrack/decisions/splitting.py
+++ b/harriertrack/decisions/splitting.py
@@ -1,4 +1,4 @@
-"""How a client's request is cut at extent boundaries, and what its parts' outcomes make of the whole.
+"""Splitting of requests at extent boundaries, and the outcome of a request from those of its parts.
 
 Offsets and lengths are bytes.
 """
@@ -20,7 +20,7 @@
     ZERO = "write-zeroes"
     FLUSH = "flush"
     CACHE = "cache"
-    # Of the head's own. Reads have a kind for themselves: only safe work tries whether a silent node is back.
+    # Internal ones. Reads have their own kind: only safe requests test whether an unresponsive node is back.
     OWN_READ = "own-read"
     CATCH_UP = "catch-up"  # writes of what a region missed
     MOVE = "move"  # writes of an extent into another cell
@@ -30,8 +30,8 @@
     """The final answer to a client's request."""
 
     SERVED = "served"
-    REFUSED = "refused"  # not done, trying again is harmless
-    FAILED = "failed"  # nothing is promised about its effect
+    REFUSED = "refused"  # not done, and trying again is harmless
+    FAILED = "failed"  # its effect is unknown
 
 
 def split_at_extents(offset: int, length: int, extent_bytes: int) -> Iterator[tuple[int, int, int]]:
@@ -45,7 +45,7 @@
 
 
 def merge_runs(pieces: Iterable[tuple[int, int]]) -> Iterator[tuple[int, int]]:
-    """Join neighbouring (length, flags) with the same flags."""
+    """Merge adjacent (length, flags) with the same flags."""
     length, flags = 0, 0
     for more, its in pieces:
         if length and its != flags:
@@ -57,10 +57,10 @@
 
 
 def request_outcome(given_up: PartState, others: Iterable[tuple[PartState, bool]], changes: bool) -> Outcome:
-    """Return the answer to a request one part of which was given up on.
+    """Return the answer to a request one part of which was given up.
 
-    `others` are the states of its other parts, each with whether it may have run. The whole is refused only
-    where trying again is harmless: for what changes nothing, or if no part of it may have run.
+    `others` are the states of its other parts, each with whether it may have run. The request is refused only
+    if trying again is harmless: if it changes nothing, or no part of it may have run.
     """
     if given_up is PartState.FAILED:
         return Outcome.FAILED
@@ -69,12 +69,12 @@
 
 
 def units_of(length: int, unit_bytes: int) -> float:
-    """Return what a part of so many bytes counts: whole units, at least one."""
+    """Return the size of a part in whole units, at least one."""
     return float(max(1, -(-length // unit_bytes)))
 
 
 def class_of(classes: Iterable[tuple[str, frozenset, int]], kind: object, length: int) -> str | None:
-    """Return the first class, given as (name, kinds, least bytes), that takes a request; None without one."""
+    """Return the first class, given as (name, kinds, least bytes), that matches a request; else None."""
     for name, kinds, least in classes:
         if kind in kinds and length >= least:
             return name
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -325,7 +325,7 @@
     from harriertrack.decisions.requests import Core
 
     def no_hold(self, volume, extent, holder):
-        self._placement._held.append(type("Hold", (), {"owner": holder, "earlier_parts": set()})())
+        self._placement._acquired.append(type("Hold", (), {"owner": holder, "earlier_parts": set()})())
         self._state.soon()
 
     monkeypatch.setattr(Core, "hold_extent", no_hold)
@@ -385,7 +385,7 @@
         .replace("(rate 60)", "(rate 20)")
     )
     rig = strike(text, act)
-    assert seen[0] is MoveState.STOPPED and "came to nothing" in seen[1] and seen[2]
+    assert seen[0] is MoveState.STOPPED and "attempts in a row failed" in seen[1] and seen[2]
     _, cells = where(rig)
     assert cells == {rig.cells.volumes[MOVED]}  # taken back: all lies where it was
 
