--- a/harriertrack/decisions/catchup.py
+++ b/harriertrack/decisions/catchup.py
@@ -121,7 +121,7 @@
             self.log.copied(self.volume, (extent,))
 
     def confirm_all_copied(self) -> None:
-        """Handle the report that the other head holds everything: true if nothing was missed since it asked."""
+        """Handle the report that the other head holds everything: it does if nothing was missed since."""
         if len(self._confirmed) >= self.extents:
             self.log.copied(self.volume, (self.log.whole,))
             self._confirmed.clear()
--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -38,7 +38,7 @@
         state = self._state
         part, member = state.parts[action.request], self._nodes.find(action.node)
         if member is None:
-            raise RuntimeError(f"the module sends to {action.node}, which is on no node list")
+            raise RuntimeError(f"the module sends to {action.node}, which no node list has named")
         request = part.request
         attempt = Attempt(part, len(part.attempts), member, now)
         part.attempts.append(attempt)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The head's core against a scripted port: every event reaches the module, every verdict is acted on."""
+"""The core of a head with a scripted port: events reach the module, and its actions are executed."""
 
 import pytest
 
@@ -42,7 +42,7 @@
 
 
 class Port:
-    """Keeps what the core asked for."""
+    """Records the calls of the core."""
 
     def __init__(self):
         self.sent, self.called_off, self.answers, self.notes, self.subscribed = [], [], [], [], []
@@ -123,10 +123,10 @@
         self.flush()
 
 
-def test_a_first_write_is_placed_and_later_ones_follow_it():
+def test_later_writes_go_to_the_shard_where_the_first_was_placed():
     rig = Rig()
     first, second = rig.ask(Kind.WRITE, data=b"a" * 512), rig.ask(Kind.WRITE, offset=512, data=b"b" * 512)
-    (attempt,) = rig.port.sent  # the second waits for the first's placement
+    (attempt,) = rig.port.sent  # the second waits for the first to be placed
     assert second.parts[0].state is PartState.AWAITING_PLACEMENT
     rig.end(attempt)
     assert rig.port.answers == [first] and first.outcome is Outcome.SERVED
@@ -135,7 +135,7 @@
     assert rig.port.sent[1].part.body() == b"b" * 512
 
 
-def test_the_next_waiter_places_when_the_first_is_refused_unsent():
+def test_a_queued_write_is_released_when_the_first_is_refused_unsent():
     rig = Rig(nodes=0)
     first, second = rig.ask(Kind.WRITE, data=b"a"), rig.ask(Kind.WRITE, data=b"b")
     assert [one.outcome for one in (first, second)] == [Outcome.REFUSED] * 2 and not rig.port.sent
@@ -144,14 +144,14 @@
     )
 
 
-def test_a_write_that_comes_in_the_moment_of_the_placement_follows_it():
+def test_a_write_accepted_before_the_placement_is_committed_goes_to_its_shard():
     rig = Rig()
     rig.ask(Kind.WRITE, data=b"a")
     attempt = rig.port.sent[0]
     rig.core.attempt_sent(attempt)
     rig.core.attempt_ended(rig.now, attempt, api.Result.OK)
     request = ClientRequest(rig.core.volumes["v"], Kind.WRITE, 8, 1, b"b", 0, None)
-    rig.core.accept(rig.now, request)  # before the flush that commits the placement
+    rig.core.accept(rig.now, request)  # before the flush that records the placement
     rig.flush()
     assert (
         rig.port.sent[1].member == attempt.member
@@ -159,7 +159,7 @@
     )
 
 
-def test_a_waiter_is_answered_though_the_first_hangs():
+def test_a_queued_write_is_answered_although_the_first_hangs():
     rig = Rig()
     first = rig.ask(Kind.WRITE, data=b"a")
     rig.core.attempt_sent(rig.port.sent[0])
@@ -171,7 +171,7 @@
     assert len(rig.port.answers) == 2
 
 
-def test_reads_of_what_was_never_written_need_no_node():
+def test_reads_of_unwritten_ranges_need_no_node():
     rig = Rig(nodes=0)
     request = rig.ask(Kind.READ, offset=EXTENT - 100, length=200)
     assert request.outcome is Outcome.SERVED and request.pieces == [100, 100]
@@ -180,7 +180,7 @@
     assert rig.ask(Kind.WRITE, length=0).outcome is Outcome.SERVED
 
 
-def test_a_split_read_is_served_once_whole():
+def test_a_split_read_is_answered_when_all_parts_are_served():
     rig = Rig(shards=(0, 1))
     request = rig.ask(Kind.READ, offset=EXTENT - 100, length=200)
     one, two = rig.port.sent
@@ -196,7 +196,7 @@
     assert not rig.core._state.parts
 
 
-def test_a_split_write_of_which_one_part_fails_is_failed_at_once_and_the_rest_called_off():
+def test_a_split_write_fails_with_its_first_failed_part_and_cancels_the_rest():
     rig = Rig(shards=(0, 1))
     request = rig.ask(Kind.WRITE, offset=EXTENT - 100, data=b"w" * 200)
     one, two = rig.port.sent
@@ -204,31 +204,29 @@
     rig.end(one, api.Result.FULL)
     assert request.outcome is Outcome.FAILED  # the other part may have run
     assert rig.port.answers == [request] and rig.port.called_off == [two]
-    rig.end(two, sent=False)  # its late answer changes nothing
+    rig.end(two, sent=False)  # a late reply changes nothing
     assert rig.port.answers == [request] and not rig.core._state.parts
     assert rig.core.counts.failed == 1 and rig.core.open_requests == 0
 
 
-def test_a_part_that_never_left_does_not_stand_against_a_refusal():
+def test_a_request_with_an_unsent_part_can_be_refused():
     rig = Rig(shards=(0, 1))
     request = rig.ask(Kind.WRITE, offset=EXTENT - 100, data=b"w" * 200)
-    one, two = rig.port.sent  # the second waits for its link
+    one, two = rig.port.sent  # the second still waits for its link
     rig.end(one, api.Result.FULL)
     assert request.outcome is Outcome.REFUSED and rig.port.called_off == [two]
     assert rig.port.answers == [request] and not rig.core._state.parts
 
 
-def test_a_write_that_never_left_is_refused_not_failed():
+def test_an_unsent_write_is_refused_not_failed():
     rig = Rig(shards=(0,))
     request = rig.ask(Kind.WRITE, data=b"w")
-    for attempt in range(
-        2
-    ):  # the link broke before it opened; the first time the module tries once more at once
+    for attempt in range(2):  # the link broke before it opened; the module retries once immediately
         rig.end(rig.port.sent[attempt], api.Result.RESET, sent=False)
     assert request.outcome is Outcome.REFUSED
 
 
-def test_a_lost_keyed_write_is_sent_again_in_its_rack_with_the_same_key():
+def test_a_lost_keyed_write_is_resent_in_its_rack_with_the_same_key():
     rig = Rig()
     rig.ask(Kind.WRITE, data=b"w")
     first = rig.port.sent[0]
@@ -238,7 +236,7 @@
     assert second.member == first.member
 
 
-def test_on_plain_nodes_a_lost_write_is_not_sent_again():
+def test_on_plain_nodes_a_lost_write_is_not_resent():
     rig = Rig(plain_nodes=True)
     assert module_settings(rig.settings).classes[1].effect is api.Effect.UNSAFE
     request = rig.ask(Kind.WRITE, data=b"w")
@@ -246,7 +244,7 @@
     assert len(rig.port.sent) == 1 and request.outcome is Outcome.FAILED
 
 
-def test_a_client_that_leaves_is_owed_nothing_and_its_attempts_are_called_off():
+def test_a_client_that_leaves_gets_no_answer_and_its_attempts_are_cancelled():
     rig = Rig(shards=(0,))
     request = rig.ask(Kind.READ)
     rig.core.attempt_sent(rig.port.sent[0])
@@ -255,11 +253,11 @@
     assert rig.port.called_off == rig.port.sent and not rig.port.answers
     rig.end(rig.port.sent[0], sent=False)
     assert not rig.core._state.parts and rig.core.open_requests == 0
-    rig.core.client_left(request)  # twice is once
+    rig.core.client_left(request)  # a second call does nothing
     assert rig.core.counts.clients_left == 1
 
 
-def test_an_unanswered_read_is_answered_before_its_time_is_up():
+def test_a_read_without_a_reply_is_answered_before_its_deadline():
     rig = Rig(shards=(0,))
     start = rig.now
     request = rig.ask(Kind.READ)
@@ -270,13 +268,13 @@
     assert not rig.core._state.parts or all(part.open_attempts for part in rig.core._state.parts.values())
 
 
-def test_flush_goes_where_writes_went_and_is_not_needed_twice():
+def test_a_flush_goes_to_shards_with_writes_and_only_once():
     rig = Rig(shards=(0, 1))
     rig.end([rig.ask(Kind.WRITE, data=b"w"), rig.port.sent[-1]][1])
     before = len(rig.port.sent)
     flush = rig.ask(Kind.FLUSH, length=0)
     shards = {attempt.member.entry.shard for attempt in rig.port.sent[before:]}
-    assert shards == {0, 1}  # shard 1 too: what an earlier life wrote there is not known
+    assert shards == {0, 1}  # shard 1 too: an earlier incarnation may have written there
     for attempt in rig.port.sent[before:]:
         rig.end(attempt)
     assert flush.outcome is Outcome.SERVED
@@ -293,7 +291,7 @@
     assert rig.core.volumes["v"].dirty
 
 
-def test_failed_list_calls_reach_the_module_which_asks_again():
+def test_failed_list_calls_reach_the_module_which_subscribes_again():
     rig = Rig()
     asked = len(rig.port.subscribed)
     assert asked == 1
@@ -303,7 +301,7 @@
     assert len(rig.port.subscribed) == asked + 1
 
 
-def test_a_drained_node_gets_nothing_new():
+def test_a_removed_node_gets_no_new_requests():
     rig = Rig(nodes=1, shards=(0,))
     entry = rig.members[0].entry
     gone = Member(api.NodeEntry(entry.node, 0, api.NodeState.GONE), ("h", 0))
@@ -312,7 +310,7 @@
     assert rig.ask(Kind.READ).outcome is Outcome.REFUSED and not rig.port.sent
 
 
-def test_the_store_is_synced_before_the_answer(monkeypatch):
+def test_placements_are_on_disk_before_the_answer(monkeypatch):
     rig, order = Rig(), []
     place, answer = rig.extents.place, rig.port.answer
     monkeypatch.setattr(rig.extents, "place", lambda placements: (order.append("disk"), place(placements)))
@@ -322,7 +320,7 @@
     assert order == ["disk", "answer"]
 
 
-def test_cutting_and_units():
+def test_splitting_and_units():
     assert list(split_at_extents(10, 0, 100)) == []
     assert list(split_at_extents(90, 220, 100)) == [(0, 90, 10), (1, 100, 100), (2, 200, 100), (3, 300, 10)]
     assert [units_of(length, 4096) for length in (0, 1, 4096, 4097)] == [1, 1, 1, 2]
@@ -352,5 +350,5 @@
         ),
     ],
 )
-def test_the_whole_of_parts(given_up, others, changes, outcome):
+def test_request_outcome_from_parts(given_up, others, changes, outcome):
     assert request_outcome(given_up, others, changes) is outcome
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -1,4 +1,4 @@
-"""Moving a volume into its cell: the decisions alone, the core's holds, and heads that do it."""
+"""Moving a volume into its cell: the decisions, the holds in the core, and whole heads."""
 
 import random
 
@@ -25,18 +25,18 @@
 from test_core import EXTENT, Rig
 from test_head import CLASSES, EXTENT as HEAD_EXTENT, play
 
-SETTLED = 2_500_000  # until nothing from before the map lands any more
+SETTLED = 2_500_000  # until no write from before the map can run any more
 
 
 # -- what to move next
 
 
-def test_what_lies_outside_its_cell_is_to_be_moved():
+def test_extents_outside_their_cell_are_to_be_moved():
     placed = [(0, 0), (1, 1), (2, 0), (3, 7)]
     assert misplaced_extents("b", placed, {0: "a", 1: "b"}) == [0, 2, 3]
 
 
-def test_one_extent_after_another_at_a_pace():
+def test_extents_are_moved_one_after_another_at_a_limited_rate():
     move = Move("v", [3, 5], SETTLED)
     assert move.next_extent(0) == 3 and move.next_extent(0) is None and move.wake_at() is None
     move.finish_extent(100, Outcome.SERVED)
@@ -48,7 +48,7 @@
     assert move.state is MoveState.DONE and move.moved == 2 and move.next_extent(10**9) is None
 
 
-def test_what_lands_under_the_old_map_is_found_and_moved_too():
+def test_extents_placed_under_the_old_map_are_found_and_moved():
     move = Move("v", [], SETTLED, 1000)
     assert move.state is MoveState.SETTLING and move.wake_at() == 1000 + SETTLED
     move.finish_check([7])
@@ -59,7 +59,7 @@
     assert move.state is MoveState.DONE
 
 
-def test_a_refusal_is_tried_again_ever_later_and_in_the_end_stops():
+def test_refusals_are_retried_with_backoff_and_finally_stop_the_move():
     move, now, waits = Move("v", [1], SETTLED), 0, []
     while move.state is MoveState.MOVING:
         now = move.wake_at()
@@ -70,7 +70,7 @@
     assert len(waits) == MAX_FAILURES and "1 extents are left" in move.stop_reason
 
 
-def test_an_unknown_write_rests_while_the_others_go_on():
+def test_an_extent_with_an_unknown_write_waits_while_others_move():
     move = Move("v", [1, 2], SETTLED)
     assert move.next_extent(0) == 1
     move.finish_extent(10, Outcome.FAILED)
@@ -116,7 +116,7 @@
     return rig
 
 
-def test_a_hold_waits_for_earlier_requests_and_keeps_later_ones():
+def test_a_hold_waits_for_earlier_requests_and_delays_later_ones():
     rig, holder = placed_rig(), Holder()
     early = rig.ask(Kind.READ)
     sent = len(rig.port.sent)
@@ -150,7 +150,7 @@
     return request
 
 
-def test_a_moving_write_is_placed_anew_and_those_who_waited_follow_it():
+def test_a_moving_write_is_placed_again_and_waiting_requests_follow_it():
     rig, holder = placed_rig(), Holder()
     old = rig.extents.shard_of("v", 0)
     rig.core.hold_extent("v", 0, holder)
@@ -173,7 +173,7 @@
     )
 
 
-def test_a_moving_write_that_fails_leaves_the_extent_where_it_was_and_frees_it():
+def test_a_failed_moving_write_leaves_the_extent_in_place_and_releases_it():
     rig, holder = placed_rig(), Holder()
     old = rig.extents.shard_of("v", 0)
     rig.core.hold_extent("v", 0, holder)
@@ -193,7 +193,7 @@
     rig.core.hold_extent("v", 0, holder)  # it can be held again
 
 
-def test_who_waits_too_long_is_refused_and_nothing_is_sent_for_it():
+def test_a_request_that_waits_too_long_is_refused_and_never_sent():
     rig, holder = placed_rig(), Holder()
     rig.core.hold_extent("v", 0, holder)
     rig.flush()
@@ -205,12 +205,12 @@
     assert len(rig.port.sent) == sent
 
 
-def test_what_was_left_behind_is_trimmed_one_after_another_and_tried_so_often():
+def test_remaining_bytes_are_trimmed_one_by_one_with_limited_tries():
     move = Move("v", [], 0)
     move.finish_check([])
     forgetting = move.leftover_trims(
         [(1, 0), (2, 0), (3, 0)], {1: 5, 2: 5, 3: 0}
-    )  # the last one is back there
+    )  # the last one has moved back
     assert forgetting.next_trim() == (1, 0) and not move.successor_may_start(10)
     assert forgetting.finish_trim(10, Outcome.SERVED) == 10 + PACE_US and move.successor_may_start(10)
     for _ in range(MAX_TRIM_TRIES):
@@ -220,7 +220,7 @@
     assert forgetting.next_trim() is None and forgetting.given_up == 1
 
 
-def test_the_next_move_waits_for_a_trim_that_may_still_land():
+def test_the_next_move_waits_for_a_trim_that_may_still_run():
     move = Move("v", [], 0)
     forgetting = move.leftover_trims([(1, 0)], {1: 5})
     forgetting.next_trim()
@@ -237,7 +237,7 @@
          ClassSettings(name="move", kinds=(Kind.MOVE,), aim_us=1_000_000, deadline_us=1_000_000, worth=0.5, effect=api.Effect.KEYED, window_us=1_000_000))  # fmt: skip
 
 
-def test_a_running_head_takes_a_new_map_and_moves_what_it_holds(tmp_path):
+def test_a_running_head_applies_a_new_map_and_moves_its_extents(tmp_path):
     path = tmp_path / "map.sexp"
 
     def write(version, here):
@@ -272,10 +272,10 @@
         assert {shard for _, shard in places.placed("disk")} <= {2, 3}
         assert client.call(Command.READ, 0, 12 * HEAD_EXTENT).data == model[: 12 * HEAD_EXTENT]
         assert client.call(Command.FLUSH).error == 0
-        write(1, "left")  # an older one is not followed
+        write(1, "left")  # an older map is not applied
         site.hub.sleep(1_000_000)
         assert site.head.module.map.version == 2
-        write(3, "left")  # taken back
+        write(3, "left")  # reverted
         site.hub.sleep(3_000_000)
         work(40)
         assert {shard for _, shard in places.placed("disk")} <= {0, 1}
@@ -285,7 +285,7 @@
     play(test, nodes=4, cell_map=str(path), classes=MOVES)
 
 
-def test_moves_need_a_class_to_be_made_of():
+def test_moves_need_classes_for_their_requests():
     kept = []
     play(lambda site: kept.append(site.head.settings))
     with pytest.raises(SettingsError, match="cell-map: no class takes own-read"):
@@ -302,17 +302,17 @@
 
 @pytest.mark.parametrize("name", ["cell-move", "cell-move-kill", "cell-move-region-dark"])
 @pytest.mark.parametrize("seed", [2, 3])
-def test_a_day_with_a_move_loses_and_doubles_nothing_and_gets_done(name, seed):
+def test_a_day_with_a_move_keeps_all_rules_and_completes_it(name, seed):
     recorder = rec.Recorder()
     rig = emulate(days.load(name), seed, recorder)
     assert [str(one) for one in checker.check(recorder.records)] == []
     home = rig.cells.volumes[MOVED]
     slots = [one for one in rig.heads if any(volume.name == MOVED for volume in one.settings.volumes)]
-    assert len(slots) == (2 if "region" in name else 1)  # each region's head moves what lies there
+    assert len(slots) == (2 if "region" in name else 1)  # each region's head moves the extents there
     for slot in slots:
         lies = {rig.cells.shards[shard] for _, shard in slot.extents().placed(MOVED)}
         assert lies == {home} and rig.cells.version == 2
-        assert slot.extents().left(MOVED) == []  # and what they left behind is trimmed
+        assert slot.extents().left(MOVED) == []  # and the remaining bytes are trimmed
         for shard, cell in rig.cells.shards.items():
             rack = rig._racks[shard]
             kept = sum(bool(rack.read(MOVED, at, rig.day.extent_bytes).strip(b"\0"))
@@ -321,12 +321,12 @@
 
 
 def test_a_mover_that_does_not_hold_extents_is_caught(monkeypatch):
-    """The seeded fault: writes between the read and the switch are lost, and reads tell."""
+    """Seeded fault: writes between the read and the new placement are lost; reads must show it."""
     from harriertrack.decisions.requests import Core
 
     def no_hold(self, volume, extent, holder):
         self._placement._acquired.append(type("Hold", (), {"owner": holder, "earlier_parts": set()})())
-        self._state.soon()
+        self._state.request_flush()
 
     monkeypatch.setattr(Core, "hold_extent", no_hold)
     broken = set()
@@ -338,7 +338,7 @@
 
 
 def strike(text, act, seed=1):
-    """Emulate a day with a move; `act` is a task beside it. Return the rig, after the rules were judged."""
+    """Emulate a day with a move while `act` runs as a task, check the rules, and return the rig."""
     recorder = rec.Recorder()
 
     def watch(rig):
@@ -360,7 +360,7 @@
   (trouble cell_move (from 3s) (every 1s)))"""
 
 
-def test_a_move_into_a_cell_that_takes_nothing_stops_with_a_reason_and_begins_anew_with_a_newer_map():
+def test_a_move_into_an_unresponsive_cell_stops_with_a_reason_and_restarts_with_a_newer_map():
     seen = []
 
     def act(rig):
@@ -371,14 +371,16 @@
             shelf.stop(silent=True)
         rig.hub.sleep(21_000_000)
         slot, cells = where(rig)
-        seen.extend((slot.head.mover.moves[MOVED].state, slot.head.mover.moves[MOVED].why, home in cells))
+        seen.extend(
+            (slot.head.mover.moves[MOVED].state, slot.head.mover.moves[MOVED].stop_reason, home in cells)
+        )
         for shelf in there:
             rig.restart_node(shelf)
         rig.cells = HeadMap(rig.cells.version + 1, rig.cells.shards, {**rig.cells.volumes, MOVED: home})
         for slot in rig.heads:
             tell_map(rig, slot)
 
-    # The other cell's volumes are served by nobody meanwhile, so only the clients of this one are counted.
+    # The other cell's volumes are not served meanwhile, so only clients of this volume are counted.
     text = (
         LONG.replace("(volumes 6)", "(volumes 1)")
         .replace("(heads 3)", "(heads 1)")
@@ -387,10 +389,10 @@
     rig = strike(text, act)
     assert seen[0] is MoveState.STOPPED and "attempts in a row failed" in seen[1] and seen[2]
     _, cells = where(rig)
-    assert cells == {rig.cells.volumes[MOVED]}  # taken back: all lies where it was
+    assert cells == {rig.cells.volumes[MOVED]}  # reverted: all extents are in the old cell again
 
 
-def test_a_head_that_stood_still_through_the_switch_wakes_with_the_old_map_and_catches_up():
+def test_a_head_that_stood_still_during_the_map_change_catches_up():
     def act(rig):
         rig.hub.sleep(3_200_000)
         slot, _ = where(rig)
@@ -403,10 +405,10 @@
 
 
 @pytest.mark.parametrize("times", [1, 2, 5])
-def test_of_several_moves_at_once_the_newest_map_counts(times):
+def test_with_several_moves_at_once_the_newest_map_applies(times):
     def act(rig):
         rig.hub.sleep(3_900_000)
-        for _ in range(times):  # all while one extent is under way
+        for _ in range(times):  # all while one extent is being moved
             old = rig.cells
             back = next(cell for cell in old.cells() if cell != old.volumes[MOVED])
             rig.cells = HeadMap(old.version + 1, old.shards, {**old.volumes, MOVED: back})
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Two regions: the pure parts by hand, the days on the virtual clock, and wrong heads that the checkers catch."""
+"""Two regions: pure decisions, whole days on the virtual clock, and faulty heads that the checkers catch."""
 
 import os
 import signal
@@ -46,15 +46,15 @@
     return one
 
 
-def test_requests_go_to_the_holder_or_nowhere():
+def test_requests_go_to_the_holder_or_are_refused():
     one = view(fresh_us=S)
     assert one.route(7, 0) is Route.HERE
-    assert one.route(0, 10 * S) is Route.REFUSE  # nothing was heard of the other head
+    assert one.route(0, 10 * S) is Route.REFUSE  # no contact with the other head
     one.note_contact(9 * S)
     assert one.route(0, 10 * S) is Route.OTHER and one.route(0, 10 * S + 1) is Route.REFUSE
 
 
-def test_a_write_waits_for_both_until_the_witness_says_otherwise():
+def test_a_write_waits_for_both_regions_until_one_is_recorded_out_of_sync():
     one = view()
     assert one.copy_decision(0) is CopyDecision.WAIT
     one.set_in_sync(frozenset("a"), 0)
@@ -110,14 +110,14 @@
     for clock_error in (0.0, 0.01, 0.05):
         one = leases.Session(3 * S, clock_error)
         one.granted("x", 100)
-        # This clock slow, the witness's fast: what is relied on must end before the witness's TTL does.
+        # With this clock slow and the witness's fast, the session must still end here before its TTL ends there.
         assert (one.until - 100) / (1 - clock_error) <= 3 * S / (1 + clock_error) + 1
         assert one.valid(one.until - 1) and not one.valid(one.until)
     one.granted("x", 50)
-    assert one.until == 100 + one.safe_us  # an answer that came late takes nothing back
+    assert one.until == 100 + one.safe_us  # a late answer shortens nothing
 
 
-def test_what_was_held_ends_with_its_session():
+def test_locks_end_with_their_session():
     session = leases.Session(S, 0.01)
     holding = leases.Holding(session)
     session.granted("s1", 0)
@@ -134,7 +134,7 @@
     assert not fence.admits("v", 2) and fence.admits("w", 1) and fence.highest("v") == 3
 
 
-def test_witness_answers_that_cannot_be_are_turned_down():
+def test_invalid_witness_answers_are_rejected():
     for body in (
         b"",
         b"[]",
@@ -149,7 +149,7 @@
         leases.session_id(b"[]")
 
 
-def test_ranges_go_first_come_first_served():
+def test_range_locks_are_granted_first_come_first_served():
     locks, order = RangeLocks(), []
 
     def ask(name, start, end, exclusive):
@@ -163,7 +163,7 @@
     assert order == ["write", "apart", "read", "late read"]
     locks.release(read)
     locks.release(read)
-    assert "second" not in order  # it also waits for what came apart before it
+    assert "second" not in order  # it also waits for the earlier lock "apart"
     locks.release(second)
     locks.release(late)
     assert len(locks) == 1
@@ -197,7 +197,7 @@
         begun = said + 1
 
 
-def test_past_its_bound_the_log_says_everything():
+def test_beyond_its_bound_the_log_says_everything_is_missed():
     log = MissedLog(None, most=3, most_open=2)
     log.miss("v", [1, 2, 3])
     log.copied("v", [2])
@@ -209,14 +209,14 @@
     log.begin_write("v", [1, 2, 3, 4])
     syncs = log.syncs
     log.begin_write("v", [2])
-    assert log.syncs == syncs  # it is noted already
+    assert log.syncs == syncs  # already noted
     log.settle("v", {1, 3})
     assert {1, 3} <= log.opened("v") and len(log.opened("v")) == 2
 
 
 @pytest.mark.real_time
-def test_operators_see_and_wish_over_sockets(tmp_path):
-    """The region commands, as processes would run them, against the witness stand-in."""
+def test_region_commands_over_sockets(tmp_path):
+    """The region commands, as operators run them, against the witness stand-in."""
     hub, ready, stop = Hub(), threading.Event(), []
     settings = tmp_path / "head.sexp"
 
@@ -247,7 +247,7 @@
             client = WitnessClient(client_hub, SocketNetwork(client_hub), witness_of(settings), S, "head")
             session = client.create(30 * S)
             index = client.take("v", session, leases.Standing("a", ("a",)), 0)
-            # A call that was under way for long finds the key changed, and puts nothing back.
+            # A delayed call finds the key changed and must not overwrite it.
             assert index and not client.take("v", session, leases.Standing("a", ("a", "b")), 0)
             assert not client.give("v", session, leases.Standing("a", ("a", "b")), index - 1)
             other = client.create(30 * S)
@@ -267,14 +267,14 @@
     finally:
         stop.append(True)
         thread.join(10)
-    assert run("status").exit_code == 2  # nobody answers any more
+    assert run("status").exit_code == 2  # the witness has stopped
 
 
 def witness_of(settings):
     return load(str(settings)).region.witness
 
 
-# -- what follows from a look at the witness
+# -- actions after reading the witness
 
 
 def seen(session="", *in_sync):
@@ -287,12 +287,12 @@
     )
 
 
-def test_only_the_home_makes_a_volumes_key():
+def test_only_the_home_creates_a_volumes_key():
     assert lock_action(view_of("a"), None, "me", False, "", 0) is LockAction.CREATE
     assert lock_action(view_of("b"), None, "me", False, "", 0) is LockAction.LEAVE
 
 
-def test_who_may_take_a_free_volume_and_when():
+def test_which_region_may_acquire_a_free_volume_and_when():
     home, other = view_of("a"), view_of("b")
     assert lock_action(home, seen(), "me", False, "", 0) is LockAction.ACQUIRE
     assert lock_action(other, seen(), "me", False, "", 0) is LockAction.LEAVE  # the home goes first
@@ -300,14 +300,16 @@
     assert lock_action(other, seen("them"), "me", False, "", 400) is LockAction.LEAVE
     assert (
         lock_action(other, seen(), "me", False, "", 500) is LockAction.LEAVE
-    )  # free anew: the wait begins anew
+    )  # free again: the wait starts again
     assert (
         lock_action(view_of("b"), seen("", "a"), "me", False, "b", 9000) is LockAction.LEAVE
     )  # out of sync, never
-    assert lock_action(view_of("b"), seen(), "me", False, "b", 0) is LockAction.ACQUIRE  # wished here
+    assert (
+        lock_action(view_of("b"), seen(), "me", False, "b", 0) is LockAction.ACQUIRE
+    )  # requested by operators
 
 
-def test_what_is_ours_is_taken_once_and_then_tended():
+def test_an_acquired_volume_is_activated_once_and_then_maintained():
     assert lock_action(view_of(), seen("me"), "me", False, "", 0) is LockAction.ACTIVATE
     assert lock_action(view_of(), seen("me"), "me", True, "", 0) is LockAction.MAINTAIN
     assert acquired_action(view_of("b"), frozenset("a"), False) is AcquiredAction.RELEASE
@@ -319,10 +321,10 @@
     )
 
 
-def test_what_a_holder_looks_after():
+def test_duties_of_a_holder():
     one = view_of()
     one.set_in_sync(frozenset("a"), 0)
-    assert holder_duty(one, True, 0, "", 0) is HolderDuty.NOTHING  # nobody was heard from
+    assert holder_duty(one, True, 0, "", 0) is HolderDuty.NOTHING  # no contact with the other head
     one.note_contact(0)
     assert (
         holder_duty(one, True, 0, "", 10) is HolderDuty.ADD_OTHER
@@ -331,7 +333,7 @@
     one.set_in_sync(frozenset("ab"), 10)
     assert holder_duty(one, False, 0, "b", 1009) is HolderDuty.NOTHING
     assert holder_duty(one, False, 0, "b", 1010) is HolderDuty.HAND_OVER
-    assert holder_duty(one, False, 2, "b", 1010) is HolderDuty.NOTHING  # not while copies are under way
+    assert holder_duty(one, False, 2, "b", 1010) is HolderDuty.NOTHING  # not while copies are open
     one.add_behind(1, 20)
     late = 20 + one.bounds.behind_us
     assert holder_duty(one, False, 1, "", late - 1) is HolderDuty.NOTHING
@@ -341,7 +343,7 @@
 LINK = object()
 
 
-def test_catching_up_counts_only_what_was_not_written_since():
+def test_a_copy_does_not_count_if_a_write_was_missed_since():
     log = MissedLog(None, most=3)
     one = CatchUp("v", 4, log)
     one.note_missed([0, 1])
@@ -354,8 +356,8 @@
     assert one.must_copy([2]) and not one.must_copy([1, 2])
     one.note_read([0], LINK)
     one.note_read([1], LINK)
-    one.note_missed([1])  # a write that was not copied, after the read
-    one.confirm_copied(0, object())  # word of an earlier reading, over a connection that broke
+    one.note_missed([1])  # a write after the read that was not copied
+    one.confirm_copied(0, object())  # confirms an earlier read, over a connection that broke
     assert log.missed("v") == {0, 1}
     one.confirm_copied(0, LINK)
     one.confirm_copied(1, LINK)
@@ -363,7 +365,7 @@
     one.confirm_all_copied()
     assert not one.complete
     one.note_read([1], LINK)
-    assert one.must_copy([1])  # the other head waits with it until it stored what it read
+    assert one.must_copy([1])  # the other head delays it until it has stored what it read
     one.confirm_copied(1, LINK)
     one.confirm_all_copied()
     assert one.complete
@@ -371,7 +373,7 @@
     assert not one.complete
 
 
-def test_past_the_bound_every_extent_has_to_be_confirmed():
+def test_beyond_the_bound_every_extent_has_to_be_confirmed():
     log = MissedLog(None, most=1)
     one = CatchUp("v", 3, log)
     one.note_missed([0, 1])
@@ -409,7 +411,7 @@
     return Operation(called, returned, False, value)
 
 
-def test_histories_that_an_order_explains():
+def test_linearizable_histories():
     assert linearizable([])
     assert linearizable([write(0, 10, 1), read(5, 6, 0), read(7, 8, 1), read(11, 12, 1)])
     assert linearizable([write(0, NEVER, 1), read(5, 6, 0), read(7, 8, 1)])
@@ -417,11 +419,11 @@
     assert linearizable([write(0, 9, 1), write(0, 9, 2), read(10, 11, 1), read(12, 13, 1)])
 
 
-def test_a_stale_read_and_a_split_brain_are_caught():
+def test_stale_reads_and_split_brain_are_not_linearizable():
     assert not linearizable([write(0, 1, 1), read(2, 3, 0)])
     assert not linearizable([write(0, 9, 1), read(2, 3, 1), read(4, 5, 0)])
     assert not linearizable([write(0, 1, 1), write(2, 3, 2), read(4, 5, 1)])
-    # Two holders at once: each region reads its own.
+    # Two holders at once: each region reads its own write.
     assert not linearizable([write(0, 9, 1), write(0, 9, 2), read(10, 11, 1), read(12, 13, 2)])
     assert not linearizable([read(0, 1, 7)])
 
@@ -445,7 +447,7 @@
     assert len(DAYS) >= 9
 
 
-def test_clocks_that_run_apart_within_the_stated_error():
+def test_clocks_may_drift_within_the_configured_error():
     records = play("two-regions-witness", clock_rate=1.01, clock_error=0.01)
     assert broken(records) == set()
 
@@ -455,20 +457,20 @@
             and f"@head-{region}" in one.client]  # fmt: skip
 
 
-def test_the_surviving_region_serves_all_volumes_and_the_dark_one_comes_back():
+def test_the_surviving_region_serves_all_volumes_and_the_failed_one_returns():
     records = play("two-regions-dark")
     dark = next(one.t for one in records if isinstance(one, rec.Head) and not one.up)
     back = next(one.t for one in records if isinstance(one, rec.Head) and one.up and one.t > dark)
     survivors = [one for one in served_after(records, "b", dark) if one.t < back]
     assert {one.client.split("@")[0] for one in survivors} == {"vol0", "vol1", "vol2", "vol3"}
-    homes = {"vol0", "vol2"}  # they belong in the region that went dark, and go back there
+    homes = {"vol0", "vol2"}  # their home is the region that failed; they return there
     first = min(one.t for one in survivors if one.client.split("@")[0] in homes)
     assert first - dark < 4 * S
     assert len(served_after(records, "a", back + 3 * S)) > 20
 
 
 class Paced:
-    """Portions that let one volume change regions each second, and no other way."""
+    """Budget shares that allow one takeover a second, and nothing else."""
 
     def __init__(self):
         self.next, self.given = 0, []
@@ -481,7 +483,7 @@
         return 0
 
 
-def test_volumes_change_regions_at_a_pace_by_reservation_then_by_activity(monkeypatch):
+def test_takeovers_are_paced_and_ordered_by_reservation_then_activity(monkeypatch):
     from harriertrack.gateway.regional import Regional
 
     made, held = {}, []
@@ -500,7 +502,7 @@
     monkeypatch.setattr(Regional, "__init__", begin)
     monkeypatch.setattr(Regional, "_took", taking)
     records = play("two-regions-dark")
-    assert broken(records) == set(), "the lease's rules are as they were"
+    assert broken(records) == set(), "the rules of the lease still hold"
     over = [one for one in held if one[1] == "b" and one[3] == "a"]
     assert {name for _, _, name, _ in over} == {"vol0", "vol2"}
     reserves = {"vol0": 0.3, "vol2": 0.8}  # of the plans basic and priority
@@ -509,7 +511,7 @@
 
 
 def test_mode_home_loses_no_more_than_its_bound():
-    """After a dark home, every acknowledged write older than the bound is there."""
+    """After the home failed, every acknowledged write older than the bound must be present."""
     records = play("two-regions-dark", mode=Mode.HOME, behind_us=500_000)
     assert broken(records) - {0} == set()
     dark = next(one.t for one in records if isinstance(one, rec.Head) and not one.up)
@@ -519,14 +521,14 @@
     ]
     writes = [(takes[one.client, one.request], one.t) for one in records
               if isinstance(one, rec.Answer) and one.outcome == "served" and takes[one.client, one.request].kind != "read"]  # fmt: skip
-    for lost in wrong:  # each wrong read lies over a write that was acknowledged shortly before the dark
+    for lost in wrong:  # each wrong read overlaps a write acknowledged shortly before the failure
         over = [t for take, t in writes if take.volume == lost.volume and take.offset < lost.offset + lost.length
                 and lost.offset < take.offset + take.length]  # fmt: skip
         assert any(dark - 500_000 - 400_000 <= t <= dark for t in over), lost
 
 
 class FencedRig(regions.RegionRig):
-    """Region b is cut off; a goes on alone and goes dark; an operator gives a up; a comes back."""
+    """Region b is cut off; a continues alone and fails; an operator fences a; a returns."""
 
     def build(self):
         super().build()
@@ -537,7 +539,7 @@
         self.cut("b", True)
         self.hub.sleep(2 * S)
         self.cut("b", False)
-        self.links["a"].set_cut(True)  # no catching up
+        self.links["a"].set_cut(True)  # prevents catching up
         self.links["b"].set_cut(True)
         slot = self.slots["a"]
         self.kill_head(slot)
@@ -561,14 +563,16 @@
         return [bool(layer.holding.epoch(volume.name, self.hub.now())) for volume in self.volumes]
 
 
-def test_a_region_given_up_is_taken_over_and_comes_back_equal():
+def test_a_fenced_region_is_taken_over_and_returns_with_equal_data():
     hub = Hub.virtual(5)
     day = msgspec.structs.replace(
         days.load("two-regions-calm"), length_us=24 * S, unit_us=400, request_us=400
     )
     one = FencedRig(hub, MemoryNetwork(hub), day, 5, rec.Recorder())
     hub.run(one.run)
-    assert not all(one.before) and all(one.after)  # out of sync, b did not dare; given leave, it took all
+    assert not all(one.before) and all(
+        one.after
+    )  # b took over only after a was fenced, since b was out of sync
     assert broken(one.recorder.records) - {0} == set()
     layers = [one.slots[region].head.regional for region in "ab"]
     for volume in one.volumes:
@@ -578,7 +582,7 @@
 
 
 def regions_bytes(one, region, volume):
-    """What a region's racks hold of a volume, wherever its head placed each extent."""
+    """Return a volume's bytes in a region's racks, at the placements recorded by its head."""
     extents = dict(one.slots[region].extents().placed(volume.name))
     size = one.day.extent_bytes
     return b"".join(
@@ -589,7 +593,7 @@
     )
 
 
-def test_past_the_logs_bound_regions_compare_by_checksum(monkeypatch):
+def test_beyond_the_logs_bound_regions_compare_by_checksum(monkeypatch):
     monkeypatch.setattr(rig, "MissedLog", lambda path: MissedLog(path, most=3))
     compared = []
     equal = regional.Regional._equal
@@ -602,14 +606,14 @@
     one = regions.RegionRig(hub, MemoryNetwork(hub), day, 7, rec.Recorder())
     hub.run(one.run)
     assert broken(one.recorder.records) == set()
-    assert compared.count(True) > 10 and compared.count(False) > 3  # most were equal, some were copied
+    assert compared.count(True) > 10 and compared.count(False) > 3  # most were equal, some had to be copied
     for volume in one.volumes:
         assert regions_bytes(one, "a", volume) == regions_bytes(one, "b", volume)
     assert one.settled()
 
 
 class InterruptedRig(regions.RegionRig):
-    """Region b is cut off and catches up, while heads of both regions are killed in the middle of it."""
+    """Region b is cut off and catches up, while heads of both regions are killed."""
 
     def build(self):
         super().build()
@@ -629,7 +633,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_catching_up_is_taken_up_again_after_kills(seed):
+def test_catching_up_continues_after_kills(seed):
     hub = Hub.virtual(seed)
     day = msgspec.structs.replace(days.load("two-regions-calm"), length_us=26 * S, unit_us=400, request_us=400,
                                   volume_bytes=2 << 20, rate=40.0)  # fmt: skip
@@ -642,7 +646,7 @@
 
 
 class MovedRig(regions.RegionRig):
-    """An operator wishes a volume into the other region, and takes the wish back."""
+    """An operator moves a volume to the other region, and later withdraws the request."""
 
     def build(self):
         super().build()
@@ -659,7 +663,7 @@
                 "vol0", self.hub.now())])  # fmt: skip
 
 
-def test_a_volume_moves_by_wish_and_back_home_without_a_gap():
+def test_a_volume_moves_on_request_and_back_home_without_a_gap():
     hub = Hub.virtual(6)
     day = msgspec.structs.replace(days.load("two-regions-calm"), length_us=16 * S)
     one = MovedRig(hub, MemoryNetwork(hub), day, 6, rec.Recorder())
@@ -680,10 +684,10 @@
         listed = one.slots["a"].head.nodes
         assert {member.entry.zone for member in listed.members()} == {"a"}
         known.append(len(listed))
-    assert known == [3, 9]  # its own region's nodes alone
+    assert known == [3, 9]  # only the nodes of its own region
 
 
-# -- wrong heads: each breaks one thing that the whole rests on
+# -- faulty heads: each breaks one condition that consistency depends on
 
 
 def test_a_head_that_acts_without_its_lease_is_caught(monkeypatch):
@@ -701,7 +705,7 @@
 
 def test_a_head_that_acknowledges_before_both_hold_it_is_caught(monkeypatch):
     monkeypatch.setattr(regional.RegionView, "copy_decision", lambda self, now: CopyDecision.LATER)
-    assert 0 in broken(play("two-regions-burst", seed=1))  # much is under way when the region is cut off
+    assert 0 in broken(play("two-regions-burst", seed=1))  # many writes are open when the region is cut off
 
 
 def test_a_head_that_joins_without_catching_up_is_caught(monkeypatch):
@@ -710,7 +714,7 @@
     assert 0 in broken(play("two-regions-dark")) | broken(play("two-regions-return"))
 
 
-def test_a_client_s_read_that_counts_as_catching_up_is_caught(monkeypatch):
+def test_a_client_read_that_counts_as_catching_up_is_caught(monkeypatch):
     begin = regional.Regional._start
 
     def start(self, work):
