--- a/harriertrack/gateway/links.py
+++ b/harriertrack/gateway/links.py
@@ -36,7 +36,7 @@
 
 
 class BaseLink:
-    """One way to one node for one volume: does what its `LinkLifecycle` says, by whatever carries messages."""
+    """One way to one node for one volume: follows its `LinkLifecycle`, by whatever carries messages."""
 
     def __init__(self, links: Links, node: str, volume: str, epoch: int) -> None:
         self.node, self.volume, self.epoch = node, volume, epoch
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -326,7 +326,7 @@
 
     def no_hold(self, volume, extent, holder):
         self._placement._held.append(type("Hold", (), {"owner": holder, "earlier_parts": set()})())
-        self._state.soon()
+        self._state.request_flush()
 
     monkeypatch.setattr(Core, "hold_extent", no_hold)
     broken = set()
@@ -371,7 +371,7 @@
             shelf.stop(silent=True)
         rig.hub.sleep(21_000_000)
         slot, cells = where(rig)
-        seen.extend((slot.head.mover.moves[MOVED].state, slot.head.mover.moves[MOVED].why, home in cells))
+        seen.extend((slot.head.mover.moves[MOVED].state, slot.head.mover.moves[MOVED].stop_reason, home in cells))
         for shelf in there:
             rig.restart_node(shelf)
         rig.cells = HeadMap(rig.cells.version + 1, rig.cells.shards, {**rig.cells.volumes, MOVED: home})
