--- a/harriertrack/decisions/catchup.py
+++ b/harriertrack/decisions/catchup.py
@@ -36,8 +36,8 @@
     def copied(self, volume: str, extents: Iterable[int]) -> None:
         """Remove extents that the other region holds now."""
 
-    def purged(self, volume: str, gone: Callable[[int], bool]) -> None:
-        """Remove the extents for which `gone` is true: a close purged them in both regions."""
+    def purged(self, volume: str, is_purged: Callable[[int], bool]) -> None:
+        """Remove the extents for which `is_purged` is true: a close purged them in both regions."""
 
 
 @dataclass(slots=True)
@@ -100,14 +100,14 @@
         """Note that the other head reads these extents for its copy, with no write to them in progress."""
         self._read.update(dict.fromkeys(extents, reader))
 
-    def note_purged(self, gone: Callable[[int], bool]) -> None:
-        """Forget the extents for which `gone` is true: a close purged them here, and purges them there.
+    def note_purged(self, is_purged: Callable[[int], bool]) -> None:
+        """Forget the extents for which `is_purged` is true: a close purged them here, and purges them there.
 
         They are not missed any more, and what was read of them before must not be stored now.
         """
-        for extent in [one for one in self._read if gone(one)]:
+        for extent in [one for one in self._read if is_purged(one)]:
             del self._read[extent]
-        self.log.purged(self.volume, gone)
+        self.log.purged(self.volume, is_purged)
 
     def confirm_copied(self, extent: int, reader: object) -> None:
         """Note that the other head stored an extent as last read; ignored if a write was missed since.
--- a/harriertrack/decisions/copies.py
+++ b/harriertrack/decisions/copies.py
@@ -51,9 +51,9 @@
     FULL = auto()
 
 
-def close_overlap(extents: range, gone: Callable[[int], bool]) -> CloseOverlap:
-    """Return which of a write's extents were purged; `gone` tells whether an extent was."""
-    count = sum(gone(extent) for extent in extents)
+def close_overlap(extents: range, is_purged: Callable[[int], bool]) -> CloseOverlap:
+    """Return which of a write's extents were purged; `is_purged` tells whether an extent was."""
+    count = sum(is_purged(extent) for extent in extents)
     if not count:
         return CloseOverlap.NONE
     return CloseOverlap.FULL if count == len(extents) else CloseOverlap.PARTIAL
--- a/harriertrack/decisions/lifecycle.py
+++ b/harriertrack/decisions/lifecycle.py
@@ -19,9 +19,7 @@
 class PartState(StrEnum):
     """The states of a part. The values appear in messages."""
 
-    AWAITING_PLACEMENT = (
-        "waiting"  # another request places the same new extent; not submitted to the module yet
-    )
+    AWAITING_PLACEMENT = "waiting"  # another request places the same new extent; not submitted yet
     SUBMITTED = "held"  # the module has it, no attempt is open
     IN_FLIGHT = "out"  # at least one attempt is open
     QUEUED = "kept"  # refused harmlessly, or behind such parts: waits in the head to be submitted (again)
@@ -33,10 +31,10 @@
     @property
     def is_final(self) -> bool:
         """Whether nothing more may be sent for the part."""
-        return self in _OVER
+        return self in _FINAL
 
 
-_OVER = frozenset((PartState.SERVED, PartState.REFUSED, PartState.FAILED, PartState.DROPPED))
+_FINAL = frozenset((PartState.SERVED, PartState.REFUSED, PartState.FAILED, PartState.DROPPED))
 
 
 class PartStep(StrEnum):
@@ -56,10 +54,8 @@
 PART_TRANSITIONS: dict[tuple[PartState, PartStep], PartState] = {
     (PartState.AWAITING_PLACEMENT, PartStep.SUBMIT): PartState.SUBMITTED,
     (PartState.AWAITING_PLACEMENT, PartStep.QUEUE): PartState.QUEUED,
-    (
-        PartState.AWAITING_PLACEMENT,
-        PartStep.SERVE,
-    ): PartState.SERVED,  # here and below: by an attempt of an earlier submission
+    # A part that is not submitted can be served by an attempt of an earlier submission.
+    (PartState.AWAITING_PLACEMENT, PartStep.SERVE): PartState.SERVED,
     (PartState.AWAITING_PLACEMENT, PartStep.REFUSE): PartState.REFUSED,
     (PartState.AWAITING_PLACEMENT, PartStep.DROP): PartState.DROPPED,
     (PartState.QUEUED, PartStep.SUBMIT): PartState.SUBMITTED,
--- a/harriertrack/decisions/moving.py
+++ b/harriertrack/decisions/moving.py
@@ -53,17 +53,13 @@
 
     volume: str
     remaining: list[int]  # extents to be moved, the next first
-    settle_us: (
-        int  # the longest time for which a write accepted under an earlier map may still place an extent
-    )
+    settle_us: int  # the longest that a write accepted under an earlier map may still place an extent
     now: InitVar[int] = 0
     state: MoveState = MoveState.MOVING
     stop_reason: str = ""
     moved: int = 0
     current_extent: int = -1  # the extent being moved
-    previous: Move | None = (
-        None  # the volume's move under the previous map, until nothing of it is in progress
-    )
+    previous: Move | None = None  # the move under the previous map, while any of it is in progress
     trimming: bool = False  # a trim of remaining bytes is in progress
     trims_settled_at: int = 0  # from when on no trim can be delayed any more
     _next_at: int = 0
--- a/harriertrack/decisions/regions.py
+++ b/harriertrack/decisions/regions.py
@@ -65,9 +65,7 @@
     fresh_us: int = 1_000_000  # requests are relayed to the other head only if it answered within this time
     behind_us: int = 2_000_000  # mode HOME: the other region is behind by no more than this ...
     behind_writes: int = 1_000  # ... and this many writes
-    takeover_us: int = (
-        300_000  # how long a region waits before it takes a free volume whose home is the other
-    )
+    takeover_us: int = 300_000  # a region waits this long to take a free volume whose home is the other
     settle_us: int = 2_000_000  # a volume returns home only after both were in sync for this long
 
 
--- a/harriertrack/decisions/requests/admission.py
+++ b/harriertrack/decisions/requests/admission.py
@@ -14,7 +14,7 @@
 from harriertrack.decisions.splitting import Kind
 
 # A cookie has eight bits for the number of an attempt: a part with this many attempts does not wait for more.
-MOST_ATTEMPTS = 250
+MAX_ATTEMPTS = 250
 TEST_FLUSH_US = 2_000_000  # a shard without an answer for this long gets a test flush
 
 
@@ -118,7 +118,7 @@
     def _may_wait(self, now: int, part: Part) -> bool:
         request, state = part.request, self._state
         waits = request.patience_us > 0 and not state.stop_reason and now < state.last_answer(request)
-        return waits and len(part.attempts) < MOST_ATTEMPTS
+        return waits and len(part.attempts) < MAX_ATTEMPTS
 
     def _send_test_flush(self, now: int, part: Part) -> None:
         """Send a flush to a shard where only writes wait and no node has answered for long.
--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -118,9 +118,7 @@
         """End an attempt that timed out, or that can no longer begin."""
         if now >= attempt.times_out_at and not self.standstill.has(attempt):
             self.call_off(now, attempt, api.Result.TIMEOUT)
-        elif (
-            attempt.state is AttemptState.DIALING
-        ):  # it would start too late, which proves nothing about its node
+        elif attempt.state is AttemptState.DIALING:  # too late to start: proves nothing about its node
             self.call_off(now, attempt, api.Result.CANCELLED)
 
     def attempt_ended(self, now: int, attempt: Attempt, result: api.Result, data: bytes,
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -225,13 +225,13 @@
         """Return the shard that holds an extent; None if it was never written."""
         return self._state.shard_of(volume, extent)
 
-    def hold_extent(self, volume: str, extent: int, holder: HoldOwner) -> None:
-        """Make later requests for an extent wait; `holder.held` is called once no earlier one is open.
+    def hold_extent(self, volume: str, extent: int, owner: HoldOwner) -> None:
+        """Make later requests for an extent wait; `owner.held` is called once no earlier one is open.
 
         The hold ends with `release_extent`, or with the end of a `moving` write to the extent. Raises
         ValueError if the extent is held already, or was never placed.
         """
-        self._placement.hold_extent(volume, extent, holder)
+        self._placement.hold_extent(volume, extent, owner)
 
     def release_extent(self, volume: str, extent: int) -> None:
         """End the hold of an extent; not allowed while a `moving` write to it is in progress."""
--- a/harriertrack/decisions/requests/placement.py
+++ b/harriertrack/decisions/requests/placement.py
@@ -132,19 +132,19 @@
             if not queue:
                 self.queues.pop(key, None)
 
-    def hold_extent(self, volume: str, extent: int, holder: HoldOwner) -> None:
+    def hold_extent(self, volume: str, extent: int, owner: HoldOwner) -> None:
         """Hold an extent exclusively. Raises ValueError if it is held already, or was never placed."""
         key, state = (volume, extent), self._state
         if key in self._holds or state.placements.shard_of(*key) is None:
             raise ValueError(f"extent {extent} of {volume} is held already, or was never placed")
-        left = {
+        earlier_parts = {
             part.number for part in state.parts.values()
             if part.extent == extent and part.request.volume.settings.name == volume
             and part.state is not PartState.AWAITING_PLACEMENT and not part.state.is_final
             and (part.state is not PartState.QUEUED or part.may_have_effect)
         }  # fmt: skip
-        self._holds[key] = hold = Hold(holder, left)
-        if not left:
+        self._holds[key] = hold = Hold(owner, earlier_parts)
+        if not earlier_parts:
             self._acquired.append(hold)
         state.request_flush()
 
--- a/harriertrack/decisions/requests/submission.py
+++ b/harriertrack/decisions/requests/submission.py
@@ -11,7 +11,7 @@
 
 # For keyed parts, one submission takes at most so many tenths of the window in which the rack drops repeats;
 # the rest is left for another one.
-OFFER_TENTHS = 6
+SUBMISSION_TENTHS = 6
 
 
 class Submission:
@@ -32,7 +32,7 @@
             length = state.deadlines[part.class_name]
             window = state.windows[part.class_name]
             if window and part.class_name not in state.in_order:
-                length = min(length, window * OFFER_TENTHS // 10)
+                length = min(length, window * SUBMISSION_TENTHS // 10)
             part.module_deadline = min(part.module_deadline, now + length)
         if part.class_name in state.in_order:
             self.in_order.setdefault((volume.name, part.extent), {})[part.number] = part
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -327,7 +327,7 @@
     (a_region_is_behind_and_catches_up, fault("who is behind catches up", where=f"{REGIONAL}.same_generation",
                                               right="theirs == self._generation(volume)", wrong="True")),
     (a_region_was_dark, fault("the log is not dropped", where="decisions.catchup:CatchUp.note_purged",
-                              right="self.log.purged(self.volume, gone)", wrong="pass")),
+                              right="self.log.purged(self.volume, is_purged)", wrong="pass")),
     (a_read_that_was_passed_on, fault("a read is passed back over a close", where=f"{REGIONAL}.closed",
                                       right="self._refuse(request, CLOSED)", wrong="pass")),
 ]  # fmt: skip
