--- a/harriertrack/decisions/catchup.py
+++ b/harriertrack/decisions/catchup.py
@@ -101,7 +101,7 @@
         self._read.update(dict.fromkeys(extents, reader))
 
     def note_purged(self, is_purged: Callable[[int], bool]) -> None:
-        """Forget the extents for which `is_purged` is true: a close purged them here, and purges them there.
+        """Forget the extents that a close purged here (`is_purged`); the other region purges its copy itself.
 
         They are not missed any more, and what was read of them before must not be stored now.
         """
