--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -20,8 +20,15 @@
 from pathlib import Path
 from typing import TypeVar
 
-from harriertrack.decisions.fleet.budgets import Ask, BudgetRules, Claim, Portion, Term, Whole
-from harriertrack.decisions.fleet.holder import Holder
+from harriertrack.decisions.fleet.budgets import (
+    BudgetRules,
+    BudgetShare,
+    BudgetTotal,
+    Claim,
+    LeaseRequest,
+    Term,
+)
+from harriertrack.decisions.fleet.holder import LeaseHolder
 from harriertrack.decisions.fleet.ledger import Ledger
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.division import Division, Trial
@@ -35,7 +42,7 @@
 
 
 def _division(heads: int, seed: int, fixed: float, rate: float) -> Division:
-    one = Division(heads, {"v": Whole(rate, rate / 5, heads, fixed)}, seed, RULES, clocks=0.001)
+    one = Division(heads, {"v": BudgetTotal(rate, rate / 5, heads, fixed)}, seed, RULES, clocks=0.001)
     one.measure = lambda said: len(
         budgeting.encode("fleet", said if not isinstance(said, Term) else (budgeting.Kind.TERM, 0, said))
     )
@@ -141,8 +148,8 @@
     began = one.now
     while one.now < began + 60 * S:
         one.run(10_000)
-        held = one.members[second].holder.held.get("v")
-        if held is not None and held.portion.share >= 0.9 * 0.9 * rate:
+        held = one.members[second].holder.budgets.get("v")
+        if held is not None and held.share.leased >= 0.9 * 0.9 * rate:
             break
     return (one.now - began) / S
 
@@ -159,7 +166,7 @@
 def _trial_one(arguments: tuple[int, int, int]) -> tuple[int, int, bool, int]:
     heads, seed, seconds = arguments
     rules = BudgetRules(clock_error=0.01, term_us=2 * S, patience_us=S)
-    wholes = {f"v{at}": Whole(200.0, 40.0, heads, 0.1) for at in range(2)}
+    wholes = {f"v{at}": BudgetTotal(200.0, 40.0, heads, 0.1) for at in range(2)}
     one = Division(heads, wholes, seed, rules, clocks=0.01)
     trial = Trial(one)
     trial.run(seconds * S)
@@ -169,7 +176,7 @@
         one.demand[name, "v0"] = one.demand[name, "v1"] = 0.0
     one.demand["head0", "v0"] = 300.0
     one.run(12 * S)
-    share = one.members["head0"].holder.held["v0"].portion.share
+    share = one.members["head0"].holder.budgets["v0"].share.leased
     return seed, len(budgets.check(one.records)), share < 0.8 * 180, terms
 
 
@@ -205,16 +212,16 @@
         return self.timed("codec", budgeting.decode, "fleet", data)
 
 
-def _exchange(spent: _Spent, now: int, ledger: Ledger, holders: list[Holder]) -> None:
+def _exchange(spent: _Spent, now: int, ledger: Ledger, holders: list[LeaseHolder]) -> None:
     for holder in holders:
-        for ask in spent.timed("holders", holder.asks, now):
+        for ask in spent.timed("holders", holder.due_requests, now):
             spent.asks += 1
-            grant = spent.timed("ledger", ledger.ask, now, spent.carried(ask))
+            grant = spent.timed("ledger", ledger.handle_request, now, spent.carried(ask))
             if grant is not None:
-                spent.timed("holders", holder.granted, now, spent.carried(grant))
-    for grant in spent.timed("ledger", ledger.round, now):
+                spent.timed("holders", holder.apply_grant, now, spent.carried(grant))
+    for grant in spent.timed("ledger", ledger.rebalance, now):
         holder = holders[int(grant.holder.removeprefix("head"))]
-        spent.timed("holders", holder.granted, now, spent.carried(grant))
+        spent.timed("holders", holder.apply_grant, now, spent.carried(grant))
 
 
 def _keeper(heads: int, volumes: int, hosts: int, traced: bool) -> None:
@@ -222,15 +229,15 @@
     if traced:
         tracemalloc.start()
     ledger = Ledger(0, Term(1, 1), 0, BudgetRules())
-    holders = [Holder(0, f"head{number}", number, ledger.rules, 0) for number in range(heads)]
+    holders = [LeaseHolder(0, f"head{number}", number, ledger.rules, 0) for number in range(heads)]
     rng = random.Random(1)
-    wants: dict[Portion, float] = {}
+    wants: dict[BudgetShare, float] = {}
     for volume in range(volumes):
         for number in rng.sample(range(heads), hosts):
-            portion = holders[number].open(0, f"limits/vol{volume}", Whole(100.0, 50.0, hosts, 0.1))
+            portion = holders[number].open(0, f"limits/vol{volume}", BudgetTotal(100.0, 50.0, hosts, 0.1))
             wants[portion] = rng.choice((1.0, 5.0, 40.0))
     for holder in holders:
-        holder.hear(0, ledger.term)
+        holder.observe_term(0, ledger.term)
     now, spent, moves, seconds = S, _Spent(), 0, 3
     for step in range(20 * (seconds + 2)):
         now += 50_000
@@ -238,7 +245,7 @@
             spent, moves = _Spent(), ledger.moves
         for portion, wanted in wants.items():
             if rng.random() < 0.2 * wanted * 0.05:
-                portion.asked(5.0)
+                portion.record_demand(5.0)
         _exchange(spent, now, ledger, holders)
     print(f"{heads} heads, {volumes} busy volumes of {hosts} hosts: ", end="")
     if traced:
@@ -257,7 +264,7 @@
     claims = tuple(Claim(f"limits/vol{number}", 90.0, 10.0, 0, 0.0) for number in range(16))
     began = time.process_time()
     for number in range(1, 5001):
-        ledger.ask(number, Ask(0, ledger.term, "a", 1, 1, number, S, 1.0, claims))
+        ledger.handle_request(number, LeaseRequest(0, ledger.term, "a", 1, 1, number, S, 1.0, claims))
     print(f"an ask of 16 claims: {(time.process_time() - began) / 5000 * 1e6:.0f} us")
 
 
--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
-from harriertrack.decisions.fleet.changes.standing import Standing
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout.plan import USUAL, Plan, Stage
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
 
@@ -77,7 +77,7 @@
             steps = len(fleet.history)
             fleet.new_decider()
 
-    ends = fleet.until(one.thing, one.most_s, look, (Standing.PAUSED,) if one.pauses else ())
+    ends = fleet.until(one.thing, one.most_s, look, (VersionState.PAUSED,) if one.pauses else ())
     stage = max((version.stage for _, version in fleet.history), default=0)
     return ends.value, stage, fleet.harmed, fleet.now // S
 
@@ -96,7 +96,7 @@
                           tells=not told.silent) for seed in range(told.plays)]  # fmt: skip
             found = _run(plays, told.workers)
             ends = Counter(end for end, *_ in found)
-            stopped = [(stage, took) for end, stage, _, took in found if end == Standing.STOPPED.value]
+            stopped = [(stage, took) for end, stage, _, took in found if end == VersionState.STOPPED.value]
             first = sum(stage == 1 for stage, _ in stopped)
             took = statistics.median(took - BEFORE_S for _, took in stopped) if stopped else 0
             print(f"  {name:42} in force {ends['in force']:5} stopped {ends['stopped']:5} (at one head "
--- a/benchmarks/fleet_settings.py
+++ b/benchmarks/fleet_settings.py
@@ -11,19 +11,19 @@
 
 import click
 
-from harriertrack.decisions.fleet.budgets import BudgetRules, Whole
+from harriertrack.decisions.fleet.budgets import BudgetRules, BudgetTotal
 from harriertrack.lab.fleet.division import Division
 from harriertrack.rules import budgets
 
 SECOND = 1_000_000
 RULES = BudgetRules(clock_error=0.01, term_us=10 * SECOND, patience_us=2 * SECOND)
-WHOLE = Whole(1000.0, 200.0, 1, 0.1)
+WHOLE = BudgetTotal(1000.0, 200.0, 1, 0.1)
 BUDGET = "v0"
 
 
 def used(one: Division) -> float:
     """Return what all heads together may draw a second."""
-    return sum(held.portion.rate for member in one.members.values() for held in member.holder.held.values())
+    return sum(held.share.rate for member in one.members.values() for held in member.holder.budgets.values())
 
 
 def play(heads: int, seed: int, times: float, loss: float, apart_us: int) -> tuple[float, int]:
@@ -55,7 +55,7 @@
 @click.option("--seeds", type=int, default=10)
 def main(heads: tuple[int, ...], seeds: int) -> None:
     """Print a table."""
-    bound = RULES.settles_us / SECOND
+    bound = RULES.settling_us / SECOND
     click.echo(f"stated: {bound:.2f} s after the last was told; lease {RULES.lease_us / SECOND:g} s")
     click.echo("| heads | whole | lost | told | median, s | longest, s | rules broken |\n|" + " --- |" * 7)
     for count in heads:
--- a/benchmarks/zone_oracle.py
+++ b/benchmarks/zone_oracle.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from harriertrack.decisions.fleet.zones.overlay import Overlay
-from harriertrack.decisions.fleet.zones.words import Stage, Word
+from harriertrack.decisions.fleet.zones.zone_decision import ZoneDecision, ZoneStage
 from harriertrack.lab.fleet.rig import SimulatedFleet
 from harriertrack.lab.fleet.scenario import FleetDaySettings
 from harriertrack.lab.rig import HeadSlot
@@ -30,7 +30,7 @@
         super().start_head(slot)
         assert slot.head is not None
         self._overlays[slot.name] = overlay = Overlay()
-        slot.head._listing.overlay = overlay.shown  # noqa: SLF001
+        slot.head._listing.overlay = overlay.visible_entry  # noqa: SLF001
         self._tell(slot)
 
     def zone_dark(self, zone: str, who: list[HeadSlot], us: int) -> None:
@@ -50,8 +50,8 @@
         if slot.head is None or slot.name not in self._overlays:
             return
         out = sorted(zone for zone, times in self._out.get(slot.name, {}).items() if times)
-        words = [Word(zone, Stage.OUT, 0.0, 0) for zone in out]
-        if self._overlays[slot.name].follow(self.hub.now(), words, slot.name, [slot.name], 0):
+        words = [ZoneDecision(zone, ZoneStage.OUT, 0.0, 0) for zone in out]
+        if self._overlays[slot.name].apply_decisions(self.hub.now(), words, slot.name, [slot.name], 0):
             slot.head._listing.tell_anew()  # noqa: SLF001
 
 
--- a/harriertrack/cli/changes.py
+++ b/harriertrack/cli/changes.py
@@ -24,9 +24,14 @@
 from harriertrack.config.settings import HeadSettings
 from harriertrack.config.settings.changing import laid_over
 from harriertrack.config.sexp import SettingsError
+from harriertrack.decisions.fleet.changes.operations import (
+    ChangeConflict,
+    ChangeRefused,
+    propose,
+    set_state_as_operator,
+)
 from harriertrack.decisions.fleet.changes.record import Kind, Record
-from harriertrack.decisions.fleet.changes.standing import IllegalStep, Standing
-from harriertrack.decisions.fleet.changes.writing import Conflict, Refused, propose, wish
+from harriertrack.decisions.fleet.changes.version_state import IllegalTransition, VersionState
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.membership.fleet.changing import DamagedRecord
@@ -46,10 +51,10 @@
     witness = WitnessClient(hub, SocketNetwork(hub), where, ASK_US, "operator")
     try:
         return hub.run(keeping.write, witness, make).record
-    except Conflict as conflict:
+    except ChangeConflict as conflict:
         difference = "".join(f"\n  {line}" for line in conflict.difference)
         fail(f"{conflict}; what you would change of it:{difference}")
-    except (Refused, IllegalStep, DamagedRecord) as error:
+    except (ChangeRefused, IllegalTransition, DamagedRecord) as error:
         fail(str(error))
     except FAILURES as error:
         fail(f"witness {where[0]}:{where[1]}: {error or 'no answer in time'}")
@@ -90,28 +95,30 @@
         return propose(record, thing, made_from, texts[0], by, _now_ms(), why, texts[1], although)
 
     record = _changed(path, make)
-    going = record.under_way(thing)
+    going = record.in_progress(thing)
     assert going is not None
     click.echo(f"{thing}: version {going.number} is proposed; `harriertrack fleet changes` tells how it goes")
 
 
-def _wish(name: str, standing: Standing, about: str) -> click.Command:
+def _wish(name: str, standing: VersionState, about: str) -> click.Command:
     @click.command(name, help=about)
     @click.argument("thing")
     @needed_settings
     @why_option
     @by_option
     def command(thing: str, path: str, why: str, by: str) -> None:
-        record = _changed(path, lambda record: wish(record, thing, standing, by, _now_ms(), why))
-        last = record.under_way(thing) or record.of(thing)[-1]
+        record = _changed(
+            path, lambda record: set_state_as_operator(record, thing, standing, by, _now_ms(), why)
+        )
+        last = record.in_progress(thing) or record.versions_of(thing)[-1]
         click.echo(f"{thing}: version {last.number} is {last.standing.value}")
 
     return command
 
 
-pause = _wish("pause", Standing.PAUSED, "Begin no further stage of what is under way for THING.")
-resume = _wish("resume", Standing.GOING, "Go on with THING where it was paused.")
-abort = _wish("abort", Standing.ABORTED, "Take back what is under way for THING, from its heads too.")
+pause = _wish("pause", VersionState.PAUSED, "Begin no further stage of what is under way for THING.")
+resume = _wish("resume", VersionState.ADVANCING, "Go on with THING where it was paused.")
+abort = _wish("abort", VersionState.ABORTED, "Take back what is under way for THING, from its heads too.")
 
 
 @click.command("changes")
--- a/harriertrack/config/settings/fleet.py
+++ b/harriertrack/config/settings/fleet.py
@@ -19,7 +19,7 @@
 
 
 class BudgetUse(Enum):
-    """What heads divide among themselves; decisions/fleet/portions.py tells what each is."""
+    """What heads divide among themselves; decisions/fleet/budget_shares.py tells what each is."""
 
     LIMITS = "limits"
     ATTEMPTS = "attempts"
@@ -64,7 +64,7 @@
 
 
 class ZonesSettings(Checked, frozen=True, kw_only=True):
-    """How the fleet leaves zones and returns; decisions/fleet/zones/words.py tells what each figure is."""
+    """How the fleet leaves zones and returns; decisions/fleet/zones/zone_decision.py explains each."""
 
     gone: InService[Share] = 0.8
     gone_us: InService[Positive] = 300_000
--- a/harriertrack/decisions/fleet/budgets.py
+++ b/harriertrack/decisions/fleet/budgets.py
@@ -24,20 +24,20 @@
 
 from harriertrack.decisions.bucket import Bucket
 
-EXACT = 1e-6  # of one: what floating point may add up to
-ROOM = 960  # bytes of claims or shares that fit one datagram
+FLOAT_TOLERANCE = 1e-6  # of one: what floating point may add up to
+PAGE_BYTES = 960  # bytes of claims or shares that fit one datagram
 ENTRY_BYTES = 44  # of one, beside its budget's name
 
 
-def pages(names: Iterable[str]) -> Iterator[list[str]]:
+def paginate(names: Iterable[str]) -> Iterator[list[str]]:
     """Divide budgets over datagrams; there is one at least."""
     page: list[str] = []
-    room = ROOM
+    room = PAGE_BYTES
     for name in names:
         size = len(name.encode()) + ENTRY_BYTES
         if size > room and page:
             yield page
-            page, room = [], ROOM
+            page, room = [], PAGE_BYTES
         page.append(name)
         room -= size
     yield page
@@ -57,20 +57,20 @@
     contenders: int = 5  # how many heads do
     weight: float = 1.0  # of this head, when there is not enough for all
 
-    def counted_us(self, lease_us: int) -> int:
+    def granter_lease_us(self, lease_us: int) -> int:
         """Return how long after an ask its lease may last, by the clock of who granted it."""
         return int(lease_us * (1 + self.clock_error)) + 1
 
     @property
-    def settles_us(self) -> int:
+    def settling_us(self) -> int:
         """Return how long after the last head was told a lower whole all together surely keep to it.
 
         Whoever renews its lease says so with that, and hears of its lower share with the next renewal; who
         loses more messages than that has its lease end. Without losses it takes two datagrams and a round.
         """
-        return self.ask_us + self.round_us + 2 * self.counted_us(self.lease_us)
+        return self.ask_us + self.round_us + 2 * self.granter_lease_us(self.lease_us)
 
-    def relied_us(self, lease_us: int) -> int:
+    def holder_lease_us(self, lease_us: int) -> int:
         """Return how long after it asked a holder relies on its lease, by its own clock."""
         return int(lease_us * (1 - self.clock_error))
 
@@ -91,14 +91,14 @@
     """What a holder says of one budget."""
 
     budget: str
-    whole: float  # of it may move, as the holder is told
-    wanted: float  # by the holder, beyond its fixed part
+    movable: float  # of it may move, as the holder is told
+    demand: float  # by the holder, beyond its fixed part
     version: int  # of the share that it has now
     released: float  # tokens that it gave back when it took that version
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class LeaseRequest:
     """A holder renews its lease, and says what changed."""
 
     ledger: int
@@ -106,14 +106,14 @@
     holder: str
     instance: int  # the process
     tenure: int
-    number: int
+    sequence: int
     lease_us: int
     weight: float
     claims: tuple[Claim, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ShareUpdate:
     """What a ledger says of one budget to a holder."""
 
     budget: str
@@ -131,30 +131,34 @@
     holder: str
     instance: int
     tenure: int
-    answers: int
+    in_reply_to: int
     lease_us: int
-    shares: tuple[Share, ...] = ()
+    shares: tuple[ShareUpdate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class BudgetTotal:
     """A budget as a head is told it: the whole, a second and at once, over how many heads, the fixed part."""
 
     rate: float  # or the number at a time
     burst: float
     hosts: int
     fixed: float
-    least: float = 0.0  # of things that are used one by one: so much each head may save up whatever its part
-    counted: bool = False  # a number at a time: what is taken comes back when it is given back, not with time
-    says: str = ""  # who says it, the same for all budgets that change together: a plan, the rules
+    min_burst: float = (
+        0.0  # of things that are used one by one: so much each head may save up whatever its part
+    )
+    concurrent: bool = (
+        False  # a number at a time: what is taken comes back when it is given back, not with time
+    )
+    source: str = ""  # who says it, the same for all budgets that change together: a plan, the rules
 
     @property
-    def moving(self) -> float:
+    def movable(self) -> float:
         """Return how much of it moves between heads, a second or at a time."""
         return (1 - self.fixed) * self.rate
 
 
-def ledger_of(budget: str, ledgers: int) -> int:
+def ledger_for(budget: str, ledgers: int) -> int:
     """Return which ledger keeps a budget."""
     return crc32(budget.encode()) % ledgers
 
@@ -163,96 +167,105 @@
 class Lease:
     """Until when a holder may use what it was granted."""
 
-    until: int = 0
+    expires_at: int = 0
 
 
-class Portion(Bucket):
+class BudgetShare(Bucket):
     """What a head has of a budget now: its fixed part, and its share while the lease lasts.
 
     Its store is filled by the clock less the stated error: a fast clock must not make units. It looks at the
     lease by itself, so that a head which stood still uses nothing on waking that has ended meanwhile.
     """
 
-    __slots__ = ("whole", "lease", "share", "slow", "came", "squared", "waiting")
+    __slots__ = (
+        "total", "lease", "leased", "clock_factor", "requested", "requested_squares", "waiters",
+    )  # fmt: skip
 
-    def __init__(self, at: int, whole: Whole, lease: Lease, clock_error: float, age_us: int = 0) -> None:
+    def __init__(
+        self, at: int, whole: BudgetTotal, lease: Lease, clock_error: float, age_us: int = 0
+    ) -> None:
         """Begin with the fixed part; `age_us`: for how long the head surely used none of it."""
         super().__init__(at)
-        self.whole, self.lease, self.share, self.slow = whole, lease, 0.0, 1 - clock_error
-        self.came = self.squared = 0.0  # asked of it since it was last measured
-        self.waiting = 0  # of a number at a time: who would take one
+        self.total, self.lease, self.leased, self.clock_factor = whole, lease, 0.0, 1 - clock_error
+        self.requested = self.requested_squares = 0.0  # asked of it since it was last measured
+        self.waiters = 0  # of a number at a time: who would take one
         self._set(0.0)
-        self.level = self.most if whole.counted else min(self.most, self.rate * age_us / 1e6)
+        self.level = self.most if whole.concurrent else min(self.most, self.rate * age_us / 1e6)
 
     def _set(self, share: float) -> None:
-        whole, self.share = self.whole, share
+        whole, self.leased = self.total, share
         # A share that was granted of a larger whole comes to no more than all that moves of a lowered one.
-        used = min(share, whole.moving)
+        used = min(share, whole.movable)
         part = whole.fixed / whole.hosts + (used / whole.rate if whole.rate > 0 else 0.0)
-        if whole.counted:
+        if whole.concurrent:
             self.rate, self.most = 0.0, whole.rate * part
         else:
-            self.rate, self.most = self.slow * whole.rate * part, max(whole.burst * part, whole.least)
+            self.rate, self.most = (
+                self.clock_factor * whole.rate * part,
+                max(whole.burst * part, whole.min_burst),
+            )
 
-    def asked(self, units: float) -> None:
+    def record_demand(self, units: float) -> None:
         """Count what is asked of it, whatever becomes of that."""
-        self.came += units
-        self.squared += units * units
+        self.requested += units
+        self.requested_squares += units * units
 
     def now(self, now: int) -> float:
         """Fill up to the present and return the level."""
-        if self.share and now >= self.lease.until:
-            self.lapse(now)
+        if self.leased and now >= self.lease.expires_at:
+            self.drop_leased(now)
         return super().now(now)
 
-    def lapse(self, now: int) -> None:
+    def drop_leased(self, now: int) -> None:
         """Let the share go: the lease is over, or holds no more; what came with it is gone too."""
-        if self.share:
-            super().now(max(self.at, min(now, self.lease.until)))
+        if self.leased:
+            super().now(max(self.at, min(now, self.lease.expires_at)))
             before = self.most
             self._set(0.0)
-            self.level = self.level + self.most - before if self.whole.counted else min(self.level, self.most)
+            self.level = (
+                self.level + self.most - before if self.total.concurrent else min(self.level, self.most)
+            )
 
-    def retell(self, now: int, whole: Whole) -> None:
+    def set_total(self, now: int, whole: BudgetTotal) -> None:
         """Go by another whole from now on: the store keeps its level, up to what fits a smaller one."""
         self.now(now)
-        before, self.whole = self.most, whole
-        self._set(self.share)
-        self.level = self.level + self.most - before if whole.counted else min(self.level, self.most)
+        before, self.total = self.most, whole
+        self._set(self.leased)
+        self.level = self.level + self.most - before if whole.concurrent else min(self.level, self.most)
 
     # -- of a number at a time
 
     @property
-    def used(self) -> float:
+    def in_use(self) -> float:
         """Return how much is taken now."""
         return self.most - self.level
 
     @property
-    def over(self) -> int:
+    def excess(self) -> int:
         """Return how much is to be given back at once: its share has ended."""
-        return max(0, math.ceil(-self.level - EXACT))
+        return max(0, math.ceil(-self.level - FLOAT_TOLERANCE))
 
-    def spares(self, share: float) -> bool:
+    def can_shrink_to(self, share: float) -> bool:
         """Whether it can let its share become this: of a number at a time only what is free can go."""
-        return not self.whole.counted or self.share - share <= self.level + EXACT
+        return not self.total.concurrent or self.leased - share <= self.level + FLOAT_TOLERANCE
 
-    def take(self, now: int) -> bool:
+    def acquire(self, now: int) -> bool:
         """Take one if there is one."""
-        if self.now(now) < 1.0 - EXACT:
+        if self.now(now) < 1.0 - FLOAT_TOLERANCE:
             return False
         self.level -= 1.0
         return True
 
-    def give(self) -> None:
+    def release(self) -> None:
         """Give one back."""
         self.level = min(self.most, self.level + 1.0)
 
-    def change(self, now: int, share: float, tokens: float) -> float:
+    def set_leased(self, now: int, share: float, tokens: float) -> float:
         """Take another share, with tokens if it is larger; return those that go if it is smaller."""
         self.now(now)
         before, level = self.most, self.level
         self._set(share)
-        if self.whole.counted:
+        if self.total.concurrent:
             self.level = level + self.most - before
             return 0.0
         if self.most >= before:
--- a/harriertrack/decisions/fleet/changes/record.py
+++ b/harriertrack/decisions/fleet/changes/record.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from harriertrack.decisions.fleet.changes.standing import OVER, RUN, UNDER_WAY, Standing
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, FINISHED, IN_PROGRESS, VersionState
 
-ALL = "*"  # in place of names: every head
+ALL_HEADS = "*"  # in place of names: every head
 
 
 class Kind(Enum):
@@ -44,15 +44,15 @@
     at_ms: int  # since 1970, when it was proposed
     why: str
     plan: str = ""  # how it is brought about, for who does; "": as is usual
-    standing: Standing = Standing.PROPOSED
+    standing: VersionState = VersionState.PROPOSED
     since_ms: int = 0  # since 1970, when that last changed
     reason: str = ""  # why it stands there
     stage: int = 0
     heads: tuple[str, ...] = ()  # who is to run it while it is not in force; (ALL,): everybody
 
-    def names(self, head: str) -> bool:
+    def targets(self, head: str) -> bool:
         """Whether a head is among those that are to run it in this stage."""
-        return head in self.heads or self.heads == (ALL,)
+        return head in self.heads or self.heads == (ALL_HEADS,)
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     level: int = 0  # what all who vote understand: nobody uses what came with a later program
     versions: tuple[Version, ...] = ()
 
-    def of(self, thing: str) -> list[Version]:
+    def versions_of(self, thing: str) -> list[Version]:
         """Return the versions of a thing, oldest first."""
         return [one for one in self.versions if one.thing == thing]
 
@@ -74,24 +74,24 @@
 
     def in_force(self, thing: str) -> Version | None:
         """Return the version that holds for everybody who is not named by one under way."""
-        return next((one for one in self.of(thing) if one.standing is Standing.IN_FORCE), None)
+        return next((one for one in self.versions_of(thing) if one.standing is VersionState.IN_FORCE), None)
 
-    def under_way(self, thing: str) -> Version | None:
+    def in_progress(self, thing: str) -> Version | None:
         """Return the version that is being brought about, or taken back."""
-        return next((one for one in self.of(thing) if one.standing in UNDER_WAY), None)
+        return next((one for one in self.versions_of(thing) if one.standing in IN_PROGRESS), None)
 
     def find(self, thing: str, number: int) -> Version | None:
         """Return a version by its number, if it is still remembered."""
-        return next((one for one in self.of(thing) if one.number == number), None)
+        return next((one for one in self.versions_of(thing) if one.number == number), None)
 
-    def wanted(self, thing: str, head: str) -> Version | None:
+    def version_for(self, thing: str, head: str) -> Version | None:
         """Return the version of a thing that a head is to run; None: what it was started with."""
-        going = self.under_way(thing)
-        if going is not None and going.standing in RUN and going.names(head):
+        going = self.in_progress(thing)
+        if going is not None and going.standing in ACTIVE and going.targets(head):
             return going
         return self.in_force(thing)
 
-    def replaced(self, versions: Iterable[Version], epoch: int = 0, level: int = 0) -> Record:
+    def with_versions(self, versions: Iterable[Version], epoch: int = 0, level: int = 0) -> Record:
         """Return the next record, with these versions in place of those of the same thing and number."""
         fresh = {(one.thing, one.number): one for one in versions}
         kept = [fresh.pop((one.thing, one.number), one) for one in self.versions]
@@ -101,16 +101,16 @@
         )  # fmt: skip
 
 
-REMEMBERED = 8  # versions of a thing that are over, newest last
+MAX_FINISHED_VERSIONS = 8  # versions of a thing that are over, newest last
 
 
 def _pruned(versions: list[Version]) -> tuple[Version, ...]:
     over: dict[str, int] = {}
     kept = []
     for one in reversed(versions):
-        if one.standing in OVER:
+        if one.standing in FINISHED:
             over[one.thing] = over.get(one.thing, 0) + 1
-            if over[one.thing] > REMEMBERED:
+            if over[one.thing] > MAX_FINISHED_VERSIONS:
                 continue
         kept.append(one)
     return tuple(reversed(kept))
--- a/harriertrack/decisions/fleet/closing/arranging.py
+++ b/harriertrack/decisions/fleet/closing/arranging.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
+from harriertrack.decisions.fleet.changes.operations import propose, set_state
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.changes.writing import propose, step
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.closing.schedule import (
     Plan,
     Purge,
@@ -57,8 +57,8 @@
 
 
 def _ever(record: Record, calendar: str, reader: Reader) -> list[Purge]:
-    done = (Standing.IN_FORCE, Standing.REPLACED)
-    bodies = [one.body for one in record.of(calendar) if one.standing in done]
+    done = (VersionState.IN_FORCE, VersionState.REPLACED)
+    bodies = [one.body for one in record.versions_of(calendar) if one.standing in done]
     return [purge for body in bodies for purge in reader.purges(body)]
 
 
@@ -66,26 +66,26 @@
     """Take a proposed calendar a step further, or leave it."""
     thing, number = going.thing, going.number
 
-    def to(before: Record, standing: Standing, why: str) -> Record:
-        return step(before, epoch, thing, number, standing, at_ms, why)
+    def to(before: Record, standing: VersionState, why: str) -> Record:
+        return set_state(before, epoch, thing, number, standing, at_ms, why)
 
     match going.standing:
-        case Standing.PROPOSED:
+        case VersionState.PROPOSED:
             try:
                 purges = reader.purges(going.body)
             except BadCalendar as error:
-                return to(record, Standing.ABORTED, str(error))
+                return to(record, VersionState.ABORTED, str(error))
             beyond = reaches_beyond(purges, _ever(record, thing, reader))
             if not beyond:
-                return to(record, Standing.IN_FORCE, "a calendar that can be")
+                return to(record, VersionState.IN_FORCE, "a calendar that can be")
             first = beyond[0]
             until = str(first.end) if first.end else "the end"
             why = f"would purge {first.volume} from {first.start} to {until}, as none did before: resume it"
-            return to(to(record, Standing.GOING, why), Standing.PAUSED, why)
-        case Standing.GOING:
-            return to(record, Standing.IN_FORCE, going.reason or "resumed")
-        case Standing.BACK:
-            return to(record, Standing.ABORTED, going.reason)
+            return to(to(record, VersionState.ADVANCING, why), VersionState.PAUSED, why)
+        case VersionState.ADVANCING:
+            return to(record, VersionState.IN_FORCE, going.reason or "resumed")
+        case VersionState.REVERTING:
+            return to(record, VersionState.ABORTED, going.reason)
     return record
 
 
@@ -98,7 +98,7 @@
     """
     at_ms = latest // 1000
     for thing in calendars(record):
-        going = record.under_way(thing)
+        going = record.in_progress(thing)
         if going is not None:
             record = _taken_up(record, epoch, going, at_ms, reader)
         holds = record.in_force(thing)
@@ -125,6 +125,6 @@
         return record
     why = f"closes of version {plan.version} by time zones {plan.zones}"
     record = propose(record, thing, base, body, "who decides", at_ms, why)
-    going = record.under_way(thing)
+    going = record.in_progress(thing)
     assert going is not None
-    return step(record, epoch, thing, going.number, Standing.IN_FORCE, at_ms, why)
+    return set_state(record, epoch, thing, going.number, VersionState.IN_FORCE, at_ms, why)
--- a/harriertrack/decisions/fleet/dividing.py
+++ b/harriertrack/decisions/fleet/max_min.py
@@ -16,21 +16,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class Claimant:
     """One holder's: what it holds and what it could use, both a second, and how much it counts."""
 
     held: float
-    wanted: float
+    demand: float
     weight: float = 1.0
 
 
-def fair(whole: float, wishes: Sequence[Wish]) -> list[float]:
+def max_min_shares(whole: float, wishes: Sequence[Claimant]) -> list[float]:
     """Return the weighted max-min division: each gets what it wants, or the common level times its weight."""
     given = [0.0] * len(wishes)
     left, weights = max(0.0, whole), sum(one.weight for one in wishes)
-    for at in sorted(range(len(wishes)), key=lambda at: wishes[at].wanted / wishes[at].weight):
+    for at in sorted(range(len(wishes)), key=lambda at: wishes[at].demand / wishes[at].weight):
         one = wishes[at]
-        given[at] = max(0.0, min(one.wanted, left * one.weight / weights))
+        given[at] = max(0.0, min(one.demand, left * one.weight / weights))
         left -= given[at]
         weights -= one.weight
         if weights <= 0:
@@ -38,17 +38,17 @@
     return given
 
 
-def divide(whole: float, wishes: Sequence[Wish]) -> list[float]:
+def divide(whole: float, wishes: Sequence[Claimant]) -> list[float]:
     """Return what each is to hold, at most the whole together.
 
     Who has less than its fair part gets it, at first from what nobody holds, then from who holds more than
     its own. Of what is left idle each gets some headroom. Who wants nothing keeps nothing.
     """
-    held = [one.held if one.wanted > 0 else 0.0 for one in wishes]
+    held = [one.held if one.demand > 0 else 0.0 for one in wishes]
     # Who lacks a twentieth lacks nothing: else every swing of demand would move all shares.
     needs = [
         have if have <= need < have * (1 + STEP) else need
-        for need, have in zip(fair(whole, wishes), held, strict=True)
+        for need, have in zip(max_min_shares(whole, wishes), held, strict=True)
     ]
     idle = whole - sum(held)
     lacking = sum(max(0.0, need - have) for need, have in zip(needs, held, strict=True))
--- a/harriertrack/decisions/fleet/rollout/conducting.py
+++ b/harriertrack/decisions/fleet/rollout/conducting.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from harriertrack.decisions.fleet.changes.record import Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import RUN, UNDER_WAY, Standing
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, IN_PROGRESS, VersionState
 from harriertrack.decisions.fleet.rollout.believing import Told, believed
 from harriertrack.decisions.fleet.rollout.choosing import Member
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report
@@ -123,7 +123,7 @@
     def look(self, now: int, record: Record, known: Mapping[str, Known], me: str) -> list[Step]:
         """Return what is due, for each version under way."""
         under_way = {(one.thing, one.number): one for one in record.versions
-                     if one.standing in UNDER_WAY and in_stages(one.thing)}  # fmt: skip
+                     if one.standing in IN_PROGRESS and in_stages(one.thing)}  # fmt: skip
         for gone in self.followed.keys() - under_way.keys():
             del self.followed[gone]
         steps = []
@@ -143,19 +143,19 @@
         if one is None:
             plan = self.plan_of(version)
             one = Followed(Rollout(*key, plan), Evidence(*key, plan.settle_us))
-            if version.standing is not Standing.PROPOSED:
+            if version.standing is not VersionState.PROPOSED:
                 one.taken_over = True  # it was seen by another
                 one.evidence.begin()
             self.followed[key] = one
         members = self.members(now, known, version)
         plan = one.rollout.plan
-        if version.standing is Standing.PROPOSED and waits_for(record, version.thing) is not None:
+        if version.standing is VersionState.PROPOSED and waits_for(record, version.thing) is not None:
             one.evidence = Evidence(*key, plan.settle_us)  # while another thing changes nothing is as before
-        if version.standing in RUN:
+        if version.standing in ACTIVE:
             self._disturb(now, version, one, members)
             self._judge(now, version, one, members)
         step = one.rollout.look(now, record, members, me, one.finding, self._spoilt(one, plan))
-        if step is not None and version.standing is Standing.PROPOSED:
+        if step is not None and version.standing is VersionState.PROPOSED:
             one.evidence.begin()
         return step
 
@@ -237,9 +237,9 @@
 def _undo(version: Version, why: str) -> Step | None:
     """Take a version back that can't be brought about."""
     match version.standing:
-        case Standing.PROPOSED:
-            return Step(version, Standing.ABORTED, why, version.stage, ())
-        case Standing.BACK:
-            return Step(version, Standing.ABORTED, version.reason, version.stage, ())
+        case VersionState.PROPOSED:
+            return Step(version, VersionState.ABORTED, why, version.stage, ())
+        case VersionState.REVERTING:
+            return Step(version, VersionState.ABORTED, version.reason, version.stage, ())
         case _:
-            return Step(version, Standing.BACK, why, version.stage, version.heads)
+            return Step(version, VersionState.REVERTING, why, version.stage, version.heads)
--- a/harriertrack/decisions/fleet/rollout/levels.py
+++ b/harriertrack/decisions/fleet/rollout/levels.py
@@ -19,7 +19,7 @@
     `understood`: by each head that said so, `voters`: all that are there or may come back. One that is not
     heard has a vote too: it may wake up with the program that it had.
     """
-    going = any(record.under_way(thing) is not None for thing in record.things()
+    going = any(record.in_progress(thing) is not None for thing in record.things()
                 if kind_of(thing) is Kind.PROGRAM)  # fmt: skip
     if going or not voters or any(name not in understood for name in voters):
         return record.level
--- a/harriertrack/decisions/fleet/rollout/remembering.py
+++ b/harriertrack/decisions/fleet/rollout/remembering.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from harriertrack.decisions.fleet.changes.record import Record, Version
-from harriertrack.decisions.fleet.changes.standing import RUN, UNDER_WAY, Standing
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, IN_PROGRESS, VersionState
 from harriertrack.decisions.fleet.rollout.counting import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Usage
 from harriertrack.decisions.fleet.rollout.rollout import in_stages, waits_for
@@ -34,9 +34,9 @@
 def awaited(record: Record) -> Version | None:
     """Return the version whose time of before it is, or was while it is on its way."""
     for one in record.versions:
-        if one.standing not in UNDER_WAY or not in_stages(one.thing):
+        if one.standing not in IN_PROGRESS or not in_stages(one.thing):
             continue
-        if one.standing in RUN or waits_for(record, one.thing) is None:
+        if one.standing in ACTIVE or waits_for(record, one.thing) is None:
             return one
     return None
 
@@ -78,7 +78,7 @@
         key = version.thing, version.number
         if key != self._version:
             self._version, self._mark, self._kept = key, None, None
-        if version.standing is Standing.PROPOSED:
+        if version.standing is VersionState.PROPOSED:
             if slept:
                 self._mark = None
             if self._mark is None and now >= self._began + SETTLE_US:
--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -16,9 +16,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.changes import writing
+from harriertrack.decisions.fleet.changes import operations
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import RUN, Standing
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, VersionState
 from harriertrack.decisions.fleet.rollout.choosing import Member, line, next_away, staged
 from harriertrack.decisions.fleet.rollout.judging import Finding, Verdict
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage, goes_away
@@ -32,21 +32,21 @@
     """What is to be written, and the version as it was when that was decided."""
 
     before: Version
-    standing: Standing
+    standing: VersionState
     reason: str
     stage: int
     heads: tuple[str, ...]
 
     def write(self, record: Record, epoch: int, at_ms: int) -> Record:
-        """Return the record with this step taken. Raises what `writing.step` raises.
+        """Return the record with this step taken. Raises what `operations.set_state` raises.
 
         An operator, or another head, may have come first: then nothing of this is to be done.
         """
         now = record.find(self.before.thing, self.before.number)
         if now != self.before:
-            raise writing.Refused(f"{self.before.thing}: version {self.before.number} has moved on")
-        return writing.step(record, epoch, self.before.thing, self.before.number, self.standing, at_ms,
-                            self.reason, self.stage, self.heads)  # fmt: skip
+            raise operations.ChangeRefused(f"{self.before.thing}: version {self.before.number} has moved on")
+        return operations.set_state(record, epoch, self.before.thing, self.before.number, self.standing,
+                                    at_ms, self.reason, self.stage, self.heads)  # fmt: skip
 
 
 def in_stages(thing: str) -> bool:
@@ -57,10 +57,10 @@
 def waits_for(record: Record, thing: str) -> Version | None:
     """Return the version of another thing that goes first: one at a time, in the order of being proposed."""
     others = [one for one in record.versions if in_stages(one.thing)]
-    running = next((one for one in others if one.standing in RUN), None)
+    running = next((one for one in others if one.standing in ACTIVE), None)
     if running is not None:
         return running if running.thing != thing else None
-    first = next((one for one in others if one.standing is Standing.PROPOSED), None)
+    first = next((one for one in others if one.standing is VersionState.PROPOSED), None)
     return first if first is not None and first.thing != thing else None
 
 
@@ -74,7 +74,7 @@
     since: dict[str, int] = field(default_factory=dict)  # when each head was first heard to run it
     began: int = -1  # when this decider first looked at it
     moved: int = -1  # ... and since when it stands where it does
-    where: tuple[Standing, int, int, int] | None = None
+    where: tuple[VersionState, int, int, int] | None = None
     holds: str = ""  # what the next step waits for
 
     @property
@@ -90,15 +90,15 @@
         stopped whatever that says.
         """
         version = record.find(self.thing, self.number)
-        if version is None or version.standing not in (Standing.PROPOSED, *RUN):
+        if version is None or version.standing not in (VersionState.PROPOSED, *ACTIVE):
             return None
         self._follow(now, version, members)
         match version.standing:
-            case Standing.PROPOSED:
+            case VersionState.PROPOSED:
                 return self._begin(now, record, version, members, me)
-            case Standing.BACK:
+            case VersionState.REVERTING:
                 return self._back(version, members)
-            case Standing.PAUSED:
+            case VersionState.PAUSED:
                 return self._worse(version, members, finding, spoilt)
             case _:
                 worse = self._worse(version, members, finding, spoilt)
@@ -143,7 +143,7 @@
             self.holds = f"{len(wanted)} more heads are to change, and none may be away now" if wanted else ""
             return None
         said = f"stage {self.plan.stages[stage - 1].name}"
-        return Step(version, Standing.GOING, said, stage, (*named, *chosen))
+        return Step(version, VersionState.ADVANCING, said, stage, (*named, *chosen))
 
     def away(self, named: Iterable[str], members: Mapping[str, Member]) -> set[str]:
         """Return who is away for this, or may be: another decider may have sent whoever left lately."""
@@ -175,15 +175,17 @@
                 return step
             if not staged(plan.stages, at, members, named, self.seed, me):
                 said = f"stage {plan.stages[at].name}: no more heads than before"
-                return Step(version, Standing.GOING, said, at + 1, named)
+                return Step(version, VersionState.ADVANCING, said, at + 1, named)
         everybody = all(name in named for name, one in members.items() if one.here)
         alone = finding.verdict is Verdict.TROUBLE and everybody
         if alone or now - self.moved > plan.patience_us:
-            return Step(version, Standing.PAUSED, f"{WANTING}{self.holds.removeprefix(WANTING)}", at, named)
+            return Step(
+                version, VersionState.PAUSED, f"{WANTING}{self.holds.removeprefix(WANTING)}", at, named
+            )
         return None
 
     def _in_force(self, version: Version) -> Step:
-        return Step(version, Standing.IN_FORCE, "all that are heard run it", version.stage, ())
+        return Step(version, VersionState.IN_FORCE, "all that are heard run it", version.stage, ())
 
     def _unripe(self, now: int, stage: Stage, named: tuple[str, ...], members: Mapping[str, Member],
                 finding: Finding) -> str:  # fmt: skip
@@ -209,7 +211,7 @@
             spoilt = finding.why
         if not spoilt:
             return None
-        return Step(version, Standing.BACK, STOPPED + spoilt, version.stage, version.heads)
+        return Step(version, VersionState.REVERTING, STOPPED + spoilt, version.stage, version.heads)
 
     def _back(self, version: Version, members: Mapping[str, Member]) -> Step | None:
         """Let ever more heads go back, whoever is not heard first: it can't be asked to wait."""
@@ -223,9 +225,9 @@
         leaving = {*unheard, *at_home, *others}
         if leaving:
             kept = tuple(name for name in named if name not in leaving)
-            return Step(version, Standing.BACK, version.reason, version.stage, kept)
+            return Step(version, VersionState.REVERTING, version.reason, version.stage, kept)
         if not named and not any(one.here and one.runs == self.number for one in members.values()):
-            ends = Standing.STOPPED if version.reason.startswith(STOPPED) else Standing.ABORTED
+            ends = VersionState.STOPPED if version.reason.startswith(STOPPED) else VersionState.ABORTED
             return Step(version, ends, version.reason, version.stage, ())
         self.holds = "heads that go back are away" if named else "heads are still heard to run it"
         return None
--- a/harriertrack/decisions/fleet/terms.py
+++ b/harriertrack/decisions/fleet/terms.py
@@ -27,24 +27,24 @@
 RANK_PARTS = 2  # of the patience: so much longer waits each next in line
 
 
-class Seat(Enum):
+class CandidateState(Enum):
     """What a head is to a ledger."""
 
-    AWAY = "away"  # somebody else keeps it, or nobody
-    TAKING = "taking"
-    KEEPING = "keeping"
+    IDLE = "away"  # somebody else keeps it, or nobody
+    ACQUIRING = "taking"
+    HOLDING = "keeping"
     LEFT = "left"  # it gave the lock back, or never wants it
 
 
-class Call(Enum):
+class WitnessCall(Enum):
     """What is asked of the witness."""
 
-    TAKE = "take"  # a session, and the lock under it
+    ACQUIRE = "take"  # a session, and the lock under it
     RENEW = "renew"  # the session, and look whether the lock is still held under it
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class LockAcquired:
     """The lock was taken, as its `epoch`-th holder; its last one's leases may have been `lease_us` long."""
 
     epoch: int
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LockHeld:
     """The lock is another's, as its `epoch`-th holder."""
 
     epoch: int
@@ -73,95 +73,97 @@
 
     def __init__(self, number: int, rules: BudgetRules, seed: int, now: int) -> None:
         self.number, self.rules = number, rules
-        self.seat = Seat.AWAY
+        self.state = CandidateState.IDLE
         self.ledger: Ledger | None = None
         self.valid_until = 0  # of the term
-        self.highest = 0  # epoch that was heard of
+        self.highest_epoch = 0  # epoch that was heard of
         self._random = random.Random(seed)
         self._heard_at = now
         self._next = now
         self._calling = False
         self._held, self._held_since = 0, now  # whose lock was found, and since when
 
-    def valid(self, now: int) -> bool:
+    def holds_term(self, now: int) -> bool:
         """Whether this head keeps the ledger, and may say so."""
-        return self.seat is Seat.KEEPING and now < self.valid_until
+        return self.state is CandidateState.HOLDING and now < self.valid_until
 
-    def heard(self, now: int, term: Term) -> None:
+    def observe_term(self, now: int, term: Term) -> None:
         """Hear that somebody keeps it."""
-        self.highest = max(self.highest, term.epoch)
+        self.highest_epoch = max(self.highest_epoch, term.epoch)
         if self.ledger is None or term != self.ledger.term:
             self._heard_at = now
 
-    def vacated(self, now: int) -> None:
+    def observe_release(self, now: int) -> None:
         """Hear that the lock was given back: the first in line need not be patient."""
         self._heard_at = now - self.rules.patience_us
 
-    def look(self, now: int) -> bool:
+    def check_expiry(self, now: int) -> bool:
         """End the term if its time is over; return whether it ended just now."""
-        if self.seat is Seat.KEEPING and now >= self.valid_until:
+        if self.state is CandidateState.HOLDING and now >= self.valid_until:
             self._end(now)
             return True
         return False
 
     def _end(self, now: int) -> None:
-        self.seat, self.ledger, self.valid_until = Seat.AWAY, None, 0
+        self.state, self.ledger, self.valid_until = CandidateState.IDLE, None, 0
         self._heard_at = now
 
-    def waits(self, now: int) -> bool:
+    def must_wait(self, now: int) -> bool:
         """Whether its place in the line says nothing yet of what it is to do."""
-        return self.seat is Seat.KEEPING or now < max(self._next, self._heard_at + self.rules.patience_us)
+        return self.state is CandidateState.HOLDING or now < max(
+            self._next, self._heard_at + self.rules.patience_us
+        )
 
-    def step(self, now: int, rank: int) -> Call | None:
+    def next_call(self, now: int, rank: int) -> WitnessCall | None:
         """Return what is to be asked of the witness now, one thing at a time."""
-        self.look(now)
-        if self._calling or self.seat is Seat.LEFT or now < self._next:
+        self.check_expiry(now)
+        if self._calling or self.state is CandidateState.LEFT or now < self._next:
             return None
-        if self.seat is Seat.KEEPING:
+        if self.state is CandidateState.HOLDING:
             self._next = now + self.rules.term_us // RENEWS
-            return self._call(Call.RENEW)
+            return self._call(WitnessCall.RENEW)
         patience = self.rules.patience_us
         if rank >= self.rules.contenders or now < self._heard_at + patience + rank * patience // RANK_PARTS:
             return None
         self._next = now + int(patience * (0.25 + 0.25 * self._random.random()))
-        self.seat = Seat.TAKING
-        return self._call(Call.TAKE)
+        self.state = CandidateState.ACQUIRING
+        return self._call(WitnessCall.ACQUIRE)
 
-    def _call(self, call: Call) -> Call:
+    def _call(self, call: WitnessCall) -> WitnessCall:
         self._calling = True
         return call
 
-    def taken(self, now: int, asked_at: int, found: Taken | Held | None) -> Ledger | None:
+    def handle_acquire(self, now: int, asked_at: int, found: LockAcquired | LockHeld | None) -> Ledger | None:
         """Hear how taking ended; return the ledger of the term that begins, if one does."""
         self._calling = False
-        if self.seat is not Seat.TAKING:
+        if self.state is not CandidateState.ACQUIRING:
             return None
-        self.seat = Seat.AWAY
-        if isinstance(found, Held) and found.epoch != self._held:
+        self.state = CandidateState.IDLE
+        if isinstance(found, LockHeld) and found.epoch != self._held:
             self._held, self._held_since = found.epoch, now
-        if not isinstance(found, Taken):
+        if not isinstance(found, LockAcquired):
             return None
         rules = self.rules
         self.valid_until = asked_at + self._safe_us
         if now >= self.valid_until:
             return None
-        earlier = rules.counted_us(max(rules.lease_us, found.lease_us))
-        if found.epoch <= self.highest:
+        earlier = rules.granter_lease_us(max(rules.lease_us, found.lease_us))
+        if found.epoch <= self.highest_epoch:
             earlier += int(rules.term_us * (1 + 2 * rules.clock_error))
-        self.seat, self.highest = Seat.KEEPING, max(self.highest, found.epoch)
+        self.state, self.highest_epoch = CandidateState.HOLDING, max(self.highest_epoch, found.epoch)
         term = Term(found.epoch, self._random.getrandbits(62))
         self.ledger = Ledger(self.number, term, now + earlier, rules)
         self._next = now + rules.term_us // RENEWS
         return self.ledger
 
-    def complains(self, now: int) -> bool:
+    def holder_silent(self, now: int) -> bool:
         """Whether the lock's holder has been silent for so long that its renewals can't be the reason."""
         since = max(self._held_since, self._heard_at)
         return self._held > 0 and now >= since + self.rules.term_us + self.rules.patience_us
 
-    def outnumbered(self, now: int, claimed: int, there: int) -> bool:
+    def resign_if_outnumbered(self, now: int, claimed: int, there: int) -> bool:
         """Give the term up if somebody whom this head does not reach sees more heads than it does."""
-        if self.seat is not Seat.KEEPING or claimed <= there:
+        if self.state is not CandidateState.HOLDING or claimed <= there:
             return False
         self._end(now)
         self._heard_at = now + self.rules.term_us  # others come first
@@ -171,10 +173,10 @@
     def _safe_us(self) -> int:
         return int(self.rules.term_us * (1 - 2 * self.rules.clock_error))
 
-    def renewed(self, now: int, asked_at: int, holds: bool | None) -> None:
+    def handle_renewal(self, now: int, asked_at: int, holds: bool | None) -> None:
         """Hear whether the lock is still held; None: no answer, which proves nothing."""
         self._calling = False
-        if self.seat is not Seat.KEEPING:
+        if self.state is not CandidateState.HOLDING:
             return
         if holds is None:
             self._next = now + self.rules.term_us // (4 * RENEWS)
@@ -182,20 +184,20 @@
             self.valid_until = max(self.valid_until, asked_at + self._safe_us)
         else:
             self._end(now)
-        self.look(now)
+        self.check_expiry(now)
 
     def leave(self, now: int) -> bool:
         """Keep it no longer; return whether the lock is to be given back."""
-        kept = self.seat is Seat.KEEPING
+        kept = self.state is CandidateState.HOLDING
         self._end(now)
-        self.seat = Seat.LEFT
+        self.state = CandidateState.LEFT
         return kept
 
     def wake_at(self, now: int, rank: int) -> int:
         """Return when `step` may have something to do."""
-        if self.seat is Seat.KEEPING:
+        if self.state is CandidateState.HOLDING:
             return self.valid_until if self._calling else min(self._next, self.valid_until)
         patience = self.rules.patience_us
-        if self._calling or self.seat is Seat.LEFT or rank >= self.rules.contenders:
+        if self._calling or self.state is CandidateState.LEFT or rank >= self.rules.contenders:
             return now + patience
         return max(self._next, self._heard_at + patience + rank * patience // RANK_PARTS)
--- a/harriertrack/decisions/fleet/zones/bearing.py
+++ b/harriertrack/decisions/fleet/zones/cost.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from harriertrack.decisions.fleet.zones.evidence import Sight
+from harriertrack.decisions.fleet.zones.evidence import ZoneObservation
 
 LEAST_BUSY = 20  # percent; so that at most four times what a zone has served is taken to be free
 
@@ -21,21 +21,21 @@
     """What all heads ask of a zone, in requests in half a second."""
 
     served: int = 0
-    moved: int = 0  # of these, new objects: they could have gone elsewhere
+    movable: int = 0  # of these, new objects: they could have gone elsewhere
     reserved: int = 0  # ... of plans with a reservation
     wasted: int = 0  # attempts at nodes that do not answer
-    waiting: int = 0  # `served`, each with the percent for which its zone was busy
+    busy_weighted: int = 0  # `served`, each with the percent for which its zone was busy
 
-    def __add__(self, other: Load | Sight) -> Load:
+    def __add__(self, other: Load | ZoneObservation) -> Load:
         """Return the load with another, or with what one more head sees."""
-        waiting = other.waiting if isinstance(other, Load) else other.served * other.busy
-        return Load(self.served + other.served, self.moved + other.moved, self.reserved + other.reserved,
-                    self.wasted + other.wasted, self.waiting + waiting)  # fmt: skip
+        waiting = other.busy_weighted if isinstance(other, Load) else other.served * other.busy
+        return Load(self.served + other.served, self.movable + other.movable, self.reserved + other.reserved,
+                    self.wasted + other.wasted, self.busy_weighted + waiting)  # fmt: skip
 
     @property
-    def free(self) -> float:
+    def spare(self) -> float:
         """Return how much more the zone would serve."""
-        busy = max(self.waiting / self.served, LEAST_BUSY) if self.served else 100.0
+        busy = max(self.busy_weighted / self.served, LEAST_BUSY) if self.served else 100.0
         return self.served * max(0.0, 100.0 - busy) / busy
 
 
@@ -43,34 +43,34 @@
 class Cost:
     """What would come of leaving a zone, in requests in half a second."""
 
-    moves: float  # new objects, that go elsewhere
+    movable: float  # new objects, that go elsewhere
     reserved: float  # ... of plans with a reservation
-    room: float  # that the others have
-    stays: float  # requests for data that lie there: refused
+    spare: float  # that the others have
+    pinned: float  # requests for data that lie there: refused
     wasted: float  # attempts there that are lost as it is
 
     @property
-    def borne(self) -> float:
+    def absorbed(self) -> float:
         """Return how much of what moves finds room."""
-        return min(self.moves, self.room)
+        return min(self.movable, self.spare)
 
     @property
-    def borne_reserved(self) -> float:
+    def absorbed_reserved(self) -> float:
         """Return how much of what is reserved does: it comes first."""
-        return min(self.reserved, self.room)
+        return min(self.reserved, self.spare)
 
     @property
     def refused(self) -> float:
         """Return how much of what moves is refused on arrival, with a hint."""
-        return self.moves - self.borne
+        return self.movable - self.absorbed
 
     @property
-    def worth(self) -> bool:
+    def worthwhile(self) -> bool:
         """Whether staying loses at least as much."""
-        return self.wasted >= self.stays + self.refused
+        return self.wasted >= self.pinned + self.refused
 
 
-def cost_of(leaving: Load, others: Iterable[Load]) -> Cost:
+def leaving_cost(leaving: Load, others: Iterable[Load]) -> Cost:
     """Return what leaving a zone costs while the others are used."""
-    room = sum(one.free for one in others)
-    return Cost(leaving.moved, leaving.reserved, room, leaving.served - leaving.moved, leaving.wasted)
+    room = sum(one.spare for one in others)
+    return Cost(leaving.movable, leaving.reserved, room, leaving.served - leaving.movable, leaving.wasted)
--- a/harriertrack/decisions/fleet/zones/evidence.py
+++ b/harriertrack/decisions/fleet/zones/evidence.py
@@ -26,15 +26,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class ZoneObservation:
     """What a head sees of a zone: nodes that answer, nodes that do not, and requests that say so."""
 
     zone: str
-    good: int
-    bad: int
+    responding: int
+    silent: int
     requests: int
     served: int = 0  # requests that it answered well, in half a second
-    moved: int = 0  # ... that were new objects: they could have gone elsewhere
+    movable: int = 0  # ... that were new objects: they could have gone elsewhere
     reserved: int = 0  # ... and of plans with a reservation
     wasted: int = 0  # attempts at nodes that do not answer, in half a second
     busy: int = 0  # percent: how much longer than at best its answers take, of their whole time
@@ -93,7 +93,7 @@
         self._reserving = frozenset(reserving)
         self._new: dict[int, bool] = {}  # new objects under way, and whether their plans reserve
 
-    def listed(self, entries: Iterable[NodeEntry]) -> None:
+    def set_nodes(self, entries: Iterable[NodeEntry]) -> None:
         """Take the list, as it is told by those who keep it."""
         fresh = {entry.node: entry.zone for entry in entries}
         for name in self._nodes.keys() - fresh.keys():
@@ -102,7 +102,7 @@
             self._nodes.setdefault(name, _Node(zone)).zone = zone
         self._zones = {zone: self._zones.get(zone, _Zone()) for zone in fresh.values()}
 
-    def sent(self, now: int, send: Send) -> None:
+    def record_send(self, now: int, send: Send) -> None:
         """A request goes to a node."""
         if (node := self._nodes.get(send.node)) is not None:
             if node.bad(now):
@@ -112,7 +112,7 @@
             if node.asked_since < 0:
                 node.asked_since = now
 
-    def ended(self, now: int, event: Ended) -> None:
+    def record_result(self, now: int, event: Ended) -> None:
         """An attempt ended."""
         node = self._nodes.get(event.node)
         if node is None or event.result in NOTHING:
@@ -134,7 +134,7 @@
             if reserves:
                 zone.count(now, RESERVED)
 
-    def arrived(self, ask: Arrived) -> None:
+    def record_arrival(self, ask: Arrived) -> None:
         """A request came."""
         if ask.shard < 0:
             while len(self._new) >= MOST_OPEN:
@@ -145,20 +145,20 @@
         """See what a module heard and did."""
         for event in events:
             if isinstance(event, Ended):
-                self.ended(now, event)
+                self.record_result(now, event)
             elif isinstance(event, Arrived):
-                self.arrived(event)
+                self.record_arrival(event)
         for action in actions:
             if isinstance(action, Send):
-                self.sent(now, action)
+                self.record_send(now, action)
 
-    def forget(self, zone: str) -> None:
+    def forget_zone(self, zone: str) -> None:
         """Drop what was seen of a zone: it is used no more, or again, and that says nothing of it now."""
         for name, node in self._nodes.items():
             if node.zone == zone:
                 self._nodes[name] = _Node(zone)
 
-    def reached(self, now: int, part: float) -> set[str]:
+    def reachable_zones(self, now: int, part: float) -> set[str]:
         """Return the zones of whose nodes, of those that were asked lately, such a part answered just now."""
         asked: dict[str, int] = {}
         heard: dict[str, int] = {}
@@ -168,7 +168,7 @@
                 heard[node.zone] = heard.get(node.zone, 0) + (node.heard_at > now - SILENT_US)
         return {zone for zone, number in asked.items() if heard[zone] >= max(1.0, part * number)}
 
-    def report(self, now: int) -> tuple[Sight, ...]:
+    def report(self, now: int) -> tuple[ZoneObservation, ...]:
         """Return what is seen now, the zones with the most trouble first."""
         found: dict[str, list[int]] = {}
         busy: dict[str, list[float]] = {}
@@ -185,5 +185,7 @@
         for zone, (good, silent, requests) in found.items():
             served, moved, reserved, wasted = self._zones[zone].lately(now)
             percent = round(100 * sum(busy[zone]) / len(busy[zone]))
-            sights.append(Sight(zone, good, silent, requests, served, moved, reserved, wasted, percent))
-        return tuple(sorted(sights, key=lambda one: (-one.bad, one.zone))[:MOST_ZONES])
+            sights.append(
+                ZoneObservation(zone, good, silent, requests, served, moved, reserved, wasted, percent)
+            )
+        return tuple(sorted(sights, key=lambda one: (-one.silent, one.zone))[:MOST_ZONES])
--- a/harriertrack/decisions/fleet/zones/overlay.py
+++ b/harriertrack/decisions/fleet/zones/overlay.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import replace
 
-from harriertrack.decisions.fleet.zones.words import Word, uses
+from harriertrack.decisions.fleet.zones.zone_decision import ZoneDecision, uses_zone
 from harriertrack.decisions.interface import NodeEntry, NodeState
 
 
@@ -25,13 +25,13 @@
         self._left: dict[str, int] = {}  # zones that this head does not use, and when the fleet left them
         self._again: dict[str, int] = {}  # zones that are used again, and since when their nodes warm
 
-    def follow(self, now: int, words: Iterable[Word], me: str, present: Iterable[str], tries: int,
-               reached: Collection[str] = ()) -> bool:  # fmt: skip
+    def apply_decisions(self, now: int, words: Iterable[ZoneDecision], me: str, present: Iterable[str],
+                        tries: int, reached: Collection[str] = ()) -> bool:  # fmt: skip
         """Take the words that hold, and what this head reaches; return whether to tell the list anew."""
         names, told = list(present), {word.zone: word for word in words}
-        unused = {zone for zone, word in told.items() if not uses(word, me, names, tries)}
+        unused = {zone for zone, word in told.items() if not uses_zone(word, me, names, tries)}
         # Who was let in again by a word goes by it: what it sees of its first tries is no ground to stay.
-        may_keep = {zone for zone in told if not told[zone].wished and zone in reached}
+        may_keep = {zone for zone in told if not told[zone].by_operator and zone in reached}
         self._kept = {zone for zone in may_keep if zone in self._kept or zone not in self._under}
         self._under = set(told)
         unused -= self._kept
@@ -46,11 +46,11 @@
         return True
 
     @property
-    def unused(self) -> frozenset[str]:
+    def unused_zones(self) -> frozenset[str]:
         """Return the zones that this head does not use."""
         return frozenset(self._unused)
 
-    def shown(self, entry: NodeEntry) -> NodeEntry:
+    def visible_entry(self, entry: NodeEntry) -> NodeEntry:
         """Return an entry as the module is told it."""
         zone = entry.zone
         if entry.state is not NodeState.UP or (zone not in self._unused and zone not in self._again):
--- a/harriertrack/decisions/fleet/zones/words.py
+++ b/harriertrack/decisions/fleet/zones/zone_decision.py
@@ -12,7 +12,7 @@
 WHOLE = 1 << 32  # of a checksum
 
 
-class Stage(Enum):
+class ZoneStage(Enum):
     """What a zone is to the fleet."""
 
     IN = "in"
@@ -43,36 +43,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class ZoneDecision:
     """The fleet's word on one zone; `turn` says who tries."""
 
     zone: str
-    stage: Stage
+    stage: ZoneStage
     share: float
-    turn: int
-    why: str = ""
+    trial_round: int
+    reason: str = ""
     warm_us: int = 0  # for how long its nodes have answered again
-    wished: bool = False  # by an operator: who reaches it leaves it as well
+    by_operator: bool = False  # by an operator: who reaches it leaves it as well
     left_us: int = 0  # how long ago it was left
 
 
-def holding(words: Iterable[Word], age_us: int, told_us: int) -> tuple[Word, ...]:
+def valid_decisions(words: Iterable[ZoneDecision], age_us: int, told_us: int) -> tuple[ZoneDecision, ...]:
     """Return the words that still hold so long after they were heard last.
 
     That a zone returns holds half as long: its nodes answer, and who said so may have died meanwhile.
     """
     return tuple(
         word for word in words
-        if age_us < (told_us // 2 if word.stage is Stage.RETURNING else told_us)
+        if age_us < (told_us // 2 if word.stage is ZoneStage.RETURNING else told_us)
     )  # fmt: skip
 
 
-def uses(word: Word, me: str, present: Iterable[str], tries: int) -> bool:
+def uses_zone(word: ZoneDecision, me: str, present: Iterable[str], tries: int) -> bool:
     """Whether a head uses a zone under a word, so that all heads together keep to it."""
-    if word.stage is Stage.IN:
+    if word.stage is ZoneStage.IN:
         return True
-    if word.stage is Stage.OUT:
+    if word.stage is ZoneStage.OUT:
         return False
     if crc32(f"{word.zone}\0{me}".encode()) < word.share * WHOLE:
         return True
-    return rank(f"{word.zone}\0{word.turn}", me, present) < tries
+    return rank(f"{word.zone}\0{word.trial_round}", me, present) < tries
--- a/harriertrack/gateway/fleet/budgets.py
+++ b/harriertrack/gateway/fleet/budgets.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 
 from harriertrack.config.settings import BudgetsSettings, HeadSettings
-from harriertrack.decisions.fleet.budgets import Ask, BudgetRules, Grant, Term
-from harriertrack.decisions.fleet.holder import Holder
-from harriertrack.decisions.fleet.portions import Divided, Portions, Use
-from harriertrack.decisions.fleet.terms import Candidate, Seat as Standing
+from harriertrack.decisions.fleet.budget_shares import BudgetKind, BudgetShares, BudgetSpec
+from harriertrack.decisions.fleet.budgets import BudgetRules, Grant, LeaseRequest, Term
+from harriertrack.decisions.fleet.holder import LeaseHolder
+from harriertrack.decisions.fleet.terms import Candidate, CandidateState as Standing
 from harriertrack.gateway.fleet import showing
 from harriertrack.gateway.fleet.figures import figures
 from harriertrack.gateway.fleet.seats import DECIDES, Locks, Seat
@@ -47,24 +47,26 @@
     return figures(BudgetRules, settings)
 
 
-def divided_of(settings: BudgetsSettings) -> dict[Use, Divided]:
+def divided_of(settings: BudgetsSettings) -> dict[BudgetKind, BudgetSpec]:
     """Return what is divided, and how much of it there is where no plan or rule says that."""
-    return {Use(one.name.value): Divided(one.fixed, one.whole, one.burst) for one in settings.budgets}
+    return {
+        BudgetKind(one.name.value): BudgetSpec(one.fixed, one.whole, one.burst) for one in settings.budgets
+    }
 
 
-def portions_of(head: HeadSettings, hub: Hub) -> Portions:
+def portions_of(head: HeadSettings, hub: Hub) -> BudgetShares:
     """Return what a head has of all budgets, at its start."""
     assert head.fleet is not None and head.fleet.budgets is not None
     settings = head.fleet.budgets
     instance = hub.random.getrandbits(62)
-    return Portions(rules_of(settings), settings.ledgers, head.fleet.name, instance, head.heads,
+    return BudgetShares(rules_of(settings), settings.ledgers, head.fleet.name, instance, head.heads,
                     divided_of(settings), hub.now())  # fmt: skip
 
 
 class Budgets:
     """This head's part."""
 
-    def __init__(self, parts: HeadParts, settings: BudgetsSettings, portions: Portions, fleet: str,
+    def __init__(self, parts: HeadParts, settings: BudgetsSettings, portions: BudgetShares, fleet: str,
                  swim: Swim, send: Callable[[bytes, Address], None], shed: Callable[[str, int], None],
                  decides: bool = False) -> None:  # fmt: skip
         """`shed`: closes so many links to a node. `decides`: a term of its own is for who decides for all."""
@@ -75,7 +77,7 @@
         holders = list(portions.holders)
         if decides:  # in a term of its own: heads that decide nothing keep budgets too
             mine = holders[0]
-            holders.append(Holder(DECIDES, mine.name, mine.instance, portions.rules, hub.now()))
+            holders.append(LeaseHolder(DECIDES, mine.name, mine.instance, portions.rules, hub.now()))
         self._seats = {
             holder.number: Seat(
                 holder.number, holder,
@@ -90,7 +92,7 @@
 
     def start(self) -> None:
         """Take part from now on."""
-        self.portions.woken = self._soon
+        self.portions.on_wake = self._soon
         for seat in self._seats.values():
             self._parts.scope.spawn(f"ledger {seat.number}", self._locks.sit, seat)
         self._soon()
@@ -119,49 +121,49 @@
         except MalformedDatagram:
             counts.garbage += 1
         else:
-            if not isinstance(said, Ask | Grant | tuple):
+            if not isinstance(said, LeaseRequest | Grant | tuple):
                 self.otherwise(said, source)
                 return
-            number = said.ledger if isinstance(said, Ask | Grant) else said[1]
+            number = said.ledger if isinstance(said, LeaseRequest | Grant) else said[1]
             if (seat := self._seats.get(number)) is not None:
                 self._take(now, seat, said, source)
 
     def _take(self, now: int, seat: Seat, said: Said, source: Address) -> None:
         match said:
-            case Ask():
+            case LeaseRequest():
                 self._asked(now, seat, said, source)
                 if seat.candidate.ledger is not None:
                     self._alarm.wake_at(seat.candidate.ledger.wake_at() or now)
             case Grant():
-                seat.candidate.heard(now, said.term)
-                if seat.holder.granted(now, said):
+                seat.candidate.observe_term(now, said.term)
+                if seat.holder.apply_grant(now, said):
                     self._wake()  # what it has let go of is to be confirmed at once
             case (Kind.TERM, _, term):
                 self._heard(now, seat, term, source)
                 self._soon()
             case (Kind.VACATED, _, term):
                 if term == seat.holder.term:
-                    seat.candidate.vacated(now)
+                    seat.candidate.observe_release(now)
 
     def _heard(self, now: int, seat: Seat, term: Term, source: Address | None) -> None:
-        seat.candidate.heard(now, term)
-        if seat.holder.hear(now, term):
+        seat.candidate.observe_term(now, term)
+        if seat.holder.observe_term(now, term):
             if seat.keeper != source or seat.mine != (source is None):
                 seat.keeper, seat.mine = source, source is None
                 where = f"{source[0]}:{source[1]}" if source is not None else "this head"
                 self._parts.note("fleet budgets: asks", ledger=seat.number, epoch=term.epoch, keeper=where)
 
-    def _asked(self, now: int, seat: Seat, ask: Ask, source: Address | None) -> None:
+    def _asked(self, now: int, seat: Seat, ask: LeaseRequest, source: Address | None) -> None:
         candidate = seat.candidate
-        candidate.look(now)
+        candidate.check_expiry(now)
         ledger = candidate.ledger
-        if not candidate.valid(now) or ledger is None:
+        if not candidate.holds_term(now) or ledger is None:
             self.counts.unwanted += 1
             return
         if source is not None:
             seat.contact[source] = now
             seat.addresses[ask.holder, ask.instance] = source
-        grant = ledger.ask(now, ask)
+        grant = ledger.handle_request(now, ask)
         if grant is not None:
             self._grant(now, seat, grant)
         elif ask.term != ledger.term and source is not None:
@@ -169,7 +171,7 @@
 
     def _grant(self, now: int, seat: Seat, grant: Grant) -> None:
         if grant.instance == seat.holder.instance:
-            seat.holder.granted(now, grant)
+            seat.holder.apply_grant(now, grant)
         elif (address := seat.addresses.get((grant.holder, grant.instance))) is not None:
             self.send(address, grant)
 
@@ -198,7 +200,7 @@
         now, when = self._hub.now(), []
         for seat in self._seats.values():
             self._keep(now, seat)
-            asks = seat.holder.asks(now)
+            asks = seat.holder.due_requests(now)
             if seat.holder.lapses > seat.lapses:
                 seat.lapses = seat.holder.lapses
                 self._parts.note("fleet budgets: lease over", ledger=seat.number, lapses=seat.lapses)
@@ -212,7 +214,7 @@
             if ledger is not None:
                 when += [ledger.wake_at(), seat.told_at + self.portions.rules.lease_us]
                 when.append(seat.candidate.valid_until)
-        for node, number in self.portions.links_over(now):
+        for node, number in self.portions.excess_links(now):
             self._shed(node, number)
         due = [at for at in when if at is not None]
         if due:
@@ -221,18 +223,20 @@
     def _keep(self, now: int, seat: Seat) -> None:
         """Do what is due as who keeps a ledger."""
         candidate = seat.candidate
-        candidate.look(now)
+        candidate.check_expiry(now)
         ledger = candidate.ledger
         if ledger is None and seat.mine:
             self._ended(seat)
-        if not candidate.valid(now) or ledger is None:
+        if not candidate.holds_term(now) or ledger is None:
             return
         self._heard(now, seat, ledger.term, None)
-        for grant in ledger.round(now):
+        for grant in ledger.rebalance(now):
             self._grant(now, seat, grant)
         if now >= seat.told_at + self.portions.rules.lease_us:
             seat.told_at = now
-            seat.addresses = {holder: at for holder, at in seat.addresses.items() if holder in ledger.tenants}
+            seat.addresses = {
+                holder: at for holder, at in seat.addresses.items() if holder in ledger.tenancies
+            }
             for address in self.others():
                 if seat.contact.get(address, 0) < now - self.portions.rules.lease_us:
                     self.send(address, (Kind.TERM, seat.number, ledger.term))
@@ -260,7 +264,7 @@
     @property
     def released(self) -> bool:
         """Whether nothing is kept, or will be, any more."""
-        return all(seat.candidate.seat is Standing.LEFT for seat in self._seats.values())
+        return all(seat.candidate.state is Standing.LEFT for seat in self._seats.values())
 
     # -- what operators see
 
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from harriertrack.config.settings import ChangesSettings
-from harriertrack.decisions.fleet.changes.following import Follower
+from harriertrack.decisions.fleet.changes.follower import Follower
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.fleet.deciding import Deciding
@@ -98,14 +98,14 @@
     def heard(self, about: Telling) -> None:
         """Hear what another member tells by its note."""
         if about.record:
-            self._follower.hear(self._fetch_from(), about.record)
+            self._follower.observe_revision(self._fetch_from(), about.record)
 
     def _told(self, now: int, body: bytes) -> None:
         try:
             said = msgspec.msgpack.decode(body, type=_Revision)
         except msgspec.MsgspecError:
             return  # none of ours
-        self._follower.hear(self._fetch_from(), said.revision)
+        self._follower.observe_revision(self._fetch_from(), said.revision)
 
     def _fetch_from(self) -> int:
         """Return when to fetch: the heads of a fleet do not all ask the witness at once."""
@@ -114,7 +114,7 @@
 
     def runs(self) -> Mapping[str, int]:
         """Return what this head runs, by thing; what was never changed is left out."""
-        return self._follower.runs()
+        return self._follower.running_versions()
 
     # -- following
 
@@ -122,7 +122,7 @@
         """Fetch when there is something to fetch (a task)."""
         while True:
             now = self._hub.now()
-            if self._follower.fetch(now):
+            if self._follower.start_fetch(now):
                 self._fetch()
             elif self._deciding.keeps(now) is not None and now >= self._looked_at + self._settings.look_us:
                 self._look()
@@ -142,7 +142,7 @@
         except DamagedRecord as error:
             self._parts.note("fleet changes: the witness's record is damaged", why=str(error))
         now = self._hub.now()
-        if self._follower.fetched(now, found, digest_of(data) if data else 0):
+        if self._follower.finish_fetch(now, found, digest_of(data) if data else 0):
             self._took(data)
 
     def _look(self) -> None:
@@ -156,7 +156,7 @@
                 damaged = True
             else:
                 self._have(found.record, found.data)
-            if (damaged or self._follower.lost) and self.record.revision:
+            if (damaged or self._follower.witness_behind) and self.record.revision:
                 back = keeping.put_back(self._deciding.witness, self.record)
                 if back is not None:
                     self._parts.note("fleet changes: record put back", revision=back.record.revision)
@@ -192,7 +192,7 @@
         return document.record.record if document.record is not None else b""
 
     def _have(self, record: Record, data: bytes, keep: bool = True) -> None:
-        if self._follower.fetched(self._hub.now(), record, digest_of(data) if data else 0):
+        if self._follower.finish_fetch(self._hub.now(), record, digest_of(data) if data else 0):
             self._took(data, keep)
 
     def _took(self, data: bytes, keep: bool = True) -> None:
@@ -204,7 +204,7 @@
             except OSError as error:
                 self._parts.note("fleet changes: copy is not kept", why=str(error))
         record = self.record
-        latest = {thing: record.of(thing)[-1].number for thing in record.things()}
+        latest = {thing: record.versions_of(thing)[-1].number for thing in record.things()}
         self._parts.note("fleet changes", revision=record.revision, epoch=record.epoch,
                          digest=self._follower.digest, latest=latest)  # fmt: skip
         self._take()
@@ -213,7 +213,7 @@
         self._tell()
 
     def _take(self) -> None:
-        for thing, version in self._follower.due():
+        for thing, version in self._follower.pending_changes():
             number = version.number if version is not None else 0
             try:
                 user = self._users.get(kind_of(thing))
@@ -221,21 +221,21 @@
                 user = None  # of a later program
             why = user.take(thing, version) if user is not None else "this head has no use for it"
             if why:
-                self._follower.turned_down(thing, number, why)
+                self._follower.mark_rejected(thing, number, why)
                 self._parts.note("fleet change turned down", thing=thing, version=number, why=why)
             else:
-                self._follower.took(thing, number)
+                self._follower.mark_applied(thing, number)
                 self._parts.note("fleet change taken", thing=thing, version=number)
 
     def took(self, thing: str, number: int) -> None:
         """Hear from a user that a version runs by now, or has since the head's start."""
-        self._follower.took(thing, number)
+        self._follower.mark_applied(thing, number)
         self._tell()
 
     def turned_down(self) -> Mapping[str, tuple[int, str]]:
         """Return what this head did not take, by thing: the version, and why."""
         return {
-            thing: (one.turned_down, one.why) for thing, one in self._follower.taken.items() if one.why
+            thing: (one.rejected, one.reason) for thing, one in self._follower.applied.items() if one.reason
         }  # fmt: skip
 
     # -- writing
@@ -254,7 +254,7 @@
 
     def about(self, about: About) -> bytes:
         """Return a member's note with what is told of changes, as far as it has room."""
-        runs = dict(self._follower.runs())
+        runs = dict(self._follower.running_versions())
         while True:
             told = Telling(about.volumes, about.open, about.taken, about.refused, self.record.revision,
                            self._follower.digest, LEVEL, runs)  # fmt: skip
@@ -268,15 +268,20 @@
         record, follower = self.record, self._follower
         things = []
         for thing in record.things():
-            holds, going, taken = record.in_force(thing), record.under_way(thing), follower.taken.get(thing)
-            last = going or holds or record.of(thing)[-1]
+            holds, going, taken = (
+                record.in_force(thing),
+                record.in_progress(thing),
+                follower.applied.get(thing),
+            )
+            last = going or holds or record.versions_of(thing)[-1]
             things.append(
                 ThingTold(
-                    thing, holds.number if holds is not None else 0, taken.runs if taken is not None else 0,
+                    thing, holds.number if holds is not None else 0,
+                    taken.running if taken is not None else 0,
                     going.number if going is not None else 0, last.standing.value, last.stage,
                     list(last.heads), f"{last.why} ({last.by})", last.reason, last.since_ms / 1e3,
-                    taken.turned_down if taken is not None else 0, taken.why if taken is not None else "",
+                    taken.rejected if taken is not None else 0, taken.reason if taken is not None else "",
                 )
             )  # fmt: skip
-        return ChangesTold(record.revision, follower.digest, record.epoch, record.level, follower.heard,
-                           follower.lost, things, self._data)  # fmt: skip
+        return ChangesTold(record.revision, follower.digest, record.epoch, record.level,
+                           follower.highest_seen, follower.witness_behind, things, self._data)  # fmt: skip
--- a/harriertrack/gateway/fleet/changes/keeping.py
+++ b/harriertrack/gateway/fleet/changes/keeping.py
@@ -6,15 +6,15 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
+from harriertrack.decisions.fleet.changes.operations import ChangeRefused
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.writing import Refused
 from harriertrack.gateway.witness import WitnessClient
 from harriertrack.membership.fleet.changing import PATH, DamagedRecord, decode, encode
 
 TRIES = 8  # to be first, against others who change it just then
 
 
-class Busy(Refused):
+class Busy(ChangeRefused):
     """Others were first each time."""
 
 
@@ -62,7 +62,7 @@
             there = decode(key.value)
         if there.revision >= known.revision:
             return None
-    fresh = known.replaced([])
+    fresh = known.with_versions([])
     data = encode(fresh)
     index = witness.replace(PATH, data, key.index if key is not None else 0)
     return Found(fresh, data, index) if index else None
--- a/harriertrack/gateway/fleet/closing/keeping.py
+++ b/harriertrack/gateway/fleet/closing/keeping.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 from harriertrack.decisions.fleet.budgets import Term
+from harriertrack.decisions.fleet.changes.operations import ChangeRefused, OutdatedTerm
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.writing import Outdated, Refused
 from harriertrack.decisions.fleet.closing.arranging import CLOSES, Reader, arranged, calendars, schedule_of
 from harriertrack.decisions.fleet.closing.clocks import Interval
 from harriertrack.decisions.fleet.closing.sweeps import SweepKey, Swept
@@ -35,7 +35,7 @@
 MOST_WRONG = 2
 
 
-class _Nothing(Refused):
+class _Nothing(ChangeRefused):
     """There is nothing to write."""
 
 
@@ -154,16 +154,16 @@
 
         def make(record: Record) -> Record:
             if record.epoch > term.epoch:
-                raise Outdated(f"term {record.epoch} has decided since term {term.epoch}")
+                raise OutdatedTerm(f"term {record.epoch} has decided since term {term.epoch}")
             if record.revision < revision:
-                raise Refused(f"the witness lost revision {revision}")
-            return record.replaced([], term.epoch)
+                raise ChangeRefused(f"the witness lost revision {revision}")
+            return record.with_versions([], term.epoch)
 
         self._term, self._seen = None, 0
         self._again_at = self._around.hub.now() + AGAIN_US
         try:
             self._record = self._around.write(make)
-        except (Refused, DamagedRecord, *FAILURES) as error:
+        except (ChangeRefused, DamagedRecord, *FAILURES) as error:
             self._around.note("closing record not known", why=str(error) or type(error).__name__)
             return False
         self._term, self._keeper = term, self._new_keeper()
@@ -183,7 +183,7 @@
 
         def make(record: Record) -> Record:
             if record.revision < self._record.revision:
-                raise Refused(f"the witness lost revision {self._record.revision}")
+                raise ChangeRefused(f"the witness lost revision {self._record.revision}")
             self._record = record
             latest = self._around.reading()
             after = arranged(record, term.epoch, max(reading.high, latest.high if latest else 0),
@@ -196,7 +196,7 @@
             self._record = self._around.write(make)
         except _Nothing:
             return True
-        except (Refused, DamagedRecord, *FAILURES) as error:
+        except (ChangeRefused, DamagedRecord, *FAILURES) as error:
             self._around.note("closes not written", why=str(error) or type(error).__name__)
             self._term = None
             return False
--- a/harriertrack/gateway/fleet/deciding.py
+++ b/harriertrack/gateway/fleet/deciding.py
@@ -35,7 +35,7 @@
     def keeps(self, now: int) -> Term | None:
         """Return the term in which this head decides; None if it does not."""
         candidate = self._budgets.deciding.candidate
-        return candidate.ledger.term if candidate.valid(now) and candidate.ledger is not None else None
+        return candidate.ledger.term if candidate.holds_term(now) and candidate.ledger is not None else None
 
     @property
     def keeper(self) -> Address | None:
@@ -44,7 +44,7 @@
 
     def follows(self, now: int, term: Term) -> bool:
         """Whether this is the term that this head goes by."""
-        return self._budgets.deciding.holder.hear(now, term)
+        return self._budgets.deciding.holder.observe_term(now, term)
 
     def tell_keeper(self, said: Said) -> None:
         """Tell who decides, if it is known and another head."""
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -13,9 +13,9 @@
 from harriertrack.config.settings.fleet import RolloutSettings
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.budgets import Term
+from harriertrack.decisions.fleet.changes.operations import ChangeRefused, raise_level
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import IllegalStep
-from harriertrack.decisions.fleet.changes.writing import Refused, raise_level
+from harriertrack.decisions.fleet.changes.version_state import IllegalTransition
 from harriertrack.decisions.fleet.rollout.conducting import BadPlan, Conductor, Known
 from harriertrack.decisions.fleet.rollout.counting import Counting
 from harriertrack.decisions.fleet.rollout.evidence import Report
@@ -171,7 +171,7 @@
     def _change(self, make: Callable[[Record], Record]) -> None:
         try:
             self._changes.write(make)
-        except (Refused, IllegalStep, DamagedRecord, ValueError) as error:
+        except (ChangeRefused, IllegalTransition, DamagedRecord, ValueError) as error:
             self._parts.note("rollout: step not taken", why=str(error))
         except FAILURES:
             pass  # the next look finds out whether it was written
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -173,10 +173,10 @@
         if run is None or not run.thing or self._changes is None:
             return there
         record = self._changes.record
-        mine = record.wanted(run.thing, self._swim.me.name)
+        mine = record.version_for(run.thing, self._swim.me.name)
         if mine is None:
             return there
-        return frozenset(name for name in there if record.wanted(run.thing, name) == mine)
+        return frozenset(name for name in there if record.version_for(run.thing, name) == mine)
 
     def _hear(self, now: int) -> None:
         """Take what is new among the view's notes; who is gone is forgotten."""
--- a/harriertrack/gateway/fleet/seats.py
+++ b/harriertrack/gateway/fleet/seats.py
@@ -13,9 +13,9 @@
 
 from harriertrack.config.settings import BudgetsSettings
 from harriertrack.decisions.fleet.budgets import Term
-from harriertrack.decisions.fleet.holder import Holder
+from harriertrack.decisions.fleet.holder import LeaseHolder
 from harriertrack.decisions.fleet.ledger import Ledger
-from harriertrack.decisions.fleet.terms import Call, Candidate, Held, Taken, rank
+from harriertrack.decisions.fleet.terms import Candidate, LockAcquired, LockHeld, WitnessCall, rank
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.membership.fleet.swim import Swim
@@ -45,7 +45,7 @@
     """One seat, as this head takes part in it."""
 
     number: int
-    holder: Holder
+    holder: LeaseHolder
     candidate: Candidate
     keeper: Address | None = None  # whom to ask; None: nobody, or this head itself
     mine: bool = False
@@ -78,13 +78,13 @@
         while not self.leaving:
             now = self._hub.now()
             view, me = self._swim.view, self._swim.me.name
-            here = 0 if candidate.waits(now) else rank(seat.number, me, view.present)
-            match candidate.step(now, here):
-                case Call.TAKE:
+            here = 0 if candidate.must_wait(now) else rank(seat.number, me, view.present)
+            match candidate.next_call(now, here):
+                case WitnessCall.ACQUIRE:
                     self._try_take(seat, now)
-                case Call.RENEW:
+                case WitnessCall.RENEW:
                     holds = self._renew(seat)
-                    candidate.renewed(self._hub.now(), now, holds)
+                    candidate.handle_renewal(self._hub.now(), now, holds)
                     self._soon()
                 case _:
                     until = candidate.wake_at(now, here)
@@ -92,10 +92,10 @@
         self._release(seat)
 
     def _try_take(self, seat: Seat, asked_at: int) -> None:
-        found: Taken | Held | None = None
+        found: LockAcquired | LockHeld | None = None
         try:
             found = self._take_lock(seat)
-            if isinstance(found, Held) and seat.candidate.complains(self._hub.now()):
+            if isinstance(found, LockHeld) and seat.candidate.holder_silent(self._hub.now()):
                 there = len(self._swim.view.present)
                 self.witness.put(f"{seat.path}/silent", msgspec.json.encode(Complaint(found.epoch, there)))
                 self._parts.note("fleet budgets: keeper is silent", ledger=seat.number, epoch=found.epoch,
@@ -103,7 +103,7 @@
         except FAILURES as error:
             why = str(error) or type(error).__name__
             self._parts.note("fleet budgets: no witness", ledger=seat.number, why=why)
-        ledger = seat.candidate.taken(self._hub.now(), asked_at, found)
+        ledger = seat.candidate.handle_acquire(self._hub.now(), asked_at, found)
         if ledger is not None:
             seat.addresses.clear()
             seat.contact.clear()
@@ -113,10 +113,10 @@
                              opens_us=opens_us)  # fmt: skip
             self._soon()
 
-    def _take_lock(self, seat: Seat) -> Taken | Held | None:
+    def _take_lock(self, seat: Seat) -> LockAcquired | LockHeld | None:
         key = self.witness.key(seat.path)
         if key is not None and key.session:
-            return Held(key.epoch)
+            return LockHeld(key.epoch)
         session = self.witness.create(self._settings.term_us)
         value = msgspec.json.encode(Kept(self._swim.me.name, self._settings.lease_us))
         if not self.witness.change(seat.path, "lock", session, value, key.index if key is not None else 0):
@@ -125,7 +125,7 @@
         if mine is None or mine.session != session:
             return None
         seat.session = session
-        return Taken(mine.epoch, _lease_of(key.value) if key is not None else 0)
+        return LockAcquired(mine.epoch, _lease_of(key.value) if key is not None else 0)
 
     def _renew(self, seat: Seat) -> bool | None:
         ledger = seat.candidate.ledger
@@ -150,7 +150,9 @@
         except msgspec.MsgspecError:
             return  # none of ours
         there = len(self._swim.view.present)
-        if told.epoch == ledger.term.epoch and seat.candidate.outnumbered(self._hub.now(), told.there, there):
+        if told.epoch == ledger.term.epoch and seat.candidate.resign_if_outnumbered(
+            self._hub.now(), told.there, there
+        ):
             self._parts.note("fleet budgets: outnumbered", ledger=seat.number, there=there, theirs=told.there)
             self._give_back(seat, ledger)
 
--- a/harriertrack/gateway/fleet/showing.py
+++ b/harriertrack/gateway/fleet/showing.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Collection, Sequence
 
+from harriertrack.decisions.fleet.budget_shares import BUDGET_UNITS, BudgetKind
 from harriertrack.decisions.fleet.ledger import Ledger
-from harriertrack.decisions.fleet.portions import UNITS, Use
 from harriertrack.gateway.fleet.seats import Seat
 from harriertrack.membership.fleet.telling import (
     BudgetsTold,
@@ -23,24 +23,25 @@
     """Return what a head tells of the seats that it takes part in."""
     portions = [
         PortionTold(
-            name, UNITS[Use(name.partition("/")[0])], one.portion.whole.rate, one.portion.whole.burst,
-            one.portion.whole.fixed * one.portion.whole.rate / one.portion.whole.hosts,
-            one.portion.share if seat.holder.live(now) else 0.0, one.wanted, one.portion.level,
+            name, BUDGET_UNITS[BudgetKind(name.partition("/")[0])],
+            one.share.total.rate, one.share.total.burst,
+            one.share.total.fixed * one.share.total.rate / one.share.total.hosts,
+            one.share.leased if seat.holder.lease_valid(now) else 0.0, one.demand, one.share.level,
         )
-        for seat in seats for name, one in seat.holder.held.items()
+        for seat in seats for name, one in seat.holder.budgets.items()
     ]  # fmt: skip
     ledgers, more = [], max(0, len(portions) - MOST_TOLD)
     for seat in seats:
-        if seat.candidate.valid(now) and seat.candidate.ledger is not None:
+        if seat.candidate.holds_term(now) and seat.candidate.ledger is not None:
             told, left = _ledger_told(now, seat, seat.candidate.ledger, present)
             ledgers.append(told)
             more += left
     found = [
         SeatTold(
-            seat.number, seat.candidate.seat.value,
+            seat.number, seat.candidate.state.value,
             seat.holder.term.epoch if seat.holder.term is not None else None,
             "itself" if seat.mine else f"{seat.keeper[0]}:{seat.keeper[1]}" if seat.keeper else "",
-            max(0, seat.holder.lease.until - now) / 1e6, seat.holder.lapses,
+            max(0, seat.holder.lease.expires_at - now) / 1e6, seat.holder.lapses,
         )
         for seat in seats
     ]  # fmt: skip
@@ -50,14 +51,14 @@
 
 def _ledger_told(now: int, seat: Seat, ledger: Ledger, present: Collection[str]) -> tuple[LedgerTold, int]:
     slips = [
-        SlipTold(name, holder[0], digest_name(holder[1]), slip.rate, slip.counted, slip.wanted,
-                 max(0, ledger.tenants[holder].until - now) / 1e6, holder[0] in present)
-        for name, account in sorted(ledger.accounts.items()) for holder, slip in account.slips.items()
+        SlipTold(name, holder[0], digest_name(holder[1]), slip.granted, slip.committed, slip.demand,
+                 max(0, ledger.tenancies[holder].expires_at - now) / 1e6, holder[0] in present)
+        for name, account in sorted(ledger.accounts.items()) for holder, slip in account.holdings.items()
     ]  # fmt: skip
     told = LedgerTold(
         seat.number, ledger.term.epoch, max(0, ledger.opens_at - now) / 1e6,
-        (seat.candidate.valid_until - now) / 1e6, len(ledger.tenants), ledger.moves,
-        {name: account.whole for name, account in list(sorted(ledger.accounts.items()))[:MOST_TOLD]},
+        (seat.candidate.valid_until - now) / 1e6, len(ledger.tenancies), ledger.moves,
+        {name: account.total for name, account in list(sorted(ledger.accounts.items()))[:MOST_TOLD]},
         slips[:MOST_TOLD],
     )  # fmt: skip
     return told, max(0, len(slips) - MOST_TOLD)
--- a/harriertrack/gateway/fleet/zones.py
+++ b/harriertrack/gateway/fleet/zones.py
@@ -12,11 +12,11 @@
 
 from harriertrack.config.settings import FleetSettings, ZonesSettings
 from harriertrack.decisions.fleet.budgets import Term
-from harriertrack.decisions.fleet.zones.bearing import Cost
+from harriertrack.decisions.fleet.zones.cost import Cost
 from harriertrack.decisions.fleet.zones.evacuation import Evacuation
 from harriertrack.decisions.fleet.zones.evidence import Evidence
 from harriertrack.decisions.fleet.zones.overlay import Overlay
-from harriertrack.decisions.fleet.zones.words import Word, ZoneRules, holding
+from harriertrack.decisions.fleet.zones.zone_decision import ZoneDecision, ZoneRules, valid_decisions
 from harriertrack.decisions.interface import NodeEntry, NodeState
 from harriertrack.gateway.fleet.deciding import Deciding
 from harriertrack.gateway.fleet.figures import figures
@@ -52,14 +52,14 @@
     return figures(ZoneRules, settings)
 
 
-def _said(words: Iterable[Word]) -> list[tuple[object, ...]]:
+def _said(words: Iterable[ZoneDecision]) -> list[tuple[object, ...]]:
     """Return what of words is news when it changes."""
-    return [(word.zone, word.stage, word.share, word.turn) for word in words]
+    return [(word.zone, word.stage, word.share, word.trial_round) for word in words]
 
 
 def _leaving_told(cost: Cost) -> LeavingTold:
-    halves = (cost.stays + cost.moves, cost.stays, cost.moves, cost.reserved, cost.room, cost.borne,
-              cost.borne_reserved, cost.refused)  # fmt: skip
+    halves = (cost.pinned + cost.movable, cost.pinned, cost.movable, cost.reserved, cost.spare, cost.absorbed,
+              cost.absorbed_reserved, cost.refused)  # fmt: skip
     return LeavingTold(*(2.0 * one for one in halves))  # counted is in half a second
 
 
@@ -73,14 +73,14 @@
         self._overlay = Overlay()
         self._zones: list[str] = []
         self._starts: dict[str, list[int]] = {}  # by zone: when its nodes started, as the list says
-        self._words: tuple[Word, ...] = ()
+        self._words: tuple[ZoneDecision, ...] = ()
         self._heard_at = self._said_at = self._told_at = self._wished_at = 0
         self._heard_in: Term | None = None  # the term of these words
         self._greets = any(seed.name == fleet.name for seed in fleet.seeds)
         self._term: Term | None = None  # in which this head decides
         self._decides: Evacuation | None = None
         self._wishes: dict[str, str] = {}
-        listing.heard, listing.overlay = self._listed, self._overlay.shown
+        listing.heard, listing.overlay = self._listed, self._overlay.visible_entry
         deciding.on_seen, deciding.on_told = self.saw, self.told
 
     def start(self) -> None:
@@ -95,7 +95,7 @@
             self._decides.rules = self._rules
 
     def _listed(self, entries: list[NodeEntry]) -> None:
-        self._evidence.listed(entries)
+        self._evidence.set_nodes(entries)
         self._starts = {}
         for entry in entries:
             starts = self._starts.setdefault(entry.zone, [])
@@ -113,11 +113,11 @@
         keeps = self._deciding.keeps(now)
         self._decide(now, keeps)
         if keeps is not None and self._decides is not None:
-            self._decides.saw(now, self._swim.me.name, sights)
-        elif sights and (any(one.bad for one in sights) or now >= self._said_at + TELL_US):
+            self._decides.record_report(now, self._swim.me.name, sights)
+        elif sights and (any(one.silent for one in sights) or now >= self._said_at + TELL_US):
             self._said_at = now
             self._deciding.tell_keeper(Seen(self._swim.me.name, sights))
-        if (held := holding(self._words, now - self._heard_at, self._rules.told_us)) != self._words:
+        if (held := valid_decisions(self._words, now - self._heard_at, self._rules.told_us)) != self._words:
             self._parts.note("fleet zones: no word any more")
             self._words = held
         self._show(now)
@@ -129,11 +129,11 @@
             return
         if term != self._term or self._decides is None:
             self._term, self._decides = term, Evacuation(self._rules)
-            self._decides.take_up(now, self._words)
+            self._decides.resume(now, self._words)
         decides, before = self._decides, self._words
-        self._decides.hold(now, self._wishes)
+        self._decides.apply_holds(now, self._wishes)
         decides.decide(now, self._zones, len(self._swim.view.present), self._starts)
-        words = decides.words(now)
+        words = decides.decisions(now)
         self._heard(now, term, words)
         if _said(words) != _said(before) or now >= self._told_at + WORD_US:
             self._told_at = now
@@ -142,7 +142,7 @@
     def saw(self, now: int, seen: Seen) -> None:
         """Another head says what it sees."""
         if self._decides is not None:
-            self._decides.saw(now, seen.head, seen.sights)
+            self._decides.record_report(now, seen.head, seen.sights)
 
     def told(self, now: int, told: Told) -> None:
         """The word of the one who decides."""
@@ -158,27 +158,29 @@
         if self._words and self._heard_in is not None and (self._greets or self._decides is not None):
             self._deciding.tell(record.address, Told(self._heard_in, self._words))
 
-    def _heard(self, now: int, term: Term, words: tuple[Word, ...]) -> None:
+    def _heard(self, now: int, term: Term, words: tuple[ZoneDecision, ...]) -> None:
         self._heard_at, self._heard_in = now, term
         known = {word.zone: word for word in self._words}
         for word in words:
             if (before := known.pop(word.zone, None)) is None or before.stage is not word.stage:
-                self._parts.note("fleet zone", zone=word.zone, stage=word.stage.value, why=word.why)
+                self._parts.note("fleet zone", zone=word.zone, stage=word.stage.value, why=word.reason)
         for zone in known:
             self._parts.note("fleet zone", zone=zone, stage="in", why="")
         self._words = words
 
     def _show(self, now: int) -> None:
         names = list(self._swim.view.present)
-        before = self._overlay.unused
-        reached = self._evidence.reached(now, self._rules.answers) if self._words else ()
-        if self._overlay.follow(now, self._words, self._swim.me.name, names, self._rules.tries, reached):
-            unused = self._overlay.unused
+        before = self._overlay.unused_zones
+        reached = self._evidence.reachable_zones(now, self._rules.answers) if self._words else ()
+        if self._overlay.apply_decisions(
+            now, self._words, self._swim.me.name, names, self._rules.tries, reached
+        ):
+            unused = self._overlay.unused_zones
             under = {word.zone for word in self._words}
             for zone in sorted(before ^ unused):
                 # The last step of a return is that there is no word any more.
                 word = zone in under or now < self._heard_at + WORD_US
-                self._evidence.forget(zone)
+                self._evidence.forget_zone(zone)
                 self._parts.note("zone used" if zone in before else "zone unused", zone=zone,
                                  unused=len(unused), zones=len(self._zones), word=word)  # fmt: skip
             self._listing.tell_anew()
@@ -204,7 +206,7 @@
         """Return what this head tells of zones."""
         words = {word.zone: word for word in self._words}
         sights = {sight.zone: sight for sight in self._evidence.report(now)}
-        sums = self._decides.sums(now) if self._decides is not None else {}
+        sums = self._decides.summarize(now) if self._decides is not None else {}
         told = []
         for zone in self._zones:
             word, sight, whole = words.get(zone), sights.get(zone), sums.get(zone)
@@ -212,10 +214,11 @@
                 ZoneTold(
                     zone, word.stage.value if word is not None else "in",
                     word.share if word is not None else 1.0,
-                    zone not in self._overlay.unused,
-                    word.why if word is not None else "",
-                    sight.good if sight is not None else 0, sight.bad if sight is not None else 0,
-                    whole.good if whole is not None else None, whole.bad if whole is not None else None,
+                    zone not in self._overlay.unused_zones,
+                    word.reason if word is not None else "",
+                    sight.responding if sight is not None else 0, sight.silent if sight is not None else 0,
+                    whole.responding if whole is not None else None,
+                    whole.silent if whole is not None else None,
                     whole.heads if whole is not None else None, self._wishes.get(zone, ""),
                     _leaving_told(self._decides.cost(zone, sums)) if self._decides is not None else None,
                 )
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -30,7 +30,7 @@
 from harriertrack.storage.missed import MissedLog
 
 if TYPE_CHECKING:
-    from harriertrack.decisions.fleet.portions import Portions
+    from harriertrack.decisions.fleet.budget_shares import BudgetShares
     from harriertrack.decisions.fleet.rollout.counting import Counting
     from harriertrack.decisions.fleet.zones.evidence import Evidence
     from harriertrack.gateway.fleet.carrier import Fleet
@@ -85,7 +85,7 @@
         self.module: Scheduler | Celled
         self.fleet: Fleet | None = None
         self.regional: Regional | None = None
-        self._portions: Portions | None = None
+        self._portions: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
         self._cells = head_map(settings.cell_map, settings.volumes) if settings.cell_map else None
         self.scored: Scored | None = None
@@ -254,7 +254,7 @@
             plans, others = (
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
-            self._portions.retell(now, plans, others, divided_of(settings.fleet.budgets))
+            self._portions.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
         self.core.retell(now, request_rules(settings), told)
         self._links.settings = settings
         self.mover.retell(settings)
--- a/harriertrack/gateway/links.py
+++ b/harriertrack/gateway/links.py
@@ -265,14 +265,14 @@
         portions, node, now = self._portions, link.node, self.hub.now
         if portions is None:
             return
-        portions.link_wanted(now(), node, 1)
+        portions.add_link_waiters(now(), node, 1)
         try:
-            while not portions.link(now(), node):
+            while not portions.acquire_link(now(), node):
                 self._sleep(deadline)
         finally:
-            portions.link_wanted(now(), node, -1)
+            portions.add_link_waiters(now(), node, -1)
         link.counted, again = True, False
-        while portions.connection(now(), node, again):
+        while portions.connection_wait(now(), node, again):
             self._sleep(deadline)
             again = True
 
@@ -306,7 +306,7 @@
         self.forget(link)
         if link.counted and self._portions is not None:
             link.counted = False
-            self._portions.link_closed(self.hub.now(), link.node)
+            self._portions.release_link(self.hub.now(), link.node)
         self._note("link closed", node=link.node, volume=link.volume, why=why)
 
     def __len__(self) -> int:
--- a/harriertrack/gateway/listing.py
+++ b/harriertrack/gateway/listing.py
@@ -109,7 +109,7 @@
     def _await_call(self) -> None:
         """Wait until this head has a call of those that its fleet divides, if it does."""
         again = False
-        while self._portions is not None and (us := self._portions.list_call(self._hub.now(), again)):
+        while self._portions is not None and (us := self._portions.list_call_wait(self._hub.now(), again)):
             self._hub.sleep(min(us, PORTION_US))
             again = True
 
--- a/harriertrack/gateway/parts.py
+++ b/harriertrack/gateway/parts.py
@@ -13,7 +13,7 @@
 from harriertrack.runtime.streams import Network
 
 if TYPE_CHECKING:
-    from harriertrack.decisions.fleet.portions import Portions
+    from harriertrack.decisions.fleet.budget_shares import BudgetShares
     from harriertrack.decisions.fleet.rollout.counting import Counting
 
 
@@ -30,6 +30,6 @@
     head_id: int
     note: Callable[..., None]
     name: str
-    portions: Portions | None = None  # of what its fleet divides; None: it divides nothing
+    portions: BudgetShares | None = None  # of what its fleet divides; None: it divides nothing
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
     counting: Counting | None = None  # of its answers, for rollouts; None: nobody asks
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -38,7 +38,7 @@
 from harriertrack.storage.missed import WHOLE, MissedLog
 
 if TYPE_CHECKING:
-    from harriertrack.decisions.fleet.portions import Portions
+    from harriertrack.decisions.fleet.budget_shares import BudgetShares
 
 RETRY_US = 20_000  # between two tries to copy a write, or to pass a request on
 CATCH_UP_US = 200_000  # between two looks at what this region misses
@@ -66,7 +66,7 @@
         log: MissedLog,
         note: Callable[..., None],
         name: str,
-        portions: Portions | None = None,
+        portions: BudgetShares | None = None,
     ) -> None:
         assert settings.region is not None
         self._portions = portions  # of how many volumes change regions at a time; None: as each may
@@ -581,7 +581,7 @@
         """Whether a volume may change regions now, of all that the fleet's heads have to move."""
         if self._portions is None:
             return True
-        return not self._portions.takeover(self._hub.now())
+        return not self._portions.takeover_wait(self._hub.now())
 
     def _lost_session(self) -> None:
         self._note("lease over", region=self.region.name)
--- a/harriertrack/lab/fleet/division/division.py
+++ b/harriertrack/lab/fleet/division/division.py
@@ -11,8 +11,8 @@
 from functools import partial
 
 from harriertrack.decisions.bucket import Bucket
-from harriertrack.decisions.fleet.budgets import Ask, BudgetRules, Grant, Term, Whole
-from harriertrack.decisions.fleet.terms import Call, Taken, rank
+from harriertrack.decisions.fleet.budgets import BudgetRules, BudgetTotal, Grant, LeaseRequest, Term
+from harriertrack.decisions.fleet.terms import LockAcquired, WitnessCall, rank
 from harriertrack.lab.fleet import shares
 from harriertrack.lab.fleet.division.members import REAL, Member, Parts
 from harriertrack.lab.fleet.division.use import Judge, Tally, serve
@@ -31,11 +31,11 @@
 class Division:
     """Some heads, one ledger, a witness, and a network; time passes by `run`."""
 
-    def __init__(self, heads: int, wholes: dict[str, Whole], seed: int, rules: BudgetRules = RULES,
+    def __init__(self, heads: int, wholes: dict[str, BudgetTotal], seed: int, rules: BudgetRules = RULES,
                  parts: Parts = REAL, clocks: float = 0.0, slack: float = 0.0) -> None:  # fmt: skip
         self.random = random.Random(seed)
         self.rules, self.parts = rules, parts
-        self.wholes = wholes = {name: replace(one, says=name) for name, one in wholes.items()}
+        self.wholes = wholes = {name: replace(one, source=name) for name, one in wholes.items()}
         self.now = 0
         self.names = [f"head{number}" for number in range(heads)]
         self.members: dict[str, Member] = {}
@@ -48,7 +48,7 @@
         self.loss = self.twice = 0.0
         self.late_us = 0
         self.sent = self.sent_bytes = 0
-        self.measure: Callable[[Ask | Grant | Term], int] | None = None
+        self.measure: Callable[[LeaseRequest | Grant | Term], int] | None = None
         self._clocks = clocks
         self._gone_at: dict[str, int] = {}
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
@@ -56,8 +56,8 @@
         self._ideal = {name: Judge(Bucket(0, one.rate, one.burst)) for name, one in wholes.items()}
         self._even: dict[tuple[str, str], Judge] = {}
         self._slack = slack
-        self._facts: dict[str, Whole] = {}  # as recorded last
-        self._allowed: dict[str, list[tuple[int, Whole]]] = {name: [] for name in wholes}  # until when
+        self._facts: dict[str, BudgetTotal] = {}  # as recorded last
+        self._allowed: dict[str, list[tuple[int, BudgetTotal]]] = {name: [] for name in wholes}  # until when
         for name, one in wholes.items():
             self._record(name, one)
         for name in self.names:
@@ -94,7 +94,7 @@
         if member.candidate.leave(self.clock(member)):
             self.witness.release(member.session)
             for other in list(self.members.values()):
-                other.candidate.vacated(self.clock(other))
+                other.candidate.observe_release(self.clock(other))
         self.kill(name)
         self._gone_at[name] = self.now - KNOWN_GONE_US  # it said so
 
@@ -113,20 +113,20 @@
     def keeper(self) -> Member | None:
         """Return who keeps the ledger by its own word."""
         for member in self.members.values():
-            if member.candidate.valid(self.clock(member)):
+            if member.candidate.holds_term(self.clock(member)):
                 return member
         return None
 
     # -- wholes that change in service
 
-    def _record(self, budget: str, whole: Whole) -> None:
+    def _record(self, budget: str, whole: BudgetTotal) -> None:
         self._facts[budget] = whole
         self.records.append(
             rec.BudgetFacts(t=self.now, budget=budget, rate=whole.rate, burst=whole.burst,
-                            moving=whole.moving, slack=self._slack + whole.rate * 2 * STEP_US / 1e6 + 1)
+                            moving=whole.movable, slack=self._slack + whole.rate * 2 * STEP_US / 1e6 + 1)
         )  # fmt: skip
 
-    def change(self, budget: str, whole: Whole) -> None:
+    def change(self, budget: str, whole: BudgetTotal) -> None:
         """Decide on another whole: heads go by it once they are told, or started."""
         self.wholes[budget] = whole
         self._ideal[budget] = Judge(Bucket(self.now, whole.rate, whole.burst))
@@ -140,7 +140,7 @@
             before = member.told[budget]
             if before != whole:
                 member.told[budget] = whole
-                member.holder.retell(self.clock(member), whole.says, (before.rate, before.burst),
+                member.holder.update_source(self.clock(member), whole.source, (before.rate, before.burst),
                                      (whole.rate, whole.burst))  # fmt: skip
 
     @property
@@ -150,7 +150,7 @@
 
     def _follow_wholes(self) -> None:
         """Record what all together may use: the most that anybody is told, or was until lately."""
-        lately = int(self.rules.settles_us * (1 + 2 * self.rules.clock_error)) + 2 * STEP_US
+        lately = int(self.rules.settling_us * (1 + 2 * self.rules.clock_error)) + 2 * STEP_US
         for budget, until in self._allowed.items():
             now = {member.told[budget] for member in self.members.values()}
             kept = [(end, whole) for end, whole in until if end > self.now and whole not in now]
@@ -168,14 +168,14 @@
         self._serial += 1
         heapq.heappush(self._queue, (self.now + us, self._serial, act))
 
-    def _send(self, source: Member, target: str, message: Ask | Grant | Term) -> None:
+    def _send(self, source: Member, target: str, message: LeaseRequest | Grant | Term) -> None:
         if source.stops_for:
             source.unsent.append((target, message))
             return
         self.sent += 1
         if self.measure is not None:
             self.sent_bytes += self.measure(message)
-        if isinstance(message, Ask):
+        if isinstance(message, LeaseRequest):
             self.records.append(shares.asked(self.now, message))
         for _ in range(2 if self.twice and self.random.random() < self.twice else 1):
             if self.cut(source.name, target) or (self.loss and self.random.random() < self.loss):
@@ -185,7 +185,7 @@
             )
             self.later(delay, lambda: self._arrive(source.name, target, message))
 
-    def _arrive(self, source: str, target: str, message: Ask | Grant | Term) -> None:
+    def _arrive(self, source: str, target: str, message: LeaseRequest | Grant | Term) -> None:
         member = self.members.get(target)
         if member is None:
             return
@@ -194,33 +194,35 @@
         if len(member.inbox) < 2000:
             member.inbox.append((message, source))
 
-    def _call(self, member: Member, call: Call) -> None:
+    def _call(self, member: Member, call: WitnessCall) -> None:
         asked_at = self.clock(member)
         if self.witness.dark or member.name in self.blind:
             self.later(DARK_US, lambda: self._called(member, call, asked_at, None))
         else:
             self.later(CALL_US // 2, lambda: self._at_witness(member, call, asked_at))
 
-    def _at_witness(self, member: Member, call: Call, asked_at: int) -> None:
-        found: Taken | bool | None = None
+    def _at_witness(self, member: Member, call: WitnessCall, asked_at: int) -> None:
+        found: LockAcquired | bool | None = None
         if self.witness.dark:
             pass
-        elif call is Call.TAKE:
+        elif call is WitnessCall.ACQUIRE:
             taken = self.witness.take(self.now, self.rules.lease_us)
             if taken is not None:
                 member.session, epoch, lease_us = taken
-                found = Taken(epoch, lease_us)
+                found = LockAcquired(epoch, lease_us)
         elif member.candidate.ledger is not None:
             epoch = member.candidate.ledger.term.epoch
             found = self.witness.renew(self.now, member.session, epoch)
         self.later(CALL_US // 2, lambda: self._called(member, call, asked_at, found))
 
-    def _called(self, member: Member, call: Call, asked_at: int, found: Taken | bool | None) -> None:
+    def _called(
+        self, member: Member, call: WitnessCall, asked_at: int, found: LockAcquired | bool | None
+    ) -> None:
         if member.stopped:
             self.later(STEP_US, lambda: self._called(member, call, asked_at, found))
-        elif call is Call.TAKE:
-            ledger = member.candidate.taken(
-                self.clock(member), asked_at, found if isinstance(found, Taken) else None
+        elif call is WitnessCall.ACQUIRE:
+            ledger = member.candidate.handle_acquire(
+                self.clock(member), asked_at, found if isinstance(found, LockAcquired) else None
             )
             if ledger is not None:
                 term = ledger.term
@@ -228,7 +230,9 @@
                 member.candidate.ledger = fresh
                 member.contact.clear()
         else:
-            member.candidate.renewed(self.clock(member), asked_at, found if isinstance(found, bool) else None)
+            member.candidate.handle_renewal(
+                self.clock(member), asked_at, found if isinstance(found, bool) else None
+            )
 
     # -- time
 
@@ -260,21 +264,21 @@
         for message, source in member.inbox:
             self._take(member, now, message, source)
         member.inbox.clear()
-        candidate.look(now)
-        here = 0 if candidate.waits(now) else rank(LEDGER, member.name, self._present())
-        if (call := candidate.step(now, here)) is not None:
+        candidate.check_expiry(now)
+        here = 0 if candidate.must_wait(now) else rank(LEDGER, member.name, self._present())
+        if (call := candidate.next_call(now, here)) is not None:
             self._call(member, call)
-        if candidate.valid(now) and candidate.ledger is not None:
+        if candidate.holds_term(now) and candidate.ledger is not None:
             ledger = candidate.ledger
             self._heard(member, now, ledger.term, member.name)
-            for grant in ledger.round(now):
+            for grant in ledger.rebalance(now):
                 self._grant(member, grant)
             if now >= member.announced_at + self.rules.lease_us:
                 member.announced_at = now
                 for name in self._present():
                     if name != member.name and member.contact.get(name, 0) < now - self.rules.lease_us:
                         self._send(member, name, ledger.term)
-        for ask in member.holder.asks(now):
+        for ask in member.holder.due_requests(now):
             if member.keeper == member.name:
                 self.records.append(shares.asked(self.now, ask))  # it needs no network for that
                 self._take(member, now, ask, member.name)
@@ -288,20 +292,20 @@
             self._send(member, grant.holder, grant)
 
     def _heard(self, member: Member, now: int, term: Term, source: str) -> None:
-        member.candidate.heard(now, term)
-        if member.holder.hear(now, term):
+        member.candidate.observe_term(now, term)
+        if member.holder.observe_term(now, term):
             member.keeper = source
 
-    def _take(self, member: Member, now: int, message: Ask | Grant | Term, source: str) -> None:
+    def _take(self, member: Member, now: int, message: LeaseRequest | Grant | Term, source: str) -> None:
         candidate = member.candidate
         if isinstance(message, Term):
             self._heard(member, now, message, source)
         elif isinstance(message, Grant):
-            candidate.heard(now, message.term)
-            member.holder.granted(now, message)
-        elif candidate.valid(now) and candidate.ledger is not None:
+            candidate.observe_term(now, message.term)
+            member.holder.apply_grant(now, message)
+        elif candidate.holds_term(now) and candidate.ledger is not None:
             member.contact[source] = now
-            grant = candidate.ledger.ask(now, message)
+            grant = candidate.ledger.handle_request(now, message)
             if grant is not None:
                 self._grant(member, grant)
             elif message.term != candidate.ledger.term and source != member.name:
@@ -349,6 +353,6 @@
         clock = self.clock(member)
         portion = member.holder.open(clock, budget, member.told[budget])
         for _ in range(came):
-            portion.asked(1.0)
+            portion.record_demand(1.0)
         waiting.extend([self.now] * came)
         return serve(portion, clock, waiting, self.now)
--- a/harriertrack/lab/fleet/limits.py
+++ b/harriertrack/lab/fleet/limits.py
@@ -11,9 +11,9 @@
 
 from harriertrack.config.settings import BudgetUse, PlanSettings
 from harriertrack.decisions.fleet.budgets import BudgetRules
+from harriertrack.decisions.fleet.changes.operations import set_state as take_step
 from harriertrack.decisions.fleet.changes.record import Kind, Record
-from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.changes.writing import step as take_step
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.fleet.figures import figures
 from harriertrack.lab.fleet.scenario import StepSettings, Verb
@@ -39,7 +39,7 @@
     def __init__(self, rig: FleetRig, rules: BudgetRules) -> None:
         self._rig = rig
         self._plans = [plan for plan in rig.plans if plan.limit]
-        self._settles_us = int(rules.settles_us * (1 + 2 * rules.clock_error))
+        self._settles_us = int(rules.settling_us * (1 + 2 * rules.clock_error))
         self._times: dict[int, float] = {0: 1.0}  # by version
         self._told: dict[str, float] = {}  # by head; 1: what it was started with
         self._until: dict[float, int] = {1.0: 0}  # until when what somebody was told may be in use
@@ -60,7 +60,7 @@
         now_ms = rig.hub.clock.wall() // 1000
 
         def make(record: Record) -> Record:
-            standing = Standing.IN_FORCE if everybody else Standing.GOING
+            standing = VersionState.IN_FORCE if everybody else VersionState.ADVANCING
             one = record.find(THING, number)
             heads = sorted({*(one.heads if one is not None else ()), *names})
             return take_step(record, record.epoch, THING, number, standing, now_ms, "the day says so",
--- a/harriertrack/lab/fleet/markets.py
+++ b/harriertrack/lab/fleet/markets.py
@@ -16,7 +16,7 @@
 
 from harriertrack.config.closing import Twice
 from harriertrack.config.settings import VolumeSettings
-from harriertrack.decisions.fleet.changes.standing import Standing
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.front import REFUSED
 from harriertrack.gateway.witness import FAILURES, WitnessClient
@@ -283,12 +283,12 @@
         while hub.now() < until:
             hub.sleep(100_000)
             try:
-                going = keeping.read(witness).record.under_way(thing)
+                going = keeping.read(witness).record.in_progress(thing)
             except FAILURES:
                 continue
             if going is None:
                 return
-            if going.standing is Standing.PAUSED:
+            if going.standing is VersionState.PAUSED:
                 self._rig.change(StepSettings(name=Verb.CHANGE, thing=thing, to="going"))
                 return
 
--- a/harriertrack/lab/fleet/rig/hearing.py
+++ b/harriertrack/lab/fleet/rig/hearing.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from harriertrack.decisions.fleet.budgets import Ask, Grant
+from harriertrack.decisions.fleet.budgets import Grant, LeaseRequest
 from harriertrack.gateway.fleet.seats import DECIDES
 from harriertrack.lab.fleet import regions, shares, staging, weights
 from harriertrack.lab.fleet.weights import Tally
@@ -83,7 +83,7 @@
             said = budgeting.decode(FLEET, data)
         except budgeting.MalformedDatagram:
             return
-        if isinstance(said, Ask) and not arrives:
+        if isinstance(said, LeaseRequest) and not arrives:
             rig.recorder.add(shares.asked(now, said))
         elif isinstance(said, Grant) and arrives:
             rig.recorder.add(shares.granted(now, said))
--- a/harriertrack/lab/fleet/rig/insisting.py
+++ b/harriertrack/lab/fleet/rig/insisting.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from harriertrack.decisions.fleet.changes.standing import IllegalStep
-from harriertrack.decisions.fleet.changes.writing import Refused
+from harriertrack.decisions.fleet.changes.operations import ChangeRefused
+from harriertrack.decisions.fleet.changes.version_state import IllegalTransition
 from harriertrack.gateway.witness import FAILURES
 from harriertrack.lab.fleet.scenario import StepSettings
 from harriertrack.runtime.hub import Hub
@@ -25,7 +25,7 @@
         try:
             act(again)
             return
-        except (Refused, IllegalStep):
+        except (ChangeRefused, IllegalTransition):
             return
         except FAILURES:
             if hub.now() >= until:
--- a/harriertrack/lab/fleet/rig/operating.py
+++ b/harriertrack/lab/fleet/rig/operating.py
@@ -5,9 +5,9 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
+from harriertrack.decisions.fleet.changes.operations import ChangeRefused, propose, set_state_as_operator
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.changes.writing import Refused, propose, wish
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout.rollout import in_stages
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.fleet.zones import set_wish
@@ -37,19 +37,21 @@
 
     def make(record: Record) -> Record:
         if step.name is Verb.CHANGE:
-            return wish(record, thing, Standing(step.to), "operator", now_ms, "the day says so")
+            return set_state_as_operator(
+                record, thing, VersionState(step.to), "operator", now_ms, "the day says so"
+            )
         holds = record.in_force(thing)
         base = holds.number if holds is not None else 0
         return propose(record, thing, base, step.body, "operator", now_ms, "the day says so", step.plan,
                        step.although)  # fmt: skip
 
     witness = operator(rig)
-    there = keeping.read(witness).record.of(thing) if again and step.name is Verb.PROPOSE else ()
+    there = keeping.read(witness).record.versions_of(thing) if again and step.name is Verb.PROPOSE else ()
     if there and there[-1].body == step.body:
         last = there[-1]
     else:
         found = keeping.write(witness, make)
-        last = found.record.under_way(thing) or found.record.of(thing)[-1]
+        last = found.record.in_progress(thing) or found.record.versions_of(thing)[-1]
     rig.recorder.add(
         rec.Proposed(t=rig.hub.now(), thing=thing, version=last.number, standing=last.standing.value)
     )
@@ -79,6 +81,6 @@
         if last is None or staging.there(last, step.stage):
             return
         if staging.lacks_evidence(last):
-            with suppress(Refused, *FAILURES):  # who decides was first, or it is tried again
+            with suppress(ChangeRefused, *FAILURES):  # who decides was first, or it is tried again
                 change(rig, StepSettings(name=Verb.CHANGE, thing=step.thing, to="going"))
         rig.hub.sleep(DECIDED_US)
--- a/harriertrack/lab/fleet/shares.py
+++ b/harriertrack/lab/fleet/shares.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from harriertrack.decisions.fleet.budgets import Ask, Grant, Term
+from harriertrack.decisions.fleet.budgets import Grant, LeaseRequest, Term
 from harriertrack.rules import recording as rec
 
 
@@ -10,11 +10,11 @@
     return term.epoch, term.nonce
 
 
-def asked(t: int, ask: Ask) -> rec.AskedShare:
+def asked(t: int, ask: LeaseRequest) -> rec.AskedShare:
     """Return the record of an ask that leaves its head."""
     return rec.AskedShare(
         t=t, holder=ask.holder, instance=ask.instance, ledger=ask.ledger, term=_pair(ask.term),
-        tenure=ask.tenure, number=ask.number, applied=[(one.budget, one.version) for one in ask.claims],
+        tenure=ask.tenure, number=ask.sequence, applied=[(one.budget, one.version) for one in ask.claims],
     )  # fmt: skip
 
 
@@ -22,6 +22,6 @@
     """Return the record of a grant that comes to its head."""
     return rec.GrantedShare(
         t=t, holder=grant.holder, instance=grant.instance, ledger=grant.ledger, term=_pair(grant.term),
-        tenure=grant.tenure, answers=grant.answers, lease_us=grant.lease_us,
+        tenure=grant.tenure, answers=grant.in_reply_to, lease_us=grant.lease_us,
         shares=[(one.budget, one.version, one.rate) for one in grant.shares],
     )  # fmt: skip
--- a/harriertrack/lab/fleet/staged.py
+++ b/harriertrack/lab/fleet/staged.py
@@ -13,9 +13,9 @@
 
 import numpy as np
 
-from harriertrack.decisions.fleet.changes import writing
+from harriertrack.decisions.fleet.changes import operations
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import OVER, Standing
+from harriertrack.decisions.fleet.changes.version_state import FINISHED, VersionState
 from harriertrack.decisions.fleet.rollout.conducting import Conductor, Known
 from harriertrack.decisions.fleet.rollout.counting import BUCKETS, Tally
 from harriertrack.decisions.fleet.rollout.evidence import Report
@@ -147,7 +147,7 @@
         """Ask for a version."""
         holds = self.record.in_force(thing)
         base = holds.number if holds is not None else 0
-        self.record = writing.propose(self.record, thing, base, body, "lab", self.now // 1000, why, "",
+        self.record = operations.propose(self.record, thing, base, body, "lab", self.now // 1000, why, "",
                                       although)  # fmt: skip
 
     def new_decider(self, name: str = "") -> None:
@@ -164,19 +164,19 @@
             self._second()
 
     def until(self, thing: str, most_s: int, each: Callable[[int], None] = lambda _second: None,
-              more: Collection[Standing] = ()) -> Standing:  # fmt: skip
+              more: Collection[VersionState] = ()) -> VersionState:  # fmt: skip
         """Run until a thing's newest version is over or in force, or stands as one of `more`, or for a time.
 
         Return where it stands.
         """
-        done = {*OVER, Standing.IN_FORCE, *more}
+        done = {*FINISHED, VersionState.IN_FORCE, *more}
         for second in range(most_s):
             self.now += S
             each(second)
             self._second()
-            if self.record.of(thing)[-1].standing in done:
+            if self.record.versions_of(thing)[-1].standing in done:
                 break
-        return self.record.of(thing)[-1].standing
+        return self.record.versions_of(thing)[-1].standing
 
     def _second(self) -> None:
         for one in self.heads.values():
@@ -231,7 +231,7 @@
             one.record = self.record
         one.remembering.look(self.now, one.record, one.classes)
         for thing in {*one.record.things(), *one.runs}:
-            wanted = one.record.wanted(thing, one.name)
+            wanted = one.record.version_for(thing, one.name)
             number = wanted.number if wanted is not None else 0
             if number == one.runs.get(thing, 0) or number == one.fell.get(thing, (0, ""))[0] != 0:
                 continue
@@ -264,7 +264,7 @@
 
     def _watch(self) -> None:
         for thing in self.record.things():
-            going = self.record.under_way(thing)
+            going = self.record.in_progress(thing)
             if going is not None:
                 new = sum(one.runs.get(thing, 0) == going.number for one in self.heads.values())
                 key = (going.number, going.stage)
--- a/harriertrack/lab/fleet/staging.py
+++ b/harriertrack/lab/fleet/staging.py
@@ -8,7 +8,7 @@
 
 from harriertrack.config.rollout import plan_of
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.changes.standing import OVER, Standing
+from harriertrack.decisions.fleet.changes.version_state import FINISHED, VersionState
 from harriertrack.decisions.fleet.rollout.rollout import WANTING
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
@@ -34,12 +34,12 @@
 
 def there(last: rec.RolloutStep | rec.Proposed, stage: int) -> bool:
     """Whether a version is in force or taken back, or (from 1) heads of a stage are named."""
-    if Standing(last.standing) in (*OVER, Standing.IN_FORCE):
+    if VersionState(last.standing) in (*FINISHED, VersionState.IN_FORCE):
         return True
     return isinstance(last, rec.RolloutStep) and 0 < stage <= last.stage and bool(last.heads)
 
 
 def lacks_evidence(last: rec.RolloutStep | rec.Proposed) -> bool:
     """Whether a version is paused for want of evidence, and of nothing else."""
-    return (isinstance(last, rec.RolloutStep) and last.standing == Standing.PAUSED.value
+    return (isinstance(last, rec.RolloutStep) and last.standing == VersionState.PAUSED.value
             and last.why.startswith(WANTING))  # fmt: skip
--- a/harriertrack/lab/interleaving/models/changes.py
+++ b/harriertrack/lab/interleaving/models/changes.py
@@ -6,10 +6,15 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from harriertrack.decisions.fleet.changes.following import Follower
+from harriertrack.decisions.fleet.changes.follower import Follower
+from harriertrack.decisions.fleet.changes.operations import (
+    ChangeRefused,
+    propose,
+    set_state,
+    set_state_as_operator,
+)
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.standing import UNDER_WAY, IllegalStep, Standing
-from harriertrack.decisions.fleet.changes.writing import Refused, propose, step, wish
+from harriertrack.decisions.fleet.changes.version_state import IN_PROGRESS, IllegalTransition, VersionState
 
 THING = "settings"
 HEADS = ("h1", "h2")
@@ -70,7 +75,7 @@
                 yield f"{name} fetches"
         if state.restores:
             yield "restore" if state.backup is not None else "backup"
-        if any(one.lost for one in state.followers.values()):
+        if any(one.witness_behind for one in state.followers.values()):
             yield "put back"
 
     def apply(self, state: State, event: str) -> None:
@@ -85,11 +90,11 @@
             case ["put", "back"]:
                 known = max((one.record for one in state.followers.values()), key=lambda one: one.revision)
                 if state.record.revision < known.revision:
-                    state.record = known.replaced([])
+                    state.record = known.with_versions([])
             case [name, "fetches"]:
                 state.now += LATER_US
                 state.fetches[name] -= 1
-                if state.followers[name].fetch(state.now):
+                if state.followers[name].start_fetch(state.now):
                     state.answers.append((name, state.record))
             case ["answer", at, *_]:
                 name, found = state.answers.pop(int(at))
@@ -101,21 +106,21 @@
 
     def _fetched(self, state: State, one: Follower, found: Record) -> None:
         before = one.record
-        one.fetched(state.now, found, digest(found))
+        one.finish_fetch(state.now, found, digest(found))
         if one.record.revision < before.revision:
             state.wrong = f"{one.name} went back from {before.revision} to {one.record.revision}"
-        for thing, version in one.due():
-            one.took(thing, version.number if version is not None else 0)
-            wanted = one.record.wanted(thing, one.name)
-            if (wanted.number if wanted is not None else 0) != one.taken[thing].runs:
-                state.wrong = f"{one.name} runs {one.taken[thing].runs} of {thing}"
+        for thing, version in one.pending_changes():
+            one.mark_applied(thing, version.number if version is not None else 0)
+            wanted = one.record.version_for(thing, one.name)
+            if (wanted.number if wanted is not None else 0) != one.applied[thing].running:
+                state.wrong = f"{one.name} runs {one.applied[thing].running} of {thing}"
 
     def _write(self, state: State, who: str) -> None:
         read = state.read.pop(who)
         state.left[who] -= 1
         try:
             fresh = self._make(read, who)
-        except (Refused, IllegalStep):
+        except (ChangeRefused, IllegalTransition):
             return
         if read is state.record or read == state.record:  # compare-and-set
             if fresh.revision != read.revision + 1 or fresh.epoch < read.epoch:
@@ -123,30 +128,32 @@
             state.record = fresh
 
     def _make(self, read: Record, who: str) -> Record:
-        going = read.under_way(THING)
+        going = read.in_progress(THING)
         if who == "operator":
             if going is not None:
-                return wish(read, THING, Standing.ABORTED, "op", 1, "enough")
+                return set_state_as_operator(read, THING, VersionState.ABORTED, "op", 1, "enough")
             holds = read.in_force(THING)
             base = holds.number if holds is not None else 0
             return propose(read, THING, base, f"body {read.revision}", "op", 1, "wanted")
         epoch = int(who.split()[1])
         if going is None:
-            raise Refused("nothing to decide")
+            raise ChangeRefused("nothing to decide")
         match going.standing:
-            case Standing.PROPOSED:
-                return step(read, epoch, THING, going.number, Standing.GOING, 1, "", 1, HEADS[:1])
-            case Standing.GOING:
-                return step(read, epoch, THING, going.number, Standing.IN_FORCE, 1, "")
+            case VersionState.PROPOSED:
+                return set_state(
+                    read, epoch, THING, going.number, VersionState.ADVANCING, 1, "", 1, HEADS[:1]
+                )
+            case VersionState.ADVANCING:
+                return set_state(read, epoch, THING, going.number, VersionState.IN_FORCE, 1, "")
             case _:
-                return step(read, epoch, THING, going.number, Standing.ABORTED, 1, "")
+                return set_state(read, epoch, THING, going.number, VersionState.ABORTED, 1, "")
 
     def wrong(self, state: State) -> str | None:
         """Return what must not be."""
         for record in (state.record, *(one.record for one in state.followers.values())):
-            if sum(one.standing in UNDER_WAY for one in record.versions) > 1:
+            if sum(one.standing in IN_PROGRESS for one in record.versions) > 1:
                 return "two versions of one thing are under way"
-            if sum(one.standing is Standing.IN_FORCE for one in record.versions) > 1:
+            if sum(one.standing is VersionState.IN_FORCE for one in record.versions) > 1:
                 return "two versions of one thing are in force"
             numbers = [one.number for one in record.versions]
             if len(set(numbers)) < len(numbers):
--- a/harriertrack/lab/interleaving/models/leases.py
+++ b/harriertrack/lab/interleaving/models/leases.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.budgets import Ask, BudgetRules, Grant, Term, Whole
-from harriertrack.decisions.fleet.holder import Holder
+from harriertrack.decisions.fleet.budgets import BudgetRules, BudgetTotal, Grant, LeaseRequest, Term
+from harriertrack.decisions.fleet.holder import LeaseHolder
 from harriertrack.decisions.fleet.ledger import Ledger
 from harriertrack.lab.interleaving.models.mail import Mail
 
 ERROR = 0.05
 RULES = BudgetRules(lease_us=400_000, ask_us=200_000, quick_us=100_000, round_us=50_000, clock_error=ERROR,
                     patience_us=100_000)  # fmt: skip
-WHOLE = Whole(100.0, 20.0, 2, 0.1)
+WHOLE = BudgetTotal(100.0, 20.0, 2, 0.1)
 BUDGET = "v"
 STEP_US = 100_000
 RATES = {"a": 1 - ERROR, "b": 1 + ERROR}  # of heads' clocks, by the ledger's
@@ -24,7 +24,7 @@
     """Two heads, the ledgers of one term after another, and what is on its way; `now` is true time."""
 
     now: int
-    holders: dict[str, Holder]
+    holders: dict[str, LeaseHolder]
     ledger: Ledger
     mail: Mail
     busy: str = "a"  # who has all the demand
@@ -56,11 +56,11 @@
         ledger = Ledger(0, Term(1, 1), 0, RULES)
         state = State(0, {}, ledger, Mail(self._lost, self._twice))
         for name in RATES:
-            state.holders[name] = Holder(0, name, 1, RULES, state.clock(name))
+            state.holders[name] = LeaseHolder(0, name, 1, RULES, state.clock(name))
             state.holders[name].open(state.clock(name), BUDGET, WHOLE)
-            state.holders[name].hear(state.clock(name), ledger.term)
+            state.holders[name].observe_term(state.clock(name), ledger.term)
             state.fed_at[name] = 0
-        while state.holders["a"].held[BUDGET].portion.share < WHOLE.moving / 2:
+        while state.holders["a"].budgets[BUDGET].share.leased < WHOLE.movable / 2:
             self._usual(state, "a")
         state.busy = "b"
         if self._silent:
@@ -68,10 +68,10 @@
                 state.now = self._next(state)
                 self._live(state, "a")
                 for _, ask in state.mail.under_way:
-                    state.mail.slow.append(("a", state.ledger.ask(state.now, ask)))
+                    state.mail.slow.append(("a", state.ledger.handle_request(state.now, ask)))
                 state.mail.under_way.clear()
             state.asleep = "a"
-            while state.now < state.holders["a"].lease.until - STEP_US:
+            while state.now < state.holders["a"].lease.expires_at - STEP_US:
                 self._usual(state, "b")
         return state
 
@@ -79,7 +79,7 @@
         """Let time pass and one head speak with the ledger, all at once."""
         state.now = self._next(state)
         self._live(state, name)
-        for grant in state.ledger.round(state.now):
+        for grant in state.ledger.rebalance(state.now):
             state.mail.send(grant.holder, grant)
         for to, what in state.mail.under_way[:]:
             if to in (name, "ledger"):
@@ -94,22 +94,22 @@
         holder, now = state.holders[name], state.clock(name)
         portion = holder.open(now, BUDGET, WHOLE)
         if state.busy == name:
-            portion.asked(WHOLE.rate * (state.now - state.fed_at[name]) / 1e6)
+            portion.record_demand(WHOLE.rate * (state.now - state.fed_at[name]) / 1e6)
         state.fed_at[name] = state.now
-        for ask in holder.asks(now):
+        for ask in holder.due_requests(now):
             state.mail.send("ledger", ask)
 
-    def _arrive(self, state: State, to: str, what: Ask | Grant | Term) -> None:
-        if isinstance(what, Ask):
-            grant = state.ledger.ask(state.now, what)
+    def _arrive(self, state: State, to: str, what: LeaseRequest | Grant | Term) -> None:
+        if isinstance(what, LeaseRequest):
+            grant = state.ledger.handle_request(state.now, what)
             if grant is not None:
                 state.mail.send(what.holder, grant)
             elif what.term != state.ledger.term:
                 state.mail.send(what.holder, state.ledger.term)
         elif isinstance(what, Term):
-            state.holders[to].hear(state.clock(to), what)
+            state.holders[to].observe_term(state.clock(to), what)
         else:
-            state.holders[to].granted(state.clock(to), what)
+            state.holders[to].apply_grant(state.clock(to), what)
 
     def events(self, state: State) -> Iterator[str]:
         """Name what can happen now."""
@@ -135,7 +135,7 @@
             case ["time"]:
                 state.now = self._next(state)
             case ["ledger", "wakes"]:
-                for grant in state.ledger.round(state.now):
+                for grant in state.ledger.rebalance(state.now):
                     state.mail.send(grant.holder, grant)
             case [name, "wakes"]:
                 self._live(state, name)
@@ -143,7 +143,7 @@
                 state.asleep = name
             case ["the", *_]:
                 state.terms += 1
-                opens = state.now + RULES.counted_us(RULES.lease_us)
+                opens = state.now + RULES.granter_lease_us(RULES.lease_us)
                 state.ledger = Ledger(0, Term(state.terms, state.terms), opens, RULES)
                 for name in state.holders:
                     state.mail.send(name, state.ledger.term)
@@ -156,8 +156,8 @@
         """Return the next moment at which a clock says something, or a step later."""
         moments = [state.now + STEP_US]
         for name, holder in state.holders.items():
-            moments += [int(at / RATES[name]) + 1 for at in (holder.wake_at(), holder.lease.until) if at]
-        moments += [tenant.until for tenant in state.ledger.tenants.values()]
+            moments += [int(at / RATES[name]) + 1 for at in (holder.wake_at(), holder.lease.expires_at) if at]
+        moments += [tenant.expires_at for tenant in state.ledger.tenancies.values()]
         moments.append(state.ledger.opens_at)
         return min(at for at in moments if at > state.now)
 
@@ -165,12 +165,12 @@
         """Return whether more is in use than may move, or a share outlives its lease at the ledger."""
         used = {}
         for name, holder in state.holders.items():
-            held = holder.held.get(BUDGET)
+            held = holder.budgets.get(BUDGET)
             now = state.clock(name)
-            used[name] = held.portion.share if held is not None and holder.live(now) else 0.0
-        if sum(used.values()) > WHOLE.moving * (1 + 1e-9):
-            return f"{sum(used.values()):.1f} of {WHOLE.moving:.1f} is in use: {used}"
+            used[name] = held.share.leased if held is not None and holder.lease_valid(now) else 0.0
+        if sum(used.values()) > WHOLE.movable * (1 + 1e-9):
+            return f"{sum(used.values()):.1f} of {WHOLE.movable:.1f} is in use: {used}"
         for account in state.ledger.accounts.values():
-            if account.counted > WHOLE.moving * (1 + 1e-9):
-                return f"the ledger counts {account.counted:.1f} of {WHOLE.moving:.1f}"
+            if account.committed > WHOLE.movable * (1 + 1e-9):
+                return f"the ledger counts {account.committed:.1f} of {WHOLE.movable:.1f}"
         return None
--- a/harriertrack/lab/interleaving/models/rollouts.py
+++ b/harriertrack/lab/interleaving/models/rollouts.py
@@ -11,10 +11,15 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from harriertrack.decisions.fleet.changes.following import Follower
+from harriertrack.decisions.fleet.changes.follower import Follower
+from harriertrack.decisions.fleet.changes.operations import (
+    ChangeRefused,
+    propose,
+    raise_level,
+    set_state_as_operator,
+)
 from harriertrack.decisions.fleet.changes.record import Record, Version
-from harriertrack.decisions.fleet.changes.standing import IllegalStep, Standing
-from harriertrack.decisions.fleet.changes.writing import Refused, propose, raise_level, wish
+from harriertrack.decisions.fleet.changes.version_state import IllegalTransition, VersionState
 from harriertrack.decisions.fleet.rollout.conducting import Conductor, Known
 from harriertrack.decisions.fleet.rollout.evidence import Report
 from harriertrack.decisions.fleet.rollout.levels import next_level
@@ -132,7 +137,7 @@
             yield "the term passes"
         if state.kills:
             yield from (f"{name} dies" for name, head in state.heads.items() if head.there)
-        if state.aborts and state.record.under_way(THING) is not None:
+        if state.aborts and state.record.in_progress(THING) is not None:
             yield "abort"
         yield from state.mail.late()
 
@@ -153,7 +158,9 @@
                 state.conductor = Conductor(plan_of)
             case ["abort"]:
                 state.aborts -= 1
-                state.record = wish(state.record, THING, Standing.ABORTED, "op", 1, "enough")
+                state.record = set_state_as_operator(
+                    state.record, THING, VersionState.ABORTED, "op", 1, "enough"
+                )
             case [name, "returns"]:
                 head = state.heads[name]
                 head.there, head.life = True, head.life + 1
@@ -176,10 +183,10 @@
     def _fetch(self, state: State, name: str) -> None:
         head = state.heads[name]
         head.fetches -= 1
-        head.follower.fetched(state.now, state.record, crc32(repr(state.record).encode()))
-        for thing, version in head.follower.due():
+        head.follower.finish_fetch(state.now, state.record, crc32(repr(state.record).encode()))
+        for thing, version in head.follower.pending_changes():
             number = version.number if version is not None else 0
-            head.follower.took(thing, number)
+            head.follower.mark_applied(thing, number)
             head.number, head.there = number, False  # it goes, and comes back as that
 
     def _look(self, state: State) -> None:
@@ -198,7 +205,7 @@
                 state.record = raise_level(before, term, what)
             else:
                 state.record = what.write(before, term, 1)
-        except (Refused, IllegalStep):
+        except (ChangeRefused, IllegalTransition):
             return
         if term < before.epoch:
             state.wrong = f"term {term} decides after term {before.epoch}"
@@ -208,9 +215,9 @@
     def _stepped(self, state: State, was: Version | None, one: Version | None) -> None:
         assert was is not None and one is not None
         unheard = sorted(set(was.heads) - state.ran)
-        if one.standing is Standing.IN_FORCE and unheard:
+        if one.standing is VersionState.IN_FORCE and unheard:
             state.wrong = f"in force, and {unheard} never ran it"
-        if one.standing is Standing.GOING:
+        if one.standing is VersionState.ADVANCING:
             fresh = set(one.heads) - set(was.heads)
             if fresh and unheard:
                 state.wrong = f"{sorted(fresh)} are to go, and {unheard} never came back"
--- a/harriertrack/lab/interleaving/models/terms.py
+++ b/harriertrack/lab/interleaving/models/terms.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from harriertrack.decisions.fleet.budgets import BudgetRules
-from harriertrack.decisions.fleet.terms import Call, Candidate, Held, Taken
+from harriertrack.decisions.fleet.terms import Candidate, LockAcquired, LockHeld, WitnessCall
 from harriertrack.lab.fleet.division import WitnessModel
 
 ERROR = 0.05
@@ -20,10 +20,10 @@
     """A call to the witness: on its way there, or its answer on its way back."""
 
     name: str
-    call: Call
+    call: WitnessCall
     asked_at: int  # by the head's clock
     done: bool = False
-    answer: Taken | Held | bool | None = None
+    answer: LockAcquired | LockHeld | bool | None = None
 
 
 @dataclass(slots=True)
@@ -106,7 +106,7 @@
             case ["time"]:
                 state.now = self._next(state)
             case ["step", name]:
-                call = state.heads[name].step(state.clock(name), 0)
+                call = state.heads[name].next_call(state.clock(name), 0)
                 if call is not None:
                     state.calls.append(Asked(name, call, state.clock(name)))
             case ["kill", name]:
@@ -126,17 +126,17 @@
         call.done = True
         if call.name.startswith("dead"):
             state.calls.remove(call)
-            if call.call is Call.TAKE:
+            if call.call is WitnessCall.ACQUIRE:
                 state.witness.take(state.now, RULES.lease_us)  # its session ends by itself
             return
         if call.name == state.cut:
             return
-        if call.call is Call.TAKE:
+        if call.call is WitnessCall.ACQUIRE:
             taken = state.witness.take(state.now, RULES.lease_us)
-            call.answer = Held(state.witness.epoch)
+            call.answer = LockHeld(state.witness.epoch)
             if taken is not None:
                 state.sessions[call.name], epoch, lease_us = taken
-                call.answer = Taken(epoch, lease_us)
+                call.answer = LockAcquired(epoch, lease_us)
             return
         ledger = state.heads[call.name].ledger
         epoch = ledger.term.epoch if ledger is not None else 0
@@ -144,11 +144,11 @@
 
     def _answered(self, state: State, call: Asked) -> None:
         head, now = state.heads[call.name], state.clock(call.name)
-        if call.call is Call.RENEW:
-            head.renewed(now, call.asked_at, call.answer if isinstance(call.answer, bool) else None)
+        if call.call is WitnessCall.RENEW:
+            head.handle_renewal(now, call.asked_at, call.answer if isinstance(call.answer, bool) else None)
             return
-        found = call.answer if isinstance(call.answer, Taken | Held) else None
-        ledger = head.taken(now, call.asked_at, found)
+        found = call.answer if isinstance(call.answer, LockAcquired | LockHeld) else None
+        ledger = head.handle_acquire(now, call.asked_at, found)
         if ledger is not None:
             state.opened = (ledger.term.epoch, int(ledger.opens_at / RATES[call.name]))
 
@@ -162,7 +162,7 @@
     def wrong(self, state: State) -> str | None:
         """Return whether two keep it, or a term opens while leases of the one before may last."""
         keeping = {name: head.ledger.term.epoch for name, head in state.heads.items()
-                   if head.valid(state.clock(name)) and head.ledger is not None}  # fmt: skip
+                   if head.holds_term(state.clock(name)) and head.ledger is not None}  # fmt: skip
         if len(keeping) > 1:
             return f"two keep the ledger: {keeping}"
         epoch, opens = state.opened
--- a/harriertrack/lab/interleaving/models/zones.py
+++ b/harriertrack/lab/interleaving/models/zones.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from harriertrack.decisions.fleet.zones.evacuation import Evacuation
-from harriertrack.decisions.fleet.zones.evidence import Sight
-from harriertrack.decisions.fleet.zones.words import Stage, Word, ZoneRules
+from harriertrack.decisions.fleet.zones.evidence import ZoneObservation
+from harriertrack.decisions.fleet.zones.zone_decision import ZoneDecision, ZoneRules, ZoneStage
 
 RULES = ZoneRules(gone_us=200_000, fresh_us=400_000, wait_us=200_000, step_us=100_000, growth=4.0, first=0.2,
                   turn_us=400_000)  # fmt: skip
@@ -27,7 +27,7 @@
 
     now: int = 1_000_000
     decider: Evacuation = field(default_factory=lambda: Evacuation(RULES))
-    words: tuple[Word, ...] = ()
+    words: tuple[ZoneDecision, ...] = ()
     said: dict[str, tuple[str, int]] = field(default_factory=dict)  # by head: what, and when
     lacks: dict[str, int] = field(default_factory=dict)  # by head: since when it has lacked x
     deaths: int = 1
@@ -74,7 +74,7 @@
         elif event == "the decider dies":
             state.deaths -= 1
             state.decider = Evacuation(RULES)
-            state.decider.take_up(state.now, state.words)
+            state.decider.resume(state.now, state.words)
         else:
             head, what = event.split(": ")
             state.said[head] = (what, state.now)
@@ -82,24 +82,24 @@
                 state.lacks.setdefault(head, state.now)
             else:
                 state.lacks.pop(head, None)
-            sights = tuple(Sight(zone, *seen, 8) for zone, seen in SIGHTS[what].items())
-            state.decider.saw(state.now, head, sights)
+            sights = tuple(ZoneObservation(zone, *seen, 8) for zone, seen in SIGHTS[what].items())
+            state.decider.record_report(state.now, head, sights)
 
     def _decide(self, state: State) -> None:
         before = {word.zone: word.stage for word in state.words}
         state.decider.decide(state.now, ZONES, 2)
-        state.words = state.decider.words(state.now)
+        state.words = state.decider.decisions(state.now)
         steps = {
-            Stage.IN: (Stage.IN, Stage.OUT),
-            Stage.OUT: (Stage.OUT, Stage.TRYING),
-            Stage.TRYING: (Stage.TRYING, Stage.RETURNING),
-            Stage.RETURNING: (Stage.RETURNING, Stage.IN, Stage.OUT),
+            ZoneStage.IN: (ZoneStage.IN, ZoneStage.OUT),
+            ZoneStage.OUT: (ZoneStage.OUT, ZoneStage.TRYING),
+            ZoneStage.TRYING: (ZoneStage.TRYING, ZoneStage.RETURNING),
+            ZoneStage.RETURNING: (ZoneStage.RETURNING, ZoneStage.IN, ZoneStage.OUT),
         }
         for name, zone in state.decider.zones.items():
-            was = before.get(name, Stage.IN)
+            was = before.get(name, ZoneStage.IN)
             if zone.stage not in steps[was]:
                 state.wrong = f"{name} went from {was.value} to {zone.stage.value}"
-            if was is Stage.IN and zone.stage is Stage.OUT:
+            if was is ZoneStage.IN and zone.stage is ZoneStage.OUT:
                 self._left(state, name)
 
     def _left(self, state: State, name: str) -> None:
@@ -116,7 +116,7 @@
         """Return what must not be."""
         zones = state.decider.zones
         # Who begins to decide knows only what words told; the others are in use.
-        if Stage.IN not in [zones[name].stage if name in zones else Stage.IN for name in ZONES]:
+        if ZoneStage.IN not in [zones[name].stage if name in zones else ZoneStage.IN for name in ZONES]:
             return "no zone is in use"
         if any(not 0 <= zone.share <= 1 for zone in zones.values()):
             return "a share beyond one"
--- a/harriertrack/lab/interleaving/scenarios/budgets.py
+++ b/harriertrack/lab/interleaving/scenarios/budgets.py
@@ -11,8 +11,8 @@
 from typing import Any, cast
 
 from harriertrack.config.settings import BudgetsSettings
-from harriertrack.decisions.fleet.budgets import Whole
-from harriertrack.decisions.fleet.portions import Portions
+from harriertrack.decisions.fleet.budget_shares import BudgetShares
+from harriertrack.decisions.fleet.budgets import BudgetTotal
 from harriertrack.gateway.fleet.budgets import Budgets, rules_of
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.lab.interleaving.observed import START
@@ -23,7 +23,7 @@
 from harriertrack.runtime.hub import Scope
 
 NAMES = ("a", "b")
-BUDGET, WHOLE = "limits/v", Whole(100.0, 20.0, 2, 0.1)
+BUDGET, WHOLE = "limits/v", BudgetTotal(100.0, 20.0, 2, 0.1)
 SETTINGS = BudgetsSettings(
     witness=(WITNESS, 8500), timeout_us=300_000, lease_us=400_000, ask_us=200_000, quick_us=100_000,
     round_us=50_000, clock_error=0.05, patience_us=100_000, term_us=1_000_000,
@@ -39,7 +39,7 @@
     def __init__(self, world: World, name: str) -> None:
         hub = world.hub
         self._world, self.name = world, name
-        self.portions = Portions(rules_of(SETTINGS), 1, name, 10 + NAMES.index(name), 2, {}, hub.now())
+        self.portions = BudgetShares(rules_of(SETTINGS), 1, name, 10 + NAMES.index(name), 2, {}, hub.now())
         self.budgets: Budgets | None = None
 
     @property
@@ -78,21 +78,23 @@
         while True:
             portion = holder.open(hub.now(), BUDGET, WHOLE)
             if self.busy:
-                portion.asked(WHOLE.rate * DEMAND_US / 1e6)
+                portion.record_demand(WHOLE.rate * DEMAND_US / 1e6)
             hub.sleep(DEMAND_US)
 
     def share(self, now: int) -> float:
         """Return what it may use now beyond its fixed part."""
         (holder,) = self.portions.holders
-        held = holder.held.get(BUDGET)
-        return held.portion.share if held is not None and holder.live(now) else 0.0
+        held = holder.budgets.get(BUDGET)
+        return held.share.leased if held is not None and holder.lease_valid(now) else 0.0
 
     def keeps(self, now: int) -> int:
         """Return the epoch of the term in which it keeps the ledger; 0: it does not."""
         if self.budgets is None:
             return 0
         candidate = self.budgets._seats[0].candidate
-        return candidate.ledger.term.epoch if candidate.valid(now) and candidate.ledger is not None else 0
+        return (
+            candidate.ledger.term.epoch if candidate.holds_term(now) and candidate.ledger is not None else 0
+        )
 
 
 def _budgets(stands: bool = False, dies: bool = False) -> Callable[[World], None]:
@@ -120,13 +122,13 @@
             now = hub.now()
             shares = [one.share(now) if one.name not in world.dead else 0.0 for one in heads]
             most[:] = [max(pair) for pair in zip(most, shares, strict=True)]
-            if sum(shares) > WHOLE.moving * (1 + 1e-9):
-                return f"{sum(shares):.1f} of {WHOLE.moving:.1f} are in use: {shares}"
+            if sum(shares) > WHOLE.movable * (1 + 1e-9):
+                return f"{sum(shares):.1f} of {WHOLE.movable:.1f} are in use: {shares}"
             keepers = [one.name for one in heads if one.name not in world.dead and one.keeps(now)]
             return f"{keepers} keep the ledger at one time" if len(keepers) > 1 else None
 
         def finish() -> str | None:
-            if stands or world.dead or min(most) > WHOLE.moving / 2:
+            if stands or world.dead or min(most) > WHOLE.movable / 2:
                 return None
             return f"the heads never had more than {most[0]:.1f} and {most[1]:.1f}"
 
--- a/harriertrack/lab/interleaving/scenarios/changes.py
+++ b/harriertrack/lab/interleaving/scenarios/changes.py
@@ -4,9 +4,21 @@
 
 from collections.abc import Callable
 
+from harriertrack.decisions.fleet.changes.operations import (
+    ChangeConflict,
+    ChangeRefused,
+    propose,
+    set_state,
+    set_state_as_operator,
+)
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.standing import OVER, STEPS, UNDER_WAY, IllegalStep, Standing
-from harriertrack.decisions.fleet.changes.writing import Conflict, Refused, propose, step, wish
+from harriertrack.decisions.fleet.changes.version_state import (
+    FINISHED,
+    IN_PROGRESS,
+    TRANSITIONS,
+    IllegalTransition,
+    VersionState,
+)
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.interleaving.scenarios.witness import CALL_US, WITNESS, ApartWitness, witness_of
@@ -43,25 +55,27 @@
             for one in after.versions:
                 was = old.get((one.thing, one.number))
                 if was is not None and was.standing is not one.standing:
-                    if one.standing not in STEPS[was.standing]:
+                    if one.standing not in TRANSITIONS[was.standing]:
                         return f"version {one.number} went from {was.standing.value} to {one.standing.value}"
                 if one != was and one.reason.startswith("term ") and int(one.reason[5:]) < before.epoch:
                     return f"{one.reason} decided after term {before.epoch}"
-            lost = [key for key, one in old.items() if one.standing not in OVER and after.find(*key) is None]
+            lost = [
+                key for key, one in old.items() if one.standing not in FINISHED and after.find(*key) is None
+            ]
             if lost:
                 return f"versions {lost} are gone"
         last = self.records[-1]
-        if sum(one.standing in UNDER_WAY for one in last.versions) > 1:
+        if sum(one.standing in IN_PROGRESS for one in last.versions) > 1:
             return "two versions of one thing are under way"
-        if sum(one.standing is Standing.IN_FORCE for one in last.versions) > 1:
+        if sum(one.standing is VersionState.IN_FORCE for one in last.versions) > 1:
             return "two versions of one thing are in force"
         return None
 
 
-def _proposed(standing: Standing = Standing.PROPOSED) -> Record:
+def _proposed(standing: VersionState = VersionState.PROPOSED) -> Record:
     record = propose(Record(), THING, 0, "one", "op", 1, "first")
-    if standing is not Standing.PROPOSED:
-        record = step(record, 1, THING, 1, Standing.GOING, 2, "stage 1", 1, ("h1",))
+    if standing is not VersionState.PROPOSED:
+        record = set_state(record, 1, THING, 1, VersionState.ADVANCING, 2, "stage 1", 1, ("h1",))
     return record
 
 
@@ -82,9 +96,9 @@
                     found = keeping.write(client, act)
                     made[me].append(found.record.revision)
                     said[me].append("done")
-                except Conflict:
+                except ChangeConflict:
                     said[me].append("conflict")
-                except (Refused, IllegalStep) as error:
+                except (ChangeRefused, IllegalTransition) as error:
                     said[me].append(type(error).__name__)
                 except FAILURES:
                     said[me].append("unknown")
@@ -116,28 +130,28 @@
     return lambda record: propose(record, THING, 0, body, by, 5, "wanted")
 
 
-def _step(epoch: int, standing: Standing, *heads: str) -> Make:
-    return lambda record: step(record, epoch, THING, 1, standing, 6, f"term {epoch}", len(heads), heads)
+def _step(epoch: int, standing: VersionState, *heads: str) -> Make:
+    return lambda record: set_state(record, epoch, THING, 1, standing, 6, f"term {epoch}", len(heads), heads)
 
 
-def _wish(standing: Standing) -> Make:
-    return lambda record: wish(record, THING, standing, "op", 7, "an operator's word")
+def _wish(standing: VersionState) -> Make:
+    return lambda record: set_state_as_operator(record, THING, standing, "op", 7, "an operator's word")
 
 
 PROPOSALS: dict[str, list[Make]] = {"a": [_propose("A", "a")], "b": [_propose("B", "b")]}
 DECIDERS: dict[str, list[Make]] = {
-    "old": [_step(1, Standing.GOING, "h1", "h2"), _step(1, Standing.IN_FORCE)],
-    "new": [_step(2, Standing.GOING, "h1", "h3")],
+    "old": [_step(1, VersionState.ADVANCING, "h1", "h2"), _step(1, VersionState.IN_FORCE)],
+    "new": [_step(2, VersionState.ADVANCING, "h1", "h3")],
 }
 STOPPED: dict[str, list[Make]] = {
-    "decider": [_step(1, Standing.IN_FORCE)],
-    "operator": [_wish(Standing.ABORTED)],
+    "decider": [_step(1, VersionState.IN_FORCE)],
+    "operator": [_wish(VersionState.ABORTED)],
 }
 
 SCENARIOS = (
     Scenario("changes-two", "two proposals at once, and a killed writer", _writers(Record(), PROPOSALS, "a")),
     Scenario("changes-terms", "a decider that was replaced, and dies, against its successor",
-             _writers(_proposed(Standing.GOING), DECIDERS, "old"), most_steps=600),
+             _writers(_proposed(VersionState.ADVANCING), DECIDERS, "old"), most_steps=600),
     Scenario("changes-abort", "a step in force against an operator's abort",
-             _writers(_proposed(Standing.GOING), STOPPED, "decider")),
+             _writers(_proposed(VersionState.ADVANCING), STOPPED, "decider")),
 )  # fmt: skip
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -15,9 +15,9 @@
 from harriertrack.config.settings import ChangesSettings
 from harriertrack.config.settings.fleet import RolloutSettings
 from harriertrack.decisions.fleet.budgets import Term
+from harriertrack.decisions.fleet.changes.operations import propose
 from harriertrack.decisions.fleet.changes.record import Kind, Record as Changed, Version
-from harriertrack.decisions.fleet.changes.standing import RUN, Standing
-from harriertrack.decisions.fleet.changes.writing import propose
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, VersionState
 from harriertrack.decisions.fleet.rollout.counting import Counting
 from harriertrack.gateway.fleet.changes.carrier import Changes
 from harriertrack.gateway.fleet.deciding import Deciding
@@ -193,7 +193,7 @@
             for before, after in zip(history.records, history.records[1:], strict=False):
                 was, one = before.find(THING, 1), after.find(THING, 1)
                 assert was is not None and one is not None
-                if one.standing is Standing.IN_FORCE and was.standing is not Standing.IN_FORCE:
+                if one.standing is VersionState.IN_FORCE and was.standing is not VersionState.IN_FORCE:
                     if missing := set(was.heads) - took:
                         return f"in force, and {sorted(missing)} never ran it"
                     if len(was.heads) < len(NAMES):
@@ -209,10 +209,14 @@
             if hub.now() < struck[0] + SETTLED_US:
                 return None
             if refuses[0] and "d2" not in took:
-                goes_on = one.standing in (Standing.GOING, Standing.IN_FORCE)
+                goes_on = one.standing in (VersionState.ADVANCING, VersionState.IN_FORCE)
                 return f"it is {one.standing.value}, and a head does not take it" if goes_on else None
             alive = [name for name in NAMES if name not in world.dead or (name == "d2" and returns)]
-            if terms.holder in alive and len(alive) == len(NAMES) and one.standing is not Standing.IN_FORCE:
+            if (
+                terms.holder in alive
+                and len(alive) == len(NAMES)
+                and one.standing is not VersionState.IN_FORCE
+            ):
                 return f"it came to rest {one.standing.value}, stage {one.stage}: {one.reason}"
             return None
 
@@ -231,7 +235,7 @@
     one = record.find(THING, 1)
     if one is None:
         return False
-    return one.standing is Standing.IN_FORCE or (one.standing in RUN and one.names(name))
+    return one.standing is VersionState.IN_FORCE or (one.standing in ACTIVE and one.targets(name))
 
 
 SCENARIOS = (
--- a/harriertrack/membership/fleet/budgeting.py
+++ b/harriertrack/membership/fleet/budgeting.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from harriertrack.decisions.fleet.budgets import Ask, Claim, Grant, Share, Term
-from harriertrack.decisions.fleet.zones.evidence import Sight
-from harriertrack.decisions.fleet.zones.words import Stage, Word
+from harriertrack.decisions.fleet.budgets import Claim, Grant, LeaseRequest, ShareUpdate, Term
+from harriertrack.decisions.fleet.zones.evidence import ZoneObservation
+from harriertrack.decisions.fleet.zones.zone_decision import ZoneDecision, ZoneStage
 from harriertrack.membership.fleet import messages
 from harriertrack.membership.fleet.messages import MOST_BYTES, MalformedDatagram, Number, Text
 
@@ -125,7 +125,7 @@
     """What a head sees of zones."""
 
     head: str
-    sights: tuple[Sight, ...]
+    sights: tuple[ZoneObservation, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
     """The fleet's word on all zones that are not simply in use, and the term of who decided."""
 
     term: Term
-    words: tuple[Word, ...]
+    words: tuple[ZoneDecision, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,28 +154,31 @@
     body: bytes
 
 
-Said = Ask | Grant | Seen | Told | Report | Ruling | tuple[Kind, int, Term]
+Said = LeaseRequest | Grant | Seen | Told | Report | Ruling | tuple[Kind, int, Term]
 
 
 def encode(fleet: str, said: Said) -> bytes:
     """Write a datagram: an ask, a grant, or (TERM or VACATED, ledger, term)."""
     match said:
-        case Ask():
+        case LeaseRequest():
             wire = _Wire(
                 READS, VERSION, fleet, Kind.ASK, said.ledger, said.term.epoch, said.term.nonce, said.holder,
-                said.instance, said.tenure, said.number, said.lease_us, said.weight,
-                [_Claim(one.budget, one.whole, one.wanted, one.version, one.released) for one in said.claims],
+                said.instance, said.tenure, said.sequence, said.lease_us, said.weight,
+                [
+                    _Claim(one.budget, one.movable, one.demand, one.version, one.released)
+                    for one in said.claims
+                ],
             )  # fmt: skip
         case Grant():
             wire = _Wire(
                 READS, VERSION, fleet, Kind.GRANT, said.ledger, said.term.epoch, said.term.nonce, said.holder,
-                said.instance, said.tenure, said.answers, said.lease_us, 1.0, [],
+                said.instance, said.tenure, said.in_reply_to, said.lease_us, 1.0, [],
                 [_Share(one.budget, one.version, one.rate, one.tokens) for one in said.shares],
             )  # fmt: skip
         case Seen():
             sights = [
-                _Sight(one.zone, one.good, one.bad, one.requests, one.served, one.moved, one.reserved,
-                       one.wasted, one.busy)
+                _Sight(one.zone, one.responding, one.silent, one.requests, one.served, one.movable,
+                       one.reserved, one.wasted, one.busy)
                 for one in said.sights
             ]  # fmt: skip
             wire = _Wire(READS, VERSION, fleet, Kind.SEEN, 0, 0, 0, said.head, sights=sights)
@@ -187,10 +190,10 @@
                     one.zone,
                     one.stage.value,
                     one.share,
-                    one.turn,
-                    one.why[: min(100, room)],
+                    one.trial_round,
+                    one.reason[: min(100, room)],
                     one.warm_us,
-                    one.wished,
+                    one.by_operator,
                     one.left_us,
                 )
                 for one in said.words
@@ -222,17 +225,17 @@
     term = Term(wire.epoch, wire.nonce)
     if wire.kind is Kind.ASK:
         claims = tuple(Claim(*msgspec.structs.astuple(one)) for one in wire.claims)
-        return Ask(wire.ledger, term, wire.holder, wire.instance, wire.tenure, wire.number, wire.lease_us,
-                   wire.weight, claims)  # fmt: skip
+        return LeaseRequest(wire.ledger, term, wire.holder, wire.instance, wire.tenure, wire.number,
+                            wire.lease_us, wire.weight, claims)  # fmt: skip
     if wire.kind is Kind.GRANT:
-        shares = tuple(Share(*msgspec.structs.astuple(one)) for one in wire.shares)
+        shares = tuple(ShareUpdate(*msgspec.structs.astuple(one)) for one in wire.shares)
         return Grant(wire.ledger, term, wire.holder, wire.instance, wire.tenure, wire.number, wire.lease_us,
                      shares)  # fmt: skip
     if wire.kind is Kind.SEEN:
-        return Seen(wire.holder, tuple(Sight(*msgspec.structs.astuple(one)) for one in wire.sights))
+        return Seen(wire.holder, tuple(ZoneObservation(*msgspec.structs.astuple(one)) for one in wire.sights))
     if wire.kind is Kind.WORD:
         words = (
-            Word(zone, Stage(stage), *rest)
+            ZoneDecision(zone, ZoneStage(stage), *rest)
             for zone, stage, *rest in (msgspec.structs.astuple(one) for one in wire.words)
         )
         return Told(term, tuple(words))
--- a/tests/changes/test_changes_carrier.py
+++ b/tests/changes/test_changes_carrier.py
@@ -6,9 +6,9 @@
 
 from harriertrack.config.settings import check_head
 from harriertrack.config.sexp import SettingsError
-from harriertrack.decisions.fleet.changes.following import Follower
+from harriertrack.decisions.fleet.changes.follower import Follower
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.writing import Conflict, Refused, propose
+from harriertrack.decisions.fleet.changes.operations import ChangeConflict, ChangeRefused, propose
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.fleet.changes.carrier import Changes
 from harriertrack.gateway.witness import WitnessClient
@@ -49,7 +49,7 @@
         self.fetch_at = now + 1_000_000
         return changed
 
-    monkeypatch.setattr(Follower, "fetched", any_record)
+    monkeypatch.setattr(Follower, "finish_fetch", any_record)
     assert 2 in {one.rule for one in rules.check(day())}
 
 
@@ -113,10 +113,10 @@
                 keeping.write(client, proposal("theirs"))
             return proposal("mine")(record)
 
-        with pytest.raises(Conflict) as told:
+        with pytest.raises(ChangeConflict) as told:
             keeping.write(client, first_another)
         assert told.value.difference[1:] == ["-theirs", "+mine"]
-        assert keeping.read(client).record.under_way("settings").body == "theirs"
+        assert keeping.read(client).record.in_progress("settings").body == "theirs"
 
     World().play(main)
 
@@ -127,8 +127,8 @@
 
         def always_late(record):
             tries.append(record.revision)
-            client.put(PATH, keeping.encode(record.replaced([])))
-            return record.replaced([])
+            client.put(PATH, keeping.encode(record.with_versions([])))
+            return record.with_versions([])
 
         with pytest.raises(keeping.Busy):
             keeping.write(client, always_late)
@@ -146,7 +146,7 @@
         back = keeping.put_back(client, known)
         assert back.record.versions == known.versions and back.record.revision == known.revision + 1
         assert keeping.put_back(client, known) is None
-        with pytest.raises(Refused):
+        with pytest.raises(ChangeRefused):
             keeping.write(client, proposal("two", base=3))
 
     World().play(main)
@@ -179,16 +179,16 @@
 
 
 def test_a_note_has_room_for_what_a_member_runs_and_stays_within_its_bytes():
-    from harriertrack.decisions.fleet.changes.following import Taken
+    from harriertrack.decisions.fleet.changes.follower import AppliedVersion
     from harriertrack.membership.fleet.messages import MOST_NOTE
     from harriertrack.membership.fleet.telling import About, about_of
 
     one = Changes.__new__(Changes)
     one._follower = Follower("h")
     one._follower.record = Record(revision=1 << 40)
-    one._follower.taken = {f"calendar/{'x' * 40}{number}": Taken(runs=7) for number in range(20)} | {
-        "settings": Taken(runs=3)
-    }
+    one._follower.applied = {
+        f"calendar/{'x' * 40}{number}": AppliedVersion(running=7) for number in range(20)
+    } | {"settings": AppliedVersion(running=3)}
     data = one.about(About(9, 9, 9, 9))
     told = about_of(data)
     assert len(data) <= MOST_NOTE and told.record == 1 << 40 and told.runs["settings"] == 3
--- a/tests/closing/test_closing_schedule.py
+++ b/tests/closing/test_closing_schedule.py
@@ -5,8 +5,8 @@
 import pytest
 
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.changes.writing import propose, wish
+from harriertrack.decisions.fleet.changes.version_state import VersionState
+from harriertrack.decisions.fleet.changes.operations import propose, set_state_as_operator
 from harriertrack.decisions.fleet.closing.arranging import CLOSES, BadCalendar, Reader, arranged, schedule_of
 from harriertrack.decisions.fleet.closing.schedule import (
     Close,
@@ -125,9 +125,13 @@
 def test_a_calendar_that_purges_more_than_any_before_waits_for_a_word():
     read = reader()
     record = arranged(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
-    assert record.under_way(THING).standing is Standing.PAUSED and record.in_force(THING + CLOSES) is None
+    assert (
+        record.in_progress(THING).standing is VersionState.PAUSED and record.in_force(THING + CLOSES) is None
+    )
     assert arranged(record, 1, 120, NOTICE, read) is record
-    record = arranged(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
+    record = arranged(
+        set_state_as_operator(record, THING, VersionState.ADVANCING, "ann", 2, "yes"), 1, 130, NOTICE, read
+    )
     assert record.in_force(THING).number == 1 and closes(schedule_of(record, THING, read)) == [
         (1, 500),
         (2, 900),
@@ -140,13 +144,18 @@
 
 def test_a_body_that_is_no_calendar_is_taken_back():
     record = arranged(proposed(Record(), "what", 0), 1, 100, NOTICE, reader())
-    assert record.of(THING)[0].standing is Standing.ABORTED and "what" in record.of(THING)[0].reason
+    assert (
+        record.versions_of(THING)[0].standing is VersionState.ABORTED
+        and "what" in record.versions_of(THING)[0].reason
+    )
 
 
 def test_a_sweep_goes_on_record_once_and_never_back():
     read = reader()
     record = arranged(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
-    record = arranged(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
+    record = arranged(
+        set_state_as_operator(record, THING, VersionState.ADVANCING, "ann", 2, "yes"), 1, 130, NOTICE, read
+    )
     key = SweepKey(THING, 2, "m")
     swept = arranged(record, 1, 901, NOTICE, read, [key])
     assert schedule_of(swept, THING, read).swept_of("m") == 2
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -49,9 +49,9 @@
 HUB, STREAMS = "runtime.hub", "runtime.streams"
 SOCKET, MEMORY = f"{STREAMS}:SocketStream", f"{STREAMS}:MemoryStream"
 WITNESS, LEASES = "gateway.witness:WitnessClient", "membership.leases"
-KEEPING, WRITING = "gateway.fleet.changes.keeping", "decisions.fleet.changes.writing"
+KEEPING, WRITING = "gateway.fleet.changes.keeping", "decisions.fleet.changes.operations"
 WATCH, LIST = "decisions.discovery_watch:DiscoveryWatch", "service.discovery:Discovery"
-LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:Holder"
+LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:LeaseHolder"
 LINK = "decisions.linklife:LinkLife"
 CLOSING = "decisions.fleet.closing"
 BUDGETS, TERMS = "decisions.fleet.budgets", "decisions.fleet.terms:Candidate"
@@ -62,7 +62,7 @@
 LAUNCHER = "gateway.fleet.rollout.launcher.launcher:Launcher"
 CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closing:Closing"
 ROLLOUT = "decisions.fleet.rollout.rollout:Rollout"
-FOLLOWING = "decisions.fleet.changes.following:Follower"
+FOLLOWING = "decisions.fleet.changes.follower:Follower"
 
 FAULTS = (
     Fault("a cancel wakes nobody", "hub-cancel-wake", f"{HUB}:Task.cancel", "self._hub._wake(self)", "pass"),
@@ -262,7 +262,7 @@
     Fault(
         "a term that is over decides",
         "changes-terms",
-        f"{WRITING}:step",
+        f"{WRITING}:set_state",
         "if epoch < record.epoch:",
         "if False:",
     ),
@@ -298,46 +298,50 @@
     Fault(
         "a share is lent before it is back",
         "leases",
-        f"{LEDGER}:Account.counted",
-        "slip.counted",
-        "slip.rate",
+        f"{LEDGER}:BudgetAccount.committed",
+        "slip.committed",
+        "slip.granted",
     ),
     Fault(
         "a share is lowered unheard",
         "leases",
-        f"{HOLDER}.granted",
-        "held.portion.change(now, share.rate, max(0.0, share.tokens))",
-        "held.portion.change(now, max(share.rate, held.portion.share), 0.0)",
+        f"{HOLDER}.apply_grant",
+        "held.share.set_leased(now, share.rate, max(0.0, share.tokens))",
+        "held.share.set_leased(now, max(share.rate, held.share.leased), 0.0)",
     ),
     Fault(
         "a lease counts from its answer",
         "leases-end",
-        f"{HOLDER}.granted",
-        "sent_at + self.rules.relied_us(lease_us)",
-        "now + self.rules.relied_us(lease_us)",
+        f"{HOLDER}.apply_grant",
+        "sent_at + self.rules.holder_lease_us(lease_us)",
+        "now + self.rules.holder_lease_us(lease_us)",
     ),
     Fault(
         "a holder's clock is taken for exact",
         "leases-end",
-        f"{BUDGETS}:BudgetRules.relied_us",
+        f"{BUDGETS}:BudgetRules.holder_lease_us",
         "(1 - self.clock_error)",
         "1",
     ),
     Fault(
         "a ledger ends leases early",
         "leases-end",
-        f"{BUDGETS}:BudgetRules.counted_us",
+        f"{BUDGETS}:BudgetRules.granter_lease_us",
         "lease_us * (1 + self.clock_error)",
         "lease_us * 0.7",
     ),
     Fault(
-        "what was granted outlives its term", "leases", f"{HOLDER}._drop", "held.portion.lapse(now)", "pass"
+        "what was granted outlives its term",
+        "leases",
+        f"{HOLDER}._drop",
+        "held.share.drop_leased(now)",
+        "pass",
     ),
-    Fault("a term opens at once", "terms-cut", f"{TERMS}.taken", "now + earlier", "now", 1),
+    Fault("a term opens at once", "terms-cut", f"{TERMS}.handle_acquire", "now + earlier", "now", 1),
     Fault(
         "a term counts from its answer",
         "terms-cut",
-        f"{TERMS}.taken",
+        f"{TERMS}.handle_acquire",
         "asked_at + self._safe_us",
         "now + self._safe_us",
         1,
@@ -353,7 +357,7 @@
     Fault(
         "no answer counts as a renewal",
         "terms-cut",
-        f"{TERMS}.renewed",
+        f"{TERMS}.handle_renewal",
         "if holds is None:",
         "holds = holds is not False\n    if holds is None:",
         1,
@@ -361,8 +365,8 @@
     Fault(
         "a cut-off head counts",
         "zones",
-        f"{ZONES}.sums",
-        "if not any(sight.good for sight in seen.sights) and len(seen.sights) != 1:",
+        f"{ZONES}.summarize",
+        "if not any(sight.responding for sight in seen.sights) and len(seen.sights) != 1:",
         "if False:",
         2,
     ),
@@ -373,14 +377,14 @@
         "a zone is left at once",
         "zones",
         f"{ZONES}._in",
-        "now >= zone.gone_since + self.rules.gone_us",
-        "now >= zone.gone_since",
+        "now >= zone.failed_since + self.rules.gone_us",
+        "now >= zone.failed_since",
         2,
     ),
     Fault(
         "old sights count",
         "zones",
-        f"{ZONES}.sums",
+        f"{ZONES}.summarize",
         "if seen.at < now - self.rules.fresh_us:",
         "if False:",
         2,
@@ -388,9 +392,9 @@
     Fault(
         "a new decider forgets",
         "zones-left",
-        f"{ZONES}.take_up",
+        f"{ZONES}.resume",
         "word.stage, back_at, word.share",
-        "Stage.IN, back_at, word.share",
+        "ZoneStage.IN, back_at, word.share",
         1,
     ),
     Fault(
@@ -426,7 +430,7 @@
     Fault(
         "a follower goes back",
         "changes-once",
-        f"{FOLLOWING}.fetched",
+        f"{FOLLOWING}.finish_fetch",
         "newer = found is not None and (found.revision, digest) > (self.record.revision, self.digest)",
         "newer = found is not None",
         3,
@@ -599,8 +603,8 @@
     Fault(
         "who is not named runs it",
         "rollout-decider",
-        "decisions.fleet.changes.record:Record.wanted",
-        " and going.names(head)",
+        "decisions.fleet.changes.record:Record.version_for",
+        " and going.targets(head)",
         "",
     ),
     Fault(
@@ -613,9 +617,9 @@
     Fault(
         "what was turned down counts as run",
         "rollout-falls",
-        f"{FOLLOWING}.turned_down",
-        "mine.turned_down, mine.why = number, why",
-        "mine.runs = number",
+        f"{FOLLOWING}.mark_rejected",
+        "mine.rejected, mine.reason = number, why",
+        "mine.running = number",
     ),
     Fault(
         "a head that does not take it stops nothing",
@@ -693,18 +697,22 @@
     Fault(
         "a share is lent on while it is in use",
         "budgets-stands",
-        f"{LEDGER}:Account.counted",
-        "slip.counted",
-        "slip.rate",
+        f"{LEDGER}:BudgetAccount.committed",
+        "slip.committed",
+        "slip.granted",
     ),
     Fault(
-        "a lease that is over is used", "budgets-stands", f"{HOLDER}.live", "now < self.lease.until", "True"
+        "a lease that is over is used",
+        "budgets-stands",
+        f"{HOLDER}.lease_valid",
+        "now < self.lease.expires_at",
+        "True",
     ),
     Fault(
         "a share goes down unheard",
         "budgets-return",
-        f"{HOLDER}.granted",
-        "held.portion.change(now, share.rate, max(0.0, share.tokens))",
-        "held.portion.change(now, max(share.rate, held.portion.share), 0.0)",
+        f"{HOLDER}.apply_grant",
+        "held.share.set_leased(now, share.rate, max(0.0, share.tokens))",
+        "held.share.set_leased(now, max(share.rate, held.share.leased), 0.0)",
     ),
 )
