--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -11,7 +11,7 @@
 from harriertrack.config.settings.changing import _struct, check_change, declared, differences
 from harriertrack.config.sexp import SettingsError, bind, read_text, spoken_names
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.portions import Use
+from harriertrack.decisions.fleet.budget_shares import BudgetKind
 from harriertrack.decisions.interface import NodeEntry
 from harriertrack.gateway.client import NbdClient
 from harriertrack.gateway.fleet.settings_user import SettingsUser
@@ -172,8 +172,8 @@
         "limits: dial": limits.dial_us,
         "limits: idle": limits.idle_us,
         "limits: handshake": reception.settings.limits.handshake_us,
-        "fleet: budgets: budget: whole": head._portions.divided[Use.TRIALS].rate,
-        "fleet: budgets: budget: burst": head._portions.divided[Use.TRIALS].burst,
+        "fleet: budgets: budget: whole": head._portions.specs[BudgetKind.TRIALS].rate,
+        "fleet: budgets: budget: burst": head._portions.specs[BudgetKind.TRIALS].burst,
     }
     if path in special:
         return special[path]
--- a/tests/live/test_wholes.py
+++ b/tests/live/test_wholes.py
@@ -5,17 +5,17 @@
 import pytest
 
 from harriertrack.decisions.bucket import Bucket
-from harriertrack.decisions.fleet.budgets import BudgetRules, Claim, Lease, Portion, Term, Whole
-from harriertrack.decisions.fleet.holder import Holder
+from harriertrack.decisions.fleet.budgets import BudgetRules, Claim, Lease, BudgetShare, Term, BudgetTotal
+from harriertrack.decisions.fleet.holder import LeaseHolder
 from harriertrack.decisions.fleet.ledger import Ledger
-from harriertrack.decisions.fleet.portions import Divided, Portions, Use
+from harriertrack.decisions.fleet.budget_shares import BudgetSpec, BudgetShares, BudgetKind
 from harriertrack.decisions.interface import Arrived, Plan
 from harriertrack.lab.fleet.division import Division, Parts, Trial
 from harriertrack.rules import budgets
 
 S = 1_000_000
 RULES = BudgetRules(clock_error=0.01, term_us=2 * S, patience_us=S)
-WHOLE = Whole(200.0, 40.0, 8, 0.1)
+WHOLE = BudgetTotal(200.0, 40.0, 8, 0.1)
 LOW, HIGH = replace(WHOLE, rate=50.0, burst=10.0), replace(WHOLE, rate=800.0, burst=160.0)
 
 
@@ -40,7 +40,7 @@
 
 def used(one):
     """What all heads together may draw a second now."""
-    return sum(held.portion.rate for member in one.members.values() for held in member.holder.held.values())
+    return sum(held.share.rate for member in one.members.values() for held in member.holder.budgets.values())
 
 
 def stormy(one, changes=(LOW, HIGH, WHOLE), each=3 * S, faults=True):
@@ -74,10 +74,10 @@
     assert 0.9 * whole.rate < used(one) <= whole.rate
 
 
-class KeepsItsOldPart(Holder):
+class KeepsItsOldPart(LeaseHolder):
     """It takes the new whole for what it opens next alone."""
 
-    def retell(self, now, says, before, after):
+    def update_source(self, now, says, before, after):
         pass
 
 
@@ -85,31 +85,31 @@
     """It divides what it heard first."""
 
     def _claim(self, holder, tenant, claim):
-        known = tenant.slips.get(claim.budget)
-        super()._claim(holder, tenant, replace(claim, whole=known.whole) if known is not None else claim)
+        known = tenant.holdings.get(claim.budget)
+        super()._claim(holder, tenant, replace(claim, movable=known.total) if known is not None else claim)
 
 
-class FreshStores(Holder):
+class FreshStores(LeaseHolder):
     """What it opens after a change is as full as if it had always had the new whole."""
 
-    def retell(self, now, says, before, after):
-        super().retell(now, says, before, after)
+    def update_source(self, now, says, before, after):
+        super().update_source(now, says, before, after)
         self._idle.clear()
 
 
-class FullStore(Portion):
+class FullStore(BudgetShare):
     """A larger whole fills its store at once."""
 
     __slots__ = ()
 
-    def retell(self, now, whole):
-        super().retell(now, whole)
+    def set_total(self, now, whole):
+        super().set_total(now, whole)
         self.level = self.most
 
 
-class Generous(Holder):
+class Generous(LeaseHolder):
     def open(self, now, budget, whole):
-        fresh = budget not in self.held
+        fresh = budget not in self.budgets
         portion = super().open(now, budget, whole)
         if fresh:
             portion.__class__ = FullStore
@@ -188,9 +188,9 @@
         one.tell(name)
     one.run(4 * S)  # it has just woken
     member = one.members["head3"]
-    assert member.holder.held["v0"].portion.now(one.clock(member)) <= WHOLE.burst * 0.1 / 8
+    assert member.holder.budgets["v0"].share.now(one.clock(member)) <= WHOLE.burst * 0.1 / 8
     one.run(S)
-    others = used(one) - member.holder.held["v0"].portion.rate
+    others = used(one) - member.holder.budgets["v0"].share.rate
     assert others <= LOW.rate and not one.all_told
     one.tell("head3")
     one.run(S)
@@ -202,68 +202,68 @@
 
 def test_less_holds_at_once_and_more_once_the_ledger_knows():
     now = 0
-    holder = Holder(0, "a", 1, RULES, -100 * S)
-    portion = holder.open(now, "v0", replace(WHOLE, says="gold"))
+    holder = LeaseHolder(0, "a", 1, RULES, -100 * S)
+    portion = holder.open(now, "v0", replace(WHOLE, source="gold"))
     rate = portion.rate
-    holder.retell(now, "gold", (200.0, 40.0), (800.0, 40.0))
+    holder.update_source(now, "gold", (200.0, 40.0), (800.0, 40.0))
     assert portion.rate == rate
     ledger = Ledger(0, Term(1, 1), now, RULES)
-    holder.hear(now, ledger.term)
-    (ask,) = holder.asks(now)
+    holder.observe_term(now, ledger.term)
+    (ask,) = holder.due_requests(now)
     assert ask.claims == (Claim("v0", 0.9 * 800.0, 0.0, 0, 0.0),)
-    holder.granted(now, ledger.ask(now, ask))
+    holder.apply_grant(now, ledger.handle_request(now, ask))
     assert portion.rate == pytest.approx(4 * rate)
     portion.level = 0.0  # else it would be forgotten for being idle
-    assert holder.asks(now + RULES.quick_us) == []  # it was said
-    holder.retell(now, "gold", (800.0, 40.0), (100.0, 40.0))
+    assert holder.due_requests(now + RULES.quick_us) == []  # it was said
+    holder.update_source(now, "gold", (800.0, 40.0), (100.0, 40.0))
     assert portion.rate == pytest.approx(rate / 2)
 
 
 def test_a_share_of_a_larger_whole_counts_for_no_more_than_moves_of_a_lower_one():
     lease = Lease(10 * S)
-    portion = Portion(0, WHOLE, lease, 0.0)
-    portion.change(0, 180.0, 40.0)
+    portion = BudgetShare(0, WHOLE, lease, 0.0)
+    portion.set_leased(0, 180.0, 40.0)
     level = portion.level
-    portion.retell(0, LOW)
+    portion.set_total(0, LOW)
     assert portion.rate == pytest.approx(50.0 * (0.1 / 8 + 0.9)) and portion.level == portion.most < level
-    portion.retell(0, WHOLE)
+    portion.set_total(0, WHOLE)
     assert portion.rate == pytest.approx(200.0 * (0.1 / 8 + 0.9)) and portion.level < 10.0
 
 
 def test_of_a_number_at_a_time_what_is_too_much_is_to_be_given_back():
-    links = Whole(80.0, 0.0, 8, 0.5, counted=True)
-    portion = Portion(0, links, Lease(10 * S), 0.0)
+    links = BudgetTotal(80.0, 0.0, 8, 0.5, concurrent=True)
+    portion = BudgetShare(0, links, Lease(10 * S), 0.0)
     for _ in range(5):
-        assert portion.take(0)
-    portion.retell(0, replace(links, rate=32.0))
-    assert (portion.over, portion.used) == (3, 5.0)
-    portion.retell(0, links)
-    assert (portion.over, portion.used) == (0, 5.0)
+        assert portion.acquire(0)
+    portion.set_total(0, replace(links, rate=32.0))
+    assert (portion.excess, portion.in_use) == (3, 5.0)
+    portion.set_total(0, links)
+    assert (portion.excess, portion.in_use) == (0, 5.0)
 
 
 def test_a_change_overtakes_a_raise_that_is_not_confirmed():
     ledger, term = Ledger(0, Term(1, 1), 0, RULES), Term(1, 1)
 
     def ask(at, number, whole, version=0):
-        from harriertrack.decisions.fleet.budgets import Ask
+        from harriertrack.decisions.fleet.budgets import LeaseRequest
 
         claims = (Claim("v0", whole, 300.0, version, 0.0),)
-        return ledger.ask(at, Ask(0, term, "a", 1, 1, number, S, 1.0, claims))
+        return ledger.handle_request(at, LeaseRequest(0, term, "a", 1, 1, number, S, 1.0, claims))
 
     ask(0, 1, 180.0)
-    (news,) = ledger.round(0)
+    (news,) = ledger.rebalance(0)
     assert news.shares[0].rate == 180.0  # on its way, unconfirmed
     ask(60_000, 2, 45.0)
-    (news,) = ledger.round(60_000)
+    (news,) = ledger.rebalance(60_000)
     assert news.shares[0].rate == pytest.approx(45.0)
-    assert ledger.accounts["v0"].counted == 180.0  # until it says that it has that
+    assert ledger.accounts["v0"].committed == 180.0  # until it says that it has that
 
 
-def portions(divided=(Use.LIMITS, Use.TRIALS, Use.LINKS)):
+def portions(divided=(BudgetKind.LIMITS, BudgetKind.TRIALS, BudgetKind.LINKS)):
     kinds = {
-        Use.LIMITS: Divided(0.1), Use.TRIALS: Divided(0.1, 10.0, 4.0), Use.LINKS: Divided(0.5, 80.0),
+        BudgetKind.LIMITS: BudgetSpec(0.1), BudgetKind.TRIALS: BudgetSpec(0.1, 10.0, 4.0), BudgetKind.LINKS: BudgetSpec(0.5, 80.0),
     }  # fmt: skip
-    return Portions(RULES, 2, "a", 1, 8, {use: kinds[use] for use in divided}, -100 * S)
+    return BudgetShares(RULES, 2, "a", 1, 8, {use: kinds[use] for use in divided}, -100 * S)
 
 
 def test_portions_change_what_plans_and_budgets_say_and_nothing_else():
@@ -275,22 +275,22 @@
     ask = Arrived(1, "read", "gold", "v0", "", 0, 1.0, S)
     one, other = mine.limit(0, ask, gold), mine.limit(0, replace(ask, volume="v1"), tin)
     before = other.rate
-    mine.link(0, "node")
+    mine.acquire_link(0, "node")
     woken = []
-    mine.woken = lambda: woken.append(True)
+    mine.on_wake = lambda: woken.append(True)
     lower = replace(gold, limit=50.0, limit_burst=10.0)
-    told = mine.divided | {Use.LINKS: Divided(0.5, 16.0)}
-    mine.retell(0, {"gold": gold, "tin": tin}, {"gold": lower, "tin": tin}, told)
+    told = mine.specs | {BudgetKind.LINKS: BudgetSpec(0.5, 16.0)}
+    mine.update_totals(0, {"gold": gold, "tin": tin}, {"gold": lower, "tin": tin}, told)
     assert one.rate == pytest.approx(0.99 * 50.0 * 0.1 / 8) and other.rate == before and woken
     assert dict(mine)["links/node"].most == 1.0
     assert mine.limit(0, ask, lower) is one
     with pytest.raises(ValueError, match="fixed"):
-        mine.retell(0, {}, {}, mine.divided | {Use.TRIALS: Divided(0.2, 10.0, 4.0)})
+        mine.update_totals(0, {}, {}, mine.specs | {BudgetKind.TRIALS: BudgetSpec(0.2, 10.0, 4.0)})
 
 
 def test_a_limit_that_is_new_begins_with_an_empty_store():
     mine, free, gold = portions(), Plan("gold"), Plan("gold", limit=80.0, limit_burst=40.0)
-    mine.retell(0, {"gold": free}, {"gold": gold}, mine.divided)
+    mine.update_totals(0, {"gold": free}, {"gold": gold}, mine.specs)
     for at, level in ((0, 0.0), (S // 4, 0.2475), (S, 0.5)):
         bucket = mine.limit(at, Arrived(1, "read", "gold", f"v{at}", "", 0, 1.0, S), gold)
         assert isinstance(bucket, Bucket) and bucket.now(at) == pytest.approx(level)
--- a/tests/rollout/test_remembering.py
+++ b/tests/rollout/test_remembering.py
@@ -5,9 +5,9 @@
 import pytest
 
 from harriertrack.config.sexp import read_text
-from harriertrack.decisions.fleet.changes import writing
+from harriertrack.decisions.fleet.changes import operations
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.standing import Standing
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout import conducting
 from harriertrack.decisions.fleet.rollout.believing import Believed, Told, believed
 from harriertrack.decisions.fleet.rollout.counting import Tally
@@ -79,7 +79,7 @@
     one.propose("settings")
     one.run(second)
     one.new_decider()
-    assert one.until("settings", 900) is Standing.IN_FORCE
+    assert one.until("settings", 900) is VersionState.IN_FORCE
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
@@ -95,8 +95,10 @@
                 each.new_decider()
 
         each.until(thing, 1500, look)
-    assert one.record.of(thing)[0].standing is Standing.IN_FORCE
-    assert bad.record.of(thing)[0].standing is Standing.STOPPED and max(bad.most_new.values()) == 1
+    assert one.record.versions_of(thing)[0].standing is VersionState.IN_FORCE
+    assert (
+        bad.record.versions_of(thing)[0].standing is VersionState.STOPPED and max(bad.most_new.values()) == 1
+    )
 
 
 def test_fewer_than_half_that_tell_are_as_none() -> None:
@@ -108,7 +110,7 @@
     one.new_decider()
     one.run(40)
     assert followed(one).judge.before == {}, "older heads: it is compared as if heads were alike"
-    assert one.until("settings", 900) in (Standing.IN_FORCE, Standing.PAUSED)
+    assert one.until("settings", 900) in (VersionState.IN_FORCE, VersionState.PAUSED)
 
 
 def test_one_that_lies_by_ten_does_not_let_a_bad_version_pass() -> None:
@@ -117,20 +119,20 @@
         one = fleet(seed=seed, harms={("settings", 1): Harm("write", failed=0.02)}, uneven=0.2)
         one.propose("settings")
         one.run(62)
-        named = one.record.under_way("settings")
+        named = one.record.in_progress("settings")
         assert named is not None and len(named.heads) == 1
         liar = one.heads[named.heads[0]]
         liar.lies = 10.0
         one.new_decider()
         one.run(90)
-        going = one.record.under_way("settings")
+        going = one.record.in_progress("settings")
         assert going is not None and going.stage == 1, "by it alone no stage ends"
         assert f"as 6 of 6 heads tell it; not {liar.name}, " in one.conductor.told(one.record)[0]
         others = tuple(name for name in one.heads if name != one.decider)[:3]
-        one.record = writing.step(one.record, one.epoch, "settings", 1, Standing.GOING, 1, "the others show it", 2,
+        one.record = operations.set_state(one.record, one.epoch, "settings", 1, VersionState.ADVANCING, 1, "the others show it", 2,
                                   tuple({liar.name, *others}))  # fmt: skip
         ends.append(one.until("settings", 280))
-    assert ends == [Standing.STOPPED] * 4
+    assert ends == [VersionState.STOPPED] * 4
 
 
 def test_one_that_slept_tells_of_another_time() -> None:
@@ -189,33 +191,37 @@
 
     for at in range(20):
         second(at, record)
-    proposed = writing.propose(record, "settings", 0, "b", "ann", 1, "a change")
+    proposed = operations.propose(record, "settings", 0, "b", "ann", 1, "a change")
     for at in range(20, 50):
         assert not second(at, proposed)
-    named = writing.step(proposed, 1, "settings", 1, Standing.GOING, 1, "stage one", 1, ("a",))
+    named = operations.set_state(
+        proposed, 1, "settings", 1, VersionState.ADVANCING, 1, "stage one", 1, ("a",)
+    )
     assert second(50, named) and not second(51, named)
     told = one.told(60 * S)
     assert told is not None and (told.number, told.ago_us, told.classes["read"].timely) == (1, 10 * S, 300)
     assert told.usage == Usage(5 << 20, 3000, 300, 30)
-    assert not second(61, writing.step(named, 1, "settings", 1, Standing.IN_FORCE, 1, "all", 1))
+    assert not second(61, operations.set_state(named, 1, "settings", 1, VersionState.IN_FORCE, 1, "all", 1))
     assert one.told(61 * S) is None, "it is over"
     assert not Remembering(0).look(6 * S, named, counts), "it was not there before"
 
 
 def test_who_waits_for_another_version_has_no_time_before_yet() -> None:
-    both = writing.propose(
-        writing.propose(Record(), "program", 0, "b", "ann", 1, "w"), "settings", 0, "b", "ann", 1, "w"
+    both = operations.propose(
+        operations.propose(Record(), "program", 0, "b", "ann", 1, "w"), "settings", 0, "b", "ann", 1, "w"
     )
-    going = writing.step(both, 1, "program", 1, Standing.GOING, 1, "one", 1, ("a",))
+    going = operations.set_state(both, 1, "program", 1, VersionState.ADVANCING, 1, "one", 1, ("a",))
     one = Remembering(0)
     for at in range(10, 20):
         one.look(at * S, both, {"read": Tally(at)})
     assert one.look(20 * S, going, {"read": Tally(20)})
     assert one.told(20 * S).thing == "program"  # type: ignore[union-attr]
-    done = writing.step(going, 1, "program", 1, Standing.IN_FORCE, 1, "all", 1)
+    done = operations.set_state(going, 1, "program", 1, VersionState.IN_FORCE, 1, "all", 1)
     assert not one.look(21 * S, done, {"read": Tally(21)}) and one.told(21 * S) is None
     assert one.look(
-        23 * S, writing.step(done, 1, "settings", 1, Standing.GOING, 1, "one", 1, ("a",)), {"read": Tally(29)}
+        23 * S,
+        operations.set_state(done, 1, "settings", 1, VersionState.ADVANCING, 1, "one", 1, ("a",)),
+        {"read": Tally(29)},
     )
     assert one.told(23 * S).classes["read"].timely == 8  # type: ignore[union-attr]
 
@@ -249,12 +255,12 @@
     assert again.read(1030 * S) == replace(before, ago_us=30 * S)
     one = Remembering(0)
     one.again(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
-    proposed = writing.propose(Record(), "program", 0, "b", "ann", 1, "w")
+    proposed = operations.propose(Record(), "program", 0, "b", "ann", 1, "w")
     one.look(5 * S, Record(), {})
     assert one.told(5 * S) is not None, "the record is not read yet"
     one.look(5 * S, proposed, {})
     assert one.told(5 * S) is None, "nothing of that is under way"
-    going = replace(proposed.versions[0], number=2, standing=Standing.GOING, heads=("a",))
+    going = replace(proposed.versions[0], number=2, standing=VersionState.ADVANCING, heads=("a",))
     one.again(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
     assert not one.look(6 * S, Record(revision=2, versions=(going,)), {})
     assert one.told(10 * S).ago_us == 35 * S  # type: ignore[union-attr]
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from harriertrack.decisions.fleet.changes import writing
-from harriertrack.decisions.fleet.changes.standing import Standing
+from harriertrack.decisions.fleet.changes import operations
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout import levels
 from harriertrack.decisions.fleet.rollout.choosing import Member, next_away, staged
 from harriertrack.decisions.fleet.rollout.conducting import BadPlan
@@ -30,7 +30,7 @@
 def test_a_good_version_comes_to_all_in_stages(thing: str) -> None:
     one = fleet()
     one.propose(thing)
-    assert one.until(thing, 1200) is Standing.IN_FORCE
+    assert one.until(thing, 1200) is VersionState.IN_FORCE
     assert [one.most_new[1, stage] for stage in (1, 2)] == [1, 3], "of two in a zone one is left"
     assert one.most_away == (1 if thing == "program" else 0)
     last = [version.heads[-1] for _, version in one.history if version.stage == 3 and version.heads]
@@ -43,13 +43,13 @@
 def test_a_version_that_is_worse_in_one_class_is_stopped_at_the_first_head(harm: Harm) -> None:
     one = fleet(harms={("settings", 1): harm})
     one.propose("settings")
-    assert one.until("settings", 600) is Standing.STOPPED
+    assert one.until("settings", 600) is VersionState.STOPPED
     assert max(one.most_new.values()) == 1 and not any(
         head.runs.get("settings") for head in one.heads.values()
     )
-    stopped = one.record.of("settings")[0]
+    stopped = one.record.versions_of("settings")[0]
     assert harm.class_name in stopped.reason or "zone" in stopped.reason
-    with pytest.raises(writing.Refused, match="say why it is tried again"):
+    with pytest.raises(operations.ChangeRefused, match="say why it is tried again"):
         one.propose("settings")
     one.propose("settings", although="mended beside it")
 
@@ -60,17 +60,17 @@
     good = Staged(6, 1, QUICK, rate=50.0, classes=flawless)
     for one in (bad, good):
         one.propose("settings")
-    assert bad.until("settings", 100) is Standing.STOPPED, (
+    assert bad.until("settings", 100) is VersionState.STOPPED, (
         "before, the figure stayed as unsure as if nothing were known"
     )
-    assert good.until("settings", 180) is Standing.IN_FORCE
+    assert good.until("settings", 180) is VersionState.IN_FORCE
 
 
 def test_a_head_that_falls_back_stops_the_version() -> None:
     one = fleet(harms={("program", 1): Harm(falls=True)})
     one.propose("program")
-    assert one.until("program", 300) is Standing.STOPPED
-    assert "not ready in time" in one.record.of("program")[0].reason
+    assert one.until("program", 300) is VersionState.STOPPED
+    assert "not ready in time" in one.record.versions_of("program")[0].reason
 
 
 def test_what_strikes_the_whole_fleet_stops_nothing_and_lets_nothing_go_on() -> None:
@@ -79,8 +79,8 @@
     one.run(62)
     one.fleetwide = 8.0
     one.run(200)
-    going = one.record.under_way("settings")
-    assert going is not None and (going.standing, going.stage) == (Standing.GOING, 1)
+    going = one.record.in_progress("settings")
+    assert going is not None and (going.standing, going.stage) == (VersionState.ADVANCING, 1)
     assert "worse than before" in one.conductor.told(one.record)[0]
 
 
@@ -94,23 +94,23 @@
 
     one.changed = burdened
     one.propose("program")
-    assert one.until("program", 1500) is Standing.IN_FORCE
+    assert one.until("program", 1500) is VersionState.IN_FORCE
 
 
 def test_a_zone_lost_in_which_only_new_heads_are_is_no_bad_version() -> None:
     one = fleet(heads=9)
     one.propose("settings")
     one.run(61)
-    [new] = one.record.under_way("settings").heads  # type: ignore[union-attr]
+    [new] = one.record.in_progress("settings").heads  # type: ignore[union-attr]
     lost = [head for head in one.heads.values() if head.zone == one.heads[new].zone]
     for head in lost:
         head.cut = True
     one.run(60)
-    going = one.record.under_way("settings")
+    going = one.record.in_progress("settings")
     assert going is not None and going.stage == 1 and going.heads == (new,), "none is counted, none is added"
     for head in lost:
         head.cut, head.life, head.classes = False, head.life + 1, {}
-    assert one.until("settings", 800) is Standing.IN_FORCE
+    assert one.until("settings", 800) is VersionState.IN_FORCE
 
 
 @pytest.mark.parametrize("every", [7, 180])
@@ -126,29 +126,33 @@
         lambda second: one.new_decider() if second % every == every - 1 else None,
     )
     if every == 7:
-        assert ends is Standing.PROPOSED and not one.history, (
+        assert ends is VersionState.PROPOSED and not one.history, (
             "none is there for long enough to see what was before"
         )
     elif harm is None:
-        assert ends is (Standing.IN_FORCE if every > 60 else Standing.PROPOSED)
+        assert ends is (VersionState.IN_FORCE if every > 60 else VersionState.PROPOSED)
         assert one.most_new.get((1, 1), 0) <= 1 and one.most_new.get((1, 2), 0) <= 3
     else:
-        assert ends in (Standing.STOPPED, Standing.PROPOSED) and max(one.most_new.values()) <= 3
+        assert ends in (VersionState.STOPPED, VersionState.PROPOSED) and max(one.most_new.values()) <= 3
 
 
 def test_not_enough_for_too_long_pauses_and_never_proceeds() -> None:
     one = Staged(4, 2, QUICK, rate=0.2)
     one.propose("settings")
     one.run(520)
-    paused = one.record.under_way("settings")
-    assert paused is not None and (paused.standing, paused.stage) == (Standing.PAUSED, 1)
+    paused = one.record.in_progress("settings")
+    assert paused is not None and (paused.standing, paused.stage) == (VersionState.PAUSED, 1)
     assert "answers" in paused.reason
-    one.record = writing.wish(one.record, "settings", Standing.GOING, "ann", 1, "wait on")
+    one.record = operations.set_state_as_operator(
+        one.record, "settings", VersionState.ADVANCING, "ann", 1, "wait on"
+    )
     one.run(300)
-    assert one.record.under_way("settings").stage == 1  # type: ignore[union-attr]
-    one.record = writing.wish(one.record, "settings", Standing.ABORTED, "ann", 1, "enough")
+    assert one.record.in_progress("settings").stage == 1  # type: ignore[union-attr]
+    one.record = operations.set_state_as_operator(
+        one.record, "settings", VersionState.ABORTED, "ann", 1, "enough"
+    )
     one.run(5)
-    assert one.record.of("settings")[0].standing is Standing.ABORTED
+    assert one.record.versions_of("settings")[0].standing is VersionState.ABORTED
     assert not any(head.runs.get("settings") for head in one.heads.values())
 
 
@@ -158,9 +162,9 @@
     resumed: list[int] = []
 
     def look(_second: int) -> None:
-        if one.record.under_way("settings").standing is Standing.PAUSED:  # type: ignore[union-attr]
-            one.record = writing.wish(
-                one.record, "settings", Standing.GOING, "ann", one.now // 1000, "wait on"
+        if one.record.in_progress("settings").standing is VersionState.PAUSED:  # type: ignore[union-attr]
+            one.record = operations.set_state_as_operator(
+                one.record, "settings", VersionState.ADVANCING, "ann", one.now // 1000, "wait on"
             )
             resumed.append(one.now // S)
 
@@ -181,9 +185,9 @@
     def one_record():
         return one.record
 
-    assert one.until("settings", 900, look) is Standing.IN_FORCE
-    assert one.record.under_way("calendar/tokyo").standing is Standing.PROPOSED  # type: ignore[union-attr]
-    assert one.until("program", 1500, look) is Standing.IN_FORCE
+    assert one.until("settings", 900, look) is VersionState.IN_FORCE
+    assert one.record.in_progress("calendar/tokyo").standing is VersionState.PROPOSED  # type: ignore[union-attr]
+    assert one.until("program", 1500, look) is VersionState.IN_FORCE
     assert not any({"settings", "program"} <= set(some) for some in both)
 
 
@@ -196,7 +200,7 @@
     asleep.cut = True
     one.run(30)
     late.dead = False
-    assert one.until("settings", 900) is Standing.IN_FORCE, (
+    assert one.until("settings", 900) is VersionState.IN_FORCE, (
         "an eighth may be missing of none; a stage of 7 is whole"
     )
     asleep.cut = False
@@ -245,7 +249,7 @@
     assert levels.next_level(one.record, {"a": 2}, ["a", "b"]) == 0, "b may wake up with what it had"
     one.propose("program")
     assert levels.next_level(one.record, {"a": 2}, ["a"]) == 0, "while a program is under way"
-    raised = writing.raise_level(one.record, 1, 2)
+    raised = operations.raise_level(one.record, 1, 2)
     assert levels.next_level(raised, {"a": 1}, ["a"]) == 2
     assert "level 1" in levels.too_old(raised, 1) and not levels.too_old(raised, 2)
 
@@ -254,37 +258,39 @@
     lax = Plan(QUICK.stages, before_us=60 * S, bounds=Bounds(times=20.0, more=0.3))
     one = Staged(8, 1, lax, rate=100.0, harms={("settings", 1): Harm("write", failed=0.02)})
     one.propose("settings")
-    assert one.until("settings", 900) is Standing.IN_FORCE
+    assert one.until("settings", 900) is VersionState.IN_FORCE
 
 
 def test_the_last_stage_ends_without_any_request_and_a_plan_that_is_none_is_taken_back() -> None:
     idle = Plan((Stage("all", share=1.0, soak_us=5 * S, least=0),), before_us=S)
     one = Staged(4, 1, idle, rate=0.0)
     one.propose("settings")
-    assert one.until("settings", 60) is Standing.IN_FORCE
+    assert one.until("settings", 60) is VersionState.IN_FORCE
 
     def no_plan(_version: object) -> Plan:
         raise BadPlan("p:1: plan: no such thing")
 
     one.conductor.plan_of = no_plan
     one.propose("settings", "c")
-    assert one.until("settings", 20) is Standing.ABORTED
-    assert "no such thing" in one.record.of("settings")[-1].reason
+    assert one.until("settings", 20) is VersionState.ABORTED
+    assert "no such thing" in one.record.versions_of("settings")[-1].reason
 
 
 def test_a_step_is_not_written_over_what_an_operator_said_meanwhile() -> None:
     one = fleet()
     one.propose("settings")
     one.run(62)
-    before = one.record.under_way("settings")
+    before = one.record.in_progress("settings")
     assert before is not None
-    paused = writing.wish(one.record, "settings", Standing.PAUSED, "ann", 1, "look first")
-    late = Step(before, Standing.GOING, "stage most", 2, before.heads)
-    with pytest.raises(writing.Refused, match="moved on"):
+    paused = operations.set_state_as_operator(
+        one.record, "settings", VersionState.PAUSED, "ann", 1, "look first"
+    )
+    late = Step(before, VersionState.ADVANCING, "stage most", 2, before.heads)
+    with pytest.raises(operations.ChangeRefused, match="moved on"):
         late.write(paused, one.epoch, 1)
     one.record = paused
     one.run(120)
-    assert one.record.under_way("settings").heads == before.heads  # type: ignore[union-attr]
+    assert one.record.in_progress("settings").heads == before.heads  # type: ignore[union-attr]
 
 
 def test_heads_that_use_more_memory_than_the_others_stop_a_version() -> None:
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -199,7 +199,7 @@
 def test_a_scorer_that_the_record_names_is_run_from_the_copy_on_disk_without_anybody_to_ask():
     from harriertrack.config.settings import ChangesSettings
     from harriertrack.decisions.fleet.changes.record import Record
-    from harriertrack.decisions.fleet.changes.standing import Standing
+    from harriertrack.decisions.fleet.changes.version_state import VersionState
     from harriertrack.lab.fleet.rig import SimulatedFleet
     from harriertrack.lab.fleet.scenario import DayBudgets
     from harriertrack.membership.fleet.changing import encode
@@ -209,7 +209,7 @@
 
     body = '(scorer "main" (kind "least-latency") (parameter "power" (value %s)))'
     told = [
-        Version(thing, number, 0, body % power, "me", 0, "because", standing=Standing.IN_FORCE)
+        Version(thing, number, 0, body % power, "me", 0, "because", standing=VersionState.IN_FORCE)
         for thing, number, power in (("scorer/main", 1, 2), ("scorer/other", 1, 99))
     ]
     hub, recorder = Hub.virtual(1), rec.Recorder()
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -7,30 +7,30 @@
 
 from harriertrack.decisions.bucket import Bucket
 from harriertrack.decisions.fleet.budgets import (
-    Ask,
+    LeaseRequest,
     BudgetRules,
     Claim,
     Lease,
-    Portion,
+    BudgetShare,
     Term,
-    Whole,
-    ledger_of,
+    BudgetTotal,
+    ledger_for,
 )
-from harriertrack.decisions.fleet.dividing import Wish, divide, fair
-from harriertrack.decisions.fleet.holder import Holder
+from harriertrack.decisions.fleet.max_min import Claimant, divide, max_min_shares
+from harriertrack.decisions.fleet.holder import LeaseHolder
 from harriertrack.decisions.fleet.ledger import Ledger
-from harriertrack.decisions.fleet.terms import Call, Candidate, Seat, Taken, rank
+from harriertrack.decisions.fleet.terms import WitnessCall, Candidate, CandidateState, LockAcquired, rank
 from harriertrack.lab.fleet.division import Division, Parts, Trial
 from harriertrack.rules import budgets, recording as rec
 
 S = 1_000_000
 QUICK = BudgetRules(clock_error=0.01, term_us=2 * S, patience_us=S)
-WHOLE = Whole(200.0, 40.0, 6, 0.1)
+WHOLE = BudgetTotal(200.0, 40.0, 6, 0.1)
 REAL = Parts()
 
 
 def division(heads=6, seed=1, rules=QUICK, parts=REAL, clocks=0.01, fixed=0.1, budgets=("v0",), rate=200.0):
-    wholes = {name: Whole(rate, rate / 5, heads, fixed) for name in budgets}
+    wholes = {name: BudgetTotal(rate, rate / 5, heads, fixed) for name in budgets}
     return Division(heads, wholes, seed, rules, parts, clocks)
 
 
@@ -44,19 +44,19 @@
 
 amounts = st.floats(0, 100)
 wishes = st.lists(
-    st.builds(Wish, amounts, amounts, st.sampled_from([0.5, 1.0, 3.0])), min_size=1, max_size=12
+    st.builds(Claimant, amounts, amounts, st.sampled_from([0.5, 1.0, 3.0])), min_size=1, max_size=12
 )
 
 
 @given(st.floats(0.1, 200), wishes)
 @settings(max_examples=300, deadline=None)
 def test_fair_parts_are_max_min_by_weight(whole, them):
-    given = fair(whole, them)
+    given = max_min_shares(whole, them)
     assert sum(given) <= whole * (1 + 1e-9) and all(
-        0 <= g <= w.wanted + 1e-9 for g, w in zip(given, them, strict=True)
+        0 <= g <= w.demand + 1e-9 for g, w in zip(given, them, strict=True)
     )
-    full = sum(w.wanted for w in them) <= whole
-    levels = [g / w.weight for g, w in zip(given, them, strict=True) if g < w.wanted - 1e-9]
+    full = sum(w.demand for w in them) <= whole
+    levels = [g / w.weight for g, w in zip(given, them, strict=True) if g < w.demand - 1e-9]
     if full:
         assert not levels
     else:
@@ -69,23 +69,23 @@
 @settings(max_examples=300, deadline=None)
 def test_a_division_keeps_to_the_whole_and_moves_nothing_without_need(whole, them):
     held = sum(w.held for w in them)
-    scaled = [Wish(w.held * whole / held, w.wanted, w.weight) if held > whole else w for w in them]
+    scaled = [Claimant(w.held * whole / held, w.demand, w.weight) if held > whole else w for w in them]
     targets = divide(whole, scaled)
     assert sum(targets) <= whole * (1 + 1e-9) and min(targets) >= -1e-9
-    for target, need, wish in zip(targets, fair(whole, scaled), scaled, strict=True):
+    for target, need, wish in zip(targets, max_min_shares(whole, scaled), scaled, strict=True):
         assert target >= min(need, wish.held) * (1 - 1e-9), "nobody is taken what it needs and has"
-        if not wish.wanted:
+        if not wish.demand:
             assert target == 0
-    settled = [Wish(t, w.wanted, w.weight) for t, w in zip(targets, scaled, strict=True)]
+    settled = [Claimant(t, w.demand, w.weight) for t, w in zip(targets, scaled, strict=True)]
     for again, before in zip(divide(whole, settled), targets, strict=True):
         assert again == pytest.approx(before, rel=0.3, abs=1e-9), "no moves to and fro"
 
 
 def test_who_lacks_gets_from_who_has_more_than_it_needs_and_from_nobody_else():
-    assert divide(100, [Wish(60, 20), Wish(40, 40), Wish(0, 30)]) == pytest.approx([30, 40, 30])
-    assert divide(100, [Wish(50, 80), Wish(50, 80), Wish(0, 10)]) == pytest.approx([45, 45, 10])
-    assert divide(100, [Wish(50, 52), Wish(50, 49)]) == [50, 50], "a little lack moves nothing"
-    lowered = divide(50, [Wish(50, 60), Wish(50, 10)])
+    assert divide(100, [Claimant(60, 20), Claimant(40, 40), Claimant(0, 30)]) == pytest.approx([30, 40, 30])
+    assert divide(100, [Claimant(50, 80), Claimant(50, 80), Claimant(0, 10)]) == pytest.approx([45, 45, 10])
+    assert divide(100, [Claimant(50, 52), Claimant(50, 49)]) == [50, 50], "a little lack moves nothing"
+    lowered = divide(50, [Claimant(50, 60), Claimant(50, 10)])
     assert sum(lowered) <= 50 and lowered[1] == pytest.approx(10)
 
 
@@ -94,35 +94,35 @@
 
 def test_a_portion_ends_with_its_lease_by_itself_and_tokens_beyond_the_fixed_part_with_it():
     lease = Lease(10 * S)
-    portion = Portion(0, WHOLE, lease, 0.01)
-    assert portion.change(0, 180.0, 30.0) == 0 and portion.level == pytest.approx(30)
+    portion = BudgetShare(0, WHOLE, lease, 0.01)
+    assert portion.set_leased(0, 180.0, 30.0) == 0 and portion.level == pytest.approx(30)
     assert portion.now(5 * S) == pytest.approx(40 * (0.1 / 6 + 0.9))
     assert portion.now(60 * S) == pytest.approx(40 * 0.1 / 6), "it stood still meanwhile"
-    assert portion.share == 0 and portion.rate == pytest.approx(0.99 * 200 * 0.1 / 6)
+    assert portion.leased == 0 and portion.rate == pytest.approx(0.99 * 200 * 0.1 / 6)
 
 
 def test_tokens_go_along_with_the_part_that_goes_and_debts_stay():
-    portion = Portion(0, WHOLE, Lease(1 << 60), 0.0)
-    portion.change(0, 180.0, 20.0)
+    portion = BudgetShare(0, WHOLE, Lease(1 << 60), 0.0)
+    portion.set_leased(0, 180.0, 20.0)
     before = portion.level
-    gone = portion.change(0, 90.0, 0.0)
+    gone = portion.set_leased(0, 90.0, 0.0)
     assert gone == pytest.approx(before * 18 / (40 * 0.1 / 6 + 36)) and portion.level == pytest.approx(
         before - gone
     )
     portion.level = -3.0
-    assert portion.change(0, 0.0, 0.0) == 0 and portion.level == -3.0
+    assert portion.set_leased(0, 0.0, 0.0) == 0 and portion.level == -3.0
     assert isinstance(portion, Bucket)
 
 
 def test_what_is_idle_is_forgotten_and_comes_back_no_fuller():
-    holder = Holder(0, "a", 1, QUICK, 0)
+    holder = LeaseHolder(0, "a", 1, QUICK, 0)
     for number in range(50):
-        holder.open(100 * S, f"v{number}", WHOLE).asked(1.0)
+        holder.open(100 * S, f"v{number}", WHOLE).record_demand(1.0)
     now = 100 * S
     while now < 140 * S:
         now += S
-        assert holder.asks(now) == [], "no term, no asks"
-    assert not holder.held
+        assert holder.due_requests(now) == [], "no term, no asks"
+    assert not holder.budgets
     portion = holder.open(now, "v1", WHOLE)
     assert portion.level == portion.most == pytest.approx(40 * 0.1 / 6)
 
@@ -130,7 +130,7 @@
 # -- a number at a time
 
 
-NUMBER = Whole(40.0, 0.0, 4, 0.2, counted=True)
+NUMBER = BudgetTotal(40.0, 0.0, 4, 0.2, concurrent=True)
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(["take", "take", "give", "wait", "kill", "cut"])),
@@ -142,8 +142,8 @@
     now, instances = 0, iter(range(1, 1000))
 
     def fresh(at):
-        one = Holder(0, f"h{at}", next(instances), QUICK, now)
-        one.hear(now, ledger.term)
+        one = LeaseHolder(0, f"h{at}", next(instances), QUICK, now)
+        one.observe_term(now, ledger.term)
         return one
 
     holders = [fresh(at) for at in range(4)]
@@ -153,33 +153,33 @@
     def tell(grant):
         at = int(grant.holder[1:])
         if holders[at].instance == grant.instance and cut.get(at, 0) <= now:
-            holders[at].granted(now, grant)
+            holders[at].apply_grant(now, grant)
 
     for at, what in steps:
         for _ in range(6):
             now += 20_000
             for number, holder in enumerate(holders):
-                for ask in holder.asks(now):
-                    if cut.get(number, 0) <= now and (grant := ledger.ask(now, ask)) is not None:
+                for ask in holder.due_requests(now):
+                    if cut.get(number, 0) <= now and (grant := ledger.handle_request(now, ask)) is not None:
                         tell(grant)
-            for grant in ledger.round(now):
+            for grant in ledger.rebalance(now):
                 tell(grant)
             for holder in holders:
                 portion = holder.open(now, "n", NUMBER)
                 portion.now(now)
-                for _ in range(portion.over):
-                    portion.give()
-            assert sum(holder.open(now, "n", NUMBER).used for holder in holders) <= 40 + 1e-6
+                for _ in range(portion.excess):
+                    portion.release()
+            assert sum(holder.open(now, "n", NUMBER).in_use for holder in holders) <= 40 + 1e-6
         portion = holders[at].open(now, "n", NUMBER)
         if what == "take":
             for _ in range(12):
-                if not portion.take(now):
+                if not portion.acquire(now):
                     waiting[at] += 1
-            portion.waiting = waiting[at]
+            portion.waiters = waiting[at]
         elif what == "give":
-            portion.waiting = waiting[at] = 0
-            for _ in range(int(portion.used)):
-                portion.give()
+            portion.waiters = waiting[at] = 0
+            for _ in range(int(portion.in_use)):
+                portion.release()
         elif what == "kill":
             holders[at], waiting[at] = fresh(at), 0
         elif what == "cut":
@@ -188,7 +188,7 @@
 
 def test_who_needs_more_at_a_time_gets_what_others_gave_back():
     ledger, now = Ledger(0, Term(1, 1), 0, QUICK), 0
-    one, two = (Holder(0, name, 1, QUICK, 0) for name in "ab")
+    one, two = (LeaseHolder(0, name, 1, QUICK, 0) for name in "ab")
 
     def pass_(us):
         nonlocal now
@@ -196,76 +196,78 @@
         while now < until:
             now += 10_000
             for holder in (one, two):
-                for ask in holder.asks(now):
-                    holder.granted(now, ledger.ask(now, ask))
-            for grant in ledger.round(now):
-                (one if grant.holder == "a" else two).granted(now, grant)
+                for ask in holder.due_requests(now):
+                    holder.apply_grant(now, ledger.handle_request(now, ask))
+            for grant in ledger.rebalance(now):
+                (one if grant.holder == "a" else two).apply_grant(now, grant)
 
     for holder in (one, two):
-        holder.hear(0, ledger.term)
+        holder.observe_term(0, ledger.term)
     mine = one.open(0, "n", NUMBER)
-    mine.waiting = 30
+    mine.waiters = 30
     pass_(S)
     other = two.open(now, "n", NUMBER)
-    assert sum(mine.take(now) for _ in range(30)) == 30 and mine.waiting == 30
-    mine.waiting, other.waiting = 0, 20
+    assert sum(mine.acquire(now) for _ in range(30)) == 30 and mine.waiters == 30
+    mine.waiters, other.waiters = 0, 20
     pass_(S)
-    taken = sum(other.take(now) for _ in range(20))
-    assert 2 <= taken <= 10 and mine.used == 30 and not mine.over, "what is in use stays"
+    taken = sum(other.acquire(now) for _ in range(20))
+    assert 2 <= taken <= 10 and mine.in_use == 30 and not mine.excess, "what is in use stays"
     for _ in range(25):
-        mine.give()
+        mine.release()
     pass_(3 * S)
-    assert taken + sum(other.take(now) for _ in range(20)) >= 20
-    mine.lease.until = now
+    assert taken + sum(other.acquire(now) for _ in range(20)) >= 20
+    mine.lease.expires_at = now
     mine.now(now)
-    assert mine.over == 5 - 2 and mine.used == 5
+    assert mine.excess == 5 - 2 and mine.in_use == 5
 
 
 # -- a ledger
 
 
 def asked(ledger, holder, number, claims, tenure=1, lease_us=S):
-    return Ask(0, ledger.term, holder, 7, tenure, number, lease_us, 1.0,
+    return LeaseRequest(0, ledger.term, holder, 7, tenure, number, lease_us, 1.0,
                tuple(Claim(*claim) for claim in claims))  # fmt: skip
 
 
 def test_a_lower_share_counts_until_it_is_confirmed_and_a_lost_word_is_said_again():
     ledger = Ledger(0, Term(1, 1), 0, QUICK)
-    ledger.ask(0, asked(ledger, "a", 1, [("v", 100.0, 100.0, 0, 0.0)]))
-    (raised,) = ledger.round(60_000)
-    assert raised.shares[0].rate == 100 and raised.answers == 0
-    ledger.ask(70_000, asked(ledger, "a", 2, [("v", 100.0, 100.0, 1, 0.0)]))
-    ledger.ask(80_000, asked(ledger, "b", 1, [("v", 100.0, 50.0, 0, 0.0)]))
-    news = {grant.holder: grant for grant in ledger.round(160_000)}
+    ledger.handle_request(0, asked(ledger, "a", 1, [("v", 100.0, 100.0, 0, 0.0)]))
+    (raised,) = ledger.rebalance(60_000)
+    assert raised.shares[0].rate == 100 and raised.in_reply_to == 0
+    ledger.handle_request(70_000, asked(ledger, "a", 2, [("v", 100.0, 100.0, 1, 0.0)]))
+    ledger.handle_request(80_000, asked(ledger, "b", 1, [("v", 100.0, 50.0, 0, 0.0)]))
+    news = {grant.holder: grant for grant in ledger.rebalance(160_000)}
     assert news["a"].shares[0].rate == 50 and "b" not in news, "nothing is free yet"
-    assert ledger.accounts["v"].counted == 100
-    again = ledger.ask(200_000, asked(ledger, "a", 3, []))
-    assert again.shares[0].rate == 50 and again.answers == 3, "it was not confirmed"
-    assert ledger.ask(200_001, asked(ledger, "a", 3, [])) is None, "a repeat says nothing new"
-    ledger.ask(210_000, asked(ledger, "a", 4, [("v", 100.0, 100.0, 2, 6.0)]))
-    (moved,) = ledger.round(300_000)
+    assert ledger.accounts["v"].committed == 100
+    again = ledger.handle_request(200_000, asked(ledger, "a", 3, []))
+    assert again.shares[0].rate == 50 and again.in_reply_to == 3, "it was not confirmed"
+    assert ledger.handle_request(200_001, asked(ledger, "a", 3, [])) is None, "a repeat says nothing new"
+    ledger.handle_request(210_000, asked(ledger, "a", 4, [("v", 100.0, 100.0, 2, 6.0)]))
+    (moved,) = ledger.rebalance(300_000)
     assert (moved.holder, moved.shares[0].rate, moved.shares[0].tokens) == ("b", 50, 6.0)
-    assert ledger.round(10 * S) == [] and not ledger.tenants and not ledger.accounts, "all leases are over"
+    assert ledger.rebalance(10 * S) == [] and not ledger.tenancies and not ledger.accounts, (
+        "all leases are over"
+    )
 
 
 def test_the_lowest_whole_that_a_head_was_told_holds():
     ledger = Ledger(0, Term(1, 1), 0, QUICK)
     for name in "ab":
-        ledger.ask(0, asked(ledger, name, 1, [("v", 100.0, 100.0, 0, 0.0)]))
-    assert sum(grant.shares[0].rate for grant in ledger.round(60_000)) == pytest.approx(100)
+        ledger.handle_request(0, asked(ledger, name, 1, [("v", 100.0, 100.0, 0, 0.0)]))
+    assert sum(grant.shares[0].rate for grant in ledger.rebalance(60_000)) == pytest.approx(100)
     for name in "ab":
-        ledger.ask(70_000, asked(ledger, name, 2, [("v", 100.0, 100.0, 1, 0.0)]))
-    ledger.ask(80_000, asked(ledger, "a", 3, [("v", 40.0, 100.0, 1, 0.0)]))
-    lowered = {grant.holder: grant.shares[0].rate for grant in ledger.round(160_000)}
+        ledger.handle_request(70_000, asked(ledger, name, 2, [("v", 100.0, 100.0, 1, 0.0)]))
+    ledger.handle_request(80_000, asked(ledger, "a", 3, [("v", 40.0, 100.0, 1, 0.0)]))
+    lowered = {grant.holder: grant.shares[0].rate for grant in ledger.rebalance(160_000)}
     assert sum(lowered.values()) == pytest.approx(40) and len(lowered) == 2
 
 
 def test_bogus_claims_neither_mint_tokens_nor_break_a_ledger():
     ledger = Ledger(0, Term(1, 1), 0, QUICK)
-    ledger.ask(0, asked(ledger, "a", 1, [("v", 100.0, 100.0, 900, 1e9)]))
-    assert ledger.accounts["v"].tokens == 0
-    assert ledger.ask(1, Ask(0, Term(2, 1), "a", 7, 1, 9, S, 1.0)) is None
-    assert ledger.ask(2, asked(ledger, "a", 5, [], tenure=0)) is None
+    ledger.handle_request(0, asked(ledger, "a", 1, [("v", 100.0, 100.0, 900, 1e9)]))
+    assert ledger.accounts["v"].free_tokens == 0
+    assert ledger.handle_request(1, LeaseRequest(0, Term(2, 1), "a", 7, 1, 9, S, 1.0)) is None
+    assert ledger.handle_request(2, asked(ledger, "a", 5, [], tenure=0)) is None
 
 
 # -- terms
@@ -273,24 +275,24 @@
 
 def test_a_term_waits_for_what_former_ones_granted_and_ends_by_its_own_clock():
     one = Candidate(0, QUICK, 1, 0)
-    assert one.step(S // 2, 0) is None
-    assert one.step(S, 3) is None, "the fourth in line is more patient"
-    assert one.step(S, 0) is Call.TAKE and one.step(S, 0) is None
-    ledger = one.taken(S + 10, S, Taken(4, 5 * S))
-    assert one.valid(S + 10) and ledger.opens_at > S + 10 + 5 * S, "a former keeper's leases were longer"
-    assert one.step(S + S // 2 + 10, 0) is Call.RENEW
-    one.renewed(2 * S, S + S // 2, None)
-    assert one.valid(S + int(1.9 * S)) and not one.valid(S + 2 * S), "no answer proves nothing"
-    assert one.look(4 * S) and one.seat is Seat.AWAY and one.ledger is None
+    assert one.next_call(S // 2, 0) is None
+    assert one.next_call(S, 3) is None, "the fourth in line is more patient"
+    assert one.next_call(S, 0) is WitnessCall.ACQUIRE and one.next_call(S, 0) is None
+    ledger = one.handle_acquire(S + 10, S, LockAcquired(4, 5 * S))
+    assert one.holds_term(S + 10) and ledger.opens_at > S + 10 + 5 * S, "a former keeper's leases were longer"
+    assert one.next_call(S + S // 2 + 10, 0) is WitnessCall.RENEW
+    one.handle_renewal(2 * S, S + S // 2, None)
+    assert one.holds_term(S + int(1.9 * S)) and not one.holds_term(S + 2 * S), "no answer proves nothing"
+    assert one.check_expiry(4 * S) and one.state is CandidateState.IDLE and one.ledger is None
 
 
 def test_an_older_number_than_was_heard_of_makes_a_new_keeper_wait_for_a_whole_session():
     fresh, wary = Candidate(0, QUICK, 1, 0), Candidate(0, QUICK, 1, 0)
-    wary.heard(0, Term(9, 5))
+    wary.observe_term(0, Term(9, 5))
     opens = []
     for one in (fresh, wary):
-        one.step(2 * S, 0)
-        opens.append(one.taken(2 * S, 2 * S, Taken(3)).opens_at)
+        one.next_call(2 * S, 0)
+        opens.append(one.handle_acquire(2 * S, 2 * S, LockAcquired(3)).opens_at)
     assert opens[1] - opens[0] >= QUICK.term_us
 
 
@@ -298,7 +300,7 @@
     names = [f"head{number}" for number in range(20)]
     for ledger in range(3):
         assert sorted(rank(ledger, name, names) for name in names) == list(range(20))
-    assert {ledger_of(f"v{number}", 4) for number in range(100)} == {0, 1, 2, 3}
+    assert {ledger_for(f"v{number}", 4) for number in range(100)} == {0, 1, 2, 3}
 
 
 # -- many heads
@@ -317,14 +319,14 @@
     assert served > 0.97 * ideal and even < 0.5 * ideal
     wants(one, head7=800)  # another head has all the traffic
     one.run(2 * S)
-    assert one.members["head7"].holder.held["v0"].portion.share > 0.8 * 900
+    assert one.members["head7"].holder.budgets["v0"].share.leased > 0.8 * 900
     for name in ("head7", "head1", "head2"):
         one.kill(name)
     keeper = one.keeper()
     wants(one, head9=800)
     one.run(2 * S)
     if keeper is one.keeper():
-        assert one.members["head9"].holder.held["v0"].portion.share > 0.8 * 900, (
+        assert one.members["head9"].holder.budgets["v0"].share.leased > 0.8 * 900, (
             "lent to the dead for a lease only"
         )
     assert budgets.check(one.records) == []
@@ -341,7 +343,7 @@
     one.run(10 * S)
     after = sum(r.units for r in one.records if isinstance(r, rec.Drawn) and r.holder == "head1")
     assert after - before == pytest.approx(10 * 200 * 0.5 / 4, rel=0.05)
-    assert one.members["head1"].holder.held["v0"].portion.share == 0
+    assert one.members["head1"].holder.budgets["v0"].share.leased == 0
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -354,70 +356,72 @@
     wants(one, "v1")
     one.run(12 * S)
     assert budgets.check(one.records) == [], trial.happened
-    assert one.members["head0"].holder.held["v0"].portion.share > 0.8 * 180
+    assert one.members["head0"].holder.budgets["v0"].share.leased > 0.8 * 180
 
 
 # -- each protection taken out once
 
 
-class Overstays(Holder):
-    def live(self, now):
-        return self.lease.until > 0
+class Overstays(LeaseHolder):
+    def lease_valid(self, now):
+        return self.lease.expires_at > 0
 
-    def granted(self, now, grant):
-        changed = super().granted(now, grant)
-        self.lease.until = self.lease.until and 1 << 60
+    def apply_grant(self, now, grant):
+        changed = super().apply_grant(now, grant)
+        self.lease.expires_at = self.lease.expires_at and 1 << 60
         return changed
 
 
-class CountsFromTheAnswer(Holder):
-    def granted(self, now, grant):
-        if grant.answers in self._asked:
-            self._asked[grant.answers] = (now, self._asked[grant.answers][1])
-        return super().granted(now, grant)
+class CountsFromTheAnswer(LeaseHolder):
+    def apply_grant(self, now, grant):
+        if grant.in_reply_to in self._asked:
+            self._asked[grant.in_reply_to] = (now, self._asked[grant.in_reply_to][1])
+        return super().apply_grant(now, grant)
 
 
-class FillsUp(Holder):
-    def granted(self, now, grant):
-        changed = super().granted(now, grant)
+class FillsUp(LeaseHolder):
+    def apply_grant(self, now, grant):
+        changed = super().apply_grant(now, grant)
         for share in grant.shares:
-            if changed and share.budget in self.held:
-                self.held[share.budget].portion.level = 1e9
+            if changed and share.budget in self.budgets:
+                self.budgets[share.budget].share.level = 1e9
         return changed
 
 
-class AnyVersion(Holder):
-    def granted(self, now, grant):
+class AnyVersion(LeaseHolder):
+    def apply_grant(self, now, grant):
         for share in grant.shares:
-            if share.budget in self.held:
-                self.held[share.budget].version = min(self.held[share.budget].version, share.version - 1)
-        return super().granted(now, grant)
+            if share.budget in self.budgets:
+                self.budgets[share.budget].version = min(
+                    self.budgets[share.budget].version, share.version - 1
+                )
+        return super().apply_grant(now, grant)
 
 
-class AnyTenure(Holder):
-    def granted(self, now, grant):
-        return super().granted(now, replace(grant, tenure=self.tenure))
+class AnyTenure(LeaseHolder):
+    def apply_grant(self, now, grant):
+        return super().apply_grant(now, replace(grant, tenure=self.tenure))
 
 
-class KeepsAcrossTerms(Holder):
-    def hear(self, now, term):
+class KeepsAcrossTerms(LeaseHolder):
+    def observe_term(self, now, term):
         if self.term is not None and term.epoch > self.term.epoch:
-            self.term, self.heard_at = term, now
+            self.term, self.last_contact = term, now
             return True
-        return super().hear(now, term)
+        return super().observe_term(now, term)
 
 
-class FillsByTheClock(Holder):
+class FillsByTheClock(LeaseHolder):
     def open(self, now, budget, whole):
         portion = super().open(now, budget, whole)
-        portion.slow = 1.0
+        portion.clock_factor = 1.0
         return portion
 
 
 class FreesAtOnce(Ledger):
     def _change(self, name, slip, rate, tokens=0.0):
         super()._change(name, slip, rate, tokens)
-        slip.counted = slip.rate
+        slip.committed = slip.granted
 
 
 class TrustsClocks(Ledger):
@@ -427,14 +431,14 @@
 
 class MintsTokens(Ledger):
     def _change(self, name, slip, rate, tokens=0.0):
-        super()._change(name, slip, rate, tokens + (20.0 if rate > slip.rate else 0.0))
+        super()._change(name, slip, rate, tokens + (20.0 if rate > slip.granted else 0.0))
 
 
 class OneOfAName(Ledger):
-    def ask(self, now, ask):
-        for holder in [one for one in self.tenants if one[0] == ask.holder and one[1] != ask.instance]:
+    def handle_request(self, now, ask):
+        for holder in [one for one in self.tenancies if one[0] == ask.holder and one[1] != ask.instance]:
             self._free(holder)
-        return super().ask(now, ask)
+        return super().handle_request(now, ask)
 
 
 def opens_at_once(number, term, _opens_at, rules):
@@ -442,16 +446,16 @@
 
 
 class KeepsOn(Candidate):
-    def valid(self, now):
-        return self.seat is Seat.KEEPING
+    def holds_term(self, now):
+        return self.state is CandidateState.HOLDING
 
-    def look(self, now):
+    def check_expiry(self, now):
         return False
 
 
 class TrustsItsSession(Candidate):
-    def renewed(self, now, asked_at, holds):
-        super().renewed(now, asked_at, True if holds is False else holds)
+    def handle_renewal(self, now, asked_at, holds):
+        super().handle_renewal(now, asked_at, True if holds is False else holds)
 
 
 def trial(one):
@@ -516,7 +520,7 @@
         one.run(2 * S)
         one.kill(name)
         one.start(name)
-        one.members[name].holder.hear(one.clock(one.members[name]), keeper.candidate.ledger.term)
+        one.members[name].holder.observe_term(one.clock(one.members[name]), keeper.candidate.ledger.term)
         one.members[name].keeper = keeper.name
         one.demand[other, "v0"] = 300
         one.run(2 * S)
--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -21,9 +21,15 @@
 from harriertrack.config.sexp import SettingsError
 from harriertrack.config.written import written
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.fleet.budgets import Ask, BudgetRules, Claim, Grant, Share, Term
+from harriertrack.decisions.fleet.budgets import LeaseRequest, BudgetRules, Claim, Grant, ShareUpdate, Term
 from harriertrack.decisions.fleet.ledger import Ledger
-from harriertrack.decisions.fleet.portions import UNITS, Divided, Portions, Use, budget_name
+from harriertrack.decisions.fleet.budget_shares import (
+    BUDGET_UNITS,
+    BudgetSpec,
+    BudgetShares,
+    BudgetKind,
+    budget_name,
+)
 from harriertrack.decisions.scheduler import Scheduler
 from harriertrack.gateway.fleet import budgets as carrier
 from harriertrack.gateway.head import Wiring
@@ -50,8 +56,8 @@
 # -- the codec
 
 TERM = Term(3, 9)
-ASK = Ask(0, TERM, "a", 7, 2, 5, S, 1.5, (Claim("limits/v", 10.0, 4.0, 2, 0.5),))
-GRANT = Grant(1, TERM, "a", 7, 2, 5, S, (Share("limits/v", 3, 2.5, 0.0),))
+ASK = LeaseRequest(0, TERM, "a", 7, 2, 5, S, 1.5, (Claim("limits/v", 10.0, 4.0, 2, 0.5),))
+GRANT = Grant(1, TERM, "a", 7, 2, 5, S, (ShareUpdate("limits/v", 3, 2.5, 0.0),))
 
 
 @pytest.mark.parametrize("said", [ASK, GRANT, (Kind.TERM, 4, TERM), (Kind.VACATED, 0, TERM)])
@@ -74,8 +80,8 @@
             said = budgeting.decode("f", data)
         except MalformedDatagram:
             continue
-        for claim in said.claims if isinstance(said, Ask) else ():
-            assert claim.whole >= 0 and claim.wanted >= 0 and claim.version >= 0, (
+        for claim in said.claims if isinstance(said, LeaseRequest) else ():
+            assert claim.movable >= 0 and claim.demand >= 0 and claim.version >= 0, (
                 "no number that could do harm"
             )
 
@@ -97,21 +103,21 @@
 
 
 def test_asks_and_grants_of_many_long_names_fit_datagrams():
-    portions = Portions(BudgetRules(), 1, "n" * 64, 1 << 61, 9, {Use.LIMITS: Divided(0.1)}, 0)
+    portions = BudgetShares(BudgetRules(), 1, "n" * 64, 1 << 61, 9, {BudgetKind.LIMITS: BudgetSpec(0.1)}, 0)
     (holder,) = portions.holders
-    holder.hear(0, Term(1 << 40, 1 << 61))
+    holder.observe_term(0, Term(1 << 40, 1 << 61))
     plan = api.Plan("p", limit=1e9, limit_burst=1e9)
     for number in range(300):
         portions.limit(0, api.Arrived(1, "c", "p", f"v{number:0>120}", "", 0, 9e9, S, 9), plan)
     ledger = Ledger(0, holder.term, 0, BudgetRules())
-    asks = holder.asks(100_000)
+    asks = holder.due_requests(100_000)
     assert (
         sum(len(ask.claims) for ask in asks) == 300
         and max(len(budgeting.encode("f" * 64, a)) for a in asks) <= MOST_BYTES
     )
     for ask in asks:
-        assert len(budgeting.encode("f" * 64, ledger.ask(100_000, ask))) <= MOST_BYTES
-    news = ledger.round(200_000)
+        assert len(budgeting.encode("f" * 64, ledger.handle_request(100_000, ask))) <= MOST_BYTES
+    news = ledger.rebalance(200_000)
     assert sum(len(one.shares) for one in news) == 300
     assert max(len(budgeting.encode("f" * 64, one)) for one in news) <= MOST_BYTES
 
@@ -210,14 +216,14 @@
 
 
 def test_a_module_uses_its_portion_of_a_limit_in_place_of_an_even_part():
-    portions = Portions(BudgetRules(), 1, "a", 1, 4, {Use.LIMITS: Divided(0.4)}, 0)
+    portions = BudgetShares(BudgetRules(), 1, "a", 1, 4, {BudgetKind.LIMITS: BudgetSpec(0.4)}, 0)
     one = module(portions)
     one.handle(10 * S, [arrived(1)])
     ((name, portion),) = portions
-    assert name == "limits/v" and portion.came == 4
+    assert name == "limits/v" and portion.requested == 4
     assert one._volumes["v", "p"].limit is portion and portion.most == pytest.approx(20 * 0.1)
-    portion.change(10 * S, 60.0, 12.0)
-    portions.holders[0].lease.until = 20 * S
+    portion.set_leased(10 * S, 60.0, 12.0)
+    portions.holders[0].lease.expires_at = 20 * S
     sent = [one for one in one.handle(10 * S + 1000, [arrived(2), arrived(3)]) if isinstance(one, api.Send)]
     assert len(sent) >= 2 and portion.level < 14 - 8 + 1, "what it sends is drawn from the portion"
 
@@ -275,22 +281,27 @@
 
 
 def test_a_head_alone_saves_up_for_one_thing_at_least():
-    divided = {Use.TRIALS: Divided(0.2, 4.0, 4.0)}
-    portions = Portions(BudgetRules(clock_error=0.0), 1, "a", 1, 200, divided, 0)
+    divided = {BudgetKind.TRIALS: BudgetSpec(0.2, 4.0, 4.0)}
+    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 200, divided, 0)
     assert not portions.trial(S, "n0")
     assert portions.trial(260 * S, "n0") and not portions.trial(261 * S, "n0")
 
 
 def test_links_and_list_calls_wait_for_their_turn():
-    divided = {Use.CONNECTIONS: Divided(0.5, 8.0, 8.0), Use.LIST_CALLS: Divided(0.5, 8.0, 8.0)}
-    portions = Portions(BudgetRules(clock_error=0.0), 1, "a", 1, 4, divided, 0)
-    assert portions.connection(S, "n0") == 0 and portions.connection(S, "n1") == 0
-    assert portions.connection(S, "n0") == pytest.approx(S, rel=0.01), "one a second is this head's"
-    assert portions.connection(2 * S, "n0", again=True) == 0
-    assert portions.list_call(S) == 0 and portions.list_call(S) > 0
-    assert Portions(BudgetRules(), 1, "a", 1, 4, {}, 0).connection(S, "n0") == 0
-    assert set(UNITS) == set(Use) and {one.value for one in Use} == {one.value for one in BudgetUse}
-    assert budget_name(Use.ATTEMPTS) == "attempts"
+    divided = {
+        BudgetKind.CONNECTIONS: BudgetSpec(0.5, 8.0, 8.0),
+        BudgetKind.LIST_CALLS: BudgetSpec(0.5, 8.0, 8.0),
+    }
+    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 4, divided, 0)
+    assert portions.connection_wait(S, "n0") == 0 and portions.connection_wait(S, "n1") == 0
+    assert portions.connection_wait(S, "n0") == pytest.approx(S, rel=0.01), "one a second is this head's"
+    assert portions.connection_wait(2 * S, "n0", again=True) == 0
+    assert portions.list_call_wait(S) == 0 and portions.list_call_wait(S) > 0
+    assert BudgetShares(BudgetRules(), 1, "a", 1, 4, {}, 0).connection_wait(S, "n0") == 0
+    assert set(BUDGET_UNITS) == set(BudgetKind) and {one.value for one in BudgetKind} == {
+        one.value for one in BudgetUse
+    }
+    assert budget_name(BudgetKind.ATTEMPTS) == "attempts"
 
 
 # -- heads on one hub
@@ -323,7 +334,7 @@
 
     def keepers(self):
         return [number for number in range(len(self.sites)) if not self.sites[number].task.done
-                and self.seat(number).candidate.valid(self.hub.now())]  # fmt: skip
+                and self.seat(number).candidate.holds_term(self.hub.now())]  # fmt: skip
 
     def told(self, number):
         stream = self.net.connect(self.sites[number].head.fleet.address)
@@ -456,7 +467,10 @@
         hub = heads.hub
         hub.sleep(6 * S)
         seats = [
-            [seat.candidate.valid(hub.now()) for seat in site.head.fleet.together.budgets._seats.values()]
+            [
+                seat.candidate.holds_term(hub.now())
+                for seat in site.head.fleet.together.budgets._seats.values()
+            ]
             for site in heads.sites
         ]
         assert [sum(column) for column in zip(*seats, strict=True)] == [1, 1]
@@ -481,7 +495,9 @@
 
         def used():
             return {
-                name.partition("/")[2]: round(one.used) for name, one in portions if name.startswith("links/")
+                name.partition("/")[2]: round(one.in_use)
+                for name, one in portions
+                if name.startswith("links/")
             }
 
         before = used()
@@ -551,7 +567,7 @@
 
     def at_once(self, name, slip, rate, tokens=0.0, change=Ledger._change):
         change(self, name, slip, rate, tokens)
-        slip.counted = slip.rate
+        slip.committed = slip.granted
 
     monkeypatch.setattr(Ledger, "_change", at_once)
     broken = day("budget-partition")  # with lost messages while demand jumps
@@ -559,16 +575,16 @@
 
 
 def test_heads_that_make_units_break_the_limit_at_the_nodes(monkeypatch):
-    from harriertrack.decisions.fleet.holder import Holder
+    from harriertrack.decisions.fleet.holder import LeaseHolder
 
-    def fills(self, now, grant, take=Holder.granted):
+    def fills(self, now, grant, take=LeaseHolder.apply_grant):
         changed = take(self, now, grant)
         for share in grant.shares:
-            if changed and share.budget in self.held:
-                self.held[share.budget].portion.level = self.held[share.budget].portion.most
+            if changed and share.budget in self.budgets:
+                self.budgets[share.budget].share.level = self.budgets[share.budget].share.most
         return changed
 
-    monkeypatch.setattr(Holder, "granted", fills)
+    monkeypatch.setattr(LeaseHolder, "apply_grant", fills)
     assert 7 in {one.rule for one in checker.check(day("budget-jump"))}
 
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -12,11 +12,17 @@
 from harriertrack.config.settings import ZonesSettings
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.budgets import Term
-from harriertrack.decisions.fleet.zones.evacuation import Evacuation, Sum
-from harriertrack.decisions.fleet.zones.bearing import Load, cost_of
-from harriertrack.decisions.fleet.zones.evidence import SLOT_US, Evidence, Sight
+from harriertrack.decisions.fleet.zones.evacuation import Evacuation, ZoneSummary
+from harriertrack.decisions.fleet.zones.cost import Load, leaving_cost
+from harriertrack.decisions.fleet.zones.evidence import SLOT_US, Evidence, ZoneObservation
 from harriertrack.decisions.fleet.zones.overlay import Overlay
-from harriertrack.decisions.fleet.zones.words import Stage, Word, ZoneRules, holding, uses
+from harriertrack.decisions.fleet.zones.zone_decision import (
+    ZoneStage,
+    ZoneDecision,
+    ZoneRules,
+    valid_decisions,
+    uses_zone,
+)
 from harriertrack.decisions.interface import Arrived, Ended, NodeEntry, NodeState, Result, Send
 from harriertrack.gateway.fleet import zones as carrier
 from harriertrack.lab.fleet import scenario
@@ -38,7 +44,7 @@
 
     def __init__(self):
         self.evidence, self.now, self.number = Evidence(), S, 0
-        self.evidence.listed(NODES)
+        self.evidence.set_nodes(NODES)
 
     def ask(self, result_of, rounds=10, us=100_000):
         """Ask every node `rounds` times; `result_of` a node: its result, or None for silence."""
@@ -46,10 +52,12 @@
             self.now += us
             for entry in NODES:
                 self.number += 1
-                self.evidence.sent(self.now, Send(self.number, entry.node))
+                self.evidence.record_send(self.now, Send(self.number, entry.node))
                 if (result := result_of(entry)) is not None:
-                    self.evidence.ended(self.now, Ended(self.number, 0, entry.node, result, 500, True))
-        return {sight.zone: (sight.good, sight.bad) for sight in self.evidence.report(self.now)}
+                    self.evidence.record_result(
+                        self.now, Ended(self.number, 0, entry.node, result, 500, True)
+                    )
+        return {sight.zone: (sight.responding, sight.silent) for sight in self.evidence.report(self.now)}
 
 
 def test_a_zone_is_bad_by_its_nodes_and_not_by_its_requests():
@@ -72,12 +80,12 @@
     one.ask(lambda entry: None if entry.zone == "z1" else Result.OK)
     assert one.evidence.report(one.now + 3 * S) == ()
     one.ask(lambda entry: Result.OK)
-    one.evidence.forget("z1")
+    one.evidence.forget_zone("z1")
     assert {sight.zone for sight in one.evidence.report(one.now)} == {"z0", "z2"}
-    one.evidence.listed(NODES[:3])
+    one.evidence.set_nodes(NODES[:3])
     assert len(one.evidence._nodes) == 3
-    one.evidence.sent(one.now, Send(1, "unknown"))
-    one.evidence.ended(one.now, Ended(1, 0, "unknown", Result.OK, 5, True))
+    one.evidence.record_send(one.now, Send(1, "unknown"))
+    one.evidence.record_result(one.now, Ended(1, 0, "unknown", Result.OK, 5, True))
 
 
 # -- the fleet's word
@@ -97,21 +105,23 @@
             self.now += 100_000
             for name in heads or self.heads:
                 found = [(zone, sight(name, zone)) for zone in self.zones]
-                self.one.saw(
-                    self.now, name, tuple(Sight(zone, *two, 9) for zone, two in found if two is not None)
+                self.one.record_report(
+                    self.now,
+                    name,
+                    tuple(ZoneObservation(zone, *two, 9) for zone, two in found if two is not None),
                 )
             self.one.decide(self.now, self.zones, len(self.heads))
-            assert any(self.stage(zone) is Stage.IN for zone in self.zones), "never all"
+            assert any(self.stage(zone) is ZoneStage.IN for zone in self.zones), "never all"
 
     def stage(self, zone):
         return self.one.zones[zone].stage
 
     def users(self, zone):
-        words = {word.zone: word for word in self.one.words(self.now)}
+        words = {word.zone: word for word in self.one.decisions(self.now)}
         return [
             name
             for name in self.heads
-            if zone not in words or uses(words[zone], name, self.heads, RULES.tries)
+            if zone not in words or uses_zone(words[zone], name, self.heads, RULES.tries)
         ]
 
 
@@ -127,14 +137,16 @@
     fleet = Fleet(heads=200)
     fleet.sees(2 * S, fine)
     fleet.sees(500_000, dead("z1"))
-    assert fleet.stage("z1") is Stage.OUT and fleet.users("z1") == [] and len(fleet.users("z0")) == 200
+    assert fleet.stage("z1") is ZoneStage.OUT and fleet.users("z1") == [] and len(fleet.users("z0")) == 200
     fleet.sees(RULES.wait_us, lambda name, zone: None if zone == "z1" else (4, 0))
-    assert fleet.stage("z1") is Stage.TRYING and len(fleet.users("z1")) == RULES.tries
+    assert fleet.stage("z1") is ZoneStage.TRYING and len(fleet.users("z1")) == RULES.tries
     first = fleet.users("z1")
     fleet.sees(RULES.turn_us, dead("z1"), heads=first)
-    assert fleet.stage("z1") is Stage.TRYING and set(fleet.users("z1")) != set(first), "others try in turn"
+    assert fleet.stage("z1") is ZoneStage.TRYING and set(fleet.users("z1")) != set(first), (
+        "others try in turn"
+    )
     counts = []
-    while fleet.stage("z1") is not Stage.IN:
+    while fleet.stage("z1") is not ZoneStage.IN:
         fleet.sees(100_000, fine)
         counts.append(len(fleet.users("z1")))
     assert counts == sorted(counts) and counts[-1] == 200
@@ -157,7 +169,7 @@
 def test_what_is_no_failure_of_a_zone_leaves_it(why, sight):
     fleet = Fleet()
     fleet.sees(10 * S, sight)
-    assert [fleet.stage(zone) for zone in fleet.zones] == [Stage.IN] * 3, why
+    assert [fleet.stage(zone) for zone in fleet.zones] == [ZoneStage.IN] * 3, why
 
 
 def test_relapses_wait_longer_hurt_steps_back_and_calm_forgets():
@@ -165,20 +177,20 @@
     waits = []
     for _ in range(4):
         fleet.sees(500_000, dead("z1"))
-        assert fleet.stage("z1") is Stage.OUT
+        assert fleet.stage("z1") is ZoneStage.OUT
         began = fleet.now
-        while fleet.stage("z1") is Stage.OUT:
+        while fleet.stage("z1") is ZoneStage.OUT:
             fleet.sees(100_000, fine)
         waits.append(fleet.now - began)
-        while fleet.stage("z1") is Stage.TRYING:
+        while fleet.stage("z1") is ZoneStage.TRYING:
             fleet.sees(100_000, fine)
-        assert fleet.stage("z1") is Stage.RETURNING
+        assert fleet.stage("z1") is ZoneStage.RETURNING
     assert [wait / RULES.wait_us for wait in waits] == pytest.approx([1, 2, 4, 8], abs=0.5)
     share = fleet.one.zones["z1"].share
     fleet.sees(RULES.step_us + 100_000, lambda name, zone: (2, 2) if zone == "z1" else (4, 0))
     assert fleet.one.zones["z1"].share == pytest.approx(share / 2)
     fleet.sees(10 * S, fine)
-    assert fleet.stage("z1") is Stage.IN and fleet.one.zones["z1"].relapses == 4
+    assert fleet.stage("z1") is ZoneStage.IN and fleet.one.zones["z1"].relapses == 4
     fleet.sees(RULES.calm_us, fine)
     assert fleet.one.zones["z1"].relapses == 0
 
@@ -188,11 +200,11 @@
     fleet.sees(500_000, dead("z1"))
     left = fleet.now
     fleet.one.decide(left + 100_000, fleet.zones, 9, {"z1": [left - S, left - S, left + 1]})
-    assert fleet.stage("z1") is Stage.OUT, "one of three nodes started since"
+    assert fleet.stage("z1") is ZoneStage.OUT, "one of three nodes started since"
     fleet.one.decide(left + 200_000, fleet.zones, 9, {"z1": [left + 1, left + 2, left + 3]})
-    assert fleet.stage("z1") is Stage.TRYING, "before the wait is over"
+    assert fleet.stage("z1") is ZoneStage.TRYING, "before the wait is over"
     fleet.sees(3 * S, fine)
-    assert fleet.stage("z1") is Stage.IN
+    assert fleet.stage("z1") is ZoneStage.IN
     fleet.sees(500_000, dead("z1"))
     assert fleet.one.zones["z1"].relapses == 1, "it served for longer than it was out"
 
@@ -201,23 +213,23 @@
     fleet = Fleet()
     fleet.sees(S, dead("z1"))
     fleet.sees(500_000, dead("z1", "z2"))
-    assert [fleet.stage(zone) is Stage.IN for zone in fleet.zones] == [True, False, False]
+    assert [fleet.stage(zone) is ZoneStage.IN for zone in fleet.zones] == [True, False, False]
     fleet.sees(S, dead("z0", "z1", "z2"))
-    assert fleet.stage("z0") is Stage.IN
-    words = fleet.one.words(fleet.now)
+    assert fleet.stage("z0") is ZoneStage.IN
+    words = fleet.one.decisions(fleet.now)
     fleet.one = Evacuation(RULES)
-    fleet.one.take_up(fleet.now, words)
+    fleet.one.resume(fleet.now, words)
     fleet.sees(S, dead("z1", "z2"))
-    assert [fleet.stage(zone) is Stage.IN for zone in fleet.zones] == [True, False, False]
+    assert [fleet.stage(zone) is ZoneStage.IN for zone in fleet.zones] == [True, False, False]
 
 
 def test_where_who_tries_asks_nothing_more_heads_try_up_to_the_first_share():
     fleet = Fleet(heads=200)
     fleet.sees(500_000, dead("z1"))
     fleet.sees(RULES.wait_us + 100_000, lambda name, zone: None if zone == "z1" else (4, 0))
-    assert fleet.stage("z1") is Stage.TRYING and len(fleet.users("z1")) == 3
+    assert fleet.stage("z1") is ZoneStage.TRYING and len(fleet.users("z1")) == 3
     fleet.sees(2 * S, lambda name, zone: None if zone == "z1" else (4, 0))
-    assert fleet.stage("z1") is Stage.TRYING and 10 <= len(fleet.users("z1")) <= 35
+    assert fleet.stage("z1") is ZoneStage.TRYING and 10 <= len(fleet.users("z1")) <= 35
     silent = Fleet(heads=200)
     silent.sees(500_000, dead("z1"))
     silent.sees(RULES.wait_us + 100_000, dead("z1"))
@@ -229,11 +241,11 @@
     fleet = Fleet()
     fleet.sees(500_000, dead("z1"))
     fleet.sees(RULES.wait_us + 700_000, fine)
-    assert fleet.stage("z1") is Stage.RETURNING
-    words, fleet.one = fleet.one.words(fleet.now), Evacuation(RULES)
-    fleet.one.take_up(fleet.now, words)
+    assert fleet.stage("z1") is ZoneStage.RETURNING
+    words, fleet.one = fleet.one.decisions(fleet.now), Evacuation(RULES)
+    fleet.one.resume(fleet.now, words)
     fleet.sees(500_000, dead("z1"))
-    assert fleet.stage("z1") is Stage.OUT and fleet.one.zones["z1"].relapses == 2, (
+    assert fleet.stage("z1") is ZoneStage.OUT and fleet.one.zones["z1"].relapses == 2, (
         "used for less than it was out"
     )
 
@@ -241,20 +253,20 @@
 def test_operators_wish_zones_out_and_in():
     fleet = Fleet()
     fleet.sees(S, fine)
-    fleet.one.hold(fleet.now, {"z2": "out", "nowhere": "out"})
+    fleet.one.apply_holds(fleet.now, {"z2": "out", "nowhere": "out"})
     fleet.sees(30 * S, fine)
-    assert fleet.stage("z2") is Stage.OUT and "nowhere" not in fleet.one.zones
-    fleet.one.hold(fleet.now, {"z0": "in"})
+    assert fleet.stage("z2") is ZoneStage.OUT and "nowhere" not in fleet.one.zones
+    fleet.one.apply_holds(fleet.now, {"z0": "in"})
     fleet.sees(2 * S, dead("z0"))
-    assert fleet.stage("z0") is Stage.IN, "held, whatever is seen"
-    fleet.one.hold(fleet.now, {"z0": "out", "z1": "out"})
-    assert [fleet.stage(zone) for zone in fleet.zones].count(Stage.IN) == 1, (
+    assert fleet.stage("z0") is ZoneStage.IN, "held, whatever is seen"
+    fleet.one.apply_holds(fleet.now, {"z0": "out", "z1": "out"})
+    assert [fleet.stage(zone) for zone in fleet.zones].count(ZoneStage.IN) == 1, (
         "the last one is not left by a wish"
     )
-    fleet.one.hold(fleet.now, {"z2": ""})
-    assert fleet.stage("z2") is Stage.TRYING
+    fleet.one.apply_holds(fleet.now, {"z2": ""})
+    assert fleet.stage("z2") is ZoneStage.TRYING
     fleet.sees(10 * S, fine)
-    assert fleet.stage("z2") is Stage.IN
+    assert fleet.stage("z2") is ZoneStage.IN
 
 
 sights = st.lists(st.tuples(st.sampled_from(["h0", "h1", "h2"]), st.sampled_from(["z0", "z1", "z2"]), st.integers(0, 3),
@@ -267,11 +279,13 @@
     one, now = Evacuation(RULES), 0
     for name, zone, good, bad, us, wish in steps:
         now += us
-        one.saw(now, name, (Sight(zone, good, bad, 5), Sight("z0", bad, good, 5)))
+        one.record_report(
+            now, name, (ZoneObservation(zone, good, bad, 5), ZoneObservation("z0", bad, good, 5))
+        )
         one.decide(now, ("z0", "z1", "z2"), 3)
-        one.hold(now, {zone: wish})
-        assert any(each.stage is Stage.IN for each in one.zones.values())
-        for word in one.words(now):
+        one.apply_holds(now, {zone: wish})
+        assert any(each.stage is ZoneStage.IN for each in one.zones.values())
+        for word in one.decisions(now):
             assert 0 <= word.share <= 1 and budgeting.decode(
                 "f", budgeting.encode("f", budgeting.Told(Term(1, 1), (word,)))
             )
@@ -292,14 +306,14 @@
             100_000,
             (lambda _name, zone: (3, 1) if zone == "z1" else (4, 0)) if len(said) == hurts_at else fine,
         )
-        said.append({word.zone: word for word in fleet.one.words(fleet.now)}.get("z1"))
+        said.append({word.zone: word for word in fleet.one.decisions(fleet.now)}.get("z1"))
         name = f"h{number}"
         if lives:
             lags[name] = lag  # it hears late from now on, or has just started and was told
         else:
             lags.pop(name, None)  # it died
         held = {one: said[max(0, len(said) - 1 - lag)] for one, lag in lags.items()}
-        users = [one for one, word in held.items() if word is None or uses(word, one, lags, RULES.tries)]
+        users = [one for one, word in held.items() if word is None or uses_zone(word, one, lags, RULES.tries)]
         latest = [1.0 if word is None else word.share for word in said[-11:]]
         # Of who tries there may be the sets of two turns, and heads whose views differ.
         assert len(users) <= rules.CROWD * max(latest) * 60 + 2 * RULES.tries + rules.MORE
@@ -307,7 +321,7 @@
 
 # -- what leaving costs
 
-loads = st.builds(lambda served, moved, reserved, wasted, busy: Load() + Sight(
+loads = st.builds(lambda served, moved, reserved, wasted, busy: Load() + ZoneObservation(
     "z", 4, 0, 9, served, min(served, moved), min(served, moved, reserved), wasted, busy),
     *[st.integers(0, 500)] * 4, st.integers(0, 100))  # fmt: skip
 
@@ -315,15 +329,17 @@
 @given(loads, st.lists(loads, max_size=4))
 @settings(max_examples=300, deadline=None)
 def test_what_moves_is_borne_where_there_is_room_reservations_first_and_nothing_is_pushed_over(mine, others):
-    cost = cost_of(mine, others)
-    assert 0 <= cost.borne <= cost.room and cost.borne + cost.refused == cost.moves
-    assert cost.borne_reserved == min(cost.reserved, cost.borne), (
+    cost = leaving_cost(mine, others)
+    assert 0 <= cost.absorbed <= cost.spare and cost.absorbed + cost.refused == cost.movable
+    assert cost.absorbed_reserved == min(cost.reserved, cost.absorbed), (
         "what is refused is without a reservation first"
     )
-    assert all(0 <= one.free <= 4 * one.served for one in others)
-    assert cost.worth or mine.wasted < mine.served, "to stay, more must be served there than is lost"
-    assert cost_of(mine, [*others, Load(served=50)]).refused <= cost.refused, "one more zone never bears less"
-    assert not cost.worth or mine.wasted >= mine.served - mine.moved
+    assert all(0 <= one.spare <= 4 * one.served for one in others)
+    assert cost.worthwhile or mine.wasted < mine.served, "to stay, more must be served there than is lost"
+    assert leaving_cost(mine, [*others, Load(served=50)]).refused <= cost.refused, (
+        "one more zone never bears less"
+    )
+    assert not cost.worthwhile or mine.wasted >= mine.served - mine.movable
 
 
 def test_a_zone_that_serves_more_than_is_lost_there_is_not_left():
@@ -332,21 +348,27 @@
         for _ in range(20):
             fleet.now += 100_000
             for name in fleet.heads:
-                bad = Sight("z1", 1, 9, 9, served=served, wasted=wasted)
-                fleet.one.saw(
-                    fleet.now, name, (Sight("z0", 9, 0, 9, served=20), bad, Sight("z2", 9, 0, 9, served=20))
+                bad = ZoneObservation("z1", 1, 9, 9, served=served, wasted=wasted)
+                fleet.one.record_report(
+                    fleet.now,
+                    name,
+                    (
+                        ZoneObservation("z0", 9, 0, 9, served=20),
+                        bad,
+                        ZoneObservation("z2", 9, 0, 9, served=20),
+                    ),
                 )
             fleet.one.decide(fleet.now, fleet.zones, 9)
         return fleet.stage("z1")
 
-    assert sees(0, 3) is not Stage.IN and sees(2, 3) is not Stage.IN
-    assert sees(5, 3) is Stage.IN, "one node of ten serves five where three attempts are lost"
+    assert sees(0, 3) is not ZoneStage.IN and sees(2, 3) is not ZoneStage.IN
+    assert sees(5, 3) is ZoneStage.IN, "one node of ten serves five where three attempts are lost"
 
 
 def test_what_a_head_counts_of_a_zone_is_of_the_half_second_before():
     one = Seer()
     one.evidence = Evidence({"gold"})
-    one.evidence.listed(NODES)
+    one.evidence.set_nodes(NODES)
     one.now = 4 * SLOT_US
     for number in range(40):  # each 25 ms
         node, plan = NODES[number % 3].node, "gold" if number % 2 else "tin"
@@ -358,9 +380,11 @@
             )
         one.now += 25_000
     sights = {sight.zone: sight for sight in one.evidence.report(one.now)}
-    assert 6 <= sights["z0"].served <= 7 and 3 <= sights["z0"].moved <= 4 and 1 <= sights["z0"].reserved <= 2
+    assert (
+        6 <= sights["z0"].served <= 7 and 3 <= sights["z0"].movable <= 4 and 1 <= sights["z0"].reserved <= 2
+    )
     assert sights["z0"].busy > 0 and sights["z0"].wasted == 0
-    assert (sights["z1"].served, sights["z1"].bad) == (0, 1) and 6 <= sights["z1"].wasted <= 7
+    assert (sights["z1"].served, sights["z1"].silent) == (0, 1) and 6 <= sights["z1"].wasted <= 7
     assert one.evidence.report(one.now + 700_000)[0].served == 0
 
 
@@ -368,52 +392,62 @@
 
 
 def test_unused_zones_are_gone_for_the_module_and_come_back_as_just_started():
-    overlay, words = Overlay(), (Word("z1", Stage.OUT, 0.0, 0),)
+    overlay, words = Overlay(), (ZoneDecision("z1", ZoneStage.OUT, 0.0, 0),)
     up, draining = NodeEntry("a", 0, zone="z1", started_us=5), NodeEntry("b", 1, NodeState.DRAINING, "z1", 5)
-    assert overlay.follow(S, words, "h0", ["h0"], 3) and not overlay.follow(2 * S, words, "h0", ["h0"], 3)
-    assert overlay.shown(up).state is NodeState.GONE and overlay.shown(draining) == draining
-    assert overlay.shown(NodeEntry("c", 2, zone="z0")).state is NodeState.UP
-    assert overlay.follow(9 * S, (), "h0", ["h0"], 3)
-    assert overlay.shown(up) == NodeEntry("a", 0, NodeState.UP, "z1", 9 * S)
-    assert overlay.shown(NodeEntry("a", 0, zone="z1", started_us=10 * S)).started_us == 10 * S
-    assert overlay.shown(NodeEntry("a", 0, zone="z1", started_us=3 * S)).started_us == 3 * S, (
+    assert overlay.apply_decisions(S, words, "h0", ["h0"], 3) and not overlay.apply_decisions(
+        2 * S, words, "h0", ["h0"], 3
+    )
+    assert overlay.visible_entry(up).state is NodeState.GONE and overlay.visible_entry(draining) == draining
+    assert overlay.visible_entry(NodeEntry("c", 2, zone="z0")).state is NodeState.UP
+    assert overlay.apply_decisions(9 * S, (), "h0", ["h0"], 3)
+    assert overlay.visible_entry(up) == NodeEntry("a", 0, NodeState.UP, "z1", 9 * S)
+    assert overlay.visible_entry(NodeEntry("a", 0, zone="z1", started_us=10 * S)).started_us == 10 * S
+    assert overlay.visible_entry(NodeEntry("a", 0, zone="z1", started_us=3 * S)).started_us == 3 * S, (
         "the list knows better"
     )
 
 
 def test_nodes_warm_by_others_work_before_a_head_comes_back():
     overlay, old = Overlay(), NodeEntry("a", 0, zone="z1", started_us=5)
-    overlay.follow(S, (Word("z1", Stage.OUT, 0.0, 0),), "h0", ["h0"], 0)
-    overlay.follow(9 * S, (Word("z1", Stage.RETURNING, 1.0, 0, warm_us=2 * S),), "h0", ["h0"], 0)
-    assert overlay.shown(old).started_us == 7 * S, (
+    overlay.apply_decisions(S, (ZoneDecision("z1", ZoneStage.OUT, 0.0, 0),), "h0", ["h0"], 0)
+    overlay.apply_decisions(
+        9 * S, (ZoneDecision("z1", ZoneStage.RETURNING, 1.0, 0, warm_us=2 * S),), "h0", ["h0"], 0
+    )
+    assert overlay.visible_entry(old).started_us == 7 * S, (
         "since the first tries were answered, not since it came back"
     )
 
 
 def test_a_head_that_starts_while_a_zone_is_out_believes_the_list_since_the_fleet_left_it():
     overlay, started = Overlay(), NodeEntry("a", 0, zone="z1", started_us=8 * S)
-    overlay.follow(10 * S, (Word("z1", Stage.TRYING, 0.0, 0, left_us=5 * S),), "h0", ["h0", "h1"], 0)
-    overlay.follow(11 * S, (), "h0", ["h0", "h1"], 0)
-    assert overlay.shown(started).started_us == 8 * S, (
+    overlay.apply_decisions(
+        10 * S, (ZoneDecision("z1", ZoneStage.TRYING, 0.0, 0, left_us=5 * S),), "h0", ["h0", "h1"], 0
+    )
+    overlay.apply_decisions(11 * S, (), "h0", ["h0", "h1"], 0)
+    assert overlay.visible_entry(started).started_us == 8 * S, (
         "it started after the fleet left, before this head came"
     )
 
 
 def test_who_reaches_a_zone_keeps_it_until_it_does_not_but_for_a_wish():
-    word, none = Word("z1", Stage.OUT, 0.0, 0), ["h0", "h1"]
+    word, none = ZoneDecision("z1", ZoneStage.OUT, 0.0, 0), ["h0", "h1"]
     overlay = Overlay()
-    assert not overlay.follow(S, (word,), "h0", none, 0, {"z1"}) and not overlay.unused
-    returning = Word("z1", Stage.RETURNING, 0.0, 0)
-    assert not overlay.follow(2 * S, (returning,), "h0", none, 0, {"z1"})
-    assert overlay.follow(3 * S, (returning,), "h0", none, 0, set()) and overlay.unused == {"z1"}
-    assert not overlay.follow(4 * S, (word,), "h0", none, 0, {"z1"}), (
+    assert not overlay.apply_decisions(S, (word,), "h0", none, 0, {"z1"}) and not overlay.unused_zones
+    returning = ZoneDecision("z1", ZoneStage.RETURNING, 0.0, 0)
+    assert not overlay.apply_decisions(2 * S, (returning,), "h0", none, 0, {"z1"})
+    assert overlay.apply_decisions(3 * S, (returning,), "h0", none, 0, set()) and overlay.unused_zones == {
+        "z1"
+    }
+    assert not overlay.apply_decisions(4 * S, (word,), "h0", none, 0, {"z1"}), (
         "who left it comes back by the word alone"
     )
     wished = Overlay()
-    assert wished.follow(S, (Word("z1", Stage.OUT, 0.0, 0, wished=True),), "h0", none, 0, {"z1"})
+    assert wished.apply_decisions(
+        S, (ZoneDecision("z1", ZoneStage.OUT, 0.0, 0, by_operator=True),), "h0", none, 0, {"z1"}
+    )
     tried = Overlay()
-    tried.follow(S, (Word("z1", Stage.TRYING, 0.0, 0),), "h0", none, 2, set())
-    assert tried.follow(2 * S, (word,), "h0", none, 0, {"z1"}) and tried.unused, (
+    tried.apply_decisions(S, (ZoneDecision("z1", ZoneStage.TRYING, 0.0, 0),), "h0", none, 2, set())
+    assert tried.apply_decisions(2 * S, (word,), "h0", none, 0, {"z1"}) and tried.unused_zones, (
         "who only tried goes by the word"
     )
 
@@ -421,29 +455,35 @@
 def test_what_a_head_reaches_is_what_answered_just_now():
     one = Seer()
     one.ask(lambda entry: None if entry.zone == "z1" and entry.node != "n1" else Result.OK)
-    assert one.evidence.reached(one.now, 0.7) == {"z0", "z2"}
-    assert one.evidence.reached(one.now + 600_000, 0.7) == set()
+    assert one.evidence.reachable_zones(one.now, 0.7) == {"z0", "z2"}
+    assert one.evidence.reachable_zones(one.now + 600_000, 0.7) == set()
 
 
 def test_a_word_that_is_not_heard_again_ends_sooner_in_a_return():
-    words = tuple(Word(stage.value, stage, 0.5, 0) for stage in (Stage.OUT, Stage.TRYING, Stage.RETURNING))
-    assert holding(words, 1_400_000, 3 * S) == words
-    assert holding(words, 1_500_000, 3 * S) == words[:2] and holding(words, 3 * S, 3 * S) == ()
+    words = tuple(
+        ZoneDecision(stage.value, stage, 0.5, 0)
+        for stage in (ZoneStage.OUT, ZoneStage.TRYING, ZoneStage.RETURNING)
+    )
+    assert valid_decisions(words, 1_400_000, 3 * S) == words
+    assert (
+        valid_decisions(words, 1_500_000, 3 * S) == words[:2] and valid_decisions(words, 3 * S, 3 * S) == ()
+    )
 
 
 def test_the_words_datagrams_are_read_back():
-    for said in (budgeting.Seen("h1", (Sight("z0", 3, 1, 40, 9, 4, 2, 1, 35),)),
-                 budgeting.Told(Term(2, 3), (Word("z1", Stage.RETURNING, 0.25, 4, "2 nodes answer", 7, True, 9),))):  # fmt: skip
+    for said in (budgeting.Seen("h1", (ZoneObservation("z0", 3, 1, 40, 9, 4, 2, 1, 35),)),
+                 budgeting.Told(Term(2, 3), (ZoneDecision("z1", ZoneStage.RETURNING, 0.25, 4, "2 nodes answer", 7, True, 9),))):  # fmt: skip
         assert budgeting.decode("f", budgeting.encode("f", said)) == said
 
 
 def test_many_words_fit_a_datagram():
     words = tuple(
-        Word(f"zone-{number:0>27}", Stage.RETURNING, 0.123, 1 << 20, "w" * 100) for number in range(16)
+        ZoneDecision(f"zone-{number:0>27}", ZoneStage.RETURNING, 0.123, 1 << 20, "w" * 100)
+        for number in range(16)
     )
     data = budgeting.encode("f" * 64, budgeting.Told(Term(1 << 40, 1 << 61), words))
     assert len(budgeting.decode("f" * 64, data).words) == 16
-    sights = tuple(Sight(f"zone-{number:0>27}", 200, 200, 10**6) for number in range(16))
+    sights = tuple(ZoneObservation(f"zone-{number:0>27}", 200, 200, 10**6) for number in range(16))
     assert (
         budgeting.decode("f" * 64, budgeting.encode("f" * 64, budgeting.Seen("h" * 64, sights))).sights
         == sights
@@ -525,9 +565,9 @@
 
 def test_a_fleet_that_left_too_easily_is_found(monkeypatch):
     def lax(self):
-        return 1.0 if self.bad else 0.0
+        return 1.0 if self.silent else 0.0
 
-    monkeypatch.setattr(Sum, "silent", property(lax))
+    monkeypatch.setattr(ZoneSummary, "silent_share", property(lax))
     day, recorder = scenario.load("zone-one-sided"), rec.Recorder()
     simulate(day, day.processes, 1, recorder)
     assert 2 in {one.rule for one in rules.check(recorder.records)}
