--- a/harriertrack/config/rollout.py
+++ b/harriertrack/config/rollout.py
@@ -15,7 +15,7 @@
 from harriertrack.config.settings.reading import read_file
 from harriertrack.config.sexp import SettingsError, bind, head_word, read_text
 from harriertrack.decisions.fleet.changes.record import Kind, Version
-from harriertrack.decisions.fleet.rollout.launching import LaunchRules, Program
+from harriertrack.decisions.fleet.rollout.launch_state import LaunchRules, Program
 from harriertrack.decisions.fleet.rollout.plan import USUAL, Bounds, Measure, Plan, Stage
 
 MOST_STAGES = 32
--- a/harriertrack/decisions/fleet/rollout/remembering.py
+++ b/harriertrack/decisions/fleet/rollout/baseline.py
@@ -12,7 +12,7 @@
 
 from harriertrack.decisions.fleet.changes.record import Record, Version
 from harriertrack.decisions.fleet.changes.standing import RUN, UNDER_WAY, Standing
-from harriertrack.decisions.fleet.rollout.counting import Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Usage
 from harriertrack.decisions.fleet.rollout.rollout import in_stages, waits_for
 
--- a/harriertrack/decisions/fleet/rollout/believing.py
+++ b/harriertrack/decisions/fleet/rollout/baseline_filter.py
@@ -13,10 +13,16 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from harriertrack.decisions.fleet.rollout.counting import Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import Tally
+from harriertrack.decisions.fleet.rollout.baseline import Before
+from harriertrack.decisions.fleet.rollout.expected_rates import (
+    LEAST_BADLY,
+    SLOWEST,
+    badly,
+    counted,
+    slow_bucket,
+)
 from harriertrack.decisions.fleet.rollout.plan import Measure
-from harriertrack.decisions.fleet.rollout.remembering import Before
-from harriertrack.decisions.fleet.rollout.usual import LEAST_BADLY, SLOWEST, badly, counted, slow_bucket
 
 APART_US = 15_000_000  # one time ended at all heads within so long of the median
 FAR = 4.0  # times as often as at the others
--- a/harriertrack/decisions/fleet/rollout/conducting.py
+++ b/harriertrack/decisions/fleet/rollout/controller.py
@@ -11,13 +11,13 @@
 
 from harriertrack.decisions.fleet.changes.record import Record, Version, kind_of
 from harriertrack.decisions.fleet.changes.standing import RUN, UNDER_WAY, Standing
-from harriertrack.decisions.fleet.rollout.believing import Told, believed
-from harriertrack.decisions.fleet.rollout.choosing import Member
+from harriertrack.decisions.fleet.rollout.baseline import Before
+from harriertrack.decisions.fleet.rollout.baseline_filter import Told, believed
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report
-from harriertrack.decisions.fleet.rollout.judging import Finding, Judge, Verdict, outgrown
 from harriertrack.decisions.fleet.rollout.plan import Plan, goes_away
-from harriertrack.decisions.fleet.rollout.remembering import Before
 from harriertrack.decisions.fleet.rollout.rollout import Rollout, Step, in_stages, told, waits_for
+from harriertrack.decisions.fleet.rollout.selection import Member
+from harriertrack.decisions.fleet.rollout.sequential_test import Finding, Judge, Verdict, outgrown
 
 HEARD_US = 6_000_000  # a head that reports no more is not heard; it reports each second
 LATE_US = 2_000_000  # what a head tells is as old as it says, but for the way
--- a/harriertrack/decisions/fleet/rollout/evidence.py
+++ b/harriertrack/decisions/fleet/rollout/evidence.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.rollout.counting import Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 
 TICK_US = 2_000_000  # answers of so long are looked at together
 TOGETHER_US = 30_000_000  # heads of one zone that end within so long ended of one cause
--- a/harriertrack/decisions/fleet/rollout/usual.py
+++ b/harriertrack/decisions/fleet/rollout/expected_rates.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.rollout.counting import BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import BUCKETS, Tally
 from harriertrack.decisions.fleet.rollout.plan import Measure
 
 SLOWEST = 0.1  # of what was served before was as slow as what is called slow
--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -19,9 +19,9 @@
 from harriertrack.decisions.fleet.changes import writing
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
 from harriertrack.decisions.fleet.changes.standing import RUN, Standing
-from harriertrack.decisions.fleet.rollout.choosing import Member, line, next_away, staged
-from harriertrack.decisions.fleet.rollout.judging import Finding, Verdict
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage, goes_away
+from harriertrack.decisions.fleet.rollout.selection import Member, line, next_away, staged
+from harriertrack.decisions.fleet.rollout.sequential_test import Finding, Verdict
 
 STOPPED = "worse: "  # begins the reason of a version that the evidence stopped
 WANTING = "not enough yet: "  # ... and of one that is paused for want of it
--- a/harriertrack/decisions/fleet/rollout/judging.py
+++ b/harriertrack/decisions/fleet/rollout/sequential_test.py
@@ -19,11 +19,11 @@
 from enum import Enum
 from statistics import median
 
-from harriertrack.decisions.fleet.rollout.comparing import Arm, Cell
-from harriertrack.decisions.fleet.rollout.counting import Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import Tally
+from harriertrack.decisions.fleet.rollout.comparison import Arm, Cell
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Row, Usage
+from harriertrack.decisions.fleet.rollout.expected_rates import Usual, badly, counted
 from harriertrack.decisions.fleet.rollout.plan import Measure, Plan
-from harriertrack.decisions.fleet.rollout.usual import Usual, badly, counted
 
 BUSY = 0.01  # of all answers: a class with fewer decides nothing by having too few
 TROUBLE = 12.0  # the whole fleet is worse than before, by the logarithm of a ratio
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -13,11 +13,11 @@
 from harriertrack.decisions.epochs import Epochs
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.decisions.fleet.changes.record import Kind, Version
-from harriertrack.decisions.fleet.closing.arranging import CLOSES, is_closes
+from harriertrack.decisions.fleet.closing.calendars import CLOSES, is_closes
 from harriertrack.decisions.fleet.closing.clocks import ClockRules, Exchange, FleetClock, Interval
 from harriertrack.decisions.fleet.closing.fences import Fence, Fences
 from harriertrack.decisions.fleet.closing.schedule import Close, Purge
-from harriertrack.decisions.fleet.closing.timekeeping import Timekeeper
+from harriertrack.decisions.fleet.closing.time_estimate import Timekeeper
 from harriertrack.decisions.fleet.closing.trims import Left, TrimRules, Trims
 from harriertrack.decisions.splitting import Kind as DataKind
 from harriertrack.gateway.fleet.changes.carrier import Changes
--- a/harriertrack/gateway/fleet/closing/keeping.py
+++ b/harriertrack/gateway/fleet/closing/keeping.py
@@ -13,10 +13,10 @@
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.writing import Outdated, Refused
-from harriertrack.decisions.fleet.closing.arranging import CLOSES, Reader, arranged, calendars, schedule_of
+from harriertrack.decisions.fleet.closing.calendars import CLOSES, Reader, arranged, calendars, schedule_of
 from harriertrack.decisions.fleet.closing.clocks import Interval
 from harriertrack.decisions.fleet.closing.sweeps import SweepKey, Swept
-from harriertrack.decisions.fleet.closing.timekeeping import Asked, Timekeeper
+from harriertrack.decisions.fleet.closing.time_estimate import Asked, Timekeeper
 from harriertrack.gateway.fleet.closing.messages import (
     ANSWERS_BYTES,
     Answer,
--- a/harriertrack/gateway/fleet/closing/reading.py
+++ b/harriertrack/gateway/fleet/closing/reading.py
@@ -10,7 +10,7 @@
 
 from harriertrack.config.closing import parse, plan_of, zones_version
 from harriertrack.config.sexp import SettingsError
-from harriertrack.decisions.fleet.closing.arranging import BadCalendar, Reader
+from harriertrack.decisions.fleet.closing.calendars import BadCalendar, Reader
 from harriertrack.decisions.fleet.closing.schedule import Plan, Purge, Schedule
 
 BACK_US = 2 * 86_400_000_000  # closes missed for longer are not made up for
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -16,12 +16,12 @@
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
 from harriertrack.decisions.fleet.changes.standing import IllegalStep
 from harriertrack.decisions.fleet.changes.writing import Refused, raise_level
-from harriertrack.decisions.fleet.rollout.conducting import BadPlan, Conductor, Known
-from harriertrack.decisions.fleet.rollout.counting import Counting
+from harriertrack.decisions.fleet.rollout.answer_counts import Counting
+from harriertrack.decisions.fleet.rollout.baseline import Before, Remembering
+from harriertrack.decisions.fleet.rollout.controller import BadPlan, Conductor, Known
 from harriertrack.decisions.fleet.rollout.evidence import Report
-from harriertrack.decisions.fleet.rollout.levels import next_level, too_old
+from harriertrack.decisions.fleet.rollout.feature_levels import next_level, too_old
 from harriertrack.decisions.fleet.rollout.plan import Plan
-from harriertrack.decisions.fleet.rollout.remembering import Before, Remembering
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.gateway.fleet.changes.carrier import LEVEL, Changes
 from harriertrack.gateway.fleet.deciding import Deciding
--- a/harriertrack/gateway/fleet/rollout/launcher/files.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/files.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from harriertrack.decisions.fleet.rollout.launching import Kept, Program
+from harriertrack.decisions.fleet.rollout.launch_state import Kept, Program
 
 T = TypeVar("T")
 STATE, WANTED, READY = "state", "wanted", "ready"
--- a/harriertrack/gateway/fleet/rollout/launcher/launcher.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/launcher.py
@@ -1,4 +1,4 @@
-"""The launcher on the hub: carries out what decisions/fleet/rollout/launching.py decides."""
+"""The launcher on the hub: carries out what decisions/fleet/rollout/launch_state.py decides."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from harriertrack.config.rollout import LaunchSettings
-from harriertrack.decisions.fleet.rollout.launching import (
+from harriertrack.decisions.fleet.rollout.launch_state import (
     Done,
     End,
     Keep,
--- a/harriertrack/gateway/fleet/rollout/program_user.py
+++ b/harriertrack/gateway/fleet/rollout/program_user.py
@@ -11,7 +11,7 @@
 from harriertrack.config.rollout import read_program
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.rollout.launching import Program
+from harriertrack.decisions.fleet.rollout.launch_state import Program
 
 HANDING_OVER = "handing over to another version"
 
--- a/harriertrack/gateway/fleet/rollout/remembered.py
+++ b/harriertrack/gateway/fleet/rollout/remembered.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from harriertrack.decisions.fleet.rollout.remembering import Before
+from harriertrack.decisions.fleet.rollout.baseline import Before
 from harriertrack.gateway.fleet.rollout.reports import MalformedReport, decode_before, encode_before
 from harriertrack.storage.changes import ChangesCache
 
--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from harriertrack.decisions.fleet.rollout.counting import BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.baseline import Before
 from harriertrack.decisions.fleet.rollout.evidence import Report, Usage
-from harriertrack.decisions.fleet.rollout.remembering import Before
 from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY
 
 PAGE = 150  # checksums of volumes in one report
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from harriertrack.decisions.fleet.portions import Portions
-    from harriertrack.decisions.fleet.rollout.counting import Counting
+    from harriertrack.decisions.fleet.rollout.answer_counts import Counting
     from harriertrack.decisions.fleet.zones.evidence import Evidence
     from harriertrack.gateway.fleet.carrier import Fleet
     from harriertrack.gateway.fleet.rollout.carrier import Usage
@@ -219,7 +219,9 @@
         fleet = self.settings.fleet
         if fleet is None or fleet.changes is None or fleet.changes.rollout is None:
             return None
-        from harriertrack.decisions.fleet.rollout.counting import Counting  # heads without do not load it
+        from harriertrack.decisions.fleet.rollout.answer_counts import (
+            Counting,  # heads without do not load it
+        )
 
         return Counting({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
 
--- a/harriertrack/gateway/parts.py
+++ b/harriertrack/gateway/parts.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from harriertrack.decisions.fleet.portions import Portions
-    from harriertrack.decisions.fleet.rollout.counting import Counting
+    from harriertrack.decisions.fleet.rollout.answer_counts import Counting
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertrack/lab/fleet/launched.py
+++ b/harriertrack/lab/fleet/launched.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from harriertrack.decisions.fleet.rollout.launching import (
+from harriertrack.decisions.fleet.rollout.launch_state import (
     End,
     Keep,
     Kept,
--- a/harriertrack/lab/fleet/rig/fleet.py
+++ b/harriertrack/lab/fleet/rig/fleet.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from harriertrack.decisions.fleet.rollout.launching import LaunchRules
+from harriertrack.decisions.fleet.rollout.launch_state import LaunchRules
 from harriertrack.gateway.witness import WitnessClient
 from harriertrack.lab.fleet import limits, markets, regions
 from harriertrack.lab.fleet.rig import facts, nodes, operating, told
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from harriertrack.config.settings import FleetSeedSettings, FleetSettings
-from harriertrack.decisions.fleet.rollout.launching import Kept
+from harriertrack.decisions.fleet.rollout.launch_state import Kept
 from harriertrack.gateway.head import Wiring
 from harriertrack.lab.fleet import regions
 from harriertrack.lab.fleet.later import LaterDatagrams
--- a/harriertrack/lab/fleet/staged.py
+++ b/harriertrack/lab/fleet/staged.py
@@ -16,11 +16,11 @@
 from harriertrack.decisions.fleet.changes import writing
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
 from harriertrack.decisions.fleet.changes.standing import OVER, Standing
-from harriertrack.decisions.fleet.rollout.conducting import Conductor, Known
-from harriertrack.decisions.fleet.rollout.counting import BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.baseline import Before, Remembering
+from harriertrack.decisions.fleet.rollout.controller import Conductor, Known
 from harriertrack.decisions.fleet.rollout.evidence import Report
 from harriertrack.decisions.fleet.rollout.plan import USUAL as USUAL_PLAN, Plan
-from harriertrack.decisions.fleet.rollout.remembering import Before, Remembering
 
 S = 1_000_000
 TOOK = np.array([0.02, 0.10, 0.40, 0.30, 0.10, 0.05, 0.03] + [0.0] * (BUCKETS - 7))  # of served requests
--- a/harriertrack/lab/interleaving/models/rollouts.py
+++ b/harriertrack/lab/interleaving/models/rollouts.py
@@ -15,9 +15,9 @@
 from harriertrack.decisions.fleet.changes.record import Record, Version
 from harriertrack.decisions.fleet.changes.standing import IllegalStep, Standing
 from harriertrack.decisions.fleet.changes.writing import Refused, propose, raise_level, wish
-from harriertrack.decisions.fleet.rollout.conducting import Conductor, Known
+from harriertrack.decisions.fleet.rollout.controller import Conductor, Known
 from harriertrack.decisions.fleet.rollout.evidence import Report
-from harriertrack.decisions.fleet.rollout.levels import next_level
+from harriertrack.decisions.fleet.rollout.feature_levels import next_level
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.lab.interleaving.models.mail import Mail
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -28,7 +28,7 @@
 from harriertrack.decisions.epochs import Epochs
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.closing.arranging import CLOSES
+from harriertrack.decisions.fleet.closing.calendars import CLOSES
 from harriertrack.decisions.fleet.closing.schedule import Plan, Purge, Schedule, worked_out
 from harriertrack.decisions.requests import Attempt, ClientRequest, Core
 from harriertrack.decisions.splitting import Outcome
--- a/harriertrack/lab/interleaving/scenarios/launching.py
+++ b/harriertrack/lab/interleaving/scenarios/launching.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from harriertrack.config.rollout import LaunchSettings
-from harriertrack.decisions.fleet.rollout.launching import Kept, Program
+from harriertrack.decisions.fleet.rollout.launch_state import Kept, Program
 from harriertrack.gateway.fleet.rollout.launcher.files import NUMBER_VARIABLE, TOKEN_VARIABLE
 from harriertrack.gateway.fleet.rollout.launcher.launcher import Launcher
 from harriertrack.lab.interleaving.world import Scenario, World
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -18,7 +18,7 @@
 from harriertrack.decisions.fleet.changes.record import Kind, Record as Changed, Version
 from harriertrack.decisions.fleet.changes.standing import RUN, Standing
 from harriertrack.decisions.fleet.changes.writing import propose
-from harriertrack.decisions.fleet.rollout.counting import Counting
+from harriertrack.decisions.fleet.rollout.answer_counts import Counting
 from harriertrack.gateway.fleet.changes.carrier import Changes
 from harriertrack.gateway.fleet.deciding import Deciding
 from harriertrack.gateway.fleet.rollout.carrier import Rollouts, no_usage
--- a/tests/closing/test_closing_clocks.py
+++ b/tests/closing/test_closing_clocks.py
@@ -13,7 +13,7 @@
     agreed,
     liars,
 )
-from harriertrack.decisions.fleet.closing.timekeeping import Asked, Timekeeper
+from harriertrack.decisions.fleet.closing.time_estimate import Asked, Timekeeper
 
 RULES = ClockRules()
 
--- a/tests/closing/test_closing_schedule.py
+++ b/tests/closing/test_closing_schedule.py
@@ -7,7 +7,7 @@
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.standing import Standing
 from harriertrack.decisions.fleet.changes.writing import propose, wish
-from harriertrack.decisions.fleet.closing.arranging import CLOSES, BadCalendar, Reader, arranged, schedule_of
+from harriertrack.decisions.fleet.closing.calendars import CLOSES, BadCalendar, Reader, arranged, schedule_of
 from harriertrack.decisions.fleet.closing.schedule import (
     Close,
     Late,
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -58,7 +58,7 @@
 ZONES = "decisions.fleet.zones.evacuation:Evacuation"
 SCORING, VIEW = "decisions.fleet.scoring", "membership.fleet.view:View"
 WEIGHTS = "gateway.fleet.scoring.carrier:Scoring"
-LAUNCHING = "decisions.fleet.rollout.launching:Launching"
+LAUNCHING = "decisions.fleet.rollout.launch_state:Launching"
 LAUNCHER = "gateway.fleet.rollout.launcher.launcher:Launcher"
 CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closing:Closing"
 ROLLOUT = "decisions.fleet.rollout.rollout:Rollout"
@@ -651,7 +651,7 @@
     Fault(
         "two heads go at once",
         "rollout",
-        "decisions.fleet.rollout.choosing:next_away",
+        "decisions.fleet.rollout.selection:next_away",
         "if len(out) >= most:",
         "if False:",
         2,
@@ -667,7 +667,7 @@
     Fault(
         "a level is raised by some",
         "rollout",
-        "decisions.fleet.rollout.levels:next_level",
+        "decisions.fleet.rollout.feature_levels:next_level",
         "min(understood[name] for name in voters)",
         "max(understood[name] for name in voters)",
         2,
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -11,7 +11,7 @@
 from harriertrack.config.rollout import load_launcher, read_plan, read_program
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.rollout.launching import (
+from harriertrack.decisions.fleet.rollout.launch_state import (
     Done, End, IllegalPhase, Keep, Kept, Launching, LaunchRules, Phase, Program, Start,
 )  # fmt: skip
 from harriertrack.decisions.fleet.rollout.plan import USUAL, Measure
@@ -21,7 +21,7 @@
 from harriertrack.gateway.fleet.rollout.program_user import HANDING_OVER, ProgramUser
 from harriertrack.gateway.fleet.rollout.reports import Heard, MalformedReport, encode_counts, encode_volumes
 from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY
-from harriertrack.decisions.fleet.rollout.counting import Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Report
 from harriertrack.runtime.hub import Hub
 
--- a/tests/rollout/test_remembering.py
+++ b/tests/rollout/test_remembering.py
@@ -8,12 +8,12 @@
 from harriertrack.decisions.fleet.changes import writing
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.rollout import conducting
-from harriertrack.decisions.fleet.rollout.believing import Believed, Told, believed
-from harriertrack.decisions.fleet.rollout.counting import Tally
+from harriertrack.decisions.fleet.rollout import controller
+from harriertrack.decisions.fleet.rollout.baseline_filter import Believed, Told, believed
+from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report, Usage
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage
-from harriertrack.decisions.fleet.rollout.remembering import Before, Remembering
+from harriertrack.decisions.fleet.rollout.baseline import Before, Remembering
 from harriertrack.gateway.fleet.rollout.carrier import asked
 from harriertrack.gateway.fleet.rollout.remembered import Remembered
 from harriertrack.gateway.fleet.rollout.reports import Heard, MalformedReport, encode_before
@@ -301,13 +301,13 @@
 def test_heads_that_came_back_with_the_program_tell_who_decides_next_what_they_did_before_it(
     monkeypatch,
 ) -> None:
-    found, weigh = [], conducting.believed
+    found, weigh = [], controller.believed
 
     def weighed(*told: object) -> Believed:
         found.append(weigh(*told))  # type: ignore[arg-type]
         return found[-1]
 
-    monkeypatch.setattr(conducting, "believed", weighed)
+    monkeypatch.setattr(controller, "believed", weighed)
     recorder = rec.Recorder()
     simulate(scenario.parse(read_text(DAY, "day"), "day"), 4, 1, recorder)
     assert rollout.check(recorder.records) == []
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -6,12 +6,12 @@
 
 from harriertrack.decisions.fleet.changes import writing
 from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.rollout import levels
-from harriertrack.decisions.fleet.rollout.choosing import Member, next_away, staged
-from harriertrack.decisions.fleet.rollout.conducting import BadPlan
-from harriertrack.decisions.fleet.rollout.counting import Tally
+from harriertrack.decisions.fleet.rollout import feature_levels
+from harriertrack.decisions.fleet.rollout.selection import Member, next_away, staged
+from harriertrack.decisions.fleet.rollout.controller import BadPlan
+from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report
-from harriertrack.decisions.fleet.rollout.judging import outgrown
+from harriertrack.decisions.fleet.rollout.sequential_test import outgrown
 from harriertrack.decisions.fleet.rollout.plan import Bounds, Plan, Stage
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
@@ -241,13 +241,13 @@
 
 def test_a_level_is_raised_by_all_who_vote_and_never_falls() -> None:
     one = fleet()
-    assert levels.next_level(one.record, {"a": 2, "b": 3}, ["a", "b"]) == 2
-    assert levels.next_level(one.record, {"a": 2}, ["a", "b"]) == 0, "b may wake up with what it had"
+    assert feature_levels.next_level(one.record, {"a": 2, "b": 3}, ["a", "b"]) == 2
+    assert feature_levels.next_level(one.record, {"a": 2}, ["a", "b"]) == 0, "b may wake up with what it had"
     one.propose("program")
-    assert levels.next_level(one.record, {"a": 2}, ["a"]) == 0, "while a program is under way"
+    assert feature_levels.next_level(one.record, {"a": 2}, ["a"]) == 0, "while a program is under way"
     raised = writing.raise_level(one.record, 1, 2)
-    assert levels.next_level(raised, {"a": 1}, ["a"]) == 2
-    assert "level 1" in levels.too_old(raised, 1) and not levels.too_old(raised, 2)
+    assert feature_levels.next_level(raised, {"a": 1}, ["a"]) == 2
+    assert "level 1" in feature_levels.too_old(raised, 1) and not feature_levels.too_old(raised, 2)
 
 
 def test_bounds_are_those_of_the_plan() -> None:
