--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 
 from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.rollout.plan import USUAL, Plan, Stage
+from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN, Plan, Stage
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
 
 HARMS = {
@@ -35,7 +35,7 @@
     "failed +2 % of writes in one zone": Harm("write", failed=0.02, zone="z1"),
 }
 BEFORE_S = 60
-QUICK = replace(USUAL, stages=(
+QUICK = replace(DEFAULT_PLAN, stages=(
     Stage("one", heads=1, soak_us=30 * S), Stage("half", share=0.5, soak_us=30 * S),
     Stage("all", share=1.0, soak_us=10 * S, least=0),
 ), before_us=BEFORE_S * S, patience_us=300 * S)  # fmt: skip
@@ -122,7 +122,7 @@
 def time(told: argparse.Namespace) -> None:
     """Print how long a good version takes to come to all, by the usual plan."""
     for thing in ("settings", "program"):
-        plays = [Play("none", seed, told.heads, told.rate, 0.1, USUAL, thing, 7200)
+        plays = [Play("none", seed, told.heads, told.rate, 0.1, DEFAULT_PLAN, thing, 7200)
                  for seed in range(told.plays)]  # fmt: skip
         found = _run(plays, told.workers)
         took = sorted(seconds for _, _, _, seconds in found)
--- a/harriertrack/config/rollout.py
+++ b/harriertrack/config/rollout.py
@@ -16,7 +16,7 @@
 from harriertrack.config.sexp import SettingsError, bind, head_word, read_text
 from harriertrack.decisions.fleet.changes.record import Kind, Version
 from harriertrack.decisions.fleet.rollout.launch_state import LaunchRules, Program
-from harriertrack.decisions.fleet.rollout.plan import USUAL, Bounds, Measure, Plan, Stage
+from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN, Bounds, Measure, Plan, Stage
 
 MOST_STAGES = 32
 _STAGE, _BOUNDS, _RULES = Stage(""), Bounds(), LaunchRules()
@@ -56,16 +56,16 @@
     """A plan."""
 
     stages: Annotated[tuple[StageSettings, ...], msgspec.Meta(max_length=MOST_STAGES)] = ()
-    away: Positive = USUAL.away
-    away_share: Share = USUAL.away_share
-    back_away: Positive = USUAL.back_away
-    back_share: Share = USUAL.back_share
-    alone: bool = USUAL.alone
-    missing: Share = USUAL.missing
-    before_us: Whole = USUAL.before_us
-    settle_us: Whole = USUAL.settle_us
-    ready_us: Positive = USUAL.ready_us
-    patience_us: Positive = USUAL.patience_us
+    away: Positive = DEFAULT_PLAN.away
+    away_share: Share = DEFAULT_PLAN.away_share
+    back_away: Positive = DEFAULT_PLAN.back_away
+    back_share: Share = DEFAULT_PLAN.back_share
+    alone: bool = DEFAULT_PLAN.alone
+    missing: Share = DEFAULT_PLAN.missing
+    before_us: Whole = DEFAULT_PLAN.before_us
+    settle_us: Whole = DEFAULT_PLAN.settle_us
+    ready_us: Positive = DEFAULT_PLAN.ready_us
+    patience_us: Positive = DEFAULT_PLAN.patience_us
     compares: tuple[Measure, ...] = tuple(Measure)
     bounds: BoundsSettings = BoundsSettings()
 
@@ -96,8 +96,8 @@
 def plan_of(version: Version) -> Plan:
     """Return the plan of a version, what is usual if it names none. Raises SettingsError."""
     if not version.plan.strip():
-        return USUAL
-    return read_plan(version.plan, f"plan of {version.thing} {version.number}", USUAL)
+        return DEFAULT_PLAN
+    return read_plan(version.plan, f"plan of {version.thing} {version.number}", DEFAULT_PLAN)
 
 
 def read_plan(text: str, source: str, usually: Plan) -> Plan:
--- a/harriertrack/decisions/fleet/closing/calendars.py
+++ b/harriertrack/decisions/fleet/closing/calendars.py
@@ -17,52 +17,52 @@
     Plan,
     Purge,
     Schedule,
-    reaches_beyond,
-    stale,
-    worked_out,
+    compute_schedule,
+    needs_update,
+    uncovered_purges,
 )
 from harriertrack.decisions.fleet.closing.sweeps import SweepKey
 
-CLOSES = ".closes"  # ends the name of what heads act on
+CLOSES_SUFFIX = ".closes"  # ends the name of what heads act on
 
 
-def is_closes(thing: str) -> bool:
+def is_close_schedule(thing: str) -> bool:
     """Whether a thing is what heads act on."""
-    return thing.endswith(CLOSES)
+    return thing.endswith(CLOSES_SUFFIX)
 
 
-def calendars(record: Record) -> list[str]:
+def calendar_names(record: Record) -> list[str]:
     """Return the things that are calendars."""
-    return [one for one in record.things() if kind_of(one) is Kind.CALENDAR and not is_closes(one)]
+    return [one for one in record.things() if kind_of(one) is Kind.CALENDAR and not is_close_schedule(one)]
 
 
-class BadCalendar(ValueError):
+class InvalidCalendar(ValueError):
     """A body that is no calendar; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reader:
+class CalendarCodec:
     """How bodies are read and written. `plan` (body, version, schedule) raises BadCalendar."""
 
-    plan: Callable[[str, int, Schedule], Plan]
-    purges: Callable[[str], tuple[Purge, ...]]  # of a calendar's body; raises BadCalendar
-    schedule: Callable[[str], Schedule]
-    written: Callable[[Schedule], str]
+    read_plan: Callable[[str, int, Schedule], Plan]
+    read_purges: Callable[[str], tuple[Purge, ...]]  # of a calendar's body; raises BadCalendar
+    read_schedule: Callable[[str], Schedule]
+    write_schedule: Callable[[Schedule], str]
 
 
-def schedule_of(record: Record, calendar: str, reader: Reader) -> Schedule:
+def recorded_schedule(record: Record, calendar: str, reader: CalendarCodec) -> Schedule:
     """Return a calendar's closes as they stand on record."""
-    holds = record.in_force(calendar + CLOSES)
-    return reader.schedule(holds.body) if holds is not None else Schedule()
+    holds = record.in_force(calendar + CLOSES_SUFFIX)
+    return reader.read_schedule(holds.body) if holds is not None else Schedule()
 
 
-def _ever(record: Record, calendar: str, reader: Reader) -> list[Purge]:
+def _ever(record: Record, calendar: str, reader: CalendarCodec) -> list[Purge]:
     done = (Standing.IN_FORCE, Standing.REPLACED)
     bodies = [one.body for one in record.of(calendar) if one.standing in done]
-    return [purge for body in bodies for purge in reader.purges(body)]
+    return [purge for body in bodies for purge in reader.read_purges(body)]
 
 
-def _taken_up(record: Record, epoch: int, going: Version, at_ms: int, reader: Reader) -> Record:
+def _taken_up(record: Record, epoch: int, going: Version, at_ms: int, reader: CalendarCodec) -> Record:
     """Take a proposed calendar a step further, or leave it."""
     thing, number = going.thing, going.number
 
@@ -72,10 +72,10 @@
     match going.standing:
         case Standing.PROPOSED:
             try:
-                purges = reader.purges(going.body)
-            except BadCalendar as error:
+                purges = reader.read_purges(going.body)
+            except InvalidCalendar as error:
                 return to(record, Standing.ABORTED, str(error))
-            beyond = reaches_beyond(purges, _ever(record, thing, reader))
+            beyond = uncovered_purges(purges, _ever(record, thing, reader))
             if not beyond:
                 return to(record, Standing.IN_FORCE, "a calendar that can be")
             first = beyond[0]
@@ -89,7 +89,7 @@
     return record
 
 
-def arranged(record: Record, epoch: int, latest: int, notice_us: int, reader: Reader,
+def update_calendars(record: Record, epoch: int, latest: int, notice_us: int, reader: CalendarCodec,
              swept: Sequence[SweepKey] = ()) -> Record:  # fmt: skip
     """Return the record with all calendars taken up and their closes ahead; the same one if nothing is due.
 
@@ -97,24 +97,28 @@
     a later term has decided since.
     """
     at_ms = latest // 1000
-    for thing in calendars(record):
+    for thing in calendar_names(record):
         going = record.under_way(thing)
         if going is not None:
             record = _taken_up(record, epoch, going, at_ms, reader)
         holds = record.in_force(thing)
         if holds is None:
             continue
-        before = schedule_of(record, thing, reader)
+        before = recorded_schedule(record, thing, reader)
         try:
-            plan = reader.plan(holds.body, holds.number, before)
-        except BadCalendar:
+            plan = reader.read_plan(holds.body, holds.number, before)
+        except InvalidCalendar:
             continue  # it was taken up by a later program: what stands goes on
-        after = worked_out(before, plan, latest, notice_us) if stale(before, plan, latest) else before
+        after = (
+            compute_schedule(before, plan, latest, notice_us)
+            if needs_update(before, plan, latest)
+            else before
+        )
         for key in swept:
-            if key.calendar == thing and key.number > after.swept_of(key.volume):
+            if key.calendar == thing and key.number > after.last_swept(key.volume):
                 after = after.with_swept(key.volume, key.number)
         if after is not before:
-            record = _put(record, epoch, thing + CLOSES, reader.written(after), at_ms, plan)
+            record = _put(record, epoch, thing + CLOSES_SUFFIX, reader.write_schedule(after), at_ms, plan)
     return record
 
 
--- a/harriertrack/decisions/fleet/closing/clocks.py
+++ b/harriertrack/decisions/fleet/closing/clocks.py
@@ -35,11 +35,11 @@
         """Return where the difference of two lies."""
         return Interval(self.low - other.high, self.high - other.low)
 
-    def wider(self, us: int) -> Interval:
+    def widened(self, us: int) -> Interval:
         """Return the interval with so much doubt more on both sides."""
         return Interval(self.low - us, self.high + us)
 
-    def meets(self, other: Interval) -> bool:
+    def overlaps(self, other: Interval) -> bool:
         """Whether the two have anything in common."""
         return self.low <= other.high and other.low <= self.high
 
@@ -53,7 +53,7 @@
     step_us: int = 20_000  # a wall clock that moves more against the monotonic one has jumped
 
 
-def agreed(claims: Mapping[str, Interval]) -> Interval | None:
+def majority_interval(claims: Mapping[str, Interval]) -> Interval | None:
     """Return what most claims allow: the hull of where more than half of them meet; None if they nowhere do.
 
     Not only where most of all meet: a claim that is somewhat off still meets some of the true ones, there
@@ -76,23 +76,23 @@
     return Interval(low, high) if low is not None else None
 
 
-def liars(claims: Mapping[str, Interval], truth: Interval) -> list[str]:
+def inconsistent_claims(claims: Mapping[str, Interval], truth: Interval) -> list[str]:
     """Return whose claims can't be true, by name."""
-    return sorted(name for name, claim in claims.items() if not claim.meets(truth))
+    return sorted(name for name, claim in claims.items() if not claim.overlaps(truth))
 
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
     """The stamps of one ask and its answer; the first and last by this head's clock."""
 
-    asked: int
-    heard: int
-    answered: int
-    came: int
+    sent_at: int
+    received_at: int
+    answered_at: int
+    returned_at: int
 
-    def ahead(self) -> Interval | None:
+    def offset(self) -> Interval | None:
         """Return how far the other's clock is ahead; None for stamps that can't be."""
-        low, high = self.answered - self.came, self.heard - self.asked
+        low, high = self.answered_at - self.returned_at, self.received_at - self.sent_at
         return Interval(low, high) if low <= high else None
 
 
@@ -106,7 +106,7 @@
         self._wall_ahead: int | None = None
         self.jumps = 0
 
-    def looked(self, now: int, wall: int) -> bool:
+    def check_jump(self, now: int, wall: int) -> bool:
         """Look at the own wall clock; return whether it jumped: then nothing is known until heard anew.
 
         A machine that was put to sleep wakes so: its monotonic clock stood still and its wall clock did not.
@@ -121,32 +121,32 @@
 
     def claim(self, now: int, wall: int) -> Interval:
         """Return what the own wall clock says of true time, ahead of the monotonic clock."""
-        return Interval(wall - now, wall - now).wider(self.rules.error_us)
+        return Interval(wall - now, wall - now).widened(self.rules.error_us)
 
-    def heard(self, now: int, ahead: Interval) -> None:
+    def update(self, now: int, ahead: Interval) -> None:
         """Hear how far true time is ahead; the older word, as far as both can be true, makes it narrower."""
-        known = self.ahead(now)
-        if known is not None and known.meets(ahead):
+        known = self.offset(now)
+        if known is not None and known.overlaps(ahead):
             ahead = Interval(max(known.low, ahead.low), min(known.high, ahead.high))
         self._ahead, self._at = ahead, now
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Know nothing until somebody is heard."""
         self._ahead = None
 
-    def ahead(self, now: int) -> Interval | None:
+    def offset(self, now: int) -> Interval | None:
         """Return how far true time is ahead of the monotonic clock; None: nothing was heard."""
         if self._ahead is None:
             return None
-        return self._ahead.wider(int(self.rules.drift * max(0, now - self._at)))
+        return self._ahead.widened(int(self.rules.drift * max(0, now - self._at)))
 
     def reading(self, now: int) -> Interval | None:
         """Return between which instants (UTC, since 1970) it is now."""
-        ahead = self.ahead(now)
+        ahead = self.offset(now)
         return None if ahead is None else Interval(now + ahead.low, now + ahead.high)
 
 
-def claims_on(claims: Iterable[tuple[str, Interval, Interval]]) -> dict[str, Interval]:
+def claims_on_decider_clock(claims: Iterable[tuple[str, Interval, Interval]]) -> dict[str, Interval]:
     """Return claims on how far true time is ahead of who decides.
 
     Of each head: what it says of true time ahead of its own clock, and how far who decides is ahead of it.
--- a/harriertrack/decisions/fleet/closing/schedule.py
+++ b/harriertrack/decisions/fleet/closing/schedule.py
@@ -31,13 +31,13 @@
     start: int = 0
     end: int = 0
 
-    def names(self, volume: str) -> bool:
+    def matches(self, volume: str) -> bool:
         """Whether it is about a volume."""
         return fnmatchcase(volume, self.volume)
 
     def overlaps(self, volume: str, offset: int, length: int) -> bool:
         """Whether it touches a range of a volume."""
-        return self.names(volume) and offset + length > self.start and (not self.end or offset < self.end)
+        return self.matches(volume) and offset + length > self.start and (not self.end or offset < self.end)
 
     def covers(self, other: Purge) -> bool:
         """Whether it purges all that another does; patterns must be the same, or this one's all volumes."""
@@ -64,22 +64,22 @@
     closes: tuple[Close, ...] = ()
     swept: tuple[tuple[str, int], ...] = ()  # of volumes of several heads: the last close that left nothing
 
-    def swept_of(self, volume: str) -> int:
+    def last_swept(self, volume: str) -> int:
         """Return the last close of which nothing is left of a volume of several heads."""
         return next((number for name, number in self.swept if name == volume), 0)
 
     def with_swept(self, volume: str, number: int) -> Schedule:
         """Return the schedule after a sweep; it never goes back."""
         others = [one for one in self.swept if one[0] != volume]
-        last = max(number, self.swept_of(volume))
+        last = max(number, self.last_swept(volume))
         return replace(self, swept=tuple(sorted([*others, (volume, last)])))
 
     @property
-    def last(self) -> int:
+    def last_number(self) -> int:
         """Return the number of the last close that is known."""
         return self.closes[-1].number if self.closes else 0
 
-    def ahead(self, instant: int) -> list[Close]:
+    def closes_after(self, instant: int) -> list[Close]:
         """Return the closes after an instant."""
         return [one for one in self.closes if one.at_us > instant]
 
@@ -95,7 +95,7 @@
     late: Late = Late.PURGE
 
 
-def worked_out(before: Schedule, plan: Plan, latest: int, notice_us: int) -> Schedule:
+def compute_schedule(before: Schedule, plan: Plan, latest: int, notice_us: int) -> Schedule:
     """Return the schedule that follows; `latest` is the latest instant that it may be now.
 
     What stands within the notice is kept as it is. The plan's closes after that come next. One that the plan
@@ -121,20 +121,20 @@
     return Schedule(plan.version, plan.zones, tuple(closes[max(0, gone - REMEMBERED) :]), before.swept)
 
 
-def stale(schedule: Schedule, plan: Plan, latest: int) -> bool:
+def needs_update(schedule: Schedule, plan: Plan, latest: int) -> bool:
     """Whether it is time to work closes out again: another calendar, other data, or few closes ahead."""
     if (schedule.version, schedule.zones) != (plan.version, plan.zones):
         return True
     more = [at for at, _ in plan.instants if schedule.closes and at > schedule.closes[-1].at_us]
-    return len(schedule.ahead(latest)) < LISTED // 2 and bool(more)
+    return len(schedule.closes_after(latest)) < LISTED // 2 and bool(more)
 
 
-def reaches_beyond(purges: Iterable[Purge], ever: Sequence[Purge]) -> list[Purge]:
+def uncovered_purges(purges: Iterable[Purge], ever: Sequence[Purge]) -> list[Purge]:
     """Return which of a calendar's purges nothing that it ever purged covers: they wait for a word."""
     return [one for one in purges if not any(known.covers(one) for known in ever)]
 
 
-def merged(schedule: Schedule, done: int) -> list[Close]:
+def pending_closes(schedule: Schedule, done: int) -> list[Close]:
     """Return the closes after number `done`; what a head that lost count has forgotten comes first.
 
     A head that was away longer than closes are remembered purges by the oldest that is: all older data go
--- a/harriertrack/decisions/fleet/closing/sweeps.py
+++ b/harriertrack/decisions/fleet/closing/sweeps.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 SLICES = 16
-ALL = (1 << SLICES) - 1
+ALL_SLICES = (1 << SLICES) - 1
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -35,10 +35,10 @@
     """One head's part in one sweep."""
 
     key: SweepKey
-    left: dict[int, set[int]] = field(default_factory=dict)  # of each slice: what is to be trimmed
+    remaining: dict[int, set[int]] = field(default_factory=dict)  # of each slice: what is to be trimmed
 
     @staticmethod
-    def of(key: SweepKey, extents: Iterable[int]) -> Sweep:
+    def for_extents(key: SweepKey, extents: Iterable[int]) -> Sweep:
         """Begin the sweep of some extents."""
         left: dict[int, set[int]] = {number: set() for number in range(SLICES)}
         for extent in extents:
@@ -46,32 +46,34 @@
         return Sweep(key, left)
 
     @property
-    def done(self) -> int:
+    def done_slices(self) -> int:
         """Return the slices that this head has done, a bit for each."""
-        return sum(1 << number for number, extents in self.left.items() if not extents)
+        return sum(1 << number for number, extents in self.remaining.items() if not extents)
 
-    def order(self, head: str) -> list[int]:
+    def slice_order(self, head: str) -> list[int]:
         """Return the slices in this head's order."""
-        return sorted(self.left, key=lambda number: crc32(f"{self.key.volume}\0{number}\0{head}".encode()))
+        return sorted(
+            self.remaining, key=lambda number: crc32(f"{self.key.volume}\0{number}\0{head}".encode())
+        )
 
-    def trimmed(self, extent: int) -> None:
+    def mark_trimmed(self, extent: int) -> None:
         """An extent is trimmed."""
-        self.left[slice_of(extent)].discard(extent)
+        self.remaining[slice_of(extent)].discard(extent)
 
 
-class Swept:
+class SweepProgress:
     """What who decides hears of sweeps, in one term."""
 
     def __init__(self) -> None:
         self._done: dict[SweepKey, int] = {}
 
-    def heard(self, key: SweepKey, done: int) -> None:
+    def record_done(self, key: SweepKey, done: int) -> None:
         """A head says which slices it has done."""
         self._done[key] = self._done.get(key, 0) | done
 
-    def whole(self) -> list[SweepKey]:
+    def completed(self) -> list[SweepKey]:
         """Return the sweeps that are whole."""
-        return sorted(key for key, done in self._done.items() if done & ALL == ALL)
+        return sorted(key for key, done in self._done.items() if done & ALL_SLICES == ALL_SLICES)
 
     def forget(self, key: SweepKey) -> None:
         """It is on record."""
--- a/harriertrack/decisions/fleet/closing/time_estimate.py
+++ b/harriertrack/decisions/fleet/closing/time_estimate.py
@@ -8,18 +8,24 @@
 
 from dataclasses import dataclass
 
-from harriertrack.decisions.fleet.closing.clocks import ClockRules, Interval, agreed, claims_on, liars
+from harriertrack.decisions.fleet.closing.clocks import (
+    ClockRules,
+    Interval,
+    claims_on_decider_clock,
+    inconsistent_claims,
+    majority_interval,
+)
 
 STAMPS_BYTES = 24  # of an answer, beside the name
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ClockQuery:
     """A head's ask: its stamp, how far its wall clock says that true time is ahead, where our clock lies."""
 
-    at: int  # by its monotonic clock
-    wall_ahead: int
-    apart: Interval | None  # how far the decider's clock is ahead of its own; None: not known yet
+    sent_at: int  # by its monotonic clock
+    wall_offset: int
+    decider_offset: Interval | None  # how far the decider's clock is ahead of its own; None: not known yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,11 +33,11 @@
     """The answer to an ask: who asked at which of its stamps, and when that was heard."""
 
     head: str
-    at: int
-    heard: int
+    sent_at: int
+    received_at: int
 
 
-class Timekeeper:
+class TimeEstimator:
     """One term's."""
 
     def __init__(self, rules: ClockRules, keep_us: int, since: int = 0) -> None:
@@ -39,19 +45,19 @@
         self._heard: dict[str, int] = {}  # when each asked last
         self._claims: dict[str, tuple[int, Interval, Interval]] = {}  # when, of true time, apart
         self._echoes: list[Echo] = []
-        self.wrong: list[str] = []  # whose clock can't be true
+        self.faulty: list[str] = []  # whose clock can't be true
 
-    def asked(self, now: int, head: str, ask: Asked) -> None:
+    def add_query(self, now: int, head: str, ask: ClockQuery) -> None:
         """Take an ask."""
-        self._echoes.append(Echo(head, ask.at, now))
+        self._echoes.append(Echo(head, ask.sent_at, now))
         self._heard[head] = now
-        if ask.apart is not None:
-            said = Interval(ask.wall_ahead, ask.wall_ahead).wider(self.rules.error_us)
-            self._claims[head] = now, said, ask.apart
+        if ask.decider_offset is not None:
+            said = Interval(ask.wall_offset, ask.wall_offset).widened(self.rules.error_us)
+            self._claims[head] = now, said, ask.decider_offset
         else:
             self._claims.pop(head, None)  # another life of it, or it has lost count
 
-    def echoes(self, most_bytes: int) -> list[Echo]:
+    def take_echoes(self, most_bytes: int) -> list[Echo]:
         """Return answers that are due, the oldest first, each once, as many as have room."""
         number = 0
         for echo in self._echoes:
@@ -62,7 +68,7 @@
         first, self._echoes = self._echoes[:number], self._echoes[number:]
         return first
 
-    def truth(self, now: int, own: Interval, there: int) -> Interval | None:
+    def estimate(self, now: int, own: Interval, there: int) -> Interval | None:
         """Return how far true time is ahead of this clock, by its own claim and the others'.
 
         None until more than half of `there` heads are heard and most of these agree. Heads that know no
@@ -70,14 +76,14 @@
         """
         self._heard = {name: at for name, at in self._heard.items() if now - at <= self._keep_us}
         self._claims = {name: one for name, one in self._claims.items() if now - one[0] <= self._keep_us}
-        claims = claims_on(
-            (name, said, apart.wider(int(self.rules.drift * (now - at))))
+        claims = claims_on_decider_clock(
+            (name, said, apart.widened(int(self.rules.drift * (now - at))))
             for name, (at, said, apart) in self._claims.items()
         )
         claims[""] = own
         asking = there if now < self._since + self._keep_us else len(self._heard) + 1
         if 2 * len(claims) <= min(there, asking):
             return None
-        truth = agreed(claims)
-        self.wrong = [] if truth is None else liars(claims, truth)
+        truth = majority_interval(claims)
+        self.faulty = [] if truth is None else inconsistent_claims(claims, truth)
         return truth
--- a/harriertrack/decisions/fleet/closing/trims.py
+++ b/harriertrack/decisions/fleet/closing/trims.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Left:
+class TrimTarget:
     """Bytes of an extent that a close left at a shard."""
 
     volume: str
@@ -39,46 +39,48 @@
 class Progress:
     """How far a head has come."""
 
-    asked: int = 0
+    requested: int = 0
     done: int = 0
     failed: int = 0  # tries that brought nothing
 
     @property
-    def open(self) -> int:
+    def remaining(self) -> int:
         """How many are left."""
-        return self.asked - self.done
+        return self.requested - self.done
 
 
 @dataclass(slots=True)
 class _Shard:
     """What is due at one shard, and how long it is left alone after a try that brought nothing."""
 
-    line: list[tuple[int, int, Left]] = field(default_factory=list)  # outdated ones are passed over
+    line: list[tuple[int, int, TrimTarget]] = field(default_factory=list)  # outdated ones are passed over
     rests_until: int = 0
     pause_us: int = 0  # above 0: one try at a time
     out: int = 0
 
 
-class Trims:
+class TrimQueue:
     """One head's."""
 
     def __init__(self, rules: TrimRules, now: int) -> None:
         self.rules = rules
         self.progress = Progress()
         self._shards: dict[int, _Shard] = {}
-        self._due: dict[Left, int] = {}  # when each may begin
-        self._least: dict[Left, int] = {}
-        self._tried: set[Left] = set()
-        self._out: set[Left] = set()
-        self._again: set[Left] = set()
-        self._dropped: set[Left] = set()
+        self._due: dict[TrimTarget, int] = {}  # when each may begin
+        self._least: dict[TrimTarget, int] = {}
+        self._tried: set[TrimTarget] = set()
+        self._out: set[TrimTarget] = set()
+        self._again: set[TrimTarget] = set()
+        self._dropped: set[TrimTarget] = set()
         self._serial = 0
         self._tokens, self._filled_at = rules.burst, now
 
     def __len__(self) -> int:
         return len(self._due) + len(self._out)
 
-    def add(self, now: int, lefts: Iterable[Left], place: float, least: Mapping[Left, int]) -> None:
+    def add(
+        self, now: int, lefts: Iterable[TrimTarget], place: float, least: Mapping[TrimTarget, int]
+    ) -> None:
         """Take on more; `place` (0 to 1) is this head's among those that begin now.
 
         `least`: when some may begin at the earliest, for what may still run there.
@@ -88,24 +90,24 @@
             if left in self._out:
                 self._again.add(left)  # what is out was sent for an earlier close
             elif left not in self._due:
-                self.progress.asked += 1
+                self.progress.requested += 1
                 self._least[left] = least.get(left, 0)
                 self._stand(left, max(begin, self._least[left]))
 
-    def _stand(self, left: Left, when: int) -> None:
+    def _stand(self, left: TrimTarget, when: int) -> None:
         self._due[left] = when
         self._serial += 1
         line = self._shards.setdefault(left.shard, _Shard()).line
         heapq.heappush(line, (when, self._serial, left))
 
-    def wanted(self, now: int, volume: str, extent: int) -> None:
+    def prioritize(self, now: int, volume: str, extent: int) -> None:
         """A client waits for an extent: what is left of it comes first."""
         for left in [one for one in self._due if (one.volume, one.extent) == (volume, extent)]:
             soon = max(now, self._least.get(left, 0))
             if soon < self._due[left]:
                 self._stand(left, soon)
 
-    def next(self, now: int, heads: int) -> Left | None:
+    def take_next(self, now: int, heads: int) -> TrimTarget | None:
         """Return what is to be trimmed now, within this head's part of the pace; None: nothing yet."""
         rate = self.rules.rate / max(1, heads)
         self._tokens = min(self.rules.burst, self._tokens + rate * (now - self._filled_at) / 1e6)
@@ -130,21 +132,21 @@
             return False
         return not (shard.pause_us and shard.out)
 
-    def drop(self, lefts: Iterable[Left]) -> None:
+    def drop(self, lefts: Iterable[TrimTarget]) -> None:
         """These are not to be trimmed any more; what is out is called off, and not tried again."""
         for left in lefts:
             if self._due.pop(left, None) is not None:
-                self.progress.asked -= 1
+                self.progress.requested -= 1
                 self._tried.discard(left)
             elif left in self._out:
                 self._dropped.add(left)
                 self._again.discard(left)
 
-    def failed_before(self, left: Left) -> bool:
+    def failed_before(self, left: TrimTarget) -> bool:
         """Whether an earlier try may yet run at its shard."""
         return left in self._tried
 
-    def ended(self, now: int, left: Left, done: bool) -> None:
+    def finish(self, now: int, left: TrimTarget, done: bool) -> None:
         """Hear how one ended."""
         shard = self._shards[left.shard]
         self._out.discard(left)
@@ -157,7 +159,7 @@
             if again:
                 self._stand(left, now)
             else:
-                self.progress.asked -= 1
+                self.progress.requested -= 1
             return
         if done:
             shard.pause_us = shard.rests_until = 0
--- a/harriertrack/decisions/fleet/rollout/answer_counts.py
+++ b/harriertrack/decisions/fleet/rollout/answer_counts.py
@@ -11,8 +11,8 @@
 from harriertrack.decisions.requests import ClientRequest, Origin
 from harriertrack.decisions.splitting import Outcome
 
-BUCKETS = 16  # of what served requests took: below 250 us, below 500 us, and so on
-FIRST_US = 250
+LATENCY_BUCKETS = 16  # of what served requests took: below 250 us, below 500 us, and so on
+FIRST_BUCKET_US = 250
 
 
 @dataclass(slots=True)
@@ -23,8 +23,8 @@
     late: int = 0
     refused: int = 0
     failed: int = 0
-    broken: int = 0  # answered after the deadline, whatever the answer
-    took: list[int] = field(default_factory=lambda: [0] * BUCKETS)
+    past_deadline: int = 0  # answered after the deadline, whatever the answer
+    latency_counts: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKETS)
 
     @property
     def answers(self) -> int:
@@ -37,8 +37,10 @@
         self.late += times * other.late
         self.refused += times * other.refused
         self.failed += times * other.failed
-        self.broken += times * other.broken
-        self.took = [mine + times * one for mine, one in zip(self.took, other.took, strict=True)]
+        self.past_deadline += times * other.past_deadline
+        self.latency_counts = [
+            mine + times * one for mine, one in zip(self.latency_counts, other.latency_counts, strict=True)
+        ]
 
     def since(self, before: Tally) -> Tally:
         """Return what came since an earlier state of the same counts."""
@@ -48,12 +50,12 @@
         return found
 
 
-def bucket_of(took_us: int) -> int:
+def latency_bucket(took_us: int) -> int:
     """Return which bucket a time belongs to."""
-    return min(BUCKETS - 1, max(0, took_us // FIRST_US).bit_length())
+    return min(LATENCY_BUCKETS - 1, max(0, took_us // FIRST_BUCKET_US).bit_length())
 
 
-class Counting:
+class AnswerCounter:
     """One head's counts."""
 
     def __init__(self, classes: Mapping[str, tuple[int, int]]) -> None:
@@ -61,7 +63,7 @@
         self._classes = dict(classes)
         self.classes: dict[str, Tally] = {}
 
-    def answered(self, now: int, request: ClientRequest) -> None:
+    def count_answer(self, now: int, request: ClientRequest) -> None:
         """Count a final answer to a client; what the head asks for itself is nobody's."""
         if request.origin is not Origin.CLIENT or request.background or not request.parts:
             return
@@ -71,7 +73,7 @@
             return
         took_us = now - (request.deadline - max(deadline_us, request.patience_us))
         one = self.classes.setdefault(name, Tally())
-        one.broken += now > request.deadline
+        one.past_deadline += now > request.deadline
         match request.outcome:
             case Outcome.REFUSED:
                 one.refused += 1
@@ -82,4 +84,4 @@
                     one.timely += 1
                 else:
                     one.late += 1
-                one.took[bucket_of(took_us)] += 1
+                one.latency_counts[latency_bucket(took_us)] += 1
--- a/harriertrack/decisions/fleet/rollout/baseline.py
+++ b/harriertrack/decisions/fleet/rollout/baseline.py
@@ -14,14 +14,14 @@
 from harriertrack.decisions.fleet.changes.standing import RUN, UNDER_WAY, Standing
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Usage
-from harriertrack.decisions.fleet.rollout.rollout import in_stages, waits_for
+from harriertrack.decisions.fleet.rollout.rollout import blocking_version, is_staged
 
 SETTLE_US = 5_000_000  # a head's first answers in a life are left out
 ASLEEP_US = 10_000_000  # a head that did not look for so long begins anew: it was stopped
 
 
 @dataclass(frozen=True, slots=True)
-class Before:
+class Baseline:
     """One head's figures of the time before a version."""
 
     thing: str
@@ -31,12 +31,12 @@
     usage: Usage = field(default_factory=Usage)
 
 
-def awaited(record: Record) -> Version | None:
+def baseline_version(record: Record) -> Version | None:
     """Return the version whose time of before it is, or was while it is on its way."""
     for one in record.versions:
-        if one.standing not in UNDER_WAY or not in_stages(one.thing):
+        if one.standing not in UNDER_WAY or not is_staged(one.thing):
             continue
-        if one.standing in RUN or waits_for(record, one.thing) is None:
+        if one.standing in RUN or blocking_version(record, one.thing) is None:
             return one
     return None
 
@@ -50,7 +50,7 @@
     processor_us: int
 
 
-class Remembering:
+class BaselineRecorder:
     """One head's."""
 
     def __init__(self, now: int) -> None:
@@ -60,15 +60,15 @@
         self._mark: _Counts | None = None
         self._reports = 0
         self._ended = 0
-        self._kept: Before | None = None
+        self._kept: Baseline | None = None
 
-    def look(self, now: int, record: Record, classes: Mapping[str, Tally], memory: int = 0,
+    def update(self, now: int, record: Record, classes: Mapping[str, Tally], memory: int = 0,
              processor_us: int = 0) -> bool:  # fmt: skip
         """See what the record says and what was counted so far; return whether there is something to keep.
 
         To be called each time that the record changes, and often enough between.
         """
-        version, slept = awaited(record), now - self._looked > ASLEEP_US
+        version, slept = baseline_version(record), now - self._looked > ASLEEP_US
         self._looked = now
         if not record.revision:
             return False  # nothing is heard of the record yet
@@ -92,21 +92,21 @@
         usage = Usage(memory, processor_us - self._mark.processor_us,
                       sum(one.answers for one in since.values()), self._reports)  # fmt: skip
         self._mark, self._ended = None, now
-        self._kept = Before(*key, 0, {name: one for name, one in since.items() if one.answers}, usage)
+        self._kept = Baseline(*key, 0, {name: one for name, one in since.items() if one.answers}, usage)
         return True
 
-    def again(self, now: int, kept: Before) -> None:
+    def restore(self, now: int, kept: Baseline) -> None:
         """Take what an earlier life of this head kept; how long ago is as that says."""
         if kept.ago_us >= 0:
             self._version, self._mark = (kept.thing, kept.number), None
             self._kept, self._ended = kept, now - kept.ago_us
 
-    def told(self, now: int) -> Before | None:
+    def current(self, now: int) -> Baseline | None:
         """Return what is to be told, if there is anything."""
         kept = self._kept
         if kept is None:
             return None
-        return Before(kept.thing, kept.number, now - self._ended, kept.classes, kept.usage)
+        return Baseline(kept.thing, kept.number, now - self._ended, kept.classes, kept.usage)
 
 
 def _copied(classes: Mapping[str, Tally]) -> dict[str, Tally]:
--- a/harriertrack/decisions/fleet/rollout/baseline_filter.py
+++ b/harriertrack/decisions/fleet/rollout/baseline_filter.py
@@ -14,13 +14,13 @@
 from statistics import median
 
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
-from harriertrack.decisions.fleet.rollout.baseline import Before
+from harriertrack.decisions.fleet.rollout.baseline import Baseline
 from harriertrack.decisions.fleet.rollout.expected_rates import (
     LEAST_BADLY,
     SLOWEST,
-    badly,
-    counted,
-    slow_bucket,
+    count_answers,
+    count_bad,
+    first_slow_bucket,
 )
 from harriertrack.decisions.fleet.rollout.plan import Measure
 
@@ -31,30 +31,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ReportedBaseline:
     """What a head told of before, and when that ended by the clock of who decides."""
 
-    ended: int
-    before: Before
+    ended_at: int
+    baseline: Baseline
 
 
 @dataclass(frozen=True, slots=True)
-class Believed:
+class AcceptedBaselines:
     """What is gone by."""
 
     counts: Mapping[tuple[str, str], Tally] = field(default_factory=dict)  # by head and class
-    odd: Mapping[str, str] = field(default_factory=dict)  # heads whose figures are their own alone, and why
+    outliers: Mapping[str, str] = field(
+        default_factory=dict
+    )  # heads whose figures are their own alone, and why
 
 
-def believed(told: Mapping[str, Told], heads: Collection[str], more: float) -> Believed:
+def accept_baselines(
+    told: Mapping[str, ReportedBaseline], heads: Collection[str], more: float
+) -> AcceptedBaselines:
     """Return what is gone by; nothing if fewer than half of `heads` tell of one time. `more`: the bound's."""
     some = {name: one for name, one in told.items() if name in heads}
     if not some:
-        return Believed()
-    middle = median(one.ended for one in some.values())
-    same = {name: one.before for name, one in some.items() if abs(one.ended - middle) <= APART_US}
+        return AcceptedBaselines()
+    middle = median(one.ended_at for one in some.values())
+    same = {name: one.baseline for name, one in some.items() if abs(one.ended_at - middle) <= APART_US}
     if 2 * len(same) < len(heads):
-        return Believed()
+        return AcceptedBaselines()
     odd: dict[str, str] = {}
     for class_name in sorted({name for one in same.values() for name in one.classes}):
         counts = {name: one.classes[class_name] for name, one in same.items() if class_name in one.classes}
@@ -64,7 +68,7 @@
     counts_of = {
         (name, class_name): tally for name, one in same.items() for class_name, tally in one.classes.items()
     }
-    return Believed(counts_of, odd)
+    return AcceptedBaselines(counts_of, odd)
 
 
 def _far(measure: Measure, counts: Mapping[str, Tally], more: float) -> dict[str, str]:
@@ -74,8 +78,10 @@
     """
     if len(counts) < 3:
         return {}
-    slow = round(median(slow_bucket(one.took) for one in counts.values()))
-    figures = {name: (badly(measure, one, slow), counted(measure, one)) for name, one in counts.items()}
+    slow = round(median(first_slow_bucket(one.latency_counts) for one in counts.values()))
+    figures = {
+        name: (count_bad(measure, one, slow), count_answers(measure, one)) for name, one in counts.items()
+    }
     least = SLOWEST if measure is Measure.SLOW else LEAST_BADLY * more
     parts = {name: bad / n for name, (bad, n) in figures.items() if n}
     found = {}
--- a/harriertrack/decisions/fleet/rollout/comparison.py
+++ b/harriertrack/decisions/fleet/rollout/comparison.py
@@ -25,26 +25,30 @@
     """What heads of one kind did in a tick, or in all."""
 
     n: int = 0
-    badly: int = 0
+    bad: int = 0
     expected: float = 0.0
 
     def add(self, other: Arm) -> None:
         """Add another one's."""
         self.n += other.n
-        self.badly += other.badly
+        self.bad += other.bad
         self.expected += other.expected
 
 
 @dataclass(slots=True)
-class Cell:
+class Comparison:
     """One comparison: a measure of a class, or of a zone."""
 
     new: Arm = field(default_factory=Arm)
     old: Arm = field(default_factory=Arm)
-    beside: Arm = field(default_factory=Arm)  # of bad answers where both answered: all, new heads', expected
-    worse: list[float] = field(default_factory=lambda: [0.0] * len(HARMS))  # expected if it is worse
-    is_: float = 0.0  # expected of new heads by what was before
-    be: float = 0.0  # ... if it is worse
+    concurrent: Arm = field(
+        default_factory=Arm
+    )  # of bad answers where both answered: all, new heads', expected
+    expected_if_worse: list[float] = field(
+        default_factory=lambda: [0.0] * len(HARMS)
+    )  # expected if it is worse
+    own_expected: float = 0.0  # expected of new heads by what was before
+    own_expected_if_worse: float = 0.0  # ... if it is worse
     _doubts: dict[tuple[str, bool], list[float]] = field(default_factory=dict)  # expected, and unsurely so
     _block: dict[str, float] = field(default_factory=dict)
     _before: dict[str, float] = field(default_factory=dict)
@@ -52,7 +56,7 @@
     _scatter: float = 2 * PRIOR
     _freedom: float = PRIOR
 
-    def heads(self, head: str, new: bool, badly: int, expected: float, doubt: float) -> None:
+    def add_head(self, head: str, new: bool, badly: int, expected: float, doubt: float) -> None:
         """Hear what a head did in this tick."""
         both = self._doubts.setdefault((head, new), [0.0, 0.0])
         both[0] += expected
@@ -60,25 +64,25 @@
         if not new:
             self._block[head] = self._block.get(head, 0.0) + badly
 
-    def compare(self, new: Arm, old: Arm, times: float, more: float) -> None:
+    def add_tick(self, new: Arm, old: Arm, times: float, more: float) -> None:
         """Take a tick: what all heads with the version did, and all without."""
         self.old.add(old)
         if not new.n:
             return
         self.new.add(new)
         if old.n:
-            both = new.badly + old.badly
+            both = new.bad + old.bad
             part = new.expected / (new.expected + old.expected)
-            self.beside.add(Arm(both, new.badly, both * part))
+            self.concurrent.add(Arm(both, new.bad, both * part))
             for at, harm in enumerate(HARMS):
                 worse = max(min(harm * (times * new.expected + more * new.n), new.n), new.expected)
-                self.worse[at] += both * worse / (worse + old.expected)
+                self.expected_if_worse[at] += both * worse / (worse + old.expected)
         # Where all went worse before than now, the version is measured by now.
-        calmer = min(1.0, (self.old.badly + CALM) / (self.old.expected + CALM))
-        self.is_ += calmer * new.expected
-        self.be += calmer * times * new.expected + more * new.n
+        calmer = min(1.0, (self.old.bad + CALM) / (self.old.expected + CALM))
+        self.own_expected += calmer * new.expected
+        self.own_expected_if_worse += calmer * times * new.expected + more * new.n
 
-    def tick(self) -> None:
+    def end_tick(self) -> None:
         """A tick is over: see after some how unevenly in time old heads did."""
         self._ticks += 1
         if self._ticks % BLOCK:
@@ -108,7 +112,7 @@
         whole = sum(expected for expected, _ in mine)
         return sum(unsure**2 for _, unsure in mine) / whole**2 if whole else 0.0
 
-    def weights(self, clumps: float) -> tuple[float, float]:
+    def log_ratios(self, clumps: float) -> tuple[float, float]:
         """Return how much says that it is worse, and how little that it is no worse, as logarithms of ratios.
 
         Worse: beside the others, by the bounds or several times that (a mixture of tests is one). No worse:
@@ -116,20 +120,22 @@
         """
         clumps, new = max(clumps, self._scatter / self._freedom), self._unsure(True)
         new *= clumps  # what was before went badly in clumps too
-        doubt, beside = new + clumps * self._unsure(False), self.beside
-        bad, fine = beside.badly / clumps, (beside.n - beside.badly) / clumps
+        doubt, beside = new + clumps * self._unsure(False), self.concurrent
+        bad, fine = beside.bad / clumps, (beside.n - beside.bad) / clumps
         sides = [0.0] * len(HARMS)
         if beside.n:
             usual = _shared(bad, fine, beside.expected / beside.n, doubt)
-            sides = [_shared(bad, fine, worse / beside.n, doubt) - usual for worse in self.worse]
-        mine = self.new.badly / clumps
-        own = _counted(mine, self.be / clumps, new) - _counted(mine, self.is_ / clumps, new)
+            sides = [_shared(bad, fine, worse / beside.n, doubt) - usual for worse in self.expected_if_worse]
+        mine = self.new.bad / clumps
+        own = _counted(mine, self.own_expected_if_worse / clumps, new) - _counted(
+            mine, self.own_expected / clumps, new
+        )
         return max(sides) - math.log(len(HARMS)), min(sides[0], own)
 
-    def matters(self, times: float, more: float) -> bool:
+    def is_material(self, times: float, more: float) -> bool:
         """Whether heads with the version are at least half as bad as the bounds say, beside the others."""
-        is_ = self.new.expected * (self.old.badly + 1) / (self.old.expected + 1)
-        return self.new.badly - is_ >= ((times - 1) * is_ + more * self.new.n) / 2
+        is_ = self.new.expected * (self.old.bad + 1) / (self.old.expected + 1)
+        return self.new.bad - is_ >= ((times - 1) * is_ + more * self.new.n) / 2
 
 
 def _shared(bad: float, fine: float, part: float, doubt: float) -> float:
--- a/harriertrack/decisions/fleet/rollout/evidence.py
+++ b/harriertrack/decisions/fleet/rollout/evidence.py
@@ -14,8 +14,8 @@
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 
 TICK_US = 2_000_000  # answers of so long are looked at together
-TOGETHER_US = 30_000_000  # heads of one zone that end within so long ended of one cause
-LOOKS_MEMORY = 5  # reports after which a head's memory is taken as it is
+SAME_CAUSE_US = 30_000_000  # heads of one zone that end within so long ended of one cause
+MIN_USAGE_REPORTS = 5  # reports after which a head's memory is taken as it is
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,13 +23,13 @@
     """What a head tells of itself; counts are since its process began."""
 
     head: str
-    life: int  # which process, by a number of its own
-    runs: Mapping[str, int]  # version by thing
+    incarnation: int  # which process, by a number of its own
+    versions: Mapping[str, int]  # version by thing
     classes: Mapping[str, Tally]
     memory: int = 0  # bytes
     processor_us: int = 0
-    fell: Mapping[str, tuple[int, str]] = field(default_factory=dict)  # the version not taken, and why
-    level: int = 0  # the highest feature level that its program understands
+    rejected: Mapping[str, tuple[int, str]] = field(default_factory=dict)  # the version not taken, and why
+    feature_level: int = 0  # the highest feature level that its program understands
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,8 +63,8 @@
     last: dict[str, Tally] = field(default_factory=dict)
     processor_us: int = 0
     disturbed_until: int = 0
-    before: Usage = field(default_factory=Usage)
-    after: Usage = field(default_factory=Usage)
+    baseline: Usage = field(default_factory=Usage)
+    current: Usage = field(default_factory=Usage)
 
 
 class Evidence:
@@ -72,7 +72,7 @@
 
     def __init__(self, thing: str, number: int, settle_us: int) -> None:
         self.thing, self.number, self._settle_us = thing, number, settle_us
-        self.before: dict[tuple[str, str], Tally] = {}  # by head and class
+        self.baseline: dict[tuple[str, str], Tally] = {}  # by head and class
         self._begun = False
         self._heads: dict[str, _Head] = {}
         self._rows: dict[tuple[str, str, bool], Row] = {}
@@ -80,7 +80,7 @@
         self._closed: list[list[Row]] = []
         self._ends: dict[bool, list[tuple[int, str]]] = {True: [], False: []}
 
-    def begin(self) -> None:
+    def end_baseline(self) -> None:
         """The first head is about to change: what was before is over."""
         self._begun = True
 
@@ -89,26 +89,26 @@
         """Return who was heard."""
         return self._heads.keys()
 
-    def used(self, head: str, usage: Usage) -> None:
+    def set_baseline_usage(self, head: str, usage: Usage) -> None:
         """Hear from a head what it used before, where this was not seen."""
         one = self._heads.get(head)
-        if one is not None and self._begun and not one.before.reports:
-            one.before = usage
+        if one is not None and self._begun and not one.baseline.reports:
+            one.baseline = usage
 
-    def heard(self, now: int, report: Report, zone: str, asked: Collection[int] = ()) -> None:
+    def add_report(self, now: int, report: Report, zone: str, asked: Collection[int] = ()) -> None:
         """Take a report; `asked`: lives of the head that ended as somebody wished."""
         self._close(now)
-        number = report.runs.get(self.thing, 0)
+        number = report.versions.get(self.thing, 0)
         one = self._heads.get(report.head)
-        if one is None or one.life != report.life:
+        if one is None or one.life != report.incarnation:
             if one is not None and one.number == number and one.life not in asked:
                 self._ended(now, zone, number == self.number)
-            fresh = _Head(report.life, number, now, now, zone)
+            fresh = _Head(report.incarnation, number, now, now, zone)
             if one is not None:
-                fresh.before = one.before
+                fresh.baseline = one.baseline
             self._heads[report.head] = one = fresh
         elif one.number != number:
-            one.number, one.since, one.after = number, now, Usage()
+            one.number, one.since, one.current = number, now, Usage()
         elif one.seen_at >= max(one.since + self._settle_us, one.disturbed_until):
             self._count(report, one)
         one.zone, one.seen_at = zone, now
@@ -123,12 +123,12 @@
             if not fresh.answers:
                 continue
             if not self._begun and not new:
-                self.before.setdefault((report.head, name), Tally()).add(fresh)
+                self.baseline.setdefault((report.head, name), Tally()).add(fresh)
             key = (report.head, name, new)
             if key not in self._rows:
                 self._rows[key] = Row(report.head, one.zone, name, new, Tally())
             self._rows[key].tally.add(fresh)
-        usage = one.after if self._begun else one.before
+        usage = one.current if self._begun else one.baseline
         usage.reports += 1
         usage.memory = report.memory
         usage.answers += answers
@@ -136,10 +136,10 @@
 
     def _ended(self, now: int, zone: str, new: bool) -> None:
         ends = self._ends[new]
-        if not any(at > now - TOGETHER_US and where == zone for at, where in ends):
+        if not any(at > now - SAME_CAUSE_US and where == zone for at, where in ends):
             ends.append((now, zone))
 
-    def disturbed(self, heads: Collection[str], until: int) -> None:
+    def exclude(self, heads: Collection[str], until: int) -> None:
         """Leave out what these heads do up to a time: others' load is theirs meanwhile."""
         for name in heads:
             if (one := self._heads.get(name)) is not None:
@@ -152,20 +152,20 @@
                 self._closed.append(list(self._rows.values()))
             self._rows, self._tick = {}, tick
 
-    def ticks(self, now: int) -> Iterator[list[Row]]:
+    def take_ticks(self, now: int) -> Iterator[list[Row]]:
         """Yield each tick that is over, once."""
         self._close(now)
         closed, self._closed = self._closed, []
         yield from closed
 
-    def crashes(self) -> tuple[int, int]:
+    def crash_counts(self) -> tuple[int, int]:
         """Return how often heads ended unasked, of one cause each: those with the version, and the others."""
         return len(self._ends[True]), len(self._ends[False])
 
-    def usages(self, new: bool) -> list[tuple[Usage, Usage]]:
+    def usage_pairs(self, new: bool) -> list[tuple[Usage, Usage]]:
         """Return what heads used before and since, of those of which both are known."""
         return [
-            (one.before, one.after) for one in self._heads.values()
+            (one.baseline, one.current) for one in self._heads.values()
             if (one.number == self.number) is new
-            and min(one.before.reports, one.after.reports) >= LOOKS_MEMORY
+            and min(one.baseline.reports, one.current.reports) >= MIN_USAGE_REPORTS
         ]  # fmt: skip
--- a/harriertrack/decisions/fleet/rollout/expected_rates.py
+++ b/harriertrack/decisions/fleet/rollout/expected_rates.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.rollout.answer_counts import BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.answer_counts import LATENCY_BUCKETS, Tally
 from harriertrack.decisions.fleet.rollout.plan import Measure
 
 SLOWEST = 0.1  # of what was served before was as slow as what is called slow
@@ -20,7 +20,7 @@
 UNLIKE = 0.25  # ... and by this where nothing is known, and at most
 
 
-def badly(measure: Measure, tally: Tally, slow: int) -> int:
+def count_bad(measure: Measure, tally: Tally, slow: int) -> int:
     """Return how many of a class's answers went badly."""
     match measure:
         case Measure.WORTH:
@@ -30,41 +30,41 @@
         case Measure.REFUSED:
             return tally.refused
         case Measure.SLOW:
-            return sum(tally.took[slow:])
+            return sum(tally.latency_counts[slow:])
         case Measure.BROKEN:
-            return tally.broken
+            return tally.past_deadline
 
 
-def counted(measure: Measure, tally: Tally) -> int:
+def count_answers(measure: Measure, tally: Tally) -> int:
     """Return of how many answers that is."""
-    return sum(tally.took) if measure is Measure.SLOW else tally.answers
+    return sum(tally.latency_counts) if measure is Measure.SLOW else tally.answers
 
 
-def slow_bucket(took: list[int]) -> int:
+def first_slow_bucket(took: list[int]) -> int:
     """Return the first bucket from which on at most a tenth lies."""
     whole, above = sum(took), 0
-    for at in reversed(range(BUCKETS)):
+    for at in reversed(range(LATENCY_BUCKETS)):
         above += took[at]
         if above > SLOWEST * whole:
             return at + 1
-    return BUCKETS
+    return LATENCY_BUCKETS
 
 
 @dataclass(frozen=True, slots=True)
 class Rate:
     """Which part goes badly, and the squared relative deviation of that figure."""
 
-    part: float
-    doubt: float
+    fraction: float
+    relative_variance: float
 
 
 @dataclass(slots=True)
-class Usual:
+class ExpectedRates:
     """Rates of all heads, from counts by head and class."""
 
     counts: Mapping[tuple[str, str], Tally]
     more: float  # the bound's
-    odd: Collection[str] = ()  # heads that say nothing of others
+    outliers: Collection[str] = ()  # heads that say nothing of others
     _rates: dict[tuple[Measure, str, str], Rate] = field(default_factory=dict)
     _classes: dict[str, dict[str, Tally]] = field(default_factory=dict)
     _slow: dict[str, int] = field(default_factory=dict)
@@ -72,16 +72,18 @@
 
     def __post_init__(self) -> None:
         for (head, class_name), tally in self.counts.items():
-            if head not in self.odd:
+            if head not in self.outliers:
                 self._classes.setdefault(class_name, {})[head] = tally
 
-    def slow(self, class_name: str) -> int:
+    def slow_from(self, class_name: str) -> int:
         """Return from which bucket on a class's answers are slow; where nothing is known nothing is."""
         if class_name not in self._slow:
             whole = Tally()
             for one in self._classes.get(class_name, {}).values():
                 whole.add(one)
-            self._slow[class_name] = slow_bucket(whole.took) if whole.answers else BUCKETS
+            self._slow[class_name] = (
+                first_slow_bucket(whole.latency_counts) if whole.answers else LATENCY_BUCKETS
+            )
         return self._slow[class_name]
 
     def rate(self, measure: Measure, class_name: str, head: str) -> Rate:
@@ -90,7 +92,7 @@
         if key not in self._rates:
             pool, weight = self._pool(measure, class_name)
             own = self.counts.get((head, class_name), Tally())
-            bad, n = badly(measure, own, self.slow(class_name)), counted(measure, own)
+            bad, n = count_bad(measure, own, self.slow_from(class_name)), count_answers(measure, own)
             part = pool * (bad + weight) / (n * pool + weight)
             least = max(LEAST_BADLY * self.more, part)
             # Raised to the least, a figure is no less sure than it was: its own deviation stays.
@@ -115,9 +117,9 @@
 
     def _uneven(self, measure: Measure, class_name: str) -> tuple[float, float, int, float]:
         """Return a class's part, Pearson's sum over heads, its degrees of freedom, and what was expected."""
-        slow = self.slow(class_name)
+        slow = self.slow_from(class_name)
         some = self._classes.get(class_name, {}).values()
-        heads = [(badly(measure, one, slow), counted(measure, one)) for one in some]
+        heads = [(count_bad(measure, one, slow), count_answers(measure, one)) for one in some]
         n = sum(each for _, each in heads)
         part = max(LEAST_BADLY * self.more, sum(bad for bad, _ in heads) / n if n else 0.0)
         uneven = sum((bad - each * part) ** 2 / (each * part) for bad, each in heads if each)
--- a/harriertrack/decisions/fleet/rollout/feature_levels.py
+++ b/harriertrack/decisions/fleet/rollout/feature_levels.py
@@ -26,7 +26,7 @@
     return max(record.level, min(understood[name] for name in voters))
 
 
-def too_old(record: Record, level: int | None) -> str:
+def level_conflict(record: Record, level: int | None) -> str:
     """Return why a program that understands a level can't be brought about; "" if it can, or does not say."""
     if level is None or level >= record.level:
         return ""
--- a/harriertrack/decisions/fleet/rollout/launch_state.py
+++ b/harriertrack/decisions/fleet/rollout/launch_state.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class SavedState:
     """What survives the launcher: written before any action that rests on it."""
 
     good: Program = Program()
@@ -54,7 +54,7 @@
     runs: int = 0  # the version that the child is
 
     @property
-    def next(self) -> Program:
+    def target(self) -> Program:
         """Return what is to run."""
         return self.trial or self.good
 
@@ -81,10 +81,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class Save:
     """Write this down, before anything that follows."""
 
-    kept: Kept
+    saved: SavedState
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,31 +92,31 @@
     """Start a program; `fell` and `why` are told to it."""
 
     program: Program
-    fell: int
-    why: str
+    rejected: int
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Terminate:
     """End the child: asked (SIGTERM), or at once (SIGKILL)."""
 
-    at_once: bool
+    force: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class Exit:
     """The launcher may end."""
 
 
-Action = Keep | Start | End | Done
+Action = Save | Start | Terminate | Exit
 
 
 @dataclass(slots=True)
-class Launching:
+class LaunchStateMachine:
     """One head's launcher."""
 
     rules: LaunchRules
-    kept: Kept = field(default_factory=Kept)
+    saved: SavedState = field(default_factory=SavedState)
     phase: Phase = Phase.IDLE
     stopping: bool = False
     _since: int = 0  # when the phase began
@@ -136,43 +136,43 @@
         self.phase, self._since = phase, now
 
     def _keep(self, **changed: object) -> None:
-        self.kept = replace(self.kept, **changed)  # type: ignore[arg-type]
-        self._actions.append(Keep(self.kept))
+        self.saved = replace(self.saved, **changed)  # type: ignore[arg-type]
+        self._actions.append(Save(self.saved))
 
     # -- events
 
     def begin(self, now: int, child: int) -> None:
         """The launcher starts; `child`: the process id of an earlier life's, 0 if none runs any more."""
         if child:
-            if child != self.kept.child:
+            if child != self.saved.child:
                 self._keep(child=child)  # that life was ended before it had written it down
             self._go(now, Phase.STARTING)  # if it serves already, that is heard at once
             self._turn(now)
         else:
             self._keep(child=0, token="")
-            self.wake(now)
+            self.advance(now)
 
-    def starting(self, token: str) -> None:
+    def record_start(self, token: str) -> None:
         """The child is about to be started: by its token a later life finds it, wherever this one ends."""
-        self._keep(child=0, token=token, runs=self.kept.next.number)
+        self._keep(child=0, token=token, runs=self.saved.target.number)
 
-    def started(self, child: int) -> None:
+    def record_child(self, child: int) -> None:
         """The child that was to be started runs under a process id."""
         self._keep(child=child)
 
-    def ready(self, now: int) -> None:
+    def child_ready(self, now: int) -> None:
         """The child serves."""
         if self.phase is Phase.STARTING:
             self._go(now, Phase.RUNNING)
 
-    def ended(self, now: int, how: str) -> None:
+    def child_ended(self, now: int, how: str) -> None:
         """The child is gone; `how`: in words."""
         asked, phase, served_us = self.phase is Phase.DRAINING, self.phase, now - self._since
         self._go(now, Phase.IDLE)
         self._killed = False
         self._keep(child=0, token="")
         if self.stopping:
-            self._actions.append(Done())
+            self._actions.append(Exit())
             return
         if asked:
             self._pause_us, self._not_before = PAUSE_US, now
@@ -180,12 +180,12 @@
             if phase is Phase.RUNNING and served_us >= self.rules.prove_us:
                 self._pause_us = PAUSE_US
             self._failed(now, how)
-        self.wake(now)
+        self.advance(now)
 
-    def wanted(self, now: int, program: Program) -> None:
+    def request_program(self, now: int, program: Program) -> None:
         """The head says which version is to run."""
-        kept = self.kept
-        if program.number == kept.next.number or program.number == kept.fell != 0:
+        kept = self.saved
+        if program.number == kept.target.number or program.number == kept.fell != 0:
             return
         if program.number == kept.good.number:
             self._keep(trial=None, tries=0)
@@ -193,11 +193,11 @@
             self._keep(trial=program, tries=0)
         self._turn(now)
 
-    def unfit(self, now: int, number: int, why: str) -> None:
+    def reject_program(self, now: int, number: int, why: str) -> None:
         """A version that is to be started can't be: its folder is not there, or not allowed."""
         self._go(now, Phase.IDLE)
         self._keep(child=0, token="")
-        if self.kept.trial is not None and self.kept.trial.number == number:
+        if self.saved.trial is not None and self.saved.trial.number == number:
             self._give_up(why)
             return
         self._not_before = now + self._pause_us
@@ -207,24 +207,24 @@
         """The launcher is asked to end, and its head with it."""
         self.stopping = True
         if self.phase is Phase.IDLE:
-            self._actions.append(Done())
+            self._actions.append(Exit())
         else:
             self._drain(now)
 
     # -- time
 
-    def wake(self, now: int) -> None:
+    def advance(self, now: int) -> None:
         """Do what is due."""
-        kept, rules = self.kept, self.rules
+        kept, rules = self.saved, self.rules
         match self.phase:
             case Phase.IDLE:
                 if not self.stopping and now >= self._not_before:
                     self._go(now, Phase.STARTING)
-                    self._actions.append(Start(kept.next, kept.fell, kept.why))
+                    self._actions.append(Start(kept.target, kept.fell, kept.why))
             case Phase.STARTING:
                 if now >= self._since + rules.ready_us and not self._killed:
                     self._killed = True
-                    self._actions.append(End(True))
+                    self._actions.append(Terminate(True))
             case Phase.RUNNING:
                 proven = now >= self._since + rules.prove_us
                 if kept.trial is not None and kept.runs == kept.trial.number and proven:
@@ -232,22 +232,22 @@
             case Phase.DRAINING:
                 if now >= self._since + rules.drain_us and not self._killed:
                     self._killed = True
-                    self._actions.append(End(True))
+                    self._actions.append(Terminate(True))
 
     def _turn(self, now: int) -> None:
         """Let another version take the child's place, if it is another."""
-        if self.phase in (Phase.STARTING, Phase.RUNNING) and self.kept.runs != self.kept.next.number:
+        if self.phase in (Phase.STARTING, Phase.RUNNING) and self.saved.runs != self.saved.target.number:
             self._drain(now)
 
     def _drain(self, now: int) -> None:
         if self.phase is not Phase.DRAINING:
             self._go(now, Phase.DRAINING)
-            self._actions.append(End(False))
+            self._actions.append(Terminate(False))
 
     def _failed(self, now: int, how: str) -> None:
         self._not_before = now + self._pause_us
         self._pause_us = min(2 * self._pause_us, MOST_PAUSE_US)
-        kept = self.kept
+        kept = self.saved
         if kept.trial is None or kept.runs != kept.trial.number:
             return
         if kept.tries + 1 >= self.rules.tries:
@@ -257,5 +257,5 @@
             self._keep(tries=kept.tries + 1)
 
     def _give_up(self, why: str) -> None:
-        assert self.kept.trial is not None
-        self._keep(trial=None, tries=0, fell=self.kept.trial.number, why=why)
+        assert self.saved.trial is not None
+        self._keep(trial=None, tries=0, fell=self.saved.trial.number, why=why)
--- a/harriertrack/decisions/fleet/rollout/plan.py
+++ b/harriertrack/decisions/fleet/rollout/plan.py
@@ -70,18 +70,18 @@
     measures: tuple[Measure, ...] = tuple(Measure)
     bounds: Bounds = Bounds()
 
-    def may_be_away(self, heads: int, back: bool) -> int:
+    def max_away(self, heads: int, back: bool) -> int:
         """Return how many of so many heads may be away at once."""
         least, share = (self.back_away, self.back_share) if back else (self.away, self.away_share)
         return max(least, int(share * heads))
 
 
-USUAL = Plan((
+DEFAULT_PLAN = Plan((
     Stage("one", heads=1), Stage("tenth", share=0.1), Stage("half", share=0.5), Stage("most", share=0.9),
     Stage("all", share=1.0, least=0),
 ))  # fmt: skip
 
 
-def goes_away(kind: Kind) -> bool:
+def interrupts_service(kind: Kind) -> bool:
     """Whether a head that takes such a version stops serving meanwhile."""
     return kind is Kind.PROGRAM
--- a/harriertrack/decisions/fleet/rollout/sequential_test.py
+++ b/harriertrack/decisions/fleet/rollout/sequential_test.py
@@ -20,9 +20,9 @@
 from statistics import median
 
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
-from harriertrack.decisions.fleet.rollout.comparison import Arm, Cell
+from harriertrack.decisions.fleet.rollout.comparison import Arm, Comparison
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Row, Usage
-from harriertrack.decisions.fleet.rollout.expected_rates import Usual, badly, counted
+from harriertrack.decisions.fleet.rollout.expected_rates import ExpectedRates, count_answers, count_bad
 from harriertrack.decisions.fleet.rollout.plan import Measure, Plan
 
 BUSY = 0.01  # of all answers: a class with fewer decides nothing by having too few
@@ -36,7 +36,7 @@
     WORSE = "worse"
     NOT_WORSE = "not worse"
     NOT_YET = "not enough yet"
-    TROUBLE = "all are worse than before"  # or nobody is left to compare with
+    FLEET_WORSE = "all are worse than before"  # or nobody is left to compare with
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,25 +51,25 @@
 
 
 @dataclass(slots=True)
-class Judge:
+class SequentialTest:
     """The comparison of one stage."""
 
     plan: Plan
-    before: Mapping[tuple[str, str], Tally]
-    odd: Mapping[str, str] = field(default_factory=dict)  # new heads left out, if these are new; and why
-    cells: dict[Key, Cell] = field(default_factory=dict)
+    baseline: Mapping[tuple[str, str], Tally]
+    outliers: Mapping[str, str] = field(default_factory=dict)  # new heads left out, if these are new; and why
+    comparisons: dict[Key, Comparison] = field(default_factory=dict)
     _fleet: dict[Measure, tuple[float, float]] = field(default_factory=dict)  # sum, and of how many
     _seen: dict[tuple[str, str], Tally] = field(default_factory=dict)  # of old heads, meanwhile
-    _usual: Usual | None = None
+    _usual: ExpectedRates | None = None
     _ticks: int = 0
 
-    def believe(self, before: Mapping[tuple[str, str], Tally], odd: Mapping[str, str]) -> None:
+    def set_baseline(self, before: Mapping[tuple[str, str], Tally], odd: Mapping[str, str]) -> None:
         """Go by other figures of before from now on."""
-        self.before, self.odd, self._usual, self._ticks = before, odd, None, 0
+        self.baseline, self.outliers, self._usual, self._ticks = before, odd, None, 0
 
-    def take(self, rows: list[Row]) -> None:
+    def add_tick(self, rows: list[Row]) -> None:
         """Take what was answered in one tick."""
-        rows = [row for row in rows if not row.new or row.head not in self.odd]
+        rows = [row for row in rows if not row.new or row.head not in self.outliers]
         usual = self._what_is_usual(rows)
         strata: dict[tuple[str, str], list[Row]] = {}
         for row in rows:
@@ -81,44 +81,44 @@
                 for new, arm in arms.items():
                     whole[new].add(arm)
             self._all(measure, whole)
-        for cell in self.cells.values():
-            cell.tick()
+        for cell in self.comparisons.values():
+            cell.end_tick()
 
-    def _what_is_usual(self, rows: list[Row]) -> Usual:
+    def _what_is_usual(self, rows: list[Row]) -> ExpectedRates:
         more = self.plan.bounds.more
-        if self.before:
-            self._usual = self._usual or Usual(self.before, more, self.odd)
+        if self.baseline:
+            self._usual = self._usual or ExpectedRates(self.baseline, more, self.outliers)
             return self._usual
         for row in rows:
             if not row.new:
                 self._seen.setdefault((row.head, row.class_name), Tally()).add(row.tally)
         if self._usual is None or self._ticks % ANEW == 0:
-            self._usual = Usual(self._seen, more)
+            self._usual = ExpectedRates(self._seen, more)
         self._ticks += 1
         return self._usual
 
-    def _stratum(self, usual: Usual, measure: Measure, class_name: str, zone: str,
+    def _stratum(self, usual: ExpectedRates, measure: Measure, class_name: str, zone: str,
                  rows: list[Row]) -> dict[bool, Arm]:  # fmt: skip
         arms = {True: Arm(), False: Arm()}
-        cells = [self.cells.setdefault(key, Cell())
+        cells = [self.comparisons.setdefault(key, Comparison())
                  for key in ((measure, class_name, ""), (measure, "", zone))]  # fmt: skip
         for row in rows:
-            rate, n = usual.rate(measure, class_name, row.head), counted(measure, row.tally)
-            bad = badly(measure, row.tally, usual.slow(class_name))
-            arms[row.new].add(Arm(n, bad, n * rate.part))
+            rate, n = usual.rate(measure, class_name, row.head), count_answers(measure, row.tally)
+            bad = count_bad(measure, row.tally, usual.slow_from(class_name))
+            arms[row.new].add(Arm(n, bad, n * rate.fraction))
             for cell in cells:
-                cell.heads(row.head, row.new, bad, n * rate.part, rate.doubt)
+                cell.add_head(row.head, row.new, bad, n * rate.fraction, rate.relative_variance)
         for cell in cells:
-            cell.compare(arms[True], arms[False], self.plan.bounds.times, self.plan.bounds.more)
+            cell.add_tick(arms[True], arms[False], self.plan.bounds.times, self.plan.bounds.more)
         return arms
 
     def _all(self, measure: Measure, arms: Mapping[bool, Arm]) -> None:
         """Follow whether the old heads, or if there are none all, are worse than before."""
         of = arms[False] if arms[False].n else arms[True]
-        if not self.before or not of.n:
+        if not self.baseline or not of.n:
             return
         worse = self.plan.bounds.times * of.expected + self.plan.bounds.more * of.n
-        gained = of.badly * math.log(worse / of.expected) - (worse - of.expected)
+        gained = of.bad * math.log(worse / of.expected) - (worse - of.expected)
         sum_, expected = self._fleet.get(measure, (0.0, 0.0))
         self._fleet[measure] = (sum_ + gained, expected + of.expected) if sum_ + gained > 0 else (0.0, 0.0)
 
@@ -126,67 +126,67 @@
         """Whether the fleet is worse than before, as surely as it is known how it went before."""
         sum_, expected = self._fleet.get(measure, (0.0, 0.0))
         known = sum(
-            badly(measure, one, self._usual.slow(name)) if self._usual else 0
-            for (_, name), one in self.before.items()
+            count_bad(measure, one, self._usual.slow_from(name)) if self._usual else 0
+            for (_, name), one in self.baseline.items()
         )
         return sum_ / self._clumps(measure) / (1 + expected / (1 + known)) >= TROUBLE
 
     def _clumps(self, measure: Measure) -> float:
         """Return how many times more than chance old heads scatter in time, over all classes."""
-        both = [cell.scatter for (of, name, _), cell in self.cells.items() if of is measure and name]
+        both = [cell.scatter for (of, name, _), cell in self.comparisons.items() if of is measure and name]
         freedom = sum(freedom for _, freedom in both)
         return max(1.0, sum(scatter for scatter, _ in both) / freedom) if freedom else 1.0
 
-    def finding(self, at: int, alone: bool = False) -> Finding:
+    def evaluate(self, at: int, alone: bool = False) -> Finding:
         """Say what the evidence comes to in a stage (from 0); `alone`: no head of the old version is left."""
         bounds, least = self.plan.bounds, self.plan.stages[at].least
         early = any(stage.least for stage in self.plan.stages[at + 1 :])
-        tests = max(1, len(self.cells)) * len(self.plan.stages)
+        tests = max(1, len(self.comparisons)) * len(self.plan.stages)
         stops = math.log(tests / bounds.wrongly)
         passes = math.log((bounds.early if early else bounds.missed) / 2)
         clumps = {measure: self._clumps(measure) for measure in self.plan.measures}
-        weights = {key: cell.weights(clumps[key[0]]) for key, cell in self.cells.items()}
+        weights = {key: cell.log_ratios(clumps[key[0]]) for key, cell in self.comparisons.items()}
         for key in sorted(weights, key=lambda key: -weights[key][0]):
             if weights[key][0] < stops:
                 break
-            if self.cells[key].matters(bounds.times, bounds.more):
-                return Finding(Verdict.WORSE, _told(key, self.cells[key]))
+            if self.comparisons[key].is_material(bounds.times, bounds.more):
+                return Finding(Verdict.WORSE, _told(key, self.comparisons[key]))
         for measure in self.plan.measures:
             if self._troubles(measure):
                 who = "all heads" if alone else "the other heads"
-                return Finding(Verdict.TROUBLE, f"{measure.value}: {who} are worse than before")
+                return Finding(Verdict.FLEET_WORSE, f"{measure.value}: {who} are worse than before")
         if not least:
             return Finding(Verdict.NOT_WORSE, "nothing is waited for")
-        first = [cell for key, cell in self.cells.items() if key[1] and key[0] is self.plan.measures[0]]
+        first = [cell for key, cell in self.comparisons.items() if key[1] and key[0] is self.plan.measures[0]]
         whole = sum(cell.new.n + cell.old.n for cell in first)
-        for key, cell in self.cells.items():
+        for key, cell in self.comparisons.items():
             busy = cell.new.n + cell.old.n >= BUSY * whole
             if key[1] and busy and cell.new.n < least and key[0] is not Measure.SLOW:
                 return Finding(Verdict.NOT_YET, f"{cell.new.n} of {least} answers of class {key[1]}")
             if cell.new.n >= least and weights[key][1] > passes:
                 return Finding(Verdict.NOT_YET, _told(key, cell))
         if not any(cell.new.n for cell in first):
-            odd = "; ".join(f"{head} is not believed, {why}" for head, why in sorted(self.odd.items()))
+            odd = "; ".join(f"{head} is not believed, {why}" for head, why in sorted(self.outliers.items()))
             return Finding(Verdict.NOT_YET, f"no answers yet{odd and ': ' + odd}")
         return Finding(Verdict.NOT_WORSE, f"{sum(cell.new.n for cell in first)} answers")
 
 
-def _told(key: Key, cell: Cell) -> str:
+def _told(key: Key, cell: Comparison) -> str:
     measure, class_name, zone = key
     where = f"class {class_name}" if class_name else f"zone {zone or '-'}"
     new, old = cell.new, cell.old
     return (
-        f"{measure.value} in {where}: {new.badly} of {new.n}, {old.badly} of {old.n} elsewhere; "
+        f"{measure.value} in {where}: {new.bad} of {new.n}, {old.bad} of {old.n} elsewhere; "
         f"{new.expected:.1f} and {old.expected:.1f} expected"
     )
 
 
-def outgrown(evidence: Evidence, plan: Plan) -> str:
+def excess_usage(evidence: Evidence, plan: Plan) -> str:
     """Return in what heads use more than they may, against themselves before and the others now; or ""."""
     for what, limit, of in (
         ("memory", plan.bounds.memory, _memory), ("processor", plan.bounds.processor, _processor),
     ):  # fmt: skip
-        mine, others = (_grew(evidence.usages(new), of) for new in (True, False))
+        mine, others = (_grew(evidence.usage_pairs(new), of) for new in (True, False))
         if limit and mine is not None and mine > limit * (others if others is not None else 1.0):
             return f"{what}: {mine:.2f} times what it was, {others or 1.0:.2f} times elsewhere"
     return ""
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -13,12 +13,12 @@
 from harriertrack.decisions.epochs import Epochs
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.decisions.fleet.changes.record import Kind, Version
-from harriertrack.decisions.fleet.closing.calendars import CLOSES, is_closes
+from harriertrack.decisions.fleet.closing.calendars import CLOSES_SUFFIX, is_close_schedule
 from harriertrack.decisions.fleet.closing.clocks import ClockRules, Exchange, FleetClock, Interval
 from harriertrack.decisions.fleet.closing.fences import Fence, Fences
 from harriertrack.decisions.fleet.closing.schedule import Close, Purge
-from harriertrack.decisions.fleet.closing.time_estimate import Timekeeper
-from harriertrack.decisions.fleet.closing.trims import Left, TrimRules, Trims
+from harriertrack.decisions.fleet.closing.time_estimate import TimeEstimator
+from harriertrack.decisions.fleet.closing.trims import TrimQueue, TrimRules, TrimTarget
 from harriertrack.decisions.splitting import Kind as DataKind
 from harriertrack.gateway.fleet.changes.carrier import Changes
 from harriertrack.gateway.fleet.closing.guard import Guard
@@ -72,7 +72,7 @@
         self._told = 0  # asks: each tells of other calendars and sweeps, if there are many
         writes = (one.deadline_us for one in parts.settings.classes if DataKind.WRITE in one.kinds)
         self._settle_us = max(writes, default=0)
-        self._trims = Trims(figures(TrimRules, settings), hub.now())
+        self._trims = TrimQueue(figures(TrimRules, settings), hub.now())
         self._trimming = Trimming(parts, self._trims, places, self._there, self._settle_us)
         self._trimming.begins, self._trimming.emptied = self._begins_trim, self._emptied
         self._sweeps = Sweeps(hub, self.fences, self._trims, parts.settings, swim.me.name, self._settle_us,
@@ -89,7 +89,7 @@
             self._guard.reading, lambda: sorted(swim.view.present), parts.note,
         )  # fmt: skip
         self._keeping = Keeping(
-            around, lambda: Timekeeper(rules, KEPT_ASKS * settings.ask_us, hub.now()),
+            around, lambda: TimeEstimator(rules, KEPT_ASKS * settings.ask_us, hub.now()),
             reader_of(self._latest, self._bad), settings.notice_us,
         )  # fmt: skip
 
@@ -118,9 +118,9 @@
 
     def take(self, thing: str, version: Version | None) -> str:
         """Take a version of a calendar's closes; calendars themselves are for who decides."""
-        if not is_closes(thing) or version is None:
+        if not is_close_schedule(thing) or version is None:
             return ""
-        calendar = thing.removesuffix(CLOSES)
+        calendar = thing.removesuffix(CLOSES_SUFFIX)
         try:
             schedule = schedule_from(version.body)
         except BadCloses as error:
@@ -128,7 +128,7 @@
         purges = {purge for close in schedule.closes for purge in close.purges}
         if bad := next((why for purge in sorted(purges, key=str) if (why := self._bad(purge))), ""):
             return bad
-        if why := self.fences.fence(calendar).follow(schedule):
+        if why := self.fences.fence(calendar).set_schedule(schedule):
             return why
         self._bodies[calendar] = version.body
         self._sweeps.follow(self.fences.fence(calendar))
@@ -161,18 +161,18 @@
 
     def _ask(self, now: int) -> None:
         settings = self._settings
-        soon = bool(self._sweeps.going()) or self.clock.ahead(now) is None
+        soon = bool(self._sweeps.going()) or self.clock.offset(now) is None
         self._ask_at = now + (settings.notice_us // 10 if soon else settings.ask_us)
         self._deciding.report(TOPIC, encode(self._tells(now)))
 
     def _tells(self, now: int) -> Ask:
         epoch, apart = self._apart or (0, Interval(0, 0))
         done = [
-            Done(fence.calendar, fence.done, self._extents.get(fence.calendar, 0), len(self._trims))
+            Done(fence.calendar, fence.last_purged, self._extents.get(fence.calendar, 0), len(self._trims))
             for fence in self.fences.fences.values()
         ]  # fmt: skip
         sweeps = [
-            Sweeping(sweep.key.calendar, sweep.key.number, sweep.key.volume, sweep.done)
+            Sweeping(sweep.key.calendar, sweep.key.number, sweep.key.volume, sweep.done_slices)
             for sweep in self._sweeps.going()
         ]
         self._told += 1
@@ -196,7 +196,7 @@
             return
         mine = next((one for one in ruling.answers if one.head == self._swim.me.name), None)
         if mine is not None:
-            apart = Exchange(mine.at, mine.heard, ruling.now, now).ahead()
+            apart = Exchange(mine.at, mine.heard, ruling.now, now).offset()
             if apart is not None:
                 self._apart = term.epoch, apart
                 if ruling.truth is not None:
@@ -204,8 +204,8 @@
         self._heard_closes(ruling.said, ruling.digest)
 
     def _heard_time(self, now: int, ahead: Interval) -> None:
-        self.clock.heard(now, ahead)
-        wrong = not self._claim().meets(ahead)
+        self.clock.update(now, ahead)
+        wrong = not self._claim().overlaps(ahead)
         if wrong != self._wrong:
             self._wrong = wrong
             off = (ahead.low + ahead.high) // 2 - (self._wall() - now)
@@ -213,7 +213,7 @@
 
     def _heard_closes(self, said: int, digest: int) -> None:
         if said and digest == digest_of(self._bodies):
-            self.fences.confirmed(said + self._settings.notice_us)
+            self.fences.confirm_until(said + self._settings.notice_us)
 
     # -- closes
 
@@ -224,13 +224,13 @@
             if not self._keeping.decides and now >= self._ask_at:
                 self._ask(now)
             reading = self._guard.reading()
-            if self.fences.blind(reading) != blind:
+            if self.fences.is_blind(reading) != blind:
                 blind = not blind
                 self._parts.note("closes: blind" if blind else "closes: known")
             wait = LOOK_US
             if reading is not None:
                 self._step_over(reading)
-                if (at := self.fences.next_at(reading)) is not None:
+                if (at := self.fences.us_until_change(reading)) is not None:
                     wait = max(LEAST_US, min(wait, at))
             self._hub.sleep(wait)
 
@@ -247,12 +247,12 @@
 
     def _step_over(self, reading: Interval) -> None:
         for fence in self.fences.fences.values():
-            for close in fence.due(reading, self.fences.sure_until):
+            for close in fence.closes_to_purge(reading, self.fences.confirmed_until):
                 self._close(fence, close)
 
     def _covers(self, close: Close, volume: str, offset: int, length: int) -> bool:
         touched = any(one.overlaps(volume, offset, length) for one in close.purges)
-        return touched and self.fences.guards(volume)
+        return touched and self.fences.may_purge(volume)
 
     def _close(self, fence: Fence, close: Close) -> None:
         """Step over a close: on disk first, then everything that is held in memory follows."""
@@ -262,13 +262,13 @@
             fence.calendar, close.number, close.at_us,
             lambda volume, extent: self._covers(close, volume, extent * size, size),
         )  # fmt: skip
-        fence.purged(close.number)
+        fence.mark_purged(close.number)
         core.keep_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})
         self._sweeps.follow(fence)
         self._raise_epochs()
         if self._regional is not None:
             self._regional.closed(lambda *place: self._covers(close, *place))
-        mine = [Left(*left) for left in lefts if left[0] in core.volumes]
+        mine = [TrimTarget(*left) for left in lefts if left[0] in core.volumes]
         least = {left: self._guard.quiet_at(left.volume, left.extent) for left in mine}
         self._trims.add(now, mine, self._place(), least)
         self._guard.forget_quiet()
@@ -278,14 +278,14 @@
         if not len(self._trims):
             self._emptied()
 
-    def _begins_trim(self, left: Left) -> Callable[[], None]:
+    def _begins_trim(self, left: TrimTarget) -> Callable[[], None]:
         """A trim begins; what is returned is called when it is done."""
         core, closing = self._parts.core, self._places.closing
         sweeps = [sweep for sweep in self._sweeps.going() if sweep.key.volume == left.volume]
 
         def trimmed() -> None:
             for sweep in sweeps:
-                sweep.trimmed(left.extent)
+                sweep.mark_trimmed(left.extent)
             if left.volume not in self._several:
                 self._places.trimmed(left.volume, left.extent, left.shard)
                 if not any(extent == left.extent for extent, _ in closing.lefts[left.volume]):
@@ -299,18 +299,22 @@
         Of a volume of several heads work after its sweep is of a later epoch than the sweep.
         """
         for volume in self._parts.core.volumes:
-            for fence in self.fences.fences.values() if self.fences.guards(volume) else ():
+            for fence in self.fences.fences.values() if self.fences.may_purge(volume) else ():
                 for close in fence.schedule.closes:
-                    if close.number > fence.done or not any(one.names(volume) for one in close.purges):
+                    if close.number > fence.last_purged or not any(
+                        one.matches(volume) for one in close.purges
+                    ):
                         continue
-                    swept = volume in self._several and close.number <= fence.schedule.swept_of(volume)
+                    swept = volume in self._several and close.number <= fence.schedule.last_swept(volume)
                     if self._epochs.closed(volume, close.at_us + swept):
                         self._places.raise_to(volume, close.at_us + swept)
 
     def _emptied(self) -> None:
         progress = self._trims.progress
-        self._parts.note("closed", trimmed=progress.done, asked=progress.asked, tries_lost=progress.failed,
-                         closes={one.calendar: one.done for one in self.fences.fences.values()})  # fmt: skip
+        self._parts.note(
+            "closed", trimmed=progress.done, asked=progress.requested, tries_lost=progress.failed,
+            closes={one.calendar: one.last_purged for one in self.fences.fences.values()},
+        )  # fmt: skip
 
     def document(self, _now: int) -> ClosingTold:
         """Return what this head tells operators."""
@@ -320,7 +324,7 @@
             for fence in self.fences.fences.values()
         ]
         return ClosingTold(
-            self._keeping.decides, self.fences.blind(reading),
+            self._keeping.decides, self.fences.is_blind(reading),
             (reading.low, reading.high) if reading else None, self._wrong, len(self._trims),
             self._guard.refused, told,
         )  # fmt: skip
--- a/harriertrack/gateway/fleet/closing/guard.py
+++ b/harriertrack/gateway/fleet/closing/guard.py
@@ -7,7 +7,7 @@
 from harriertrack.decisions.epochs import Epochs
 from harriertrack.decisions.fleet.closing.clocks import FleetClock, Interval
 from harriertrack.decisions.fleet.closing.fences import Fences
-from harriertrack.decisions.fleet.closing.trims import Trims
+from harriertrack.decisions.fleet.closing.trims import TrimQueue
 from harriertrack.decisions.requests import ClientRequest
 from harriertrack.decisions.splitting import Kind
 from harriertrack.runtime.hub import Hub
@@ -19,7 +19,7 @@
 class Guard:
     """One head's."""
 
-    def __init__(self, hub: Hub, wall: Callable[[], int], clock: FleetClock, fences: Fences, trims: Trims,
+    def __init__(self, hub: Hub, wall: Callable[[], int], clock: FleetClock, fences: Fences, trims: TrimQueue,
                  places: ExtentMap, epochs: Epochs, extent_bytes: int, settle_us: int) -> None:  # fmt: skip
         self._hub, self._wall, self._clock = hub, wall, clock
         self._fences, self._trims, self._places = fences, trims, places
@@ -30,15 +30,15 @@
     def reading(self) -> Interval | None:
         """Return between which instants it is now; None: nobody knows, as when the machine has slept."""
         now = self._hub.now()
-        self._clock.looked(now, self._wall())
+        self._clock.check_jump(now, self._wall())
         return self._clock.reading(now)
 
     def refuses(self, request: ClientRequest) -> int | None:
         """Return the hint with which a request is refused now; None: it passes."""
         volume = request.volume.settings.name
-        if request.kind is Kind.FLUSH or request.at_shard >= 0 or not self._fences.guards(volume):
+        if request.kind is Kind.FLUSH or request.at_shard >= 0 or not self._fences.may_purge(volume):
             return None
-        hint = self._fences.refuses(self.reading(), volume, request.offset, request.length)
+        hint = self._fences.refusal_hint_us(self.reading(), volume, request.offset, request.length)
         if hint is None and request.moving and request.kind is Kind.WRITE:
             extent = request.offset // self._extent_bytes  # a move is of one extent
             if any(at == extent for at, _ in self._places.closing.lefts.get(volume, ())):
@@ -52,22 +52,22 @@
 
     def admits(self, volume: str, theirs: int) -> bool:
         """Whether a copy by a holder that has this generation may be stored here now."""
-        return self._fences.admits(self.reading(), volume, self.generation(volume), theirs)
+        return self._fences.accepts_generation(self.reading(), volume, self.generation(volume), theirs)
 
     def unsettled_us(self, volume: str) -> int:
         """Return for how long the other region's head may stand on another side of a volume's close."""
-        if not self._fences.guards(volume):
+        if not self._fences.may_purge(volume):
             return 0
         return self._fences.unsettled_us(self.reading(), volume, 2 * self._clock.rules.error_us)
 
     def placing(self, volume: str, extent: int, shard: int) -> None:
         """A first write to an extent is about to be sent to a shard: on disk, should this head be killed."""
-        if self._fences.guards(volume):
+        if self._fences.may_purge(volume):
             self._places.doubt(volume, extent, shard)
 
     def may_run(self, volume: str, extent: int) -> None:
         """What was sent for an extent may still run at its node."""
-        if self._fences.guards(volume):
+        if self._fences.may_purge(volume):
             self._risky[volume, extent] = self._hub.now() + self._settle_us
 
     def quiet_at(self, volume: str, extent: int) -> int:
@@ -81,4 +81,4 @@
 
     def awaited(self, volume: str, extent: int) -> None:
         """Somebody waits until an extent is trimmed."""
-        self._trims.wanted(self._hub.now(), volume, extent)
+        self._trims.prioritize(self._hub.now(), volume, extent)
--- a/harriertrack/gateway/fleet/closing/keeping.py
+++ b/harriertrack/gateway/fleet/closing/keeping.py
@@ -13,10 +13,16 @@
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.writing import Outdated, Refused
-from harriertrack.decisions.fleet.closing.calendars import CLOSES, Reader, arranged, calendars, schedule_of
+from harriertrack.decisions.fleet.closing.calendars import (
+    CLOSES_SUFFIX,
+    CalendarCodec,
+    calendar_names,
+    recorded_schedule,
+    update_calendars,
+)
 from harriertrack.decisions.fleet.closing.clocks import Interval
-from harriertrack.decisions.fleet.closing.sweeps import SweepKey, Swept
-from harriertrack.decisions.fleet.closing.time_estimate import Asked, Timekeeper
+from harriertrack.decisions.fleet.closing.sweeps import SweepKey, SweepProgress
+from harriertrack.decisions.fleet.closing.time_estimate import ClockQuery, TimeEstimator
 from harriertrack.gateway.fleet.closing.messages import (
     ANSWERS_BYTES,
     Answer,
@@ -66,7 +72,7 @@
 class Keeping:
     """One head's, for as long as it decides."""
 
-    def __init__(self, around: Surroundings, keeper: Callable[[], Timekeeper], reader: Reader,
+    def __init__(self, around: Surroundings, keeper: Callable[[], TimeEstimator], reader: CalendarCodec,
                  notice_us: int) -> None:  # fmt: skip
         self._around, self._new_keeper, self._reader = around, keeper, reader
         self._notice_us = notice_us
@@ -76,7 +82,7 @@
         self._said_at = self._again_at = 0
         self._seen = 0  # the highest revision that the record was looked at
         self._wrong: list[str] = []
-        self._swept = Swept()
+        self._swept = SweepProgress()
         self._done: dict[str, dict[str, Done]] = {}  # head: calendar: how far it is
         self._closed: dict[str, int] = {}  # the last close of each calendar that left nothing anywhere
 
@@ -94,13 +100,13 @@
         """Another head asks."""
         if self._term is not None:
             apart = Interval(*ask.apart) if ask.epoch == self._term.epoch else None
-            self._keeper.asked(now, head, Asked(ask.at, ask.wall_ahead, apart))
+            self._keeper.add_query(now, head, ClockQuery(ask.at, ask.wall_ahead, apart))
             self.told(head, ask)
 
     def told(self, head: str, ask: Ask) -> None:
         """A head, or this one, says how far it is."""
         for one in ask.sweeps:
-            self._swept.heard(SweepKey(one.calendar, one.number, one.volume), one.done)
+            self._swept.record_done(SweepKey(one.calendar, one.number, one.volume), one.done)
         known = self._done.setdefault(head, {})
         for done in ask.done:
             known[done.calendar] = done
@@ -128,9 +134,9 @@
             return None
         if term != self._term and (now < self._again_at or not self._begin(term, revision)):
             return None
-        truth = self._keeper.truth(now, around.claim(), len(around.names()))
-        if self._keeper.wrong != self._wrong:
-            self._wrong = self._keeper.wrong
+        truth = self._keeper.estimate(now, around.claim(), len(around.names()))
+        if self._keeper.faulty != self._wrong:
+            self._wrong = self._keeper.faulty
             around.note("closing clocks wrong", heads=self._wrong)
         known = Interval(now + truth.low, now + truth.high) if truth is not None else None
         if known is not None and not self._arrange(term, known, revision):
@@ -142,8 +148,8 @@
 
     def _digest(self) -> int:
         return digest_of({
-            calendar: holds.body for calendar in calendars(self._record)
-            if (holds := self._record.in_force(calendar + CLOSES)) is not None
+            calendar: holds.body for calendar in calendar_names(self._record)
+            if (holds := self._record.in_force(calendar + CLOSES_SUFFIX)) is not None
         })  # fmt: skip
 
     def _begin(self, term: Term, revision: int) -> bool:
@@ -167,15 +173,15 @@
             self._around.note("closing record not known", why=str(error) or type(error).__name__)
             return False
         self._term, self._keeper = term, self._new_keeper()
-        self._swept, self._done = Swept(), {}
+        self._swept, self._done = SweepProgress(), {}
         return True
 
     def _arrange(self, term: Term, reading: Interval, revision: int) -> bool:
         """Take calendars up and keep closes ahead; return whether the record is known afterwards."""
         newer = revision > max(self._record.revision, self._seen)
-        swept = self._swept.whole()
-        if not newer and arranged(self._record, term.epoch, reading.high, self._notice_us, self._reader,
-                                  swept) is self._record:  # fmt: skip
+        swept = self._swept.completed()
+        if not newer and update_calendars(self._record, term.epoch, reading.high, self._notice_us,
+                                          self._reader, swept) is self._record:  # fmt: skip
             for key in swept:
                 self._swept.forget(key)  # on record
             return True
@@ -186,7 +192,7 @@
                 raise Refused(f"the witness lost revision {self._record.revision}")
             self._record = record
             latest = self._around.reading()
-            after = arranged(record, term.epoch, max(reading.high, latest.high if latest else 0),
+            after = update_calendars(record, term.epoch, max(reading.high, latest.high if latest else 0),
                              self._notice_us, self._reader, swept)  # fmt: skip
             if after is record:
                 raise _Nothing("nothing to write")
@@ -200,16 +206,16 @@
             self._around.note("closes not written", why=str(error) or type(error).__name__)
             self._term = None
             return False
-        for calendar in calendars(self._record):
-            if (holds := self._record.in_force(calendar + CLOSES)) is not None:
-                closes = schedule_of(self._record, calendar, self._reader).ahead(reading.high)
+        for calendar in calendar_names(self._record):
+            if (holds := self._record.in_force(calendar + CLOSES_SUFFIX)) is not None:
+                closes = recorded_schedule(self._record, calendar, self._reader).closes_after(reading.high)
                 self._around.note("closes on record", calendar=calendar, version=holds.number,
                                   next=closes[0].name if closes else "none")  # fmt: skip
         return True
 
     def _say(self, term: Term, truth: Interval | None, digest: int) -> None:
         around, now = self._around, self._around.hub.now()
-        echoes = self._keeper.echoes(ANSWERS_BYTES)
+        echoes = self._keeper.take_echoes(ANSWERS_BYTES)
         if not echoes and now < self._said_at + SAY_US:
             return
         self._said_at = now
@@ -218,8 +224,8 @@
             if around.keeps(now) != term:
                 return
             said = now + truth.low if truth is not None else 0
-            answers = [Answer(one.head, one.at, one.heard) for one in echoes]
+            answers = [Answer(one.head, one.sent_at, one.received_at) for one in echoes]
             bounds = (truth.low, truth.high) if truth is not None else None
             around.say(encode(Ruling(said, digest, bounds, now, answers, self._wrong[:MOST_WRONG])))
-            if not (echoes := self._keeper.echoes(ANSWERS_BYTES)):
+            if not (echoes := self._keeper.take_echoes(ANSWERS_BYTES)):
                 return
--- a/harriertrack/gateway/fleet/closing/reading.py
+++ b/harriertrack/gateway/fleet/closing/reading.py
@@ -10,7 +10,7 @@
 
 from harriertrack.config.closing import parse, plan_of, zones_version
 from harriertrack.config.sexp import SettingsError
-from harriertrack.decisions.fleet.closing.calendars import BadCalendar, Reader
+from harriertrack.decisions.fleet.closing.calendars import CalendarCodec, InvalidCalendar
 from harriertrack.decisions.fleet.closing.schedule import Plan, Purge, Schedule
 
 BACK_US = 2 * 86_400_000_000  # closes missed for longer are not made up for
@@ -45,17 +45,17 @@
     return plan_of(parse(body, "calendar"), version, since, until)
 
 
-def reader_of(latest: Callable[[], int], check: Callable[[Purge], str]) -> Reader:
+def reader_of(latest: Callable[[], int], check: Callable[[Purge], str]) -> CalendarCodec:
     """Return how bodies are read at an instant; `check` says why a purge can't be ("": it can)."""
 
     def purges(body: str) -> tuple[Purge, ...]:
         try:
             given = parse(body, "calendar")
         except SettingsError as error:
-            raise BadCalendar(str(error)) from error
+            raise InvalidCalendar(str(error)) from error
         found = tuple(Purge(one.volume, one.start_bytes, one.end_bytes) for one in given.purges)
         if bad := next((why for one in found if (why := check(one))), ""):
-            raise BadCalendar(bad)
+            raise InvalidCalendar(bad)
         return found
 
     def plan(body: str, version: int, _before: Schedule) -> Plan:
@@ -63,6 +63,6 @@
         try:
             return _plan(body, version, zones_version(), now - BACK_US, now + AHEAD_US)
         except SettingsError as error:
-            raise BadCalendar(str(error)) from error
+            raise InvalidCalendar(str(error)) from error
 
-    return Reader(plan, purges, schedule_from, written)
+    return CalendarCodec(plan, purges, schedule_from, written)
--- a/harriertrack/gateway/fleet/closing/sweeping.py
+++ b/harriertrack/gateway/fleet/closing/sweeping.py
@@ -7,15 +7,15 @@
 from harriertrack.config.settings import HeadSettings
 from harriertrack.decisions.fleet.closing.fences import Fence, Fences
 from harriertrack.decisions.fleet.closing.sweeps import SLICES, Sweep, SweepKey
-from harriertrack.decisions.fleet.closing.trims import Left, Trims
+from harriertrack.decisions.fleet.closing.trims import TrimQueue, TrimTarget
 from harriertrack.runtime.hub import Hub
 
 
 class Sweeps:
     """All that go on at one head."""
 
-    def __init__(self, hub: Hub, fences: Fences, trims: Trims, settings: HeadSettings, head: str,
-                 settle_us: int, call_off: Callable[[list[Left]], None]) -> None:  # fmt: skip
+    def __init__(self, hub: Hub, fences: Fences, trims: TrimQueue, settings: HeadSettings, head: str,
+                 settle_us: int, call_off: Callable[[list[TrimTarget]], None]) -> None:  # fmt: skip
         self._hub, self._fences, self._trims = hub, fences, trims
         self._call_off = call_off
         self._size, self._head, self._settle_us = settings.extent_bytes, head, settle_us
@@ -29,10 +29,10 @@
     def follow(self, fence: Fence) -> None:
         """Begin the sweeps that a calendar's closes ask of this head, and end those that are on record."""
         for key in [key for key in self._sweeps if key.calendar == fence.calendar]:
-            if fence.schedule.swept_of(key.volume) >= key.number:
+            if fence.schedule.last_swept(key.volume) >= key.number:
                 self._end(key)
         for volume in self._volumes:
-            if self._fences.guards(volume) and (closes := fence.sweeping(volume)):
+            if self._fences.may_purge(volume) and (closes := fence.unswept_closes(volume)):
                 self._begin(fence, SweepKey(fence.calendar, closes[-1].number, volume))
 
     def _begin(self, fence: Fence, key: SweepKey) -> None:
@@ -43,19 +43,23 @@
             self._end(older)
         size, volume, now = self._size, self._volumes[key.volume], self._hub.now()
         extents = range(-(-volume.size_bytes // size))
-        sweep = Sweep.of(key, (one for one in extents if fence.sweeps(key.volume, one * size, size)))
+        sweep = Sweep.for_extents(
+            key, (one for one in extents if fence.needs_sweep(key.volume, one * size, size))
+        )
         self._sweeps[key] = sweep
-        for turn, number in enumerate(sweep.order(self._head)):
-            lefts = self._lefts(key.volume, sweep.left[number])
+        for turn, number in enumerate(sweep.slice_order(self._head)):
+            lefts = self._lefts(key.volume, sweep.remaining[number])
             # What any head sent before the close has run by then; nodes turn down what comes later.
             self._trims.add(now, lefts, turn / SLICES, dict.fromkeys(lefts, now + self._settle_us))
 
-    def _lefts(self, volume: str, extents: set[int]) -> list[Left]:
+    def _lefts(self, volume: str, extents: set[int]) -> list[TrimTarget]:
         shards = self._volumes[volume].shards
-        return [Left(volume, extent, shards[extent % len(shards)]) for extent in sorted(extents)]
+        return [TrimTarget(volume, extent, shards[extent % len(shards)]) for extent in sorted(extents)]
 
     def _end(self, key: SweepKey) -> None:
         sweep = self._sweeps.pop(key)
-        lefts = self._lefts(key.volume, {extent for extents in sweep.left.values() for extent in extents})
+        lefts = self._lefts(
+            key.volume, {extent for extents in sweep.remaining.values() for extent in extents}
+        )
         self._trims.drop(lefts)
         self._call_off(lefts)
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -16,11 +16,11 @@
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
 from harriertrack.decisions.fleet.changes.standing import IllegalStep
 from harriertrack.decisions.fleet.changes.writing import Refused, raise_level
-from harriertrack.decisions.fleet.rollout.answer_counts import Counting
-from harriertrack.decisions.fleet.rollout.baseline import Before, Remembering
-from harriertrack.decisions.fleet.rollout.controller import BadPlan, Conductor, Known
+from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
+from harriertrack.decisions.fleet.rollout.baseline import Baseline, BaselineRecorder
+from harriertrack.decisions.fleet.rollout.controller import HeadLocation, InvalidPlan, RolloutController
 from harriertrack.decisions.fleet.rollout.evidence import Report
-from harriertrack.decisions.fleet.rollout.feature_levels import next_level, too_old
+from harriertrack.decisions.fleet.rollout.feature_levels import level_conflict, next_level
 from harriertrack.decisions.fleet.rollout.plan import Plan
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.gateway.fleet.changes.carrier import LEVEL, Changes
@@ -61,25 +61,25 @@
     """This head's part."""
 
     def __init__(self, parts: HeadParts, settings: RolloutSettings, swim: Swim, deciding: Deciding,
-                 changes: Changes, counting: Counting, usage: Usage) -> None:  # fmt: skip
+                 changes: Changes, counting: AnswerCounter, usage: Usage) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._swim, self._deciding, self._changes = swim, deciding, changes
         self._counting, self._usage = counting, usage
         self.failing: Callable[[], Mapping[str, str]] = dict  # things that run and do not work, and why
         self._term: Term | None = None
-        self._conductor: Conductor | None = None
+        self._conductor: RolloutController | None = None
         self._heard: dict[str, Heard] = {}
         sums = sorted({crc32(one.name.encode()) for one in parts.settings.volumes})
         self._pages = list(encode_volumes(swim.me.instance, sums))
         self._page = 0
-        self._remembering = Remembering(parts.hub.now())
+        self._remembering = BaselineRecorder(parts.hub.now())
         self._remembered = Remembered(changes.kept, parts.note)
         deciding.on_report[TOPIC] = self._come
 
     def start(self) -> None:
         """Take part from now on; before `changes` does."""
         if (before := self._remembered.read(self._wall())) is not None:
-            self._remembering.again(self._hub.now(), before)
+            self._remembering.restore(self._hub.now(), before)
         self._changes.listeners.append(self._remember)
         self._parts.scope.spawn("rollout reports", self._tell)
         self._parts.scope.spawn("rollouts", self._run)
@@ -90,7 +90,7 @@
         while True:
             self._remember()
             self._deciding.report(TOPIC, encode_counts(self._report()))
-            if (before := self._remembering.told(self._hub.now())) is not None:
+            if (before := self._remembering.current(self._hub.now())) is not None:
                 self._deciding.report(TOPIC, encode_before(self._swim.me.instance, before))
             self._deciding.report(TOPIC, self._pages[self._page])
             self._page = (self._page + 1) % len(self._pages)
@@ -102,8 +102,10 @@
     def _remember(self) -> None:
         """Hold on to how it went before a version, when the first head is named."""
         now, (memory, processor_us) = self._hub.now(), self._usage()
-        new = self._remembering.look(now, self._changes.record, self._counting.classes, memory, processor_us)
-        if new and (before := self._remembering.told(now)) is not None:
+        new = self._remembering.update(
+            now, self._changes.record, self._counting.classes, memory, processor_us
+        )
+        if new and (before := self._remembering.current(now)) is not None:
             self._remembered.write(self._wall(), before)
 
     def _report(self) -> Report:
@@ -124,12 +126,12 @@
             report = heard.take(body)
         except MalformedReport:
             return  # that head is not heard
-        if isinstance(report, Before):
-            self._conductor.heard_before(now, head, report)
+        if isinstance(report, Baseline):
+            self._conductor.add_baseline(now, head, report)
         elif report is not None:
             row = self._swim.view.find(head)
             zone = row.record.zone if row is not None else ""
-            self._conductor.heard(now, report, heard.volumes, zone, asked(row))
+            self._conductor.add_report(now, report, heard.volumes, zone, asked(row))
 
     def _run(self) -> None:
         """Conduct what is under way, while this head decides (a task)."""
@@ -141,29 +143,29 @@
                 self._heard.clear()
                 continue
             if term != self._term or self._conductor is None:
-                self._term, self._conductor = term, Conductor(self._plan_of)
+                self._term, self._conductor = term, RolloutController(self._plan_of)
                 self._heard.clear()
             self._look(term, self._conductor)
 
-    def _look(self, term: Term, conductor: Conductor) -> None:
+    def _look(self, term: Term, conductor: RolloutController) -> None:
         record = self._changes.record
-        steps = conductor.look(self._hub.now(), record, self._known(), self._swim.me.name)
+        steps = conductor.next_steps(self._hub.now(), record, self._known(), self._swim.me.name)
         for step in steps:
             self._write(term, step)
         if record.things() and self._next_level(record, conductor) > record.level:
             self._change(lambda now: raise_level(now, term.epoch, self._next_level(now, conductor)))
 
-    def _next_level(self, record: Record, conductor: Conductor) -> int:
-        return next_level(record, conductor.understood(), [row.record.name for row in self._swim.view])
+    def _next_level(self, record: Record, conductor: RolloutController) -> int:
+        return next_level(record, conductor.feature_levels(), [row.record.name for row in self._swim.view])
 
     def _write(self, term: Term, step: Step) -> None:
         def make(record: Record) -> Record:
-            return step.write(record, term.epoch, self._wall() // 1000)
+            return step.apply(record, term.epoch, self._wall() // 1000)
 
         if self._deciding.keeps(self._hub.now()) != term:
             return
         # Said before: a head that dies between the two has written what nobody else would tell of.
-        self._parts.note("rollout", thing=step.before.thing, version=step.before.number,
+        self._parts.note("rollout", thing=step.version.thing, version=step.version.number,
                          standing=step.standing.value, stage=step.stage, heads=list(step.heads),
                          epoch=term.epoch, why=step.reason)  # fmt: skip
         self._change(make)
@@ -176,10 +178,10 @@
         except FAILURES:
             pass  # the next look finds out whether it was written
 
-    def _known(self) -> dict[str, Known]:
+    def _known(self) -> dict[str, HeadLocation]:
         now = self._hub.now()
         return {
-            row.record.name: Known(
+            row.record.name: HeadLocation(
                 row.record.zone, row.record.cell, row.record.region,
                 -1 if row.record.present else max(0, now - row.since),
             )
@@ -190,13 +192,13 @@
         try:
             plan = plan_of(version)
             if kind_of(version.thing) is Kind.PROGRAM:
-                old = too_old(self._changes.record, read_program(version).level or None)
+                old = level_conflict(self._changes.record, read_program(version).level or None)
                 if old:
-                    raise BadPlan(old)
+                    raise InvalidPlan(old)
         except SettingsError as error:
-            raise BadPlan(str(error)) from error
+            raise InvalidPlan(str(error)) from error
         return plan
 
     def document(self, _now: int) -> list[str] | None:
         """Return where rollouts stand, for operators; None unless this head decides."""
-        return self._conductor.told(self._changes.record) if self._conductor is not None else None
+        return self._conductor.status_lines(self._changes.record) if self._conductor is not None else None
--- a/harriertrack/gateway/fleet/rollout/launcher/files.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/files.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from harriertrack.decisions.fleet.rollout.launch_state import Kept, Program
+from harriertrack.decisions.fleet.rollout.launch_state import Program, SavedState
 
 T = TypeVar("T")
 STATE, WANTED, READY = "state", "wanted", "ready"
@@ -55,11 +55,11 @@
         except (OSError, msgspec.MsgspecError, UnicodeDecodeError):
             return None
 
-    def kept(self) -> Kept | None:
+    def kept(self) -> SavedState | None:
         """Return what an earlier life of the launcher kept; None if nothing is there that can be read."""
-        return self._read(STATE, Kept)
+        return self._read(STATE, SavedState)
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: SavedState) -> None:
         """Keep it; on disk when this returns. Raises OSError."""
         self._write(STATE, kept)
 
--- a/harriertrack/gateway/fleet/rollout/launcher/launcher.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/launcher.py
@@ -9,15 +9,15 @@
 
 from harriertrack.config.rollout import LaunchSettings
 from harriertrack.decisions.fleet.rollout.launch_state import (
-    Done,
-    End,
-    Keep,
-    Kept,
-    Launching,
+    Exit,
     LaunchRules,
+    LaunchStateMachine,
     Phase,
     Program,
+    Save,
+    SavedState,
     Start,
+    Terminate,
 )
 from harriertrack.gateway.fleet.figures import figures
 from harriertrack.gateway.fleet.rollout.launcher import child as children
@@ -87,10 +87,10 @@
     def folder(self) -> Path:
         """Return where."""
 
-    def kept(self) -> Kept | None:
+    def kept(self) -> SavedState | None:
         """Return what an earlier life of the launcher kept."""
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: SavedState) -> None:
         """Keep it."""
 
     def wanted(self) -> Program | None:
@@ -109,7 +109,7 @@
         self._files, self._processes = files or Files(settings.state), processes
         kept = self._files.kept()
         self._child: Process | None = processes.find(kept.child, kept.token) if kept is not None else None
-        self.machine = Launching(figures(LaunchRules, settings), kept or Kept())
+        self.machine = LaunchStateMachine(figures(LaunchRules, settings), kept or SavedState())
         self._done = False
 
     def run(self) -> None:
@@ -122,15 +122,15 @@
             now = self._hub.now()
             if self._child is not None and not self._child.alive:
                 how, self._child = self._child.how(), None
-                self._note("launch: head ended", how=how, version=machine.kept.runs,
+                self._note("launch: head ended", how=how, version=machine.saved.runs,
                            asked=machine.phase is Phase.DRAINING)  # fmt: skip
-                machine.ended(now, how)
-            elif machine.phase is Phase.STARTING and self._files.is_ready(machine.kept.token):
-                machine.ready(now)
-                self._note("launch: head serves", version=machine.kept.runs)
+                machine.child_ended(now, how)
+            elif machine.phase is Phase.STARTING and self._files.is_ready(machine.saved.token):
+                machine.child_ready(now)
+                self._note("launch: head serves", version=machine.saved.runs)
             if machine.phase is not Phase.IDLE and (wanted := self._files.wanted()) is not None:
-                machine.wanted(now, wanted)
-            machine.wake(now)
+                machine.request_program(now, wanted)
+            machine.advance(now)
             self._act()
 
     def stop(self) -> None:
@@ -142,18 +142,18 @@
         while actions := self.machine.take_actions():
             for action in actions:
                 match action:
-                    case Keep(kept):
+                    case Save(kept):
                         if kept.fell and kept.trial is None and kept.tries == 0 and not kept.child:
                             self._note("launch: version given up", version=kept.fell, why=kept.why)
                         self._files.keep(kept)
                     case Start(program, fell, why):
                         self._start(program, fell, why)
-                    case End(at_once):
-                        self._note("launch: head is to end", at_once=at_once, version=self.machine.kept.runs,
-                                   next=self.machine.kept.next.number)  # fmt: skip
+                    case Terminate(at_once):
+                        self._note("launch: head is to end", at_once=at_once, version=self.machine.saved.runs,
+                                   next=self.machine.saved.target.number)  # fmt: skip
                         if self._child is not None:
                             self._child.end(at_once)
-                    case Done():
+                    case Exit():
                         self._done = True
 
     def _start(self, program: Program, fell: int, why: str) -> None:
@@ -164,12 +164,12 @@
         }  # fmt: skip
         try:
             command = command_of(self._settings, program)
-            self.machine.starting(token)
+            self.machine.record_start(token)
             self._act()
             self._child = self._processes.start(command, environment)
         except (Unfit, OSError) as error:
             self._note("launch: version can't be started", version=program.number, why=str(error))
-            self.machine.unfit(now, program.number, str(error))
+            self.machine.reject_program(now, program.number, str(error))
             return
         self._note("launch: head starts", version=program.number, pid=self._child.pid)
-        self.machine.started(self._child.pid)
+        self.machine.record_child(self._child.pid)
--- a/harriertrack/gateway/fleet/rollout/remembered.py
+++ b/harriertrack/gateway/fleet/rollout/remembered.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from harriertrack.decisions.fleet.rollout.baseline import Before
+from harriertrack.decisions.fleet.rollout.baseline import Baseline
 from harriertrack.gateway.fleet.rollout.reports import MalformedReport, decode_before, encode_before
 from harriertrack.storage.changes import ChangesCache
 
@@ -21,7 +21,7 @@
     def __init__(self, kept: ChangesCache, note: Callable[..., None]) -> None:
         self._file, self._note = kept.beside(FILE), note
 
-    def write(self, wall: int, before: Before) -> None:
+    def write(self, wall: int, before: Baseline) -> None:
         """Keep it; `wall`: the clock of the day, in microseconds since 1970."""
         body = wall.to_bytes(8, "big") + encode_before(0, before)
         try:
@@ -29,7 +29,7 @@
         except OSError as error:
             self._note("rollout: before is not kept", why=str(error))
 
-    def read(self, wall: int) -> Before | None:
+    def read(self, wall: int) -> Baseline | None:
         """Return what was kept, as long ago as the clock of the day says; None if there is nothing of use."""
         try:
             data = self._file.read()
--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from harriertrack.decisions.fleet.rollout.answer_counts import BUCKETS, Tally
-from harriertrack.decisions.fleet.rollout.baseline import Before
+from harriertrack.decisions.fleet.rollout.answer_counts import LATENCY_BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.baseline import Baseline
 from harriertrack.decisions.fleet.rollout.evidence import Report, Usage
 from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY
 
 PAGE = 150  # checksums of volumes in one report
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Counts = Annotated[list[Number], msgspec.Meta(min_length=5, max_length=5 + BUCKETS)]
+Counts = Annotated[list[Number], msgspec.Meta(min_length=5, max_length=5 + LATENCY_BUCKETS)]
 Name = Annotated[str, msgspec.Meta(max_length=128)]
 
 
@@ -58,20 +58,20 @@
 
 
 def _flat(tally: Tally) -> list[int]:
-    took = list(tally.took)
+    took = list(tally.latency_counts)
     while took and not took[-1]:
         took.pop()
-    return [tally.timely, tally.late, tally.refused, tally.failed, tally.broken, *took]
+    return [tally.timely, tally.late, tally.refused, tally.failed, tally.past_deadline, *took]
 
 
 def encode_counts(report: Report) -> bytes:
     """Return a report of counts. Raises ValueError if it does not fit even without classes."""
     classes = sorted(report.classes.items(), key=lambda one: -one[1].answers)
-    fell = {thing: (number, why[:60]) for thing, (number, why) in report.fell.items()}
+    fell = {thing: (number, why[:60]) for thing, (number, why) in report.rejected.items()}
     while True:
         data = msgspec.msgpack.encode(
-            _Counted(report.life, report.level, report.memory, report.processor_us, dict(report.runs), fell,
-                     {name: _flat(tally) for name, tally in classes})
+            _Counted(report.incarnation, report.feature_level, report.memory, report.processor_us,
+                     dict(report.versions), fell, {name: _flat(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MOST_TOPIC_BODY:
             return data
@@ -80,7 +80,7 @@
         classes.pop()
 
 
-def encode_before(life: int, before: Before) -> bytes:
+def encode_before(life: int, before: Baseline) -> bytes:
     """Return a report of how it went before a version."""
     classes = sorted(before.classes.items(), key=lambda one: -one[1].answers)
     usage = before.usage
@@ -94,7 +94,7 @@
         classes.pop()
 
 
-def decode_before(data: bytes) -> Before:
+def decode_before(data: bytes) -> Baseline:
     """Read a report of how it went before. Raises MalformedReport."""
     read = _decoded(data)
     if not isinstance(read, _Before):
@@ -109,17 +109,17 @@
         raise MalformedReport(str(error)) from error
 
 
-def _before(read: _Before) -> Before:
+def _before(read: _Before) -> Baseline:
     classes = _tallies(read.classes)
     answers = sum(one.answers for one in classes.values())
     usage = Usage(read.memory, read.processor_us, answers, read.looks)
-    return Before(read.thing, read.number, read.ago_us, classes, usage)
+    return Baseline(read.thing, read.number, read.ago_us, classes, usage)
 
 
 def _tallies(classes: Mapping[str, list[int]]) -> dict[str, Tally]:
     return {
         name: Tally(flat[0], flat[1], flat[2], flat[3], flat[4],
-                    [*flat[5:], *[0] * (BUCKETS + 5 - len(flat))])
+                    [*flat[5:], *[0] * (LATENCY_BUCKETS + 5 - len(flat))])
         for name, flat in classes.items()
     }  # fmt: skip
 
@@ -139,7 +139,7 @@
         self._pages: dict[int, list[int]] = {}
         self._of = 0
 
-    def take(self, body: bytes) -> Report | Before | None:
+    def take(self, body: bytes) -> Report | Baseline | None:
         """Take a report; return the counts or what was before, if it has such. Raises MalformedReport."""
         read = _decoded(body)
         if read.life != self._life:
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from harriertrack.decisions.fleet.portions import Portions
-    from harriertrack.decisions.fleet.rollout.answer_counts import Counting
+    from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
     from harriertrack.decisions.fleet.zones.evidence import Evidence
     from harriertrack.gateway.fleet.carrier import Fleet
     from harriertrack.gateway.fleet.rollout.carrier import Usage
@@ -77,7 +77,7 @@
         self._stopping = Event(hub)
         self.ready = Event(hub)
         self.trace: Callable[[Attempt], None] | None = None  # hears of every send, for rigs that stamp them
-        self._counting: Counting | None = None  # of its answers, where versions come in stages
+        self._counting: AnswerCounter | None = None  # of its answers, where versions come in stages
         self.address = self.nvme_address = settings.listen
         self.core: Core
         self.reception: Reception
@@ -215,15 +215,15 @@
         if self.fleet is not None:
             self.fleet.wait_left()
 
-    def _counts(self) -> Counting | None:
+    def _counts(self) -> AnswerCounter | None:
         fleet = self.settings.fleet
         if fleet is None or fleet.changes is None or fleet.changes.rollout is None:
             return None
         from harriertrack.decisions.fleet.rollout.answer_counts import (
-            Counting,  # heads without do not load it
+            AnswerCounter,  # heads without do not load it
         )
 
-        return Counting({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
+        return AnswerCounter({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
 
     def _told(self, settings: HeadSettings) -> api.Settings:
         """Return what the decision module is told."""
@@ -328,7 +328,7 @@
         """Hand a final answer to whoever asked."""
         self.reception.ended(request)
         if self._counting is not None:
-            self._counting.answered(self.hub.now(), request)
+            self._counting.count_answer(self.hub.now(), request)
         request.token.answer(request)
 
     def subscribe(self, on: bool) -> None:
--- a/harriertrack/gateway/parts.py
+++ b/harriertrack/gateway/parts.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from harriertrack.decisions.fleet.portions import Portions
-    from harriertrack.decisions.fleet.rollout.answer_counts import Counting
+    from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,4 +32,4 @@
     name: str
     portions: Portions | None = None  # of what its fleet divides; None: it divides nothing
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
-    counting: Counting | None = None  # of its answers, for rollouts; None: nobody asks
+    counting: AnswerCounter | None = None  # of its answers, for rollouts; None: nobody asks
--- a/harriertrack/lab/fleet/launched.py
+++ b/harriertrack/lab/fleet/launched.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 from harriertrack.decisions.fleet.rollout.launch_state import (
-    End,
-    Keep,
-    Kept,
-    Launching,
     LaunchRules,
+    LaunchStateMachine,
     Phase,
     Program,
+    Save,
+    SavedState,
     Start,
+    Terminate,
 )
 from harriertrack.lab.fleet.rehearsal import Rehearsal, rehearsal_of
 from harriertrack.lab.rig import HeadSlot
@@ -52,10 +52,10 @@
 class SimulatedLauncher:
     """One head's; `disk` keeps what it writes down."""
 
-    def __init__(self, host: Host, slot: HeadSlot, rules: LaunchRules, disk: Kept,
-                 keep: Callable[[Kept], None]) -> None:  # fmt: skip
+    def __init__(self, host: Host, slot: HeadSlot, rules: LaunchRules, disk: SavedState,
+                 keep: Callable[[SavedState], None]) -> None:  # fmt: skip
         self._host, self._slot, self._keep = host, slot, keep
-        self._machine = Launching(rules, disk)
+        self._machine = LaunchStateMachine(rules, disk)
         self._wanted: Program | None = None
         self._serves = False
         self._crash_at = 0
@@ -63,12 +63,12 @@
     @property
     def number(self) -> int:
         """Return the version that runs."""
-        return self._machine.kept.runs
+        return self._machine.saved.runs
 
     @property
     def fell(self) -> tuple[int, str]:
         """Return the version that did not run when it was tried, and why."""
-        return self._machine.kept.fell, self._machine.kept.why
+        return self._machine.saved.fell, self._machine.saved.why
 
     def wanted(self, program: Program) -> None:
         """Let a version run in this one's place."""
@@ -86,13 +86,13 @@
                 self._crash_at = 0
                 self._host.crash(slot)
             if machine.phase is not Phase.IDLE and slot.task is not None and slot.task.done:
-                machine.ended(now, "it ended")
+                machine.child_ended(now, "it ended")
             elif machine.phase is Phase.STARTING and self._serves:
-                machine.ready(now)
-                self._tell(False, machine.kept.runs)
+                machine.child_ready(now)
+                self._tell(False, machine.saved.runs)
             if machine.phase is not Phase.IDLE and self._wanted is not None:
-                machine.wanted(now, self._wanted)
-            machine.wake(now)
+                machine.request_program(now, self._wanted)
+            machine.advance(now)
             self._act()
 
     def _tell(self, away: bool, version: int) -> None:
@@ -104,23 +104,23 @@
         while actions := self._machine.take_actions():
             for action in actions:
                 match action:
-                    case Keep(kept):
+                    case Save(kept):
                         self._keep(kept)
                     case Start(program):
                         self._start(program)
-                    case End(at_once):
+                    case Terminate(at_once):
                         self._crash_at = 0
                         if at_once:
                             self._host.crash(self._slot)
                         else:
-                            self._tell(True, self._machine.kept.next.number)
+                            self._tell(True, self._machine.saved.target.number)
                             self._host.lived(self._slot, "leaving")
                             self._host.end_child(self._slot)
 
     def _start(self, program: Program) -> None:
         bad, now = rehearsed(program), self._host.hub.now()
-        self._machine.starting(f"{now}")
-        self._machine.started(1)
+        self._machine.record_start(f"{now}")
+        self._machine.record_child(1)
         self._crash_at = now + bad.crash_us if bad.crash_us else 0
         self._serves = False
         self._host.start_child(self._slot, bad)
--- a/harriertrack/lab/fleet/rig/operating.py
+++ b/harriertrack/lab/fleet/rig/operating.py
@@ -8,7 +8,7 @@
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.standing import Standing
 from harriertrack.decisions.fleet.changes.writing import Refused, propose, wish
-from harriertrack.decisions.fleet.rollout.rollout import in_stages
+from harriertrack.decisions.fleet.rollout.rollout import is_staged
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.fleet.zones import set_wish
 from harriertrack.gateway.witness import FAILURES, WitnessClient
@@ -54,7 +54,7 @@
         rec.Proposed(t=rig.hub.now(), thing=thing, version=last.number, standing=last.standing.value)
     )
     staged = rig.fleet_day.changes is not None and rig.fleet_day.changes.rollout is not None
-    if step.name is Verb.PROPOSE and staged and in_stages(thing):
+    if step.name is Verb.PROPOSE and staged and is_staged(thing):
         rig.recorder.add(staging.facts_of(rig.hub.now(), last, rig.heads))
 
 
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from harriertrack.config.settings import FleetSeedSettings, FleetSettings
-from harriertrack.decisions.fleet.rollout.launch_state import Kept
+from harriertrack.decisions.fleet.rollout.launch_state import SavedState
 from harriertrack.gateway.head import Wiring
 from harriertrack.lab.fleet import regions
 from harriertrack.lab.fleet.later import LaterDatagrams
@@ -49,7 +49,7 @@
         self._bad: dict[str, Rehearsal] = {}  # what runs at heads whose version is worse
         self._launchers: dict[str, SimulatedLauncher] = {}
         self._launching: dict[str, Task] = {}
-        self._disks: dict[str, Kept] = {}  # what launchers keep
+        self._disks: dict[str, SavedState] = {}  # what launchers keep
         self._changes: dict[str, ChangesCache] = {}  # what each head keeps of the record of changes
         self._still_until: dict[str, int] = {}
 
@@ -133,7 +133,7 @@
             self.start_head(slot)
             return
         launcher = SimulatedLauncher(
-            self, slot, LAUNCH, self._disks.get(slot.name, Kept()),
+            self, slot, LAUNCH, self._disks.get(slot.name, SavedState()),
             lambda kept: self._disks.__setitem__(slot.name, kept),
         )  # fmt: skip
         self._launchers[slot.name] = launcher
--- a/harriertrack/lab/fleet/staged.py
+++ b/harriertrack/lab/fleet/staged.py
@@ -16,14 +16,16 @@
 from harriertrack.decisions.fleet.changes import writing
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
 from harriertrack.decisions.fleet.changes.standing import OVER, Standing
-from harriertrack.decisions.fleet.rollout.answer_counts import BUCKETS, Tally
-from harriertrack.decisions.fleet.rollout.baseline import Before, Remembering
-from harriertrack.decisions.fleet.rollout.controller import Conductor, Known
+from harriertrack.decisions.fleet.rollout.answer_counts import LATENCY_BUCKETS, Tally
+from harriertrack.decisions.fleet.rollout.baseline import Baseline, BaselineRecorder
+from harriertrack.decisions.fleet.rollout.controller import HeadLocation, RolloutController
 from harriertrack.decisions.fleet.rollout.evidence import Report
-from harriertrack.decisions.fleet.rollout.plan import USUAL as USUAL_PLAN, Plan
+from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN as USUAL_PLAN, Plan
 
 S = 1_000_000
-TOOK = np.array([0.02, 0.10, 0.40, 0.30, 0.10, 0.05, 0.03] + [0.0] * (BUCKETS - 7))  # of served requests
+TOOK = np.array(
+    [0.02, 0.10, 0.40, 0.30, 0.10, 0.05, 0.03] + [0.0] * (LATENCY_BUCKETS - 7)
+)  # of served requests
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +78,7 @@
     tells: bool = True  # how it went before; a head of an older program does not
     lies: float = 1.0  # times as often it went badly before, as it tells
     asleep: bool = False  # it does nothing
-    remembering: Remembering = field(default_factory=lambda: Remembering(0))
+    remembering: BaselineRecorder = field(default_factory=lambda: BaselineRecorder(0))
     record: Record = field(default_factory=Record)
 
     @property
@@ -86,14 +88,14 @@
 
     def restarted(self, now: int) -> None:
         """Begin another life, with what is kept on disk."""
-        kept = self.remembering.told(now)
-        self.life, self.classes, self.remembering = self.life + 1, {}, Remembering(now)
+        kept = self.remembering.current(now)
+        self.life, self.classes, self.remembering = self.life + 1, {}, BaselineRecorder(now)
         if kept is not None:
-            self.remembering.again(now, kept)
+            self.remembering.restore(now, kept)
 
-    def before(self, now: int) -> Before | None:
+    def before(self, now: int) -> Baseline | None:
         """Return what it tells of how it went before."""
-        told = self.remembering.told(now)
+        told = self.remembering.current(now)
         if told is None or not self.tells:
             return None
         return replace(told, classes={name: _lied(one, self.lies) for name, one in told.classes.items()})
@@ -102,7 +104,7 @@
 def _lied(tally: Tally, times: float) -> Tally:
     late, refused, failed = (round(times * one) for one in (tally.late, tally.refused, tally.failed))
     timely = max(0, tally.answers - late - refused - failed)
-    return Tally(timely, late, refused, failed, tally.broken, list(tally.took))
+    return Tally(timely, late, refused, failed, tally.past_deadline, list(tally.latency_counts))
 
 
 USUAL = {"read": Habit(0.6), "write": Habit(0.35), "list": Habit(0.05)}
@@ -131,7 +133,7 @@
             for number in range(heads)
         }  # fmt: skip
         self.decider = next(iter(self.heads))
-        self.conductor = Conductor(self.plan_of)
+        self.conductor = RolloutController(self.plan_of)
         self.history: list[tuple[int, Version]] = []
         self.harmed = 0.0  # requests that went badly for running a bad version, as expected
         self.most_new: dict[tuple[int, int], int] = {}  # by version's number and stage
@@ -154,7 +156,7 @@
         """Let another head decide, which knows the record alone."""
         others = [one.name for one in self.heads.values() if one.serves and one.name != self.decider]
         self.decider, self.epoch = name or others[0], self.epoch + 1
-        self.conductor = Conductor(self.plan_of)
+        self.conductor = RolloutController(self.plan_of)
 
     def run(self, seconds: int, each: Callable[[int], None] = lambda _second: None) -> None:
         """Let time pass; `each` is called with every second."""
@@ -195,21 +197,21 @@
                     classes[name] = Tally()
                     classes[name].add(tally)
                 report = Report(one.name, one.life, dict(one.runs), classes, 100 << 20, 0, dict(one.fell), 1)
-                self.conductor.heard(self.now, report, one.volumes, one.zone)
+                self.conductor.add_report(self.now, report, one.volumes, one.zone)
                 if (before := one.before(self.now)) is not None:
-                    self.conductor.heard_before(self.now, one.name, before)
+                    self.conductor.add_baseline(self.now, one.name, before)
             if heard or (one is decider):
                 one.gone_at = -1
             elif one.gone_at < 0:
                 one.gone_at = self.now
         known = {
-            one.name: Known(one.zone, gone_us=self.now - one.gone_at if one.gone_at >= 0 else -1)
+            one.name: HeadLocation(one.zone, absent_us=self.now - one.gone_at if one.gone_at >= 0 else -1)
             for one in self.heads.values()
         }
-        for step in self.conductor.look(self.now, self.record, known, self.decider):
+        for step in self.conductor.next_steps(self.now, self.record, known, self.decider):
             if not decider.cut:
-                self.record = step.write(self.record, self.epoch, self.now // 1000)
-                self.history.append((self.now, self.record.find(step.before.thing, step.before.number)))  # type: ignore[arg-type]
+                self.record = step.apply(self.record, self.epoch, self.now // 1000)
+                self.history.append((self.now, self.record.find(step.version.thing, step.version.number)))  # type: ignore[arg-type]
         self._watch()
 
     def _changes(self, one: StagedHead) -> None:
@@ -229,7 +231,7 @@
                 one.fell.pop(thing, None)
         if not one.cut:
             one.record = self.record
-        one.remembering.look(self.now, one.record, one.classes)
+        one.remembering.update(self.now, one.record, one.classes)
         for thing in {*one.record.things(), *one.runs}:
             wanted = one.record.wanted(thing, one.name)
             number = wanted.number if wanted is not None else 0
@@ -259,7 +261,7 @@
             tally = one.classes.setdefault(name, Tally())
             served = self.random.multinomial(late + timely, TOOK)
             took = [0] * mine.slower + [int(count) for count in served]
-            took = [*took[: BUCKETS - 1], sum(took[BUCKETS - 1 :])]
+            took = [*took[: LATENCY_BUCKETS - 1], sum(took[LATENCY_BUCKETS - 1 :])]
             tally.add(Tally(int(timely), int(late), int(refused), int(failed), 0, took))
 
     def _watch(self) -> None:
--- a/harriertrack/lab/fleet/staging.py
+++ b/harriertrack/lab/fleet/staging.py
@@ -9,7 +9,7 @@
 from harriertrack.config.rollout import plan_of
 from harriertrack.decisions.fleet.changes.record import Version
 from harriertrack.decisions.fleet.changes.standing import OVER, Standing
-from harriertrack.decisions.fleet.rollout.rollout import WANTING
+from harriertrack.decisions.fleet.rollout.rollout import INSUFFICIENT_PREFIX
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
 
@@ -21,7 +21,7 @@
         t=now, thing=version.thing, version=version.number, zones={slot.name: slot.zone for slot in heads},
         volumes={slot.name: [one.name for one in slot.settings.volumes] for slot in heads},
         stages=[rec.StageFacts(heads=one.heads, share=one.share) for one in plan.stages],
-        away=plan.may_be_away(len(heads), False), back_away=plan.may_be_away(len(heads), True),
+        away=plan.max_away(len(heads), False), back_away=plan.max_away(len(heads), True),
         missing=plan.missing,
     )  # fmt: skip
 
@@ -42,4 +42,4 @@
 def lacks_evidence(last: rec.RolloutStep | rec.Proposed) -> bool:
     """Whether a version is paused for want of evidence, and of nothing else."""
     return (isinstance(last, rec.RolloutStep) and last.standing == Standing.PAUSED.value
-            and last.why.startswith(WANTING))  # fmt: skip
+            and last.why.startswith(INSUFFICIENT_PREFIX))  # fmt: skip
--- a/harriertrack/lab/interleaving/models/closing.py
+++ b/harriertrack/lab/interleaving/models/closing.py
@@ -7,7 +7,7 @@
 
 from harriertrack.decisions.fleet.closing.clocks import Interval
 from harriertrack.decisions.fleet.closing.fences import Fences
-from harriertrack.decisions.fleet.closing.schedule import Close, Plan, Purge, Schedule, worked_out
+from harriertrack.decisions.fleet.closing.schedule import Close, Plan, Purge, Schedule, compute_schedule
 from harriertrack.lab.interleaving.models.mail import Mail
 
 CALENDAR, VOLUME = "tokyo", "v"
@@ -69,7 +69,7 @@
 
     def _decide(self, state: State) -> None:
         state.decided_at = state.now
-        state.schedule = worked_out(state.schedule, state.plan, state.now + DECIDER_DOUBT_US, NOTICE_US)
+        state.schedule = compute_schedule(state.schedule, state.plan, state.now + DECIDER_DOUBT_US, NOTICE_US)
         state.decided += 1
         for name in state.fences:
             if name == self._cut and state.decided > 1:
@@ -79,14 +79,14 @@
     def _told(self, state: State, head: str, said: tuple[int, Schedule, int]) -> None:
         number, schedule, until = said
         fence = state.fences[head].fence(CALENDAR)
-        if number > state.known.get(head, 0) and not fence.follow(schedule):
+        if number > state.known.get(head, 0) and not fence.set_schedule(schedule):
             state.known[head] = number  # by the record, which never goes back
         if fence.schedule == schedule:  # by the digest that a confirmation tells
-            state.fences[head].confirmed(until)
+            state.fences[head].confirm_until(until)
 
     def _due(self, state: State, head: str) -> list[Close]:
         fences = state.fences[head]
-        return fences.fence(CALENDAR).due(state.reading(head), fences.sure_until)
+        return fences.fence(CALENDAR).closes_to_purge(state.reading(head), fences.confirmed_until)
 
     def events(self, state: State) -> Iterator[str]:
         """Name what can happen now."""
@@ -118,11 +118,11 @@
                 self._purge(state, name)
             case [name, "writes"]:
                 state.uses -= 1
-                if state.fences[name].refuses(state.reading(name), VOLUME, 0, 1) is None:
+                if state.fences[name].refusal_hint_us(state.reading(name), VOLUME, 0, 1) is None:
                     state.byte[name] = state.now
             case [name, "reads"]:
                 state.uses -= 1
-                if state.fences[name].refuses(state.reading(name), VOLUME, 0, 1) is None:
+                if state.fences[name].refusal_hint_us(state.reading(name), VOLUME, 0, 1) is None:
                     self._read(state, name)
             case _:
                 came = state.mail.take(event)
@@ -138,7 +138,7 @@
         if state.byte.get(name, 0) >= close.at_us:
             state.wrong = f"{name} purges a byte that was written after close {close.number}"
         state.byte.pop(name, None)
-        state.fences[name].fence(CALENDAR).purged(close.number)
+        state.fences[name].fence(CALENDAR).mark_purged(close.number)
 
     def _read(self, state: State, name: str) -> None:
         written = state.byte.get(name)
--- a/harriertrack/lab/interleaving/models/rollouts.py
+++ b/harriertrack/lab/interleaving/models/rollouts.py
@@ -15,7 +15,7 @@
 from harriertrack.decisions.fleet.changes.record import Record, Version
 from harriertrack.decisions.fleet.changes.standing import IllegalStep, Standing
 from harriertrack.decisions.fleet.changes.writing import Refused, propose, raise_level, wish
-from harriertrack.decisions.fleet.rollout.controller import Conductor, Known
+from harriertrack.decisions.fleet.rollout.controller import HeadLocation, RolloutController
 from harriertrack.decisions.fleet.rollout.evidence import Report
 from harriertrack.decisions.fleet.rollout.feature_levels import next_level
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage
@@ -65,7 +65,7 @@
     until: int = 0
     term: int = 1
     holder: str = "h1"
-    conductor: Conductor = field(default_factory=lambda: Conductor(plan_of))
+    conductor: RolloutController = field(default_factory=lambda: RolloutController(plan_of))
     writes: list[tuple[int, Step | int]] = field(default_factory=list)  # term, and a step or a level
     mail: Mail = field(default_factory=lambda: Mail(most=3))
     kills: int = 1
@@ -97,11 +97,11 @@
     def _report(self, state: State, name: str) -> Report:
         head = state.heads[name]
         runs = {THING: head.number} if head.number else {}
-        return Report(name, head.life, runs, {}, level=head.level)
+        return Report(name, head.life, runs, {}, feature_level=head.level)
 
     def _hear(self, state: State, report: Report) -> None:
         state.heard += 1
-        state.conductor.heard(state.now, report, VOLUMES[report.head], "z")
+        state.conductor.add_report(state.now, report, VOLUMES[report.head], "z")
 
     def _seen(self, state: State) -> tuple[int, int, int]:
         record = state.heads[state.holder].follower.record
@@ -150,7 +150,7 @@
                 state.passes -= 1
                 state.term += 1
                 state.holder = "h2" if state.holder == "h1" else "h1"
-                state.conductor = Conductor(plan_of)
+                state.conductor = RolloutController(plan_of)
             case ["abort"]:
                 state.aborts -= 1
                 state.record = wish(state.record, THING, Standing.ABORTED, "op", 1, "enough")
@@ -183,11 +183,13 @@
             head.number, head.there = number, False  # it goes, and comes back as that
 
     def _look(self, state: State) -> None:
-        known = {name: Known("z", gone_us=-1 if head.there else 0) for name, head in state.heads.items()}
+        known = {
+            name: HeadLocation("z", absent_us=-1 if head.there else 0) for name, head in state.heads.items()
+        }
         record = state.heads[state.holder].follower.record
-        for step in state.conductor.look(state.now, record, known, state.holder):
+        for step in state.conductor.next_steps(state.now, record, known, state.holder):
             state.writes.append((state.term, step))
-        level = next_level(record, state.conductor.understood(), HEADS)
+        level = next_level(record, state.conductor.feature_levels(), HEADS)
         if level > record.level and not state.writes:
             state.writes.append((state.term, level))
 
@@ -197,7 +199,7 @@
             if isinstance(what, int):
                 state.record = raise_level(before, term, what)
             else:
-                state.record = what.write(before, term, 1)
+                state.record = what.apply(before, term, 1)
         except (Refused, IllegalStep):
             return
         if term < before.epoch:
--- a/harriertrack/lab/interleaving/models/sweeps.py
+++ b/harriertrack/lab/interleaving/models/sweeps.py
@@ -8,7 +8,7 @@
 from harriertrack.decisions.fleet.closing.clocks import Interval
 from harriertrack.decisions.fleet.closing.fences import Fences
 from harriertrack.decisions.fleet.closing.schedule import Close, Purge, Schedule
-from harriertrack.decisions.fleet.closing.sweeps import Sweep, SweepKey, Swept
+from harriertrack.decisions.fleet.closing.sweeps import Sweep, SweepKey, SweepProgress
 from harriertrack.lab.interleaving.models.mail import Mail
 
 CALENDAR, VOLUME, HEADS, EXTENTS, SIZE = "tokyo", "v", ("a", "b"), 2, 4096
@@ -34,7 +34,7 @@
     told: dict[str, int] = field(default_factory=lambda: dict.fromkeys(HEADS, -1))
     byte: dict[int, str] = field(default_factory=lambda: dict.fromkeys(range(EXTENTS), OLD))
     epoch: int = 0  # the newest that the node has heard of
-    swept: Swept = field(default_factory=Swept)
+    swept: SweepProgress = field(default_factory=SweepProgress)
     schedule: Schedule = CLOSED
     mail: Mail = field(default_factory=lambda: Mail(lost=1))
     kills: int = 1
@@ -54,8 +54,8 @@
         state = State()
         for name in HEADS:
             state.fences[name] = Fences((VOLUME,), {}, several)
-            state.fences[name].fence(CALENDAR).follow(CLOSED)
-            state.fences[name].confirmed(10 * AT_US)
+            state.fences[name].fence(CALENDAR).set_schedule(CLOSED)
+            state.fences[name].confirm_until(10 * AT_US)
         return state
 
     def events(self, state: State) -> Iterator[str]:
@@ -63,18 +63,18 @@
         yield from state.mail.events()
         for name in HEADS:
             fence = state.fences[name].fence(CALENDAR)
-            if not fence.done:
+            if not fence.last_purged:
                 yield f"{name} purges"
                 continue
             if name in state.sweeps:
                 sweep = state.sweeps[name]
-                yield from (f"{name} trims {at}" for left in sweep.left.values() for at in sorted(left))
-                if state.told[name] != sweep.done:
+                yield from (f"{name} trims {at}" for left in sweep.remaining.values() for at in sorted(left))
+                if state.told[name] != sweep.done_slices:
                     yield f"{name} tells"
-        if state.swept.whole():
+        if state.swept.completed():
             yield "decide"
         if state.kills:
-            yield from (f"{name} dies" for name in HEADS if state.fences[name].fence(CALENDAR).done)
+            yield from (f"{name} dies" for name in HEADS if state.fences[name].fence(CALENDAR).last_purged)
         if state.terms:
             yield "another term"
         if state.uses:
@@ -83,16 +83,16 @@
         yield from state.mail.late()
 
     def _epoch(self, state: State, name: str) -> int:
-        return AT_US + (state.fences[name].fence(CALENDAR).schedule.swept_of(VOLUME) >= 1)
+        return AT_US + (state.fences[name].fence(CALENDAR).schedule.last_swept(VOLUME) >= 1)
 
     def _passes(self, state: State, name: str, extent: int) -> bool:
-        return state.fences[name].refuses(NOW, VOLUME, extent * SIZE, SIZE) is None
+        return state.fences[name].refusal_hint_us(NOW, VOLUME, extent * SIZE, SIZE) is None
 
     def apply(self, state: State, event: str) -> None:
         """Let it happen."""
         match event.split():
             case ["decide"]:
-                for key in state.swept.whole():
+                for key in state.swept.completed():
                     state.schedule = state.schedule.with_swept(key.volume, key.number)
                     state.swept.forget(key)
                 for name in HEADS:
@@ -101,16 +101,16 @@
                     state.wrong = f"on record is that all is trimmed, and there is {state.byte}"
             case ["another", "term"]:
                 state.terms -= 1
-                state.swept = Swept()
+                state.swept = SweepProgress()
                 state.told = dict.fromkeys(HEADS, -1)
             case [name, "purges"]:
-                state.fences[name].fence(CALENDAR).purged(1)
+                state.fences[name].fence(CALENDAR).mark_purged(1)
                 self._begin(state, name)
             case [name, "trims", at]:
                 state.mail.send("node", (name, state.lives[name], int(at), self._epoch(state, name)))
             case [name, "tells"]:
-                state.told[name] = state.sweeps[name].done
-                state.mail.send("decider", state.sweeps[name].done)
+                state.told[name] = state.sweeps[name].done_slices
+                state.mail.send("decider", state.sweeps[name].done_slices)
             case [name, "dies"]:
                 state.kills -= 1
                 state.lives[name] += 1
@@ -130,9 +130,9 @@
         fence = state.fences[name].fence(CALENDAR)
         state.told[name] = -1
         state.sweeps.pop(name, None)
-        if fence.sweeping(VOLUME):
-            extents = (at for at in range(EXTENTS) if fence.sweeps(VOLUME, at * SIZE, SIZE))
-            state.sweeps[name] = Sweep.of(KEY, extents)
+        if fence.unswept_closes(VOLUME):
+            extents = (at for at in range(EXTENTS) if fence.needs_sweep(VOLUME, at * SIZE, SIZE))
+            state.sweeps[name] = Sweep.for_extents(KEY, extents)
 
     def _reaches(self, state: State, epoch: int, extent: int, byte: str) -> bool:
         if epoch < state.epoch:
@@ -149,14 +149,16 @@
             case ("node", (str(name), int(life), int(extent), int(epoch))):
                 if self._reaches(state, epoch, extent, "") and life == state.lives[name]:
                     if name in state.sweeps:
-                        state.sweeps[name].trimmed(extent)
+                        state.sweeps[name].mark_trimmed(extent)
             case ("decider", int(done)):
-                state.swept.heard(KEY, done)
+                state.swept.record_done(KEY, done)
             case (str(name), Schedule() as schedule):
                 fence = state.fences[name].fence(CALENDAR)
-                if schedule.swept_of(VOLUME) >= fence.schedule.swept_of(VOLUME):  # the record never goes back
-                    fence.follow(schedule)
-                    if fence.schedule.swept_of(VOLUME):
+                if schedule.last_swept(VOLUME) >= fence.schedule.last_swept(
+                    VOLUME
+                ):  # the record never goes back
+                    fence.set_schedule(schedule)
+                    if fence.schedule.last_swept(VOLUME):
                         state.sweeps.pop(name, None)
 
     def wrong(self, state: State) -> str | None:
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -28,8 +28,8 @@
 from harriertrack.decisions.epochs import Epochs
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.closing.calendars import CLOSES
-from harriertrack.decisions.fleet.closing.schedule import Plan, Purge, Schedule, worked_out
+from harriertrack.decisions.fleet.closing.calendars import CLOSES_SUFFIX
+from harriertrack.decisions.fleet.closing.schedule import Plan, Purge, Schedule, compute_schedule
 from harriertrack.decisions.requests import Attempt, ClientRequest, Core
 from harriertrack.decisions.splitting import Outcome
 from harriertrack.gateway.fleet.changes.carrier import Changes
@@ -180,10 +180,10 @@
         hub = self._hub
         if plan is not OLD and not self.number:
             return
-        self.schedule = worked_out(self.schedule, plan, hub.now() + ERROR_US, NOTICE_US)
+        self.schedule = compute_schedule(self.schedule, plan, hub.now() + ERROR_US, NOTICE_US)
         self.number += 1
         body = written(self.schedule)
-        version = Version(CALENDAR + CLOSES, self.number, self.number - 1, body, "d", 1, "worked out")
+        version = Version(CALENDAR + CLOSES_SUFFIX, self.number, self.number - 1, body, "d", 1, "worked out")
 
         def comes() -> None:
             self.taker.take(version.thing, version)
--- a/harriertrack/lab/interleaving/scenarios/launching.py
+++ b/harriertrack/lab/interleaving/scenarios/launching.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from harriertrack.config.rollout import LaunchSettings
-from harriertrack.decisions.fleet.rollout.launch_state import Kept, Program
+from harriertrack.decisions.fleet.rollout.launch_state import Program, SavedState
 from harriertrack.gateway.fleet.rollout.launcher.files import NUMBER_VARIABLE, TOKEN_VARIABLE
 from harriertrack.gateway.fleet.rollout.launcher.launcher import Launcher
 from harriertrack.lab.interleaving.world import Scenario, World
@@ -58,7 +58,7 @@
     def __init__(self, world: World, bad: bool, deaf: bool, slow: bool) -> None:
         self._world, self._bad, self.deaf, self._slow = world, bad, deaf, slow
         self.all: list[_Process] = []
-        self.disk: Kept | None = None
+        self.disk: SavedState | None = None
         self.wants: Program | None = None
         self.serves = ""  # the token of the head that said so last
         self.folder = Path("/nowhere")
@@ -111,12 +111,12 @@
 
     # -- as its files
 
-    def kept(self) -> Kept | None:
+    def kept(self) -> SavedState | None:
         """Return what was kept."""
         self.touch()
         return self.disk
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: SavedState) -> None:
         """Keep it."""
         self._others()
         self.touch()
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -18,7 +18,7 @@
 from harriertrack.decisions.fleet.changes.record import Kind, Record as Changed, Version
 from harriertrack.decisions.fleet.changes.standing import RUN, Standing
 from harriertrack.decisions.fleet.changes.writing import propose
-from harriertrack.decisions.fleet.rollout.answer_counts import Counting
+from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
 from harriertrack.gateway.fleet.changes.carrier import Changes
 from harriertrack.gateway.fleet.deciding import Deciding
 from harriertrack.gateway.fleet.rollout.carrier import Rollouts, no_usage
@@ -163,7 +163,7 @@
                 changes = Changes(mine, CHANGES, swim, deciding, lambda: None, disks[name])
                 user = _User(runs, name, lambda: name == "d2" and refuses[0])
                 changes.use(Kind.SETTINGS, user)
-                Rollouts(mine, ROLLOUT, swim, deciding, changes, Counting({}), no_usage).start()
+                Rollouts(mine, ROLLOUT, swim, deciding, changes, AnswerCounter({}), no_usage).start()
                 changes.start()
 
         def again(name: str) -> None:
--- a/tests/closing/test_closing_copies.py
+++ b/tests/closing/test_closing_copies.py
@@ -140,21 +140,23 @@
 
 def fences(*instants):
     one = Fences(("v",), {})
-    one.fence("c").follow(
+    one.fence("c").set_schedule(
         Schedule(1, "tz", tuple(Close(at, number, (Purge("v"),)) for at, number in instants))
     )
-    one.confirmed(10_000)
+    one.confirm_until(10_000)
     return one
 
 
 def test_bytes_of_another_generation_are_not_admitted():
     one = fences((1, 1000), (2, 2000))
     sure = Interval(1500, 1600)
-    assert one.admits(sure, "v", 1000, 1000) and not one.admits(sure, "v", 1000, 0)
-    assert not one.admits(sure, "v", 1000, 2000), "its close has not come here"
-    assert one.admits(sure, "v", 0, 1000), "a close that nobody remembers"
-    assert not one.admits(None, "v", 0, 1000) and not one.admits(Interval(20_000, 20_001), "v", 0, 1000)
-    assert one.admits(None, "v", 1000, 1000) and one.admits(None, "w", 0, 9)
+    assert one.accepts_generation(sure, "v", 1000, 1000) and not one.accepts_generation(sure, "v", 1000, 0)
+    assert not one.accepts_generation(sure, "v", 1000, 2000), "its close has not come here"
+    assert one.accepts_generation(sure, "v", 0, 1000), "a close that nobody remembers"
+    assert not one.accepts_generation(None, "v", 0, 1000) and not one.accepts_generation(
+        Interval(20_000, 20_001), "v", 0, 1000
+    )
+    assert one.accepts_generation(None, "v", 1000, 1000) and one.accepts_generation(None, "w", 0, 9)
 
 
 def test_how_long_another_head_may_be_on_another_side_of_a_close():
--- a/tests/closing/test_closing_core.py
+++ b/tests/closing/test_closing_core.py
@@ -269,12 +269,12 @@
     """Found by days over processes: a trim that the module still had was sent after the volume was open again."""
     from types import SimpleNamespace
 
-    from harriertrack.decisions.fleet.closing.trims import Left, Trims, TrimRules
+    from harriertrack.decisions.fleet.closing.trims import TrimTarget, TrimQueue, TrimRules
     from harriertrack.gateway.fleet.closing.trimming import Trimming
     from harriertrack.runtime.hub import Hub
 
-    rig, hub, left = _CORE.Rig(shards=(0, 1)), Hub.virtual(1), Left("v", 0, 0)
-    trims = Trims(TrimRules(spread_us=0), 0)
+    rig, hub, left = _CORE.Rig(shards=(0, 1)), Hub.virtual(1), TrimTarget("v", 0, 0)
+    trims = TrimQueue(TrimRules(spread_us=0), 0)
     trims.add(0, [left], 0.0, {})
     done = []
 
--- a/tests/closing/test_closing_days.py
+++ b/tests/closing/test_closing_days.py
@@ -5,7 +5,7 @@
 
 from harriertrack.decisions.fleet.closing.clocks import FleetClock, Interval
 from harriertrack.decisions.fleet.closing.fences import Fence
-from harriertrack.decisions.fleet.closing.sweeps import ALL, Sweep
+from harriertrack.decisions.fleet.closing.sweeps import ALL_SLICES, Sweep
 from harriertrack.decisions.requests import Core
 from harriertrack.gateway.fleet.closing.carrier import Closing
 from harriertrack.gateway.fleet.closing.guard import Guard
@@ -44,15 +44,15 @@
 
 
 def skips_every_second(monkeypatch):
-    real = Fence.due
+    real = Fence.closes_to_purge
 
-    def due(self, reading, until):
+    def closes_to_purge(self, reading, until):
         found = real(self, reading, until)
         for one in [one for one in found if one.number % 2]:
-            self.done = one.number
+            self.last_purged = one.number
         return [one for one in found if not one.number % 2]
 
-    monkeypatch.setattr(Fence, "due", due)
+    monkeypatch.setattr(Fence, "closes_to_purge", closes_to_purge)
 
 
 def closes_early(monkeypatch):
@@ -70,11 +70,11 @@
 
 
 def sweeps_nothing(monkeypatch):
-    monkeypatch.setattr(Sweep, "done", property(lambda _self: ALL))
+    monkeypatch.setattr(Sweep, "done_slices", property(lambda _self: ALL_SLICES))
 
 
 def opens_before_sweeps(monkeypatch):
-    monkeypatch.setattr(Fence, "sweeps", lambda *_args: False)
+    monkeypatch.setattr(Fence, "needs_sweep", lambda *_args: False)
 
 
 def answers_in_doubt(monkeypatch):
@@ -112,7 +112,7 @@
 
     def close(self, fence, close):
         if self._regional.region.name == "b" and close.number == 2:
-            fence.purged(close.number)
+            fence.mark_purged(close.number)
         else:
             real(self, fence, close)
 
--- a/tests/closing/test_closing_fences.py
+++ b/tests/closing/test_closing_fences.py
@@ -5,10 +5,10 @@
 import pytest
 
 from harriertrack.decisions.fleet.closing.clocks import Interval
-from harriertrack.decisions.fleet.closing.fences import BLIND_HINT_US, SWEEP_HINT_US, Fences, Stance
+from harriertrack.decisions.fleet.closing.fences import BLIND_HINT_US, SWEEP_HINT_US, Fences, FenceState
 from harriertrack.decisions.fleet.closing.schedule import Close, Purge, Schedule
-from harriertrack.decisions.fleet.closing.sweeps import ALL, SLICES, Sweep, SweepKey, Swept
-from harriertrack.decisions.fleet.closing.trims import Left, Trims, TrimRules
+from harriertrack.decisions.fleet.closing.sweeps import ALL_SLICES, SLICES, Sweep, SweepKey, SweepProgress
+from harriertrack.decisions.fleet.closing.trims import TrimTarget, TrimQueue, TrimRules
 
 PURGES = (Purge("m*", 0, 100),)
 SCHEDULE = Schedule(1, "a", (Close(1, 1000, PURGES), Close(2, 2000, PURGES)))
@@ -16,143 +16,155 @@
 
 def fences(done=0, sure=10_000, several=()):
     one = Fences(["m*"], {"c": done}, set(several).__contains__)
-    one.confirmed(sure)
-    assert one.fence("c").follow(SCHEDULE) == ""
+    one.confirm_until(sure)
+    assert one.fence("c").set_schedule(SCHEDULE) == ""
     return one
 
 
 def test_what_passes_before_in_and_after_a_close():
     one = fences()
     fence = one.fence("c")
-    assert one.refuses(Interval(800, 999), "m1", 0, 10) is None
+    assert one.refusal_hint_us(Interval(800, 999), "m1", 0, 10) is None
     assert (
-        one.refuses(Interval(900, 1000), "m1", 0, 10) == 1000
-        and fence.stance(Interval(900, 1000)) is Stance.CLOSING
+        one.refusal_hint_us(Interval(900, 1000), "m1", 0, 10) == 1000
+        and fence.state(Interval(900, 1000)) is FenceState.CLOSING
     )
-    assert one.refuses(Interval(900, 1000), "m1", 100, 10) is None, "beside the range"
-    assert one.refuses(Interval(900, 1000), "other", 0, 10) is None
-    assert fence.due(Interval(900, 1100), 10_000) == []
-    (close,) = fence.due(Interval(1000, 1100), 10_000)
-    assert one.refuses(Interval(1000, 1100), "m1", 0, 10) is not None, "not before it is on disk"
-    fence.purged(close.number)
-    assert one.refuses(Interval(1000, 1100), "m1", 0, 10) is None
+    assert one.refusal_hint_us(Interval(900, 1000), "m1", 100, 10) is None, "beside the range"
+    assert one.refusal_hint_us(Interval(900, 1000), "other", 0, 10) is None
+    assert fence.closes_to_purge(Interval(900, 1100), 10_000) == []
+    (close,) = fence.closes_to_purge(Interval(1000, 1100), 10_000)
+    assert one.refusal_hint_us(Interval(1000, 1100), "m1", 0, 10) is not None, "not before it is on disk"
+    fence.mark_purged(close.number)
+    assert one.refusal_hint_us(Interval(1000, 1100), "m1", 0, 10) is None
     with pytest.raises(ValueError):
-        fence.purged(1)
+        fence.mark_purged(1)
 
 
 def test_a_head_that_can_not_know_refuses_what_calendars_may_touch_and_purges_nothing():
     one = fences(sure=1500)
-    assert one.refuses(None, "m1", 500, 10) == BLIND_HINT_US and one.refuses(None, "other", 0, 10) is None
-    assert one.refuses(Interval(1400, 1500), "m1", 500, 10) == BLIND_HINT_US
-    assert [close.number for close in one.fence("c").due(Interval(3000, 3001), one.sure_until)] == [1]
+    assert (
+        one.refusal_hint_us(None, "m1", 500, 10) == BLIND_HINT_US
+        and one.refusal_hint_us(None, "other", 0, 10) is None
+    )
+    assert one.refusal_hint_us(Interval(1400, 1500), "m1", 500, 10) == BLIND_HINT_US
+    assert [
+        close.number for close in one.fence("c").closes_to_purge(Interval(3000, 3001), one.confirmed_until)
+    ] == [1]
 
 
 def test_a_schedule_that_contradicts_what_was_done_is_not_taken():
     fence = fences(done=1).fence("c")
-    assert "another time" in fence.follow(Schedule(2, "a", (Close(1, 999, PURGES), Close(2, 2000, PURGES))))
-    assert "ends with" in fence.follow(Schedule(2, "a", ()))
+    assert "another time" in fence.set_schedule(
+        Schedule(2, "a", (Close(1, 999, PURGES), Close(2, 2000, PURGES)))
+    )
+    assert "ends with" in fence.set_schedule(Schedule(2, "a", ()))
     assert fence.schedule is SCHEDULE
 
 
 def test_a_volume_of_several_heads_opens_when_its_sweep_is_on_record():
     one = fences(done=1, several=["m1"])
     now = Interval(1500, 1501)
-    assert one.refuses(now, "m1", 0, 10) == SWEEP_HINT_US and one.refuses(now, "m2", 0, 10) is None
-    assert one.refuses(now, "m1", 100, 10) is None
-    assert one.fence("c").follow(SCHEDULE.with_swept("m1", 1)) == ""
-    assert one.refuses(now, "m1", 0, 10) is None
+    assert (
+        one.refusal_hint_us(now, "m1", 0, 10) == SWEEP_HINT_US
+        and one.refusal_hint_us(now, "m2", 0, 10) is None
+    )
+    assert one.refusal_hint_us(now, "m1", 100, 10) is None
+    assert one.fence("c").set_schedule(SCHEDULE.with_swept("m1", 1)) == ""
+    assert one.refusal_hint_us(now, "m1", 0, 10) is None
 
 
 def test_heads_that_did_a_part_each_have_done_the_whole():
-    key, swept = SweepKey("c", 1, "m"), Swept()
-    first, second = Sweep.of(key, range(40)), Sweep.of(key, range(40))
-    assert sorted(first.order("a")) == list(range(SLICES)) and first.order("a") != first.order("b")
+    key, swept = SweepKey("c", 1, "m"), SweepProgress()
+    first, second = Sweep.for_extents(key, range(40)), Sweep.for_extents(key, range(40))
+    assert sorted(first.slice_order("a")) == list(range(SLICES)) and first.slice_order(
+        "a"
+    ) != first.slice_order("b")
     for extent in range(40):
-        (first if extent % SLICES < 9 else second).trimmed(extent)
-    swept.heard(key, first.done)
-    assert swept.whole() == [] and first.done | second.done == ALL
-    swept.heard(key, second.done)
-    assert swept.whole() == [key]
+        (first if extent % SLICES < 9 else second).mark_trimmed(extent)
+    swept.record_done(key, first.done_slices)
+    assert swept.completed() == [] and first.done_slices | second.done_slices == ALL_SLICES
+    swept.record_done(key, second.done_slices)
+    assert swept.completed() == [key]
     swept.forget(key)
-    assert swept.whole() == []
+    assert swept.completed() == []
 
 
 # -- trims
 
 RULES = TrimRules(rate=100.0, burst=2.0, in_flight=2, spread_us=0)
-LEFTS = [Left("m", extent, 0) for extent in range(6)]
+LEFTS = [TrimTarget("m", extent, 0) for extent in range(6)]
 
 
 def trims():
-    one = Trims(RULES, 0)
+    one = TrimQueue(RULES, 0)
     one.add(0, LEFTS, 0.0, {})
     return one
 
 
 def test_a_burst_then_a_part_of_the_fleets_pace():
     one = trims()
-    out = [one.next(0, 1), one.next(0, 1)]
-    assert out == LEFTS[:2] and one.next(0, 1) is None
+    out = [one.take_next(0, 1), one.take_next(0, 1)]
+    assert out == LEFTS[:2] and one.take_next(0, 1) is None
     for left in out:
-        one.ended(0, left, True)
-    assert one.next(5_000, 1) is None and one.next(10_000, 1) == LEFTS[2]
-    assert one.next(30_000, 10) is None, "with ten heads each has a tenth"
-    assert one.next(10_000 + 100_000, 10) == LEFTS[3]
+        one.finish(0, left, True)
+    assert one.take_next(5_000, 1) is None and one.take_next(10_000, 1) == LEFTS[2]
+    assert one.take_next(30_000, 10) is None, "with ten heads each has a tenth"
+    assert one.take_next(10_000 + 100_000, 10) == LEFTS[3]
     assert one.progress.done == 2 and len(one) == 4
 
 
 def test_what_a_client_waits_for_comes_first_but_never_before_it_may():
     one = trims()
-    one.wanted(0, "m", 5)
-    assert one.next(0, 1) == LEFTS[0] and one.next(0, 1) == LEFTS[1], "all are due: the order stays"
-    late = Trims(RULES, 0)
+    one.prioritize(0, "m", 5)
+    assert one.take_next(0, 1) == LEFTS[0] and one.take_next(0, 1) == LEFTS[1], "all are due: the order stays"
+    late = TrimQueue(RULES, 0)
     late.add(0, LEFTS, 0.0, dict.fromkeys(LEFTS, 1_000_000))
-    late.wanted(0, "m", 5)
-    assert late.next(999_999, 1) is None and late.next(1_000_000, 1) is not None
-    spread = Trims(TrimRules(spread_us=10_000_000), 0)
+    late.prioritize(0, "m", 5)
+    assert late.take_next(999_999, 1) is None and late.take_next(1_000_000, 1) is not None
+    spread = TrimQueue(TrimRules(spread_us=10_000_000), 0)
     spread.add(0, LEFTS, 0.5, {})
-    assert spread.next(0, 1) is None
-    spread.wanted(0, "m", 5)
-    assert spread.next(0, 1) == LEFTS[5]
+    assert spread.take_next(0, 1) is None
+    spread.prioritize(0, "m", 5)
+    assert spread.take_next(0, 1) == LEFTS[5]
 
 
 def test_a_shard_where_one_fails_is_left_alone_ever_longer_and_others_go_on():
-    one = Trims(TrimRules(rate=1000.0, burst=8.0, in_flight=2, spread_us=0), 0)
-    one.add(0, [Left("m", extent, extent % 2) for extent in range(20)], 0.0, {})
+    one = TrimQueue(TrimRules(rate=1000.0, burst=8.0, in_flight=2, spread_us=0), 0)
+    one.add(0, [TrimTarget("m", extent, extent % 2) for extent in range(20)], 0.0, {})
     tried, done, now = [], 0, 0
     while len(tried) < 5:
         now += 10_000
-        while (found := one.next(now, 1)) is not None:
+        while (found := one.take_next(now, 1)) is not None:
             (tried.append(now) if found.shard == 0 else None)
             done += found.shard
-            one.ended(now, found, found.shard == 1)
+            one.finish(now, found, found.shard == 1)
     assert done == 10 and len(one) == 10 and one.progress.failed == 5
     gaps = [after - before for before, after in zip(tried, tried[1:], strict=False)]
     assert gaps == sorted(gaps) and gaps[-1] >= 2 * gaps[0]
-    assert one.failed_before(Left("m", 0, 0)) and not one.failed_before(Left("m", 18, 0))
-    back = one.next(now + 5_000_000, 1)
-    assert back is not None and one.next(now + 5_000_000, 1) is None, "one at a time until one is done"
-    one.ended(now + 5_000_000, back, True)
-    assert one.next(now + 5_000_000, 1) is not None is not one.next(now + 5_000_000, 1)
+    assert one.failed_before(TrimTarget("m", 0, 0)) and not one.failed_before(TrimTarget("m", 18, 0))
+    back = one.take_next(now + 5_000_000, 1)
+    assert back is not None and one.take_next(now + 5_000_000, 1) is None, "one at a time until one is done"
+    one.finish(now + 5_000_000, back, True)
+    assert one.take_next(now + 5_000_000, 1) is not None is not one.take_next(now + 5_000_000, 1)
 
 
 def test_what_is_out_when_another_close_comes_is_done_once_more():
     one = trims()
-    left = one.next(0, 1)
+    left = one.take_next(0, 1)
     one.add(0, [left], 0.0, {})
-    one.ended(0, left, True)
+    one.finish(0, left, True)
     assert one.progress.done == 0
     found = []
     for turn in range(1, 7):
-        found.append(one.next(100_000 * turn, 1))
-        one.ended(100_000 * turn, found[-1], True)
-    assert found.count(left) == 1 and one.progress.done == one.progress.asked == 6
+        found.append(one.take_next(100_000 * turn, 1))
+        one.finish(100_000 * turn, found[-1], True)
+    assert found.count(left) == 1 and one.progress.done == one.progress.requested == 6
 
 
 def test_what_is_dropped_is_not_begun():
     one = trims()
     one.drop(LEFTS[:5])
-    assert one.next(0, 1) == LEFTS[5] and one.next(0, 1) is None and len(one) == 1
+    assert one.take_next(0, 1) == LEFTS[5] and one.take_next(0, 1) is None and len(one) == 1
 
 
 # -- heads together
@@ -165,35 +177,35 @@
     closes = tuple(Close(number, 1000 * number, PURGES) for number in range(1, 6))
     heads = [Fences(["m*"], {}) for _ in range(4)]
     for one in heads:
-        assert one.fence("c").follow(Schedule(1, "a", closes)) == ""
+        assert one.fence("c").set_schedule(Schedule(1, "a", closes)) == ""
     served = set()
     for now in range(0, 6000, 7):
         for number, one in enumerate(heads):
             low, high = rng.randrange(60), rng.randrange(60)
             reading = None if rng.random() < 0.1 else Interval(now - low, now + high)
             if rng.random() < 0.2:
-                one.confirmed(
+                one.confirm_until(
                     now - rng.randrange(50) + 400
                 )  # said a while ago: no other closes within the notice
             if rng.random() < 0.02:  # it dies: what was on disk stays, the confirmation does not
-                heads[number] = one = Fences(["m*"], {"c": one.fence("c").done})
-                assert one.fence("c").follow(Schedule(1, "a", closes)) == ""
+                heads[number] = one = Fences(["m*"], {"c": one.fence("c").last_purged})
+                assert one.fence("c").set_schedule(Schedule(1, "a", closes)) == ""
             if reading is not None and rng.random() < 0.3:
-                for close in one.fence("c").due(reading, one.sure_until):
-                    one.fence("c").purged(close.number)
-            if one.refuses(reading, "m1", 0, 10) is None:
-                assert one.fence("c").done == now // 1000 if now < 6000 else 5
-                served.add((number, one.fence("c").done))
+                for close in one.fence("c").closes_to_purge(reading, one.confirmed_until):
+                    one.fence("c").mark_purged(close.number)
+            if one.refusal_hint_us(reading, "m1", 0, 10) is None:
+                assert one.fence("c").last_purged == now // 1000 if now < 6000 else 5
+                served.add((number, one.fence("c").last_purged))
     assert len(served) >= 18, "each head serves in nearly every generation"
 
 
 def test_what_is_dropped_while_it_is_out_is_not_tried_again_unless_another_close_asks():
     one = trims()
-    first, second = one.next(0, 1), one.next(0, 1)
+    first, second = one.take_next(0, 1), one.take_next(0, 1)
     one.drop(LEFTS)
     one.add(0, [second], 0.0, {})
-    one.ended(0, first, False)
-    one.ended(0, second, False)
-    assert [one.next(100_000 * turn, 1) for turn in range(1, 3)] == [second, None]
-    one.ended(300_000, second, True)
-    assert len(one) == 0 and one.progress.asked == one.progress.done == 1 and one.progress.failed == 0
+    one.finish(0, first, False)
+    one.finish(0, second, False)
+    assert [one.take_next(100_000 * turn, 1) for turn in range(1, 3)] == [second, None]
+    one.finish(300_000, second, True)
+    assert len(one) == 0 and one.progress.requested == one.progress.done == 1 and one.progress.failed == 0
--- a/tests/closing/test_closing_schedule.py
+++ b/tests/closing/test_closing_schedule.py
@@ -7,16 +7,22 @@
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.standing import Standing
 from harriertrack.decisions.fleet.changes.writing import propose, wish
-from harriertrack.decisions.fleet.closing.calendars import CLOSES, BadCalendar, Reader, arranged, schedule_of
+from harriertrack.decisions.fleet.closing.calendars import (
+    CLOSES_SUFFIX,
+    InvalidCalendar,
+    CalendarCodec,
+    update_calendars,
+    recorded_schedule,
+)
 from harriertrack.decisions.fleet.closing.schedule import (
     Close,
     Late,
     Plan,
     Purge,
     Schedule,
-    reaches_beyond,
-    stale,
-    worked_out,
+    uncovered_purges,
+    needs_update,
+    compute_schedule,
 )
 from harriertrack.decisions.fleet.closing.sweeps import SweepKey
 
@@ -33,33 +39,33 @@
 
 
 def test_the_first_closes_leave_time_to_be_announced():
-    schedule = worked_out(Schedule(), plan(500, 900), latest=100, notice_us=NOTICE)
+    schedule = compute_schedule(Schedule(), plan(500, 900), latest=100, notice_us=NOTICE)
     assert closes(schedule) == [(1, 500), (2, 900)]
 
 
 def test_a_change_one_moment_before_a_close_comes_after_it():
-    before = worked_out(Schedule(), plan(500, 900), 100, NOTICE)
-    after = worked_out(before, plan(700, version=2), 499, NOTICE)
+    before = compute_schedule(Schedule(), plan(500, 900), 100, NOTICE)
+    after = compute_schedule(before, plan(700, version=2), 499, NOTICE)
     assert closes(after) == [(1, 500), (2, 700)]
     assert after.closes[0].purges == PURGES
 
 
 def test_what_stands_keeps_what_it_purges():
-    before = worked_out(Schedule(), plan(500, 900), 100, NOTICE)
-    after = worked_out(before, plan(500, 900, version=2, purges=(Purge("other"),)), 450, NOTICE)
+    before = compute_schedule(Schedule(), plan(500, 900), 100, NOTICE)
+    after = compute_schedule(before, plan(500, 900, version=2, purges=(Purge("other"),)), 450, NOTICE)
     assert [one.purges[0].volume for one in after.closes] == ["m*", "other"]
 
 
 @pytest.mark.parametrize(("late", "expected"), [(Late.PURGE, [(1, 301), (2, 900)]), (Late.SKIP, [(1, 900)])])
 def test_a_close_that_can_not_be_announced_in_time(late, expected):
-    assert closes(worked_out(Schedule(), plan(250, 900, late=late), 200, NOTICE)) == expected
+    assert closes(compute_schedule(Schedule(), plan(250, 900, late=late), 200, NOTICE)) == expected
 
 
 def test_a_zones_law_that_changes_moves_only_what_does_not_stand():
-    before = worked_out(Schedule(), plan(500, 900, 1300), 100, NOTICE)
+    before = compute_schedule(Schedule(), plan(500, 900, 1300), 100, NOTICE)
     moved = plan(500, 860, 1260, zones="b")
-    assert stale(before, moved, 450) and not stale(before, plan(500, 900, 1300), 450)
-    assert closes(worked_out(before, moved, 450, NOTICE)) == [(1, 500), (2, 860), (3, 1260)]
+    assert needs_update(before, moved, 450) and not needs_update(before, plan(500, 900, 1300), 450)
+    assert closes(compute_schedule(before, moved, 450, NOTICE)) == [(1, 500), (2, 860), (3, 1260)]
 
 
 def test_numbers_are_never_given_twice_or_left_out_whatever_changes():
@@ -68,9 +74,9 @@
         schedule, went = Schedule(), {}
         for version, now in enumerate(moments, start=1):
             fresh = plan(*range(200 + 37 * version, 1500, 210 + 13 * version), version=version)
-            schedule = worked_out(schedule, fresh, now, NOTICE)
+            schedule = compute_schedule(schedule, fresh, now, NOTICE)
             assert [one.number for one in schedule.closes] == list(
-                range(schedule.closes[0].number, schedule.last + 1)
+                range(schedule.closes[0].number, schedule.last_number + 1)
             )
             assert sorted({one.at_us for one in schedule.closes}) == [one.at_us for one in schedule.closes]
             for one in schedule.closes:
@@ -80,8 +86,8 @@
 
 def test_what_no_calendar_purged_before():
     ever = [Purge("m*", 0, 8), Purge("*", 16, 0)]
-    assert reaches_beyond([Purge("m*", 2, 4), Purge("x", 20, 30)], ever) == []
-    assert reaches_beyond([Purge("m*", 0, 9), Purge("n", 0, 8)], ever) == [
+    assert uncovered_purges([Purge("m*", 2, 4), Purge("x", 20, 30)], ever) == []
+    assert uncovered_purges([Purge("m*", 0, 9), Purge("n", 0, 8)], ever) == [
         Purge("m*", 0, 9),
         Purge("n", 0, 8),
     ]
@@ -97,7 +103,7 @@
         try:
             return [int(one) for one in body.split()]
         except ValueError as error:
-            raise BadCalendar(str(error)) from error
+            raise InvalidCalendar(str(error)) from error
 
     kept = {}
 
@@ -105,7 +111,7 @@
         kept[str(schedule)] = schedule
         return str(schedule)
 
-    return Reader(
+    return CalendarCodec(
         lambda body, version, _before: plan(
             *numbers(body)[1:], version=version, purges=(Purge("m", 0, numbers(body)[0]),)
         ),
@@ -124,37 +130,41 @@
 
 def test_a_calendar_that_purges_more_than_any_before_waits_for_a_word():
     read = reader()
-    record = arranged(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
-    assert record.under_way(THING).standing is Standing.PAUSED and record.in_force(THING + CLOSES) is None
-    assert arranged(record, 1, 120, NOTICE, read) is record
-    record = arranged(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
-    assert record.in_force(THING).number == 1 and closes(schedule_of(record, THING, read)) == [
+    record = update_calendars(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
+    assert (
+        record.under_way(THING).standing is Standing.PAUSED and record.in_force(THING + CLOSES_SUFFIX) is None
+    )
+    assert update_calendars(record, 1, 120, NOTICE, read) is record
+    record = update_calendars(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
+    assert record.in_force(THING).number == 1 and closes(recorded_schedule(record, THING, read)) == [
         (1, 500),
         (2, 900),
     ]
-    smaller = arranged(proposed(record, "4 700", 1), 1, 140, NOTICE, read)
+    smaller = update_calendars(proposed(record, "4 700", 1), 1, 140, NOTICE, read)
     assert smaller.in_force(THING).number == 2, "what purges less needs no word"
-    larger = arranged(proposed(smaller, "8 800", 2), 1, 150, NOTICE, read)
+    larger = update_calendars(proposed(smaller, "8 800", 2), 1, 150, NOTICE, read)
     assert larger.in_force(THING).number == 3, "nor what one before did"
 
 
 def test_a_body_that_is_no_calendar_is_taken_back():
-    record = arranged(proposed(Record(), "what", 0), 1, 100, NOTICE, reader())
+    record = update_calendars(proposed(Record(), "what", 0), 1, 100, NOTICE, reader())
     assert record.of(THING)[0].standing is Standing.ABORTED and "what" in record.of(THING)[0].reason
 
 
 def test_a_sweep_goes_on_record_once_and_never_back():
     read = reader()
-    record = arranged(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
-    record = arranged(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
+    record = update_calendars(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
+    record = update_calendars(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
     key = SweepKey(THING, 2, "m")
-    swept = arranged(record, 1, 901, NOTICE, read, [key])
-    assert schedule_of(swept, THING, read).swept_of("m") == 2
-    assert arranged(swept, 1, 902, NOTICE, read, [key, SweepKey(THING, 1, "m")]) is swept
+    swept = update_calendars(record, 1, 901, NOTICE, read, [key])
+    assert recorded_schedule(swept, THING, read).last_swept("m") == 2
+    assert update_calendars(swept, 1, 902, NOTICE, read, [key, SweepKey(THING, 1, "m")]) is swept
 
 
 def test_a_head_that_lost_count_purges_by_the_oldest_close_that_is_remembered():
-    from harriertrack.decisions.fleet.closing.schedule import merged
+    from harriertrack.decisions.fleet.closing.schedule import pending_closes
 
     schedule = Schedule(closes=(Close(7, 10, PURGES, "x"), Close(8, 20, PURGES)))
-    assert [one.number for one in merged(schedule, 3)] == [7, 8] and "3" in merged(schedule, 3)[0].name
+    assert [one.number for one in pending_closes(schedule, 3)] == [7, 8] and "3" in pending_closes(
+        schedule, 3
+    )[0].name
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -58,7 +58,7 @@
 ZONES = "decisions.fleet.zones.evacuation:Evacuation"
 SCORING, VIEW = "decisions.fleet.scoring", "membership.fleet.view:View"
 WEIGHTS = "gateway.fleet.scoring.carrier:Scoring"
-LAUNCHING = "decisions.fleet.rollout.launch_state:Launching"
+LAUNCHING = "decisions.fleet.rollout.launch_state:LaunchStateMachine"
 LAUNCHER = "gateway.fleet.rollout.launcher.launcher:Launcher"
 CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closing:Closing"
 ROLLOUT = "decisions.fleet.rollout.rollout:Rollout"
@@ -396,29 +396,29 @@
     Fault(
         "a fence opens in doubt",
         "closing",
-        f"{CLOSING}.fences:Fence.stance",
+        f"{CLOSING}.fences:Fence.state",
         "reading.high < after[0].at_us",
         "reading.low < after[0].at_us",
     ),
     Fault(
         "a close fires in doubt",
         "closing",
-        f"{CLOSING}.fences:Fence.due",
+        f"{CLOSING}.fences:Fence.closes_to_purge",
         "min(reading.low, sure_until)",
         "min(reading.high, sure_until)",
     ),
     Fault(
         "a head that nobody tells goes on",
         "closing-cut",
-        f"{CLOSING}.fences:Fences.blind",
-        "reading is None or reading.high >= self.sure_until",
+        f"{CLOSING}.fences:Fences.is_blind",
+        "reading is None or reading.high >= self.confirmed_until",
         "reading is None",
         2,
     ),
     Fault(
         "what is announced is changed",
         "closing-cut",
-        f"{CLOSING}.schedule:worked_out",
+        f"{CLOSING}.schedule:compute_schedule",
         "firm_until = latest + notice_us",
         "firm_until = latest",
         3,
@@ -492,8 +492,8 @@
         "a start is written down after it",
         "launch-killed",
         f"{LAUNCHER}._start",
-        "self.machine.starting(token)",
-        "self.machine.kept = __import__('dataclasses').replace(self.machine.kept, token=token)",
+        "self.machine.record_start(token)",
+        "self.machine.saved = __import__('dataclasses').replace(self.machine.saved, token=token)",
     ),
     Fault(
         "a launcher that is back forgets its head",
@@ -519,14 +519,14 @@
     Fault(
         "what fell is tried anew",
         "launch-bad",
-        f"{LAUNCHING}.wanted",
+        f"{LAUNCHING}.request_program",
         " or program.number == kept.fell != 0",
         "",
     ),
     Fault(
         "good is who serves for a moment",
         "launch-bad",
-        f"{LAUNCHING}.wake",
+        f"{LAUNCHING}.advance",
         "proven = now >= self._since + rules.prove_us",
         "proven = True",
     ),
@@ -534,13 +534,13 @@
         "a stop between two heads is not heard",
         "launch-stops",
         f"{LAUNCHING}.stop",
-        "self._actions.append(Done())",
+        "self._actions.append(Exit())",
         "pass",
     ),
     Fault(
         "who does not end is never ended",
         "launch-deaf",
-        f"{LAUNCHING}.wake",
+        f"{LAUNCHING}.advance",
         "now >= self._since + rules.drain_us",
         "False",
     ),
@@ -554,21 +554,21 @@
     Fault(
         "what is asked in doubt passes",
         "close-write",
-        f"{CLOSING}.fences:Fences.refuses",
-        "is not Stance.OPEN",
-        "is Stance.PURGING",
+        f"{CLOSING}.fences:Fences.refusal_hint_us",
+        "is not FenceState.OPEN",
+        "is FenceState.PURGING",
     ),
     Fault(
         "a guard lets all pass",
         "close-write",
         "gateway.fleet.closing.guard:Guard.refuses",
-        "or not self._fences.guards(volume)",
+        "or not self._fences.may_purge(volume)",
         "or True",
     ),
     Fault(
         "a close that may have come purges",
         "close-write",
-        f"{CLOSING}.fences:Fence.due",
+        f"{CLOSING}.fences:Fence.closes_to_purge",
         "min(reading.low, sure_until)",
         "min(reading.high, sure_until)",
     ),
@@ -627,15 +627,15 @@
     Fault(
         "a part of a sweep is the whole",
         "sweeps",
-        f"{CLOSING}.sweeps:Swept.whole",
-        "done & ALL == ALL",
+        f"{CLOSING}.sweeps:SweepProgress.completed",
+        "done & ALL_SLICES == ALL_SLICES",
         "done & 1",
         2,
     ),
     Fault(
         "a volume opens before it is swept",
         "sweeps",
-        f"{CLOSING}.fences:Fence.sweeping",
+        f"{CLOSING}.fences:Fence.unswept_closes",
         "swept < one.number <=",
         "one.number <",
         2,
@@ -643,7 +643,7 @@
     Fault(
         "a slice is done before its last extent",
         "sweeps",
-        f"{CLOSING}.sweeps:Sweep.done",
+        f"{CLOSING}.sweeps:Sweep.done_slices",
         "if not extents",
         "if len(extents) < 2",
         2,
@@ -651,7 +651,7 @@
     Fault(
         "two heads go at once",
         "rollout",
-        "decisions.fleet.rollout.selection:next_away",
+        "decisions.fleet.rollout.selection:select_next_away",
         "if len(out) >= most:",
         "if False:",
         2,
@@ -659,8 +659,8 @@
     Fault(
         "who has not come back is not away",
         "rollout",
-        f"{ROLLOUT}.away",
-        "elif (name in named) != (one.runs == self.number):",
+        f"{ROLLOUT}.away_heads",
+        "elif (name in named) != (one.running_version == self.number):",
         "elif False:",
         2,
     ),
