--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -12,9 +12,9 @@
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.changes.record import Version
 from harriertrack.decisions.fleet.rollout.launch_state import (
-    Done, End, IllegalPhase, Keep, Kept, Launching, LaunchRules, Phase, Program, Start,
+    Exit, Terminate, IllegalPhase, Save, SavedState, LaunchStateMachine, LaunchRules, Phase, Program, Start,
 )  # fmt: skip
-from harriertrack.decisions.fleet.rollout.plan import USUAL, Measure
+from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN, Measure
 from harriertrack.gateway.fleet.rollout.launcher import child as children
 from harriertrack.gateway.fleet.rollout.launcher.files import Files, launched
 from harriertrack.gateway.fleet.rollout.launcher.launcher import Launcher, Unfit, command_of
@@ -35,29 +35,29 @@
 
     def __init__(self, bad=BAD, mute=()):
         self.bad, self.mute, self.now = bad, mute, 0
-        self.disk, self.child, self.asked, self.starts, self.want = Kept(), None, 0, [], None
+        self.disk, self.child, self.asked, self.starts, self.want = SavedState(), None, 0, [], None
         self.launch()
 
     def launch(self):
-        self.one = Launching(RULES, self.disk)
+        self.one = LaunchStateMachine(RULES, self.disk)
         self.one.begin(self.now, 7 if self.child is not None else 0)
         self.act()
 
     def act(self):
         for action in self.one.take_actions():
             match action:
-                case Keep(kept):
+                case Save(kept):
                     self.disk = kept
                 case Start(program, fell, _):
                     assert self.child is None, "never two children"
                     self.child, self.asked = program.number, 0
                     self.starts.append((program.number, fell))
-                    self.one.starting("t")
-                    self.one.started(7)
+                    self.one.record_start("t")
+                    self.one.record_child(7)
                     self.act()
-                case End(at_once):
+                case Terminate(at_once):
                     self.asked = self.now if not at_once else -1
-                case Done():
+                case Exit():
                     self.one = None
                     return
 
@@ -67,13 +67,13 @@
             if self.child is not None:
                 if self.asked or self.child in self.bad:
                     self.child = None
-                    self.one.ended(self.now, "signal 11 ended it")
+                    self.one.child_ended(self.now, "signal 11 ended it")
                 elif self.child not in self.mute:
-                    self.one.ready(self.now)
+                    self.one.child_ready(self.now)
             if self.one is not None:
                 if self.want is not None and self.one.phase is not Phase.IDLE:
-                    self.one.wanted(self.now, self.want)  # a file says so until another does
-                self.one.wake(self.now)
+                    self.one.request_program(self.now, self.want)  # a file says so until another does
+                self.one.advance(self.now)
                 self.act()
 
 
@@ -124,13 +124,13 @@
 
 def test_an_illegal_phase_raises():
     with pytest.raises(IllegalPhase):
-        Launching(RULES)._go(0, Phase.RUNNING)
+        LaunchStateMachine(RULES)._go(0, Phase.RUNNING)
 
 
 def test_what_is_damaged_on_disk_counts_as_not_there(tmp_path):
     files = Files(str(tmp_path))
-    files.keep(Kept(good=Program(5), fell=6, why="w"))
-    assert Files(str(tmp_path)).kept() == Kept(good=Program(5), fell=6, why="w")
+    files.keep(SavedState(good=Program(5), fell=6, why="w"))
+    assert Files(str(tmp_path)).kept() == SavedState(good=Program(5), fell=6, why="w")
     data = (tmp_path / "state").read_bytes()
     for broken in (data[:-1], b"", data.replace(b"5", b"7")):
         (tmp_path / "state").write_bytes(broken)
@@ -228,15 +228,15 @@
     def steps(one, hub):
         until(hub, lambda: one.machine.phase is Phase.RUNNING)
         files.want(Program(2, arguments=("--bad",)))
-        until(hub, lambda: one.machine.kept.fell == 2 and one.machine.phase is Phase.RUNNING)
-        assert one.machine.kept.runs == 0
+        until(hub, lambda: one.machine.saved.fell == 2 and one.machine.phase is Phase.RUNNING)
+        assert one.machine.saved.runs == 0
         files.want(Program(4))
-        until(hub, lambda: one.machine.kept.good.number == 4)
+        until(hub, lambda: one.machine.saved.good.number == 4)
         found = Launcher(Hub(), load_launcher(str(folder / "launch.sexp")), lambda *_, **__: None)
-        assert found._child is not None and found._child.pid == one.machine.kept.child, (
+        assert found._child is not None and found._child.pid == one.machine.saved.child, (
             "another life finds it"
         )
-        kept = one.machine.kept
+        kept = one.machine.saved
         nameless = children.find(0, kept.token)
         assert nameless is not None and nameless.pid == kept.child, "also by its token alone"
         assert children.find(0, "of nobody") is None and children.find(kept.child, "") is None
@@ -269,18 +269,20 @@
 ])  # fmt: skip
 def test_a_plan_that_can_not_be_is_told_with_its_field(text, why):
     with pytest.raises(SettingsError, match=why):
-        read_plan(text, "p", USUAL)
+        read_plan(text, "p", DEFAULT_PLAN)
 
 
 def test_a_plan_says_what_differs_from_the_usual():
     told = read_plan(
         '(plan (away 3) (alone yes) (compares "failed" "slow") (stage "x" (heads 2) (soak 5s)) (stage "y" (share 1)))',
         "p",
-        USUAL,
+        DEFAULT_PLAN,
     )
     assert (told.away, told.alone, told.measures) == (3, True, (Measure.FAILED, Measure.SLOW))
-    assert told.stages[0].heads == 2 and told.stages[0].soak_us == 5 * S and told.bounds == USUAL.bounds
-    assert read_plan("(plan)", "p", USUAL) == USUAL
+    assert (
+        told.stages[0].heads == 2 and told.stages[0].soak_us == 5 * S and told.bounds == DEFAULT_PLAN.bounds
+    )
+    assert read_plan("(plan)", "p", DEFAULT_PLAN) == DEFAULT_PLAN
 
 
 def test_reports_fit_and_are_read_back():
@@ -292,7 +294,7 @@
     assert len(data) <= MOST_TOPIC_BODY
     heard = Heard("h")
     read = heard.take(data)
-    assert read.runs == report.runs and set(read.classes) < set(classes) and len(read.classes) >= 5
+    assert read.versions == report.versions and set(read.classes) < set(classes) and len(read.classes) >= 5
     assert all(read.classes[name] == classes[name] for name in read.classes)
     assert heard.volumes is None
     for body in encode_volumes(9, list(range(10**9, 10**9 + 400))):
--- a/tests/rollout/test_remembering.py
+++ b/tests/rollout/test_remembering.py
@@ -9,11 +9,15 @@
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.standing import Standing
 from harriertrack.decisions.fleet.rollout import controller
-from harriertrack.decisions.fleet.rollout.baseline_filter import Believed, Told, believed
+from harriertrack.decisions.fleet.rollout.baseline_filter import (
+    AcceptedBaselines,
+    ReportedBaseline,
+    accept_baselines,
+)
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report, Usage
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage
-from harriertrack.decisions.fleet.rollout.baseline import Before, Remembering
+from harriertrack.decisions.fleet.rollout.baseline import Baseline, BaselineRecorder
 from harriertrack.gateway.fleet.rollout.carrier import asked
 from harriertrack.gateway.fleet.rollout.remembered import Remembered
 from harriertrack.gateway.fleet.rollout.reports import Heard, MalformedReport, encode_before
@@ -46,7 +50,7 @@
 
 
 def followed(one: Staged):
-    return next(iter(one.conductor.followed.values()))
+    return next(iter(one.conductor.tracked.values()))
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
@@ -58,7 +62,7 @@
     other.new_decider()
     for each in (one, other):
         each.run(30)
-    mine, its = followed(one).judge.before, followed(other).judge.before
+    mine, its = followed(one).test.baseline, followed(other).test.baseline
     assert len(its) == len(mine) == 12
     for key, tally in mine.items():
         assert its[key].answers == pytest.approx(tally.answers, rel=0.12), (
@@ -69,7 +73,7 @@
                 tally.refused / tally.answers, rel=0.2
             )
     assert all(
-        usage.reports > 40 for usage in (head.before for head in followed(other).evidence._heads.values())
+        usage.reports > 40 for usage in (head.baseline for head in followed(other).evidence._heads.values())
     )
 
 
@@ -107,7 +111,7 @@
     one.run(65)
     one.new_decider()
     one.run(40)
-    assert followed(one).judge.before == {}, "older heads: it is compared as if heads were alike"
+    assert followed(one).test.baseline == {}, "older heads: it is compared as if heads were alike"
     assert one.until("settings", 900) in (Standing.IN_FORCE, Standing.PAUSED)
 
 
@@ -125,7 +129,7 @@
         one.run(90)
         going = one.record.under_way("settings")
         assert going is not None and going.stage == 1, "by it alone no stage ends"
-        assert f"as 6 of 6 heads tell it; not {liar.name}, " in one.conductor.told(one.record)[0]
+        assert f"as 6 of 6 heads tell it; not {liar.name}, " in one.conductor.status_lines(one.record)[0]
         others = tuple(name for name in one.heads if name != one.decider)[:3]
         one.record = writing.step(one.record, one.epoch, "settings", 1, Standing.GOING, 1, "the others show it", 2,
                                   tuple({liar.name, *others}))  # fmt: skip
@@ -145,47 +149,55 @@
     assert sleeper.before(one.now) is None, "it was stopped when the time of before ended"
 
     tells = {
-        f"head{number}": Told(100 * S, Before("settings", 1, 0, {"read": Tally(1000, 10, 10, 1)}))
+        f"head{number}": ReportedBaseline(
+            100 * S, Baseline("settings", 1, 0, {"read": Tally(1000, 10, 10, 1)})
+        )
         for number in range(5)
     }
-    week = Told(-600_000 * S, Before("settings", 1, 0, {"read": Tally(10, 900, 10, 1)}))
-    found = believed({**tells, "late": week}, {*tells, "late"}, 0.01)
-    assert {head for head, _ in found.counts} == set(tells) and not found.odd
-    assert believed({"late": week, "head0": tells["head0"]}, ["a", "late", "head0"], 0.01).counts == {}
+    week = ReportedBaseline(-600_000 * S, Baseline("settings", 1, 0, {"read": Tally(10, 900, 10, 1)}))
+    found = accept_baselines({**tells, "late": week}, {*tells, "late"}, 0.01)
+    assert {head for head, _ in found.counts} == set(tells) and not found.outliers
+    assert (
+        accept_baselines({"late": week, "head0": tells["head0"]}, ["a", "late", "head0"], 0.01).counts == {}
+    )
 
 
 def test_who_tells_of_far_worse_than_the_others_is_its_own_measure_alone_and_few_answers_are_none() -> None:
-    def told(**rates: int) -> dict[str, Told]:
+    def told(**rates: int) -> dict[str, ReportedBaseline]:
         return {
-            name: Told(0, Before("s", 1, 0, {"read": Tally(10_000 - bad, 0, bad, 0)}))
+            name: ReportedBaseline(0, Baseline("s", 1, 0, {"read": Tally(10_000 - bad, 0, bad, 0)}))
             for name, bad in rates.items()
         }
 
-    assert set(believed(told(a=100, b=120, c=90, d=1000), "abcd", 0.01).odd) == {"d"}
-    assert not believed(told(a=100, b=120, c=90, d=5), "abcd", 0.01).odd, "that is not in its favour"
-    assert not believed(told(a=100, b=120, c=90, d=300), "abcd", 0.01).odd
-    assert not believed(told(a=100, b=1000), "ab", 0.01).odd, "of two nobody can say which is odd"
+    assert set(accept_baselines(told(a=100, b=120, c=90, d=1000), "abcd", 0.01).outliers) == {"d"}
+    assert not accept_baselines(told(a=100, b=120, c=90, d=5), "abcd", 0.01).outliers, (
+        "that is not in its favour"
+    )
+    assert not accept_baselines(told(a=100, b=120, c=90, d=300), "abcd", 0.01).outliers
+    assert not accept_baselines(told(a=100, b=1000), "ab", 0.01).outliers, (
+        "of two nobody can say which is odd"
+    )
     few = {
-        name: Told(0, Before("s", 1, 0, {"read": Tally(10 - bad, 0, bad, 0)}))
+        name: ReportedBaseline(0, Baseline("s", 1, 0, {"read": Tally(10 - bad, 0, bad, 0)}))
         for name, bad in (("a", 0), ("b", 0), ("c", 3))
     }
-    assert not believed(few, "abc", 0.01).odd
+    assert not accept_baselines(few, "abc", 0.01).outliers
     slow = told(a=100, b=120, c=90, d=100)
     for name, one in slow.items():
-        one.before.classes["read"].took[:] = (
+        one.baseline.classes["read"].latency_counts[:] = (
             [0, 0, 9000, 0, 900 if name == "d" else 0] if name != "d" else [0, 0, 900, 0, 9000]
         )
-        one.before.classes["read"].took.extend([0] * 11)
-    assert set(believed(slow, "abcd", 0.01).odd) == {"d"}
+        one.baseline.classes["read"].latency_counts.extend([0] * 11)
+    assert set(accept_baselines(slow, "abcd", 0.01).outliers) == {"d"}
 
 
 def test_a_head_holds_the_time_between_proposed_and_named_and_nothing_else() -> None:
     record, counts = Record(), {"read": Tally()}
-    one = Remembering(0)
+    one = BaselineRecorder(0)
 
     def second(at: int, now: Record) -> bool:
         counts["read"].timely += 10
-        return one.look(at * S, now, counts, 5 << 20, at * 100)
+        return one.update(at * S, now, counts, 5 << 20, at * 100)
 
     for at in range(20):
         second(at, record)
@@ -194,12 +206,12 @@
         assert not second(at, proposed)
     named = writing.step(proposed, 1, "settings", 1, Standing.GOING, 1, "stage one", 1, ("a",))
     assert second(50, named) and not second(51, named)
-    told = one.told(60 * S)
+    told = one.current(60 * S)
     assert told is not None and (told.number, told.ago_us, told.classes["read"].timely) == (1, 10 * S, 300)
     assert told.usage == Usage(5 << 20, 3000, 300, 30)
     assert not second(61, writing.step(named, 1, "settings", 1, Standing.IN_FORCE, 1, "all", 1))
-    assert one.told(61 * S) is None, "it is over"
-    assert not Remembering(0).look(6 * S, named, counts), "it was not there before"
+    assert one.current(61 * S) is None, "it is over"
+    assert not BaselineRecorder(0).update(6 * S, named, counts), "it was not there before"
 
 
 def test_who_waits_for_another_version_has_no_time_before_yet() -> None:
@@ -207,17 +219,17 @@
         writing.propose(Record(), "program", 0, "b", "ann", 1, "w"), "settings", 0, "b", "ann", 1, "w"
     )
     going = writing.step(both, 1, "program", 1, Standing.GOING, 1, "one", 1, ("a",))
-    one = Remembering(0)
+    one = BaselineRecorder(0)
     for at in range(10, 20):
-        one.look(at * S, both, {"read": Tally(at)})
-    assert one.look(20 * S, going, {"read": Tally(20)})
-    assert one.told(20 * S).thing == "program"  # type: ignore[union-attr]
+        one.update(at * S, both, {"read": Tally(at)})
+    assert one.update(20 * S, going, {"read": Tally(20)})
+    assert one.current(20 * S).thing == "program"  # type: ignore[union-attr]
     done = writing.step(going, 1, "program", 1, Standing.IN_FORCE, 1, "all", 1)
-    assert not one.look(21 * S, done, {"read": Tally(21)}) and one.told(21 * S) is None
-    assert one.look(
+    assert not one.update(21 * S, done, {"read": Tally(21)}) and one.current(21 * S) is None
+    assert one.update(
         23 * S, writing.step(done, 1, "settings", 1, Standing.GOING, 1, "one", 1, ("a",)), {"read": Tally(29)}
     )
-    assert one.told(23 * S).classes["read"].timely == 8  # type: ignore[union-attr]
+    assert one.current(23 * S).classes["read"].timely == 8  # type: ignore[union-attr]
 
 
 # -- as bytes, and on disk
@@ -225,11 +237,11 @@
 
 def test_what_is_told_fits_and_comes_back_as_it_was() -> None:
     many = {f"class-{number}": Tally(number, 1, 2, 3, 4, [number] * 16) for number in range(40)}
-    before = Before("scorer/near", 7, 5 * S, many, Usage(1 << 30, 99, 0, 12))
+    before = Baseline("scorer/near", 7, 5 * S, many, Usage(1 << 30, 99, 0, 12))
     data = encode_before(3, before)
     assert len(data) <= MOST_TOPIC_BODY
     back = Heard("a").take(data)
-    assert isinstance(back, Before) and (back.thing, back.number, back.ago_us) == ("scorer/near", 7, 5 * S)
+    assert isinstance(back, Baseline) and (back.thing, back.number, back.ago_us) == ("scorer/near", 7, 5 * S)
     assert set(back.classes) == {f"class-{number}" for number in range(40 - len(back.classes), 40)}, (
         "the busiest"
     )
@@ -242,24 +254,24 @@
 def test_it_outlives_a_restart_and_damage_is_nothing_kept(tmp_path) -> None:
     notes: list[str] = []
     kept = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
-    before = Before("program", 2, 0, {"read": Tally(9, 1)}, Usage(1, 2, 10, 3))
+    before = Baseline("program", 2, 0, {"read": Tally(9, 1)}, Usage(1, 2, 10, 3))
     assert kept.read(5) is None and not notes
     kept.write(1000 * S, before)
     again = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
     assert again.read(1030 * S) == replace(before, ago_us=30 * S)
-    one = Remembering(0)
-    one.again(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
+    one = BaselineRecorder(0)
+    one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
     proposed = writing.propose(Record(), "program", 0, "b", "ann", 1, "w")
-    one.look(5 * S, Record(), {})
-    assert one.told(5 * S) is not None, "the record is not read yet"
-    one.look(5 * S, proposed, {})
-    assert one.told(5 * S) is None, "nothing of that is under way"
+    one.update(5 * S, Record(), {})
+    assert one.current(5 * S) is not None, "the record is not read yet"
+    one.update(5 * S, proposed, {})
+    assert one.current(5 * S) is None, "nothing of that is under way"
     going = replace(proposed.versions[0], number=2, standing=Standing.GOING, heads=("a",))
-    one.again(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
-    assert not one.look(6 * S, Record(revision=2, versions=(going,)), {})
-    assert one.told(10 * S).ago_us == 35 * S  # type: ignore[union-attr]
-    one.again(5 * S, again.read(10 * S))  # type: ignore[arg-type]
-    assert one.told(10 * S).ago_us == 35 * S, "a clock that went back: what is kept is of no use"  # type: ignore[union-attr]
+    one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
+    assert not one.update(6 * S, Record(revision=2, versions=(going,)), {})
+    assert one.current(10 * S).ago_us == 35 * S  # type: ignore[union-attr]
+    one.restore(5 * S, again.read(10 * S))  # type: ignore[arg-type]
+    assert one.current(10 * S).ago_us == 35 * S, "a clock that went back: what is kept is of no use"  # type: ignore[union-attr]
     (tmp_path / "before").write_bytes(b"x" * 40)
     assert again.read(1030 * S) is None and notes == ["rollout: what was kept of before is of no use"]
 
@@ -270,8 +282,8 @@
 def test_ends_that_operators_asked_for_are_no_crashes() -> None:
     evidence = Evidence("settings", 1, 0)
     for at, life in ((0, 1), (60, 2), (120, 3), (180, 4)):
-        evidence.heard(at * S, Report("a", life, {"settings": 1}, {}), "z0", asked={1, 3})
-    assert evidence.crashes() == (1, 0)
+        evidence.add_report(at * S, Report("a", life, {"settings": 1}, {}), "z0", asked={1, 3})
+    assert evidence.crash_counts() == (1, 0)
 
 
 def test_who_said_goodbye_ended_as_somebody_wished_and_who_was_found_dead_did_not() -> None:
@@ -301,13 +313,13 @@
 def test_heads_that_came_back_with_the_program_tell_who_decides_next_what_they_did_before_it(
     monkeypatch,
 ) -> None:
-    found, weigh = [], controller.believed
+    found, weigh = [], controller.accept_baselines
 
-    def weighed(*told: object) -> Believed:
+    def weighed(*told: object) -> AcceptedBaselines:
         found.append(weigh(*told))  # type: ignore[arg-type]
         return found[-1]
 
-    monkeypatch.setattr(controller, "believed", weighed)
+    monkeypatch.setattr(controller, "accept_baselines", weighed)
     recorder = rec.Recorder()
     simulate(scenario.parse(read_text(DAY, "day"), "day"), 4, 1, recorder)
     assert rollout.check(recorder.records) == []
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -7,11 +7,11 @@
 from harriertrack.decisions.fleet.changes import writing
 from harriertrack.decisions.fleet.changes.standing import Standing
 from harriertrack.decisions.fleet.rollout import feature_levels
-from harriertrack.decisions.fleet.rollout.selection import Member, next_away, staged
-from harriertrack.decisions.fleet.rollout.controller import BadPlan
+from harriertrack.decisions.fleet.rollout.selection import HeadState, select_next_away, select_for_stage
+from harriertrack.decisions.fleet.rollout.controller import InvalidPlan
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report
-from harriertrack.decisions.fleet.rollout.sequential_test import outgrown
+from harriertrack.decisions.fleet.rollout.sequential_test import excess_usage
 from harriertrack.decisions.fleet.rollout.plan import Bounds, Plan, Stage
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
@@ -81,7 +81,7 @@
     one.run(200)
     going = one.record.under_way("settings")
     assert going is not None and (going.standing, going.stage) == (Standing.GOING, 1)
-    assert "worse than before" in one.conductor.told(one.record)[0]
+    assert "worse than before" in one.conductor.status_lines(one.record)[0]
 
 
 def test_the_load_of_those_that_are_away_is_not_held_against_the_version() -> None:
@@ -207,35 +207,38 @@
 # -- who is chosen
 
 
-def members(*heads: Member) -> dict[str, Member]:
+def members(*heads: HeadState) -> dict[str, HeadState]:
     return {one.name: one for one in heads}
 
 
 def test_never_two_zones_and_never_all_that_serve_a_volume_are_away() -> None:
     plan = Plan((Stage("all", share=1.0),), away=4)
     some = members(
-        Member("a", "z0", volumes=frozenset({1})), Member("b", "z0", volumes=frozenset({1, 2})),
-        Member("c", "z0", volumes=frozenset({2, 3})), Member("d", "z1", volumes=frozenset({3})),
-        Member("e", "z0", volumes=None), Member("f", "z0", volumes=frozenset({9})),
+        HeadState("a", "z0", volumes=frozenset({1})), HeadState("b", "z0", volumes=frozenset({1, 2})),
+        HeadState("c", "z0", volumes=frozenset({2, 3})), HeadState("d", "z1", volumes=frozenset({3})),
+        HeadState("e", "z0", volumes=None), HeadState("f", "z0", volumes=frozenset({9})),
     )  # fmt: skip
-    assert next_away("abcdef", [], plan, some) == ["a", "c"], (
+    assert select_next_away("abcdef", [], plan, some) == ["a", "c"], (
         "b leaves 1 bare, d is elsewhere, e is not known, f alone"
     )
-    assert next_away("abcdef", ["d"], plan, some) == [], "d is away: no other zone's head goes"
-    assert "f" in next_away("abcdef", [], Plan(plan.stages, away=4, alone=True), some)
+    assert select_next_away("abcdef", ["d"], plan, some) == [], "d is away: no other zone's head goes"
+    assert "f" in select_next_away("abcdef", [], Plan(plan.stages, away=4, alone=True), some)
 
 
 def test_every_decider_draws_the_same_heads_and_a_named_one_that_is_not_heard_keeps_its_place() -> None:
-    some = members(*(Member(f"h{number}", f"z{number % 3}") for number in range(30)))
-    first = staged((Stage("t", share=0.1),), 0, some, (), "s", "h0")
+    some = members(*(HeadState(f"h{number}", f"z{number % 3}") for number in range(30)))
+    first = select_for_stage((Stage("t", share=0.1),), 0, some, (), "s", "h0")
     assert len(first) == 3 and {some[name].zone for name in first} == {"z0", "z1", "z2"}
-    assert staged((Stage("t", share=0.1),), 0, dict(reversed(some.items())), (), "s", "h0") == first
+    assert select_for_stage((Stage("t", share=0.1),), 0, dict(reversed(some.items())), (), "s", "h0") == first
     gone = {name: one for name, one in some.items() if name != first[0]}
-    assert staged((Stage("t", share=0.1),), 0, gone, first, "s", "h0") == []
-    assert "h0" not in staged((Stage("t", share=0.9),), 0, some, (), "s", "h0"), "who decides is last"
-    assert staged((Stage("z", share=1.0, zones=("z1",)),), 0, some, (), "s", "")[:1] != []
+    assert select_for_stage((Stage("t", share=0.1),), 0, gone, first, "s", "h0") == []
+    assert "h0" not in select_for_stage((Stage("t", share=0.9),), 0, some, (), "s", "h0"), (
+        "who decides is last"
+    )
+    assert select_for_stage((Stage("z", share=1.0, zones=("z1",)),), 0, some, (), "s", "")[:1] != []
     assert {
-        some[name].zone for name in staged((Stage("z", share=1.0, zones=("z1",)),), 0, some, (), "s", "")
+        some[name].zone
+        for name in select_for_stage((Stage("z", share=1.0, zones=("z1",)),), 0, some, (), "s", "")
     } == {"z1"}
 
 
@@ -247,7 +250,9 @@
     assert feature_levels.next_level(one.record, {"a": 2}, ["a"]) == 0, "while a program is under way"
     raised = writing.raise_level(one.record, 1, 2)
     assert feature_levels.next_level(raised, {"a": 1}, ["a"]) == 2
-    assert "level 1" in feature_levels.too_old(raised, 1) and not feature_levels.too_old(raised, 2)
+    assert "level 1" in feature_levels.level_conflict(raised, 1) and not feature_levels.level_conflict(
+        raised, 2
+    )
 
 
 def test_bounds_are_those_of_the_plan() -> None:
@@ -264,7 +269,7 @@
     assert one.until("settings", 60) is Standing.IN_FORCE
 
     def no_plan(_version: object) -> Plan:
-        raise BadPlan("p:1: plan: no such thing")
+        raise InvalidPlan("p:1: plan: no such thing")
 
     one.conductor.plan_of = no_plan
     one.propose("settings", "c")
@@ -281,7 +286,7 @@
     paused = writing.wish(one.record, "settings", Standing.PAUSED, "ann", 1, "look first")
     late = Step(before, Standing.GOING, "stage most", 2, before.heads)
     with pytest.raises(writing.Refused, match="moved on"):
-        late.write(paused, one.epoch, 1)
+        late.apply(paused, one.epoch, 1)
     one.record = paused
     one.run(120)
     assert one.record.under_way("settings").heads == before.heads  # type: ignore[union-attr]
@@ -291,19 +296,19 @@
     evidence = Evidence("settings", 1, 0)
     for second in range(40):
         if second == 20:
-            evidence.begin()
+            evidence.end_baseline()
         for head in ("a", "b", "c"):
             new = second >= 20 and head == "a"
             report = Report(head, 1, {"settings": 1} if new else {}, {"read": Tally(timely=second)},
                             (300 if new else 110 if second >= 20 else 100) << 20, second)  # fmt: skip
-            evidence.heard(second * S, report, "z0")
-    assert outgrown(evidence, QUICK).startswith("memory: 3.00 times what it was, 1.10 times elsewhere")
-    assert not outgrown(evidence, replace(QUICK, bounds=Bounds(memory=3.0)))
+            evidence.add_report(second * S, report, "z0")
+    assert excess_usage(evidence, QUICK).startswith("memory: 3.00 times what it was, 1.10 times elsewhere")
+    assert not excess_usage(evidence, replace(QUICK, bounds=Bounds(memory=3.0)))
 
 
 def test_ends_of_several_heads_of_a_zone_at_once_are_one() -> None:
     evidence = Evidence("settings", 1, 0)
     for life, at in ((1, 0), (2, 10), (3, 100)):
         for head in ("a", "b", "c"):
-            evidence.heard(at * S, Report(head, life, {"settings": 1}, {}), "z0")
-    assert evidence.crashes() == (2, 0)
+            evidence.add_report(at * S, Report(head, life, {"settings": 1}, {}), "z0")
+    assert evidence.crash_counts() == (2, 0)
