--- a/benchmarks/cell_share.py
+++ b/benchmarks/cell_share.py
@@ -32,10 +32,10 @@
 
 def undivided(path: str) -> None:
     """Run a head that divides nothing (a process)."""
-    Shares.takes = lambda *_: ""  # type: ignore[assignment, method-assign]
-    Shares.ended = Shares.left = lambda *_: None  # type: ignore[assignment, method-assign]
-    Shares.connects = lambda *_: True  # type: ignore[assignment, method-assign]
-    Shares.rest_us = lambda *_: 0  # type: ignore[assignment, method-assign]
+    Shares.admit = lambda *_: ""  # type: ignore[assignment, method-assign]
+    Shares.release = Shares.disconnect = lambda *_: None  # type: ignore[assignment, method-assign]
+    Shares.try_connect = lambda *_: True  # type: ignore[assignment, method-assign]
+    Shares.read_pause_us = lambda *_: 0  # type: ignore[assignment, method-assign]
     cli(["head", path])
 
 
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -3,7 +3,7 @@
     python -m benchmarks.cells [SECONDS]
 
 Each fleet is planned, then changes: a tenth of its tenants double their load, one rack in twenty goes. The
-new plan is set beside the rules of thumb (`greedy`). Prints a table.
+new plan is set beside the rules of thumb (`plan_greedily`). Prints a table.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     Fleet,
     Rack,
     Tenant,
-    change,
-    greedy,
-    problems,
-    touched_by_rack,
-    touched_by_tenant,
+    compute_change,
+    find_violations,
+    plan_greedily,
+    rack_blast_radius,
+    tenant_blast_radius,
 )
 from harriertrack.planning.cells import plan, price
 
@@ -98,7 +98,7 @@
             again.cells,
         )
         began = time.perf_counter()
-        thumb = greedy(later, before)
+        thumb = plan_greedily(later, before)
         _row(later, "rules of thumb", time.perf_counter() - began, "", 0.0, before, thumb)
 
 
@@ -110,10 +110,11 @@
     if after is None:
         print(start + " |" * 7, flush=True)
         return
-    moved = change(fleet, before, after)
+    moved = compute_change(fleet, before, after)
     print(f"{start} {distance:.1%} | {len(moved.tenants)} | {len(moved.racks)} | "
-          f"{price(fleet, before, after) / 1024:.0f} | {len(problems(fleet, after))} | "
-          f"{touched_by_tenant(after):.1%} | {touched_by_rack(fleet, after):.1%} |", flush=True)  # fmt: skip
+          f"{price(fleet, before, after) / 1024:.0f} | {len(find_violations(fleet, after))} | "
+          f"{tenant_blast_radius(after):.1%} | {rack_blast_radius(fleet, after):.1%} |",
+          flush=True)  # fmt: skip
 
 
 if __name__ == "__main__":
--- a/benchmarks/false_alarms.py
+++ b/benchmarks/false_alarms.py
@@ -36,8 +36,8 @@
     whole = judge([compare("aa", differences)])[0]
     print(f"{len(differences)} pairs; told apart in {alarms} of {COMPARISONS} comparisons of {PAIRS} pairs: "
           f"{alarms / COMPARISONS:.1%}, stated at most 5%")  # fmt: skip
-    print(f"all pairs in one comparison: {whole.compared.mean:+.5f} ({whole.compared.low:+.5f} to "
-          f"{whole.compared.high:+.5f}), p {whole.p_adjusted:.2f}: {whole.verdict.value}")  # fmt: skip
+    print(f"all pairs in one comparison: {whole.comparison.mean:+.5f} ({whole.comparison.low:+.5f} to "
+          f"{whole.comparison.high:+.5f}), p {whole.p_adjusted:.2f}: {whole.verdict.value}")  # fmt: skip
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_scoring.py
+++ b/benchmarks/fleet_scoring.py
@@ -19,10 +19,10 @@
 import msgspec
 
 from harriertrack.config.settings import ScorerSettings, ScoringSettings
-from harriertrack.decisions.fleet.scoring.joining import Opinion, joined
+from harriertrack.decisions.fleet.scoring.aggregation import Opinion, aggregate
 from harriertrack.decisions.fleet.scoring.rules import ScoringRules
-from harriertrack.decisions.fleet.scoring.spreading import Speaker, speakers
-from harriertrack.decisions.fleet.scoring.weights import normalised
+from harriertrack.decisions.fleet.scoring.weight_exchange import Publisher, select_publishers
+from harriertrack.decisions.fleet.scoring.weights import normalise
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import SimulatedFleet
 from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings, Verb
@@ -78,13 +78,13 @@
         super().start_head(slot)
         scored = slot.head.scored if slot.head is not None else None
         if self.oracle and scored is not None:
-            scored.shared.look = lambda now, moment: []  # type: ignore[method-assign]
+            scored.shared.update = lambda now, moment: []  # type: ignore[method-assign]
             self.scope.spawn("oracle", self._tell, scored.shared.factors)
 
     def _tell(self, factors: object) -> None:
         while True:
             scores = {name: 1 / shelf.faults.slow for name, shelf in self.shelves.items()}
-            factors.logs = normalised(scores)  # type: ignore[attr-defined]
+            factors.logs = normalise(scores)  # type: ignore[attr-defined]
             self.hub.sleep(LOOK_US)
 
 
@@ -209,7 +209,7 @@
         swarm.start(name)
         swarm.run(20_000)
     swarm.settle(60 * S)
-    says = {name: Speaker(1, rules) for name in names}
+    says = {name: Publisher(1, rules) for name in names}
     # A part of the nodes differ from the others by more than chance.
     logs = {f"node{at}": draws.uniform(-1, 1) if at < nodes * part else 0.0 for at in range(nodes)}
     said: dict[tuple[str, str], dict[int, int]] = defaultdict(dict)  # when each version was
@@ -221,11 +221,11 @@
         carry(process, send)
 
     swarm._carry = counted  # type: ignore[method-assign]
-    began, speaking = swarm.now, sorted(speakers(names, 0, rules.reporters))
+    began, speaking = swarm.now, sorted(select_publishers(names, 0, rules.reporters))
     for _ in range(2 * seconds):
         for name in speaking:
             opinions = {node: Opinion(log + draws.gauss(0, 0.07), 50, 0) for node, log in logs.items()}
-            if (page := says[name].next(swarm.now, opinions, len(speaking))) is not None:
+            if (page := says[name].next_page(swarm.now, opinions, len(speaking))) is not None:
                 topic = weighing.topic_of(page)
                 swarm.members[name].say(topic, weighing.encode(page))
                 row = swarm.members[name].view.find(name)
@@ -271,7 +271,7 @@
                 wrong = round(part * count)
                 lie = Opinion(-2.0 if truth > 0 else 2.0, 255, 0)
                 told = [*honest[wrong:], *[lie] * wrong]
-                moved.append(abs(joined(told, count, rules) - joined(honest, count, rules)))
+                moved.append(abs(aggregate(told, count, rules) - aggregate(honest, count, rules)))
                 mean_moved.append(abs(statistics.mean(one.log for one in told)
                                       - statistics.mean(one.log for one in honest)))  # fmt: skip
             print(f"{scatter} | {part:.2f} | {statistics.mean(moved):.2f} | {max(moved):.2f} | "
--- a/harriertrack/cli/cells.py
+++ b/harriertrack/cli/cells.py
@@ -13,12 +13,12 @@
 from harriertrack.decisions.cells import (
     CellMap,
     Fleet,
-    change,
-    greedy,
-    problems,
-    touched_by_rack,
-    touched_by_tenant,
-    whole,
+    compute_change,
+    find_violations,
+    plan_greedily,
+    rack_blast_radius,
+    single_cell_map,
+    tenant_blast_radius,
 )
 from harriertrack.planning import cells as planner, settings as files
 
@@ -74,15 +74,15 @@
 
 
 def _thumb(fleet: Fleet, before: CellMap) -> str:
-    by_thumb = greedy(fleet, before)
-    broken = problems(fleet, by_thumb)
+    by_thumb = plan_greedily(fleet, before)
+    broken = find_violations(fleet, by_thumb)
     return f"{planner.price(fleet, before, by_thumb)} MiB" + (
         f", with {len(broken)} rules broken" if broken else ""
     )
 
 
 def _tell_change(fleet: Fleet, before: CellMap, after: CellMap) -> None:
-    moved = change(fleet, before, after)
+    moved = compute_change(fleet, before, after)
     for what, moves in (("tenant", moved.tenants), ("rack", moved.racks)):
         for name, here, there in moves:
             click.echo(f"{what} {name}: {here} to {there}")
@@ -90,11 +90,12 @@
         f"{len(moved.tenants)} tenants with {moved.moved_bytes >> 20} MiB and {len(moved.racks)} racks move"
     )
     for name, share in (
-        ("one tenant touches", touched_by_tenant),
-        ("the loss of a rack touches", lambda one: touched_by_rack(fleet, one)),
+        ("one tenant touches", tenant_blast_radius),
+        ("the loss of a rack touches", lambda one: rack_blast_radius(fleet, one)),
     ):
         click.echo(
-            f"{name} at most {share(after):.1%} of the tenants; without cells {share(whole(fleet)):.1%}"
+            f"{name} at most {share(after):.1%} of the tenants; "
+            f"without cells {share(single_cell_map(fleet)):.1%}"
         )
 
 
@@ -108,7 +109,7 @@
     given, after = _fleet(fleet), maps.as_planned(_map(next_map))
     standing = _map(in_force) if Path(in_force).exists() else maps.MapSettings(version=0)
     before = maps.as_planned(standing)
-    broken = problems(given, after)
+    broken = find_violations(given, after)
     if after.version <= before.version:
         broken.insert(0, f"version {after.version} is not newer than {before.version}, which is in force")
     if broken:
@@ -146,7 +147,7 @@
             load = sum(one.load for one in tenants if region in one.regions)
             reserve = sum(one.reserve for one in tenants if region in one.regions)
             click.echo(f"  {region}: {units:g} units a second, load {load:g}, reserves {reserve:g}")
-    broken = problems(given, known)
+    broken = find_violations(given, known)
     for line in broken:
         click.echo(line)
     sys.exit(NO_PLAN if broken else 0)
--- a/harriertrack/cli/lab.py
+++ b/harriertrack/cli/lab.py
@@ -11,7 +11,7 @@
 
 from harriertrack.cli.common import fail, run_until_signal
 from harriertrack.config.sexp import SettingsError
-from harriertrack.decisions.hunting import Hunt, Phase
+from harriertrack.decisions.fault_search import FaultSearch, Phase
 from harriertrack.decisions.pacing import Pacing
 from harriertrack.gateway.client import NbdClientError
 from harriertrack.lab import day as days, experiments, report
@@ -135,8 +135,8 @@
         Path(out).write_text(text)
 
 
-def _tell_hunt(hunt: Hunt) -> None:
-    worst = hunt.found[0][1]
+def _tell_hunt(hunt: FaultSearch) -> None:
+    worst = hunt.ranked[0][1]
     now = hunt.smallest[1].loss if hunt.phase is Phase.SHRINK and hunt.smallest else worst.loss
     click.echo(
         f"{hunt.phase.value}: {hunt.played} days, worst loss {worst.loss:.3f}, now {now:.3f}", err=True
--- a/harriertrack/config/cells.py
+++ b/harriertrack/config/cells.py
@@ -11,7 +11,7 @@
 
 from harriertrack.config.settings import Checked, Name, VolumeSettings, Whole, given_twice, read_file
 from harriertrack.config.sexp import SettingsError, bind
-from harriertrack.decisions.celled import HeadMap
+from harriertrack.decisions.cell_scheduler import HeadCellMap
 from harriertrack.decisions.cells import CellMap
 
 
@@ -73,7 +73,7 @@
     return CellMap(given.version, racks, {one.name: one.cell for one in given.tenants})
 
 
-def head_map(path: str, volumes: Iterable[VolumeSettings]) -> HeadMap:
+def head_map(path: str, volumes: Iterable[VolumeSettings]) -> HeadCellMap:
     """Return what a head needs of a map: its volumes' cells, by tenant. Raises SettingsError.
 
     A volume whose tenant the map does not place would be served by nobody: that is an error.
@@ -87,7 +87,7 @@
             raise SettingsError(f"{path}:1: cell-map: tenant {tenant} of volume {volume.name} is in no cell")
         placed[volume.name] = tenants[tenant]
     shards = {shard: rack.cell for rack in given.racks for shard in rack.shards}
-    return HeadMap(given.version, shards, placed)
+    return HeadCellMap(given.version, shards, placed)
 
 
 def change_now(version: int) -> Change:
--- a/harriertrack/decisions/admission.py
+++ b/harriertrack/decisions/admission.py
@@ -68,7 +68,7 @@
         """Count a request and return "", or why it can't be taken now."""
         if not self._own_room(connection, size):
             return "too much is open on its connection"
-        if why := self.shares.takes(volume, size, now):
+        if why := self.shares.admit(volume, size, now):
             return why
         self._count(connection, size)
         return ""
@@ -85,14 +85,16 @@
         elif full or entrant.volume in self._lines or not self._room(now, entrant):
             self._lines.setdefault(entrant.volume, deque()).append(entrant)
         else:
-            self.shares.takes(entrant.volume, entrant.size, now)
+            self.shares.admit(entrant.volume, entrant.size, now)
             self._count(entrant.connection, entrant.size)
             return True
         return False
 
     def _room(self, now: int, entrant: Entrant[C]) -> bool:
         volume, size = entrant.volume, entrant.size
-        return self.shares.spares(volume, size) and not self.shares.lacks(volume, size, now)
+        return self.shares.leaves_equal_room(volume, size) and not self.shares.refusal_reason(
+            volume, size, now
+        )
 
     def forget(self, entrant: Entrant[C]) -> None:
         """A request leaves the door: its client left, or its time is up."""
@@ -105,7 +107,7 @@
 
     def leaves(self, connection: C, volume: str, size: int) -> None:
         """A counted request has its answer, or nobody waits for it any more."""
-        self.shares.ended(volume, size)
+        self.shares.release(volume, size)
         held = self._held[connection]
         held.requests -= 1
         held.request_bytes -= size
@@ -128,7 +130,7 @@
                 stuck[volume] = None
             else:
                 line.popleft()
-                self.shares.takes(volume, first.size, now)
+                self.shares.admit(volume, first.size, now)
                 self._count(first.connection, first.size)
                 found.append(first)
             if line:
--- a/harriertrack/decisions/celled.py
+++ b/harriertrack/decisions/cell_scheduler.py
@@ -44,26 +44,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeadMap:
+class HeadCellMap:
     """What a head needs of a map: the cell of each shard, and of each volume."""
 
     version: int
     shards: Mapping[int, str] = field(default_factory=dict)
     volumes: Mapping[str, str] = field(default_factory=dict)
 
-    def cells(self) -> list[str]:
+    def cell_names(self) -> list[str]:
         """Return the cells that something is in."""
         return sorted({*self.shards.values(), *self.volumes.values()})
 
 
-class OldMap(ValueError):
+class StaleMapError(ValueError):
     """A map that is not newer than the one in force."""
 
 
-class Celled:
+class CellScheduler:
     """The decision modules of one head, with the interface of one."""
 
-    def __init__(self, settings: Settings, seed: int, cells: HeadMap,
+    def __init__(self, settings: Settings, seed: int, cells: HeadCellMap,
                  make: Callable[..., Scheduler] = Scheduler,
                  portions: Portions | None = None) -> None:  # fmt: skip
         """Begin with a map; `make` is called with settings, seed, volumes and portions for each cell."""
@@ -80,7 +80,7 @@
         self._told: dict[str, str] = {}  # the cell whose module was told of a node
         self._pending: list[tuple[str, Event]] = []
         self._subscribed = False
-        for cell in cells.cells():
+        for cell in cells.cell_names():
             self._module(cell)
 
     def _module(self, cell: str) -> Scheduler:
@@ -92,7 +92,7 @@
         return self._modules[cell]
 
     def _own(self) -> Settings:
-        parts = max(1, len(self.map.cells()))
+        parts = max(1, len(self.map.cell_names()))
         return replace(self.settings, budget_free=self.settings.budget_free / parts)
 
     def modules(self) -> list[Scheduler]:
@@ -101,12 +101,12 @@
 
     # -- maps
 
-    def take_map(self, cells: HeadMap) -> None:
-        """Follow a newer map from the next batch on. Raises OldMap for one that is not newer."""
+    def apply_map(self, cells: HeadCellMap) -> None:
+        """Follow a newer map from the next batch on. Raises StaleMapError for one that is not newer."""
         if cells.version <= self.map.version:
-            raise OldMap(f"version {cells.version} is not newer than {self.map.version}")
+            raise StaleMapError(f"version {cells.version} is not newer than {self.map.version}")
         self.map = cells
-        for cell in cells.cells():
+        for cell in cells.cell_names():
             self._module(cell)
         self._pending.extend(self._split(NodesChanged(ListKind.CHANGES, list(self._nodes.values()))))
 
--- a/harriertrack/decisions/cells.py
+++ b/harriertrack/decisions/cells.py
@@ -4,8 +4,8 @@
 writes are dropped: one that straddled two cells would drop for both or for neither. A map has a version; maps
 are compared, never merged.
 
-Pure: the search for a good map is `planning/cells.py` (a solver) or `greedy` here (the baseline); both are
-held to the same `problems`.
+Pure: the search for a good map is `planning/cells.py` (a solver) or `plan_greedily` here (the baseline); both
+are held to the same `find_violations`.
 """
 
 from __future__ import annotations
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MapChange:
     """What goes from one map to another."""
 
     tenants: tuple[tuple[str, str, str], ...]  # name, from, to
@@ -112,7 +112,7 @@
     moved_bytes: int
 
 
-def change(fleet: Fleet, before: CellMap, after: CellMap) -> Change:
+def compute_change(fleet: Fleet, before: CellMap, after: CellMap) -> MapChange:
     """Return what a new map moves; what the old one did not know is placed, not moved."""
     sizes = {tenant.name: tenant.size_bytes for tenant in fleet.tenants}
 
@@ -120,10 +120,10 @@
         return tuple((name, old[name], to) for name, to in sorted(new.items()) if old.get(name, to) != to)
 
     tenants = moves(before.tenants, after.tenants)
-    return Change(tenants, moves(before.racks, after.racks), sum(sizes[name] for name, _, _ in tenants))
+    return MapChange(tenants, moves(before.racks, after.racks), sum(sizes[name] for name, _, _ in tenants))
 
 
-def problems(fleet: Fleet, cells: CellMap) -> list[str]:
+def find_violations(fleet: Fleet, cells: CellMap) -> list[str]:
     """Return, in words, everything in which a map does not keep to the rules; nothing if it does."""
     rules, names = fleet.rules, set(fleet.rules.names())
     found: list[str] = []
@@ -171,7 +171,7 @@
         yield f"{where}: reserves of {reserve:g} pass {rules.reserved:g} of {left:g}, its units less a rack"
 
 
-def impossible(fleet: Fleet) -> list[str]:
+def find_infeasibilities(fleet: Fleet) -> list[str]:
     """Return, in words, what can be seen without a search to make any map impossible."""
     rules, found = fleet.rules, []
     for region in fleet.regions:
@@ -195,7 +195,7 @@
     return found
 
 
-def touched_by_tenant(cells: CellMap) -> float:
+def tenant_blast_radius(cells: CellMap) -> float:
     """Return the largest part of all tenants that shares its nodes with one tenant, itself among them."""
     counts: dict[str, int] = defaultdict(int)
     for cell in cells.tenants.values():
@@ -203,23 +203,23 @@
     return max(counts.values(), default=0) / max(1, len(cells.tenants))
 
 
-def touched_by_rack(fleet: Fleet, cells: CellMap) -> float:
+def rack_blast_radius(fleet: Fleet, cells: CellMap) -> float:
     """Return the largest part of all tenants whose cell has one rack."""
     return max((sum(cell == cells.racks.get(rack.name) for cell in cells.tenants.values())
                 for rack in fleet.racks), default=0) / max(1, len(cells.tenants))  # fmt: skip
 
 
-def whole(fleet: Fleet) -> CellMap:
+def single_cell_map(fleet: Fleet) -> CellMap:
     """Return the map without cells: everything in one."""
     return CellMap(
         0, {rack.name: "cell0" for rack in fleet.racks}, {one.name: "cell0" for one in fleet.tenants}
     )
 
 
-def greedy(fleet: Fleet, before: CellMap) -> CellMap:
+def plan_greedily(fleet: Fleet, before: CellMap) -> CellMap:
     """Divide by rules of thumb: what has a place keeps it, racks go to the poorest cell, tenants by size.
 
-    The baseline of the planner. Its map may break rules; `problems` tells.
+    The baseline of the planner. Its map may break rules; `find_violations` tells.
     """
     rules, names = fleet.rules, fleet.rules.names()
     racks = {name: cell for name, cell in before.racks.items() if cell in names}
--- a/harriertrack/decisions/client_connections.py
+++ b/harriertrack/decisions/client_connections.py
@@ -21,20 +21,22 @@
 from harriertrack.decisions.life import IllegalStep
 
 # Clients send once they are connected: one that has not after this goes first where places are short ...
-SILENT_US = 200_000
+FIRST_BYTE_US = 200_000
 NEW_US = 800_000  # ... and at last after this.
 READ_US = 1_800_000  # the longest that a request may take to be whole; both together stay under the 3 s owed
-HALF_US = 500_000  # half a request may go after this where places are short and nobody idles
+PARTIAL_REQUEST_US = 500_000  # half a request may go after this where places are short and nobody idles
 IDLE_US = 5_000_000  # an idle one goes after this though there is room: most clients come back sooner
-LATE_US = 500_000  # an answer is worth nothing so long after its client's time: then nobody waits for it
+MAX_LATENESS_US = (
+    500_000  # an answer is worth nothing so long after its client's time: then nobody waits for it
+)
 LINGER_US = 500_000  # a client that reads what it is sent has the last answer by then
 LINGER_BYTES = 1 << 20  # discarded at most meanwhile: the largest request, many times over
-ACCEPTS = 16  # connections taken in a row, before what came over others has its turn
-MOST_WAITING = 1024  # connections that the system holds for a listener at most, about
-MOST_LOOKS = 8  # connections of one state looked at for one newcomer: a flood of them must not cost more
+ACCEPTS_PER_ROUND = 16  # connections taken in a row, before what came over others has its turn
+MAX_BACKLOG = 1024  # connections that the system holds for a listener at most, about
+MAX_EXAMINED = 8  # connections of one state looked at for one newcomer: a flood of them must not cost more
 # A client's end shows when its connection is looked at. An attempt may begin so long after the last look: it
 # has to begin within 0.1 s of the end.
-END_KNOWN_US = 30_000
+DISCONNECT_KNOWN_US = 30_000
 
 C = TypeVar("C", bound=Hashable)
 
@@ -59,11 +61,11 @@
     (ClientState.NEW, ClientState.SENDING), (ClientState.READING, ClientState.SENDING),
     (ClientState.IDLE, ClientState.SENDING),
 ))  # fmt: skip
-LONGEST = (
+STATE_TIMEOUTS = (
     (ClientState.NEW, NEW_US), (ClientState.READING, READ_US), (ClientState.IDLE, IDLE_US),
     (ClientState.LINGERING, LINGER_US),
 )  # fmt: skip
-VICTIMS = ((ClientState.NEW, SILENT_US), (ClientState.IDLE, 0), (ClientState.READING, HALF_US))
+VICTIMS = ((ClientState.NEW, FIRST_BYTE_US), (ClientState.IDLE, 0), (ClientState.READING, PARTIAL_REQUEST_US))
 
 
 def _never_looks(_connection: object) -> bool:
@@ -74,12 +76,12 @@
 class ClientConnections(Generic[C]):
     """All clients' connections of a head, each state's in the order in which they came to it.
 
-    There are `most` places. Of those that have asked, `most_asked` are kept: above that, the longest idle one
-    goes for each newcomer.
+    There are `limit` places. Of those that have asked, `used_limit` are kept: above that, the longest
+    idle one goes for each newcomer.
     """
 
-    def __init__(self, most: int, most_asked: int) -> None:
-        self.most, self.most_asked = most, most_asked
+    def __init__(self, limit: int, used_limit: int) -> None:
+        self.limit, self.used_limit = limit, used_limit
         self._at: dict[ClientState, dict[C, int]] = {state: {} for state in ClientState}
         self._state: dict[C, ClientState] = {}
         self._sends_until: dict[C, int] = {}
@@ -87,19 +89,19 @@
     def __len__(self) -> int:
         return len(self._state)
 
-    def accepted(self, connection: C, now: int, silent: Callable[[C], bool] = _never_looks) -> C | None:
+    def accept(self, connection: C, now: int, silent: Callable[[C], bool] = _never_looks) -> C | None:
         """Take a new connection; return one to close for it, itself perhaps, if there are too many."""
         victim: C | None = None
-        if len(self._state) >= self.most:
+        if len(self._state) >= self.limit:
             victim = next(iter(self._at[ClientState.LINGERING]), None)
             if victim is None:
                 victim = self._victim(now, silent)
             if victim is None:
                 return connection
-        elif self._asked >= self.most_asked:
+        elif self._asked >= self.used_limit:
             victim = self._first(ClientState.IDLE, now, silent)
         if victim is not None:
-            self.gone(victim)
+            self.remove(victim)
         self._state[connection] = ClientState.NEW
         self._at[ClientState.NEW][connection] = now
         return victim
@@ -122,14 +124,14 @@
 
     def _first(self, state: ClientState, until: int, silent: Callable[[C], bool]) -> C | None:
         """The one that has been in a state for longest, since a time at the latest, and is silent."""
-        for connection, since in islice(self._at[state].items(), MOST_LOOKS):
+        for connection, since in islice(self._at[state].items(), MAX_EXAMINED):
             if since > until:
                 break
             if silent(connection):
                 return connection
         return None
 
-    def step(self, connection: C, state: ClientState, now: int) -> None:
+    def transition(self, connection: C, state: ClientState, now: int) -> None:
         """A connection comes to a state. Raises IllegalStep, or KeyError for one that is gone."""
         before = self._state[connection]
         if (before, state) not in CLIENT_STEPS:
@@ -139,39 +141,41 @@
         self._at[state][connection] = now
         self._sends_until.pop(connection, None)
 
-    def sends(self, connection: C, until: int, now: int) -> None:
+    def start_sending(self, connection: C, until: int, now: int) -> None:
         """An answer is on its way over a connection; nobody waits for it any more at a time."""
-        self.step(connection, ClientState.SENDING, now)
+        self.transition(connection, ClientState.SENDING, now)
         self._sends_until[connection] = until
 
     def state(self, connection: C) -> ClientState | None:
         """Return where a connection is; None for one that is gone."""
         return self._state.get(connection)
 
-    def gone(self, connection: C) -> None:
+    def remove(self, connection: C) -> None:
         """Forget a connection, if it is known."""
         state = self._state.pop(connection, None)
         if state is not None:
             del self._at[state][connection]
         self._sends_until.pop(connection, None)
 
-    def overdue(self, now: int) -> list[C]:
+    def expired(self, now: int) -> list[C]:
         """Return those to be closed now: they are silent, read, idle, send or linger for too long."""
         late = [connection for connection, until in self._sends_until.items() if now >= until]
-        for state, most in LONGEST:
+        for state, most in STATE_TIMEOUTS:
             for connection, since in self._at[state].items():
                 if now - since < most:
                     break
                 late.append(connection)
         return late
 
-    def idle(self, now: int) -> list[C]:
+    def idle_connections(self, now: int) -> list[C]:
         """Return all over which nothing is asked; new ones are given the time in which clients send."""
         late = [
-            connection for connection, since in self._at[ClientState.NEW].items() if now - since >= SILENT_US
+            connection
+            for connection, since in self._at[ClientState.NEW].items()
+            if now - since >= FIRST_BYTE_US
         ]
         return [*self._at[ClientState.IDLE], *late]
 
-    def half_read(self) -> list[C]:
+    def partially_read(self) -> list[C]:
         """Return those over which a part of a request has come."""
         return list(self._at[ClientState.READING])
--- a/harriertrack/decisions/connection_pool.py
+++ b/harriertrack/decisions/connection_pool.py
@@ -19,7 +19,7 @@
 # What belongs to no answer may come behind one, and would answer the next request: a connection rests so long
 # before it is used again, and one over which something comes meanwhile is closed. A node that does not set
 # TCP_NODELAY has a second small write held back until the first is acknowledged; that may take 40 ms.
-REST_US = 50_000
+REUSE_DELAY_US = 50_000
 REST_PART = 4  # where connections are kept for a short time, they rest for this part of it at most
 
 W = TypeVar("W", bound=Hashable)
@@ -50,10 +50,10 @@
 class ConnectionPool(Generic[W]):
     """All connections to nodes of a head, by the node's name."""
 
-    def __init__(self, most: int, idle_us: int) -> None:
-        self.most = most
+    def __init__(self, limit: int, idle_us: int) -> None:
+        self.limit = limit
         self._idle_us = idle_us * IDLE_PARTS[0] // IDLE_PARTS[1]
-        self._rest_us = min(REST_US, self._idle_us // REST_PART)
+        self._rest_us = min(REUSE_DELAY_US, self._idle_us // REST_PART)
         self._state: dict[W, tuple[str, ConnectionState]] = {}
         self._idle: dict[str, dict[W, Idle]] = {}  # of each node, the latest last
 
@@ -69,30 +69,30 @@
                 return connection
         return None
 
-    def dials(self, connection: W, node: str) -> W | None:
+    def add_dialing(self, connection: W, node: str) -> W | None:
         """A new connection is made; return one to close for it if there are too many.
 
         Raises IllegalStep where all are in use: see `room`.
         """
         victim: W | None = None
-        if len(self._state) >= self.most:
+        if len(self._state) >= self.limit:
             victim = self._longest_idle()
             if victim is None:
                 raise IllegalStep("as many connections to nodes are in use as there may be")
-            self.gone(victim)
+            self.remove(victim)
         self._state[connection] = (node, ConnectionState.DIALING)
         return victim
 
     @property
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether a new connection may be made."""
-        return len(self._state) < self.most or self._longest_idle() is not None
+        return len(self._state) < self.limit or self._longest_idle() is not None
 
     def _longest_idle(self) -> W | None:
         firsts = [next(iter(idle.items())) for idle in self._idle.values()]
         return min(firsts, key=lambda first: first[1].since)[0] if firsts else None
 
-    def step(self, connection: W, state: ConnectionState, now: int) -> None:
+    def transition(self, connection: W, state: ConnectionState, now: int) -> None:
         """A connection comes to a state. Raises IllegalStep, or KeyError for one that is gone."""
         node, before = self._state[connection]
         if (before, state) not in CONNECTION_STEPS:
@@ -116,13 +116,13 @@
         known = self._state.get(connection)
         return known[1] if known else None
 
-    def gone(self, connection: W) -> None:
+    def remove(self, connection: W) -> None:
         """Forget a connection, if it is known."""
         known = self._state.pop(connection, None)
         if known is not None:
             self._leave(connection, *known)
 
-    def overdue(self, now: int) -> list[W]:
+    def expired(self, now: int) -> list[W]:
         """Return the idle ones that their node may close any moment."""
         return [
             connection
@@ -131,6 +131,6 @@
             if now - idle.since >= self._idle_us
         ]
 
-    def idle_of(self, node: str) -> list[W]:
+    def idle_connections(self, node: str) -> list[W]:
         """Return the idle ones of a node, which is gone."""
         return list(self._idle.get(node, ()))
--- a/harriertrack/decisions/discovery_watch.py
+++ b/harriertrack/decisions/discovery_watch.py
@@ -19,16 +19,16 @@
 WAIT_PARTS = 4
 # ... and never longer than this. What a watch that falls silent misses counts as told after 6 s: until then
 # the silence must be noticed, and a call made, tried again and answered.
-WAIT_MOST_US = 2_500_000
+MAX_WAIT_US = 2_500_000
 # A call's answer may come so long after its wait: discovery serves its callers in turn.
-PATIENCE_US = 1_200_000
+ANSWER_ALLOWANCE_US = 1_200_000
 # A change counts as told so long after discovery had it and could be reached, whatever failed before, and so
 # long after the watch that missed it fell silent; ...
-TOLD_US = 6_000_000
+ANNOUNCED_AFTER_US = 6_000_000
 # ... less what a busy head needs to find an answer, read it and act on it.
 MARGIN_US = 300_000
 # The latest that a call may begin for its answer to be in hand by then.
-LAST_CALL_US = TOLD_US - MARGIN_US - PATIENCE_US
+LAST_CALL_US = ANNOUNCED_AFTER_US - MARGIN_US - ANSWER_ALLOWANCE_US
 # Discovery may come back just after a call began, and one more may fail: the third one's answer has to be in
 # hand. So calls that fail begin at most so far apart, however they fail.
 CYCLE_US = LAST_CALL_US // 2
@@ -43,7 +43,7 @@
 MOVED_TOLD_US = 4_000_000
 # ... so until it has answered, calls that fail begin at most so far apart, or the module's shortest wait
 # after one that was overdue: the third is answered in time.
-MOVED_AGAIN_US = 1_000_000
+MOVED_RETRY_US = 1_000_000
 # The agent answers on this machine, and the module goes on sending a drained node its reads for half of the
 # grace: a silent call and the wait after it together stay under that half.
 PUSHED_PATIENCE_PARTS, PUSHED_AGAIN_PARTS = 4, 8
@@ -57,10 +57,10 @@
 # A head whose agent is silent is not ready: what the agent had counts from the head's first moment. Outages
 # last 8 s, and the agent learns nothing in them: one that was there at the start is over by then. The rest of
 # the 10 s in which nine in ten restarted heads have to be ready is for the imports and the first call.
-HOLD_US = 8_000_000
+STARTUP_HOLD_US = 8_000_000
 
 
-class Watch(StrEnum):
+class WatchState(StrEnum):
     """Where the watch is."""
 
     IDLE = "idle"  # not followed, or a call failed
@@ -71,7 +71,7 @@
 class UpdateOutcome(StrEnum):
     """What to do with an answer."""
 
-    TAKE = "take"  # tell the module, and ask on at once
+    APPLY = "take"  # tell the module, and ask on at once
     SKIP = "skip"  # nothing new: ask on at once
     # Older than what is held: the whole list is asked for at once, or by the next call where the answer is
     # late; if the whole list was asked for, it is a failed call.
@@ -84,7 +84,7 @@
 
     since: int | None
     wait_us: int
-    within_us: int
+    timeout_us: int
 
 
 class DiscoveryWatch:
@@ -97,15 +97,15 @@
 
     def __init__(self, ask_within_us: int, version: int | None, pushed: bool = False,
                  grace_us: int = 0, started: int | None = None, seed: int = 0) -> None:  # fmt: skip
-        self.state = Watch.IDLE
+        self.state = WatchState.IDLE
         self.version = version
         self.pushed = pushed
-        self.hold_us = HOLD_US if pushed else 0  # how long a start waits for the first answer
+        self.startup_hold_us = STARTUP_HOLD_US if pushed else 0  # how long a start waits for the first answer
         self._ask_within_us, self._grace_us = ask_within_us, max(grace_us, PUSHED_GRACE_LEAST_US)
         self._late_grace_us = 0 if pushed else grace_us  # how long news that come late may still come
         self._failures = 0  # in a row
         self._silent_from: int | None = None  # when the call began with which the last watch ended
-        self._wait_us = min(WAIT_MOST_US, (ask_within_us or 4 * WAIT_MOST_US) // WAIT_PARTS)
+        self._wait_us = min(MAX_WAIT_US, (ask_within_us or 4 * MAX_WAIT_US) // WAIT_PARTS)
         self._whole = version is None
         self._wanted = False  # the list is followed, whether or not a call is under way
         self._moved = False  # and its present source has not answered yet
@@ -115,9 +115,9 @@
     def subscribe(self, on: bool) -> bool:
         """Follow from now on, or stop; return whether that changes anything."""
         self._wanted = on
-        if on == (self.state is not Watch.IDLE):
+        if on == (self.state is not WatchState.IDLE):
             return False
-        self.state = Watch.CATCHING_UP if on else Watch.IDLE
+        self.state = WatchState.CATCHING_UP if on else WatchState.IDLE
         return True
 
     def restart(self, now: int) -> bool:
@@ -128,29 +128,29 @@
         """
         self._moved, self._failures, self._silent_from = True, 0, None
         if self._heard_from is not None:
-            self._heard_from = min(self._heard_from, now + MOVED_TOLD_US - TOLD_US)
+            self._heard_from = min(self._heard_from, now + MOVED_TOLD_US - ANNOUNCED_AFTER_US)
         if self._wanted:
-            self.state = Watch.CATCHING_UP
+            self.state = WatchState.CATCHING_UP
         return self._wanted
 
-    def verify(self) -> bool:
+    def refresh(self) -> bool:
         """The head stood still: the next call is answered at once; return whether the list is followed."""
         if self._wanted:
-            self.state = Watch.CATCHING_UP
+            self.state = WatchState.CATCHING_UP
         return self._wanted
 
-    def call(self) -> Call:
+    def next_call(self) -> Call:
         """Return the call to make now. Raises IllegalStep where there is no watch."""
-        if self.state is Watch.IDLE:
+        if self.state is WatchState.IDLE:
             raise IllegalStep("nobody follows the list")
-        wait = 0 if self.state is Watch.CATCHING_UP else self._wait_us
+        wait = 0 if self.state is WatchState.CATCHING_UP else self._wait_us
         return Call(None if self._whole else self.version, wait, wait + self._patience(wait))
 
     def _patience(self, wait_us: int) -> int:
         if not self.pushed:
-            return PATIENCE_US
+            return ANSWER_ALLOWANCE_US
         patience = self._grace_us // PUSHED_PATIENCE_PARTS
-        return min(PATIENCE_US, max(patience, PUSHED_WATCH_PATIENCE_US) if wait_us else patience)
+        return min(ANSWER_ALLOWANCE_US, max(patience, PUSHED_WATCH_PATIENCE_US) if wait_us else patience)
 
     def _pushed_again(self, took_us: int) -> int:
         """Return the wait after a call to the agent, doubled with each failure after the first to a bound."""
@@ -158,23 +158,23 @@
         doublings = min(8, max(0, self._failures - 1))
         return max(least_us, min(PUSHED_CYCLE_US - took_us, least_us << doublings))
 
-    def answered(self, version: int, full: bool, entries: int) -> UpdateOutcome:
+    def handle_answer(self, version: int, full: bool, entries: int) -> UpdateOutcome:
         """Take an answer's version; return what it is worth. Raises IllegalStep where there is no watch."""
-        if self.state is Watch.IDLE:
+        if self.state is WatchState.IDLE:
             raise IllegalStep("an answer without a watch")
         if not self._whole and self.version is not None and version < self.version:
             # A source that began anew, or one that lags: only a whole list says what is true there.
-            self.state, self._whole = Watch.CATCHING_UP, True
+            self.state, self._whole = WatchState.CATCHING_UP, True
             return UpdateOutcome.STALE
         if self._whole and not full:
-            self.state = Watch.IDLE
+            self.state = WatchState.IDLE
             return UpdateOutcome.STALE
-        news = entries > 0 or full or self.state is Watch.CATCHING_UP
-        self.version, self._whole, self.state = version, False, Watch.FOLLOWING
+        news = entries > 0 or full or self.state is WatchState.CATCHING_UP
+        self.version, self._whole, self.state = version, False, WatchState.FOLLOWING
         self._moved, self._failures, self._silent_from = False, 0, None
-        return UpdateOutcome.TAKE if news else UpdateOutcome.SKIP
+        return UpdateOutcome.APPLY if news else UpdateOutcome.SKIP
 
-    def answered_late(self, version: int, full: bool) -> UpdateOutcome:
+    def handle_late_answer(self, version: int, full: bool) -> UpdateOutcome:
         """Take the answer of a call that was overdue: what is newer than the list in hand.
 
         Where no other call is under way the watch goes on from it: a new one would wait for its turn again.
@@ -186,12 +186,12 @@
             return UpdateOutcome.STALE
         news = self._whole or version != self.version
         self.version, self._whole = version, False
-        if self.state is Watch.IDLE:
-            self.state = Watch.FOLLOWING
+        if self.state is WatchState.IDLE:
+            self.state = WatchState.FOLLOWING
         self._moved, self._failures, self._silent_from = False, 0, None
-        return UpdateOutcome.TAKE if news else UpdateOutcome.SKIP
+        return UpdateOutcome.APPLY if news else UpdateOutcome.SKIP
 
-    def counted_at(self, began: int, came_at: int) -> int:
+    def effective_at(self, began: int, came_at: int) -> int:
         """Return since when the news of an answer counts, at the latest; go on from its call.
 
         What has changed since the last answered call began counts 6 s after that at the earliest, though this
@@ -199,22 +199,22 @@
         """
         counts_at = came_at
         if not self.pushed and self._heard_from is not None:
-            counts_at = min(came_at, self._heard_from + TOLD_US)
+            counts_at = min(came_at, self._heard_from + ANNOUNCED_AFTER_US)
         self._heard_from = began
         return counts_at
 
-    def overdue(self, now: int, began: int) -> int:
+    def handle_overdue(self, now: int, began: int) -> int:
         """A call takes longer than it should; return after how long to make another one beside it.
 
         Heads that began together would come together each time, in the same order, and the last of them would
         never have their turn.
         """
-        again_us = self.failed(now, began)
+        again_us = self.handle_failure(now, began)
         if self.pushed:
             return again_us
         return again_us - int(again_us * JITTER_SHARE * self._random.random())
 
-    def turned_down(self) -> int:
+    def handle_late_failure(self) -> int:
         """An overdue call has failed after all; return how much later than planned to make the next one.
 
         A source that turns calls down after they have waited has more than it can serve, and may go on to
@@ -224,22 +224,22 @@
         most_us = min(self._late_grace_us, CYCLE_US) // 2
         return int(most_us * (1 + self._random.random()) / 2) if most_us else 0
 
-    def failed(self, now: int, began: int) -> int:
+    def handle_failure(self, now: int, began: int) -> int:
         """A call has failed; return after how long to ask anew, unless somebody asks for it before."""
-        if self.state is Watch.FOLLOWING:
+        if self.state is WatchState.FOLLOWING:
             self._silent_from = began
-        self.state = Watch.IDLE
+        self.state = WatchState.IDLE
         self._failures += 1
         took = now - began
         bounds = [CYCLE_US - took]
         if self._silent_from is not None and began - self._silent_from < LAST_CALL_US:
             bounds.append(LAST_CALL_US - (now - self._silent_from))
         if self._moved:
-            bounds.append(max(AGAIN_LEAST_US, MOVED_AGAIN_US - took))
+            bounds.append(max(AGAIN_LEAST_US, MOVED_RETRY_US - took))
         if self.pushed:
             bounds.append(self._pushed_again(took))
             return max(min(AGAIN_SOONEST_US, bounds[-1]), min(bounds))
         if self._ask_within_us:
             more, parts = AGAIN_PARTS
-            bounds.append(max(AGAIN_LEAST_US, self._ask_within_us * more // parts - PATIENCE_US))
+            bounds.append(max(AGAIN_LEAST_US, self._ask_within_us * more // parts - ANSWER_ALLOWANCE_US))
         return max(AGAIN_SOONEST_US, min(bounds))
--- a/harriertrack/decisions/hunting.py
+++ b/harriertrack/decisions/fault_search.py
@@ -15,8 +15,8 @@
 
 ELITE = 4  # how many of the worst days are changed further
 RANDOM_SHARE = 0.4  # part of the search that draws without looking at what was found
-KEEP = 0.85  # a smaller day must keep this part of the loss
-SHORTEST_US = 250_000
+MIN_LOSS_SHARE = 0.85  # a smaller day must keep this part of the loss
+MIN_FAULT_US = 250_000
 
 
 class Phase(Enum):
@@ -28,12 +28,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
+class InjectedFault:
     """One trouble of a candidate; times are microseconds from the day's start."""
 
     kind: str
-    from_us: int
-    for_us: int
+    start_us: int
+    duration_us: int
     part: float
     size: float
 
@@ -42,19 +42,19 @@
 class Candidate:
     """A day to be tried; machines and load are multiples of the hunted day's own."""
 
-    harms: tuple[Harm, ...]
+    faults: tuple[InjectedFault, ...]
     load: float = 1.0
     heads: int = 0  # 0: as many as the day has
     nodes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Space:
+class SearchSpace:
     """What may be drawn."""
 
     kinds: tuple[str, ...]
     length_us: int
-    most_harms: int
+    max_faults: int
     heads: int
     nodes: int
     sizes: dict[str, tuple[float, float]]  # of kinds whose size means something: from, to
@@ -69,15 +69,15 @@
     broken: tuple[int, ...] = ()
 
 
-class Hunt:
+class FaultSearch:
     """One hunt."""
 
-    def __init__(self, space: Space, seed: int, runs: int, lot: int = 8) -> None:
+    def __init__(self, space: SearchSpace, seed: int, runs: int, lot: int = 8) -> None:
         if runs < 1 or lot < 1 or not space.kinds:
             raise ValueError("a hunt needs runs, lots and kinds of trouble")
         self.space = space
         self.phase = Phase.SEARCH
-        self.found: list[tuple[Candidate, Outcome]] = []  # the worst first
+        self.ranked: list[tuple[Candidate, Outcome]] = []  # the worst first
         self.smallest: tuple[Candidate, Outcome] | None = None
         self.played = 0
         self._random = random.Random(seed)
@@ -87,7 +87,7 @@
         self._number = 0
         self._reductions: Iterator[Candidate] = iter(())
 
-    def ask(self) -> list[tuple[int, Candidate]]:
+    def next_batch(self) -> list[tuple[int, Candidate]]:
         """Return the next lot, numbered; empty when the hunt is done. Raises RuntimeError before its end."""
         if self._open:
             raise RuntimeError("the lot before is not told yet")
@@ -106,7 +106,7 @@
             self._open[self._number] = candidate
         return list(self._open.items())
 
-    def tell(self, number: int, outcome: Outcome) -> None:
+    def record_outcome(self, number: int, outcome: Outcome) -> None:
         """Take what came of one of the lot. Raises KeyError for one that is not open or told already."""
         if number not in self._open or number in self._told:
             raise KeyError(number)
@@ -117,8 +117,8 @@
         self._open, self._told = {}, {}
         self.played += len(lot)
         if self.phase is Phase.SEARCH:
-            self.found.extend(lot)
-            self.found.sort(key=lambda one: (not one[1].broken, -one[1].loss))
+            self.ranked.extend(lot)
+            self.ranked.sort(key=lambda one: (not one[1].broken, -one[1].loss))
         else:
             self._shrink(lot)
 
@@ -126,53 +126,53 @@
 
     def _draw(self) -> Candidate:
         explored = self.played < RANDOM_SHARE * self._runs
-        if explored or not self.found or self._random.random() < 0.2:
-            count = self._random.randint(1, self.space.most_harms)
-            harms = tuple(self._harm() for _ in range(count))
-            return Candidate(harms, self._random.uniform(*self.space.load))
-        return self._change(self._random.choice(self.found[:ELITE])[0])
+        if explored or not self.ranked or self._random.random() < 0.2:
+            count = self._random.randint(1, self.space.max_faults)
+            faults = tuple(self._harm() for _ in range(count))
+            return Candidate(faults, self._random.uniform(*self.space.load))
+        return self._change(self._random.choice(self.ranked[:ELITE])[0])
 
-    def _harm(self) -> Harm:
+    def _harm(self) -> InjectedFault:
         space = self.space
         kind = self._random.choice(space.kinds)
         low, high = space.sizes.get(kind, (2.0, 2.0))
         begins = self._random.randrange(max(1, int(0.8 * space.length_us)))
-        lasts = self._random.randint(SHORTEST_US, max(SHORTEST_US + 1, space.length_us - begins))
-        return Harm(kind, begins, lasts, round(self._random.uniform(0.1, 0.6), 2),
+        lasts = self._random.randint(MIN_FAULT_US, max(MIN_FAULT_US + 1, space.length_us - begins))
+        return InjectedFault(kind, begins, lasts, round(self._random.uniform(0.1, 0.6), 2),
                     round(self._random.uniform(low, high), 2))  # fmt: skip
 
     def _change(self, candidate: Candidate) -> Candidate:
-        harms = list(candidate.harms)
+        faults = list(candidate.faults)
         drawn = self._random.random()
-        at = self._random.randrange(len(harms))
-        if drawn < 0.3 and len(harms) < self.space.most_harms:
-            harms.append(self._harm())
+        at = self._random.randrange(len(faults))
+        if drawn < 0.3 and len(faults) < self.space.max_faults:
+            faults.append(self._harm())
         elif drawn < 0.5:
-            harms[at] = self._harm()
+            faults[at] = self._harm()
         elif drawn < 0.75:
             last = int(0.9 * self.space.length_us)
             shift = self._random.randint(-self.space.length_us // 6, self.space.length_us // 6)
-            harms[at] = replace(harms[at], from_us=min(last, max(0, harms[at].from_us + shift)))
+            faults[at] = replace(faults[at], start_us=min(last, max(0, faults[at].start_us + shift)))
         else:
-            part = min(1.0, harms[at].part * self._random.uniform(0.7, 1.6))
-            harms[at] = replace(harms[at], part=round(part, 2))
+            part = min(1.0, faults[at].part * self._random.uniform(0.7, 1.6))
+            faults[at] = replace(faults[at], part=round(part, 2))
         low, high = self.space.load
         load = min(high, max(low, candidate.load * self._random.uniform(0.92, 1.08)))
-        return Candidate(tuple(harms), load)
+        return Candidate(tuple(faults), load)
 
     # -- shrinking
 
     def _begin_shrinking(self) -> None:
         self.phase = Phase.SHRINK
-        self.smallest = self.found[0]
+        self.smallest = self.ranked[0]
         self._reductions = self.reductions(self.smallest[0])
 
     def _shrink(self, lot: list[tuple[Candidate, Outcome]]) -> None:
         """Go on from the first smaller day that still does the harm."""
         assert self.smallest is not None
-        worst = self.found[0][1]
+        worst = self.ranked[0][1]
         for candidate, outcome in lot:
-            kept = outcome.loss >= KEEP * worst.loss
+            kept = outcome.loss >= MIN_LOSS_SHARE * worst.loss
             if worst.broken:
                 kept = set(outcome.broken) >= set(worst.broken)
             if kept:
@@ -182,24 +182,26 @@
 
     def reductions(self, candidate: Candidate) -> Iterator[Candidate]:
         """Yield smaller days, the boldest first: without a trouble, fewer machines, shorter, milder."""
-        harms = candidate.harms
-        if len(harms) > 1:
-            for at in range(len(harms)):
-                yield replace(candidate, harms=harms[:at] + harms[at + 1 :])
+        faults = candidate.faults
+        if len(faults) > 1:
+            for at in range(len(faults)):
+                yield replace(candidate, faults=faults[:at] + faults[at + 1 :])
         heads, nodes = candidate.heads or self.space.heads, candidate.nodes or self.space.nodes
         if heads > 1:
             yield replace(candidate, heads=max(1, heads // 2), nodes=nodes)
         if nodes > 2:
             yield replace(candidate, heads=heads, nodes=max(2, nodes // 2))
-        for at, harm in enumerate(harms):
-            if harm.for_us >= 2 * SHORTEST_US:
-                yield replace(candidate, harms=self._with(harms, at, replace(harm, for_us=harm.for_us // 2)))
+        for at, harm in enumerate(faults):
+            if harm.duration_us >= 2 * MIN_FAULT_US:
+                yield replace(
+                    candidate, faults=self._with(faults, at, replace(harm, duration_us=harm.duration_us // 2))
+                )
             if harm.part >= 0.2:
                 milder = replace(harm, part=round(harm.part / 2, 2))
-                yield replace(candidate, harms=self._with(harms, at, milder))
+                yield replace(candidate, faults=self._with(faults, at, milder))
         if candidate.load > 1.0:
             yield replace(candidate, load=1.0)
 
     @staticmethod
-    def _with(harms: tuple[Harm, ...], at: int, harm: Harm) -> tuple[Harm, ...]:
-        return (*harms[:at], harm, *harms[at + 1 :])
+    def _with(faults: tuple[InjectedFault, ...], at: int, harm: InjectedFault) -> tuple[InjectedFault, ...]:
+        return (*faults[:at], harm, *faults[at + 1 :])
--- a/harriertrack/decisions/fleet/scoring/joining.py
+++ b/harriertrack/decisions/fleet/scoring/aggregation.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass
 
 from harriertrack.decisions.fleet.scoring.rules import ScoringRules
-from harriertrack.decisions.fleet.scoring.weights import clamped
+from harriertrack.decisions.fleet.scoring.weights import clamp
 
 LEAST_VOTE = 0.5
 LEAST_EVIDENCE = 0.25  # of an opinion that counts: one answer of two half-lives ago
-LIARS = 0.2  # the part of the voters for which the bound holds
+MAX_FAULTY_SHARE = 0.2  # the part of the voters for which the bound holds
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     age_us: int
 
 
-def vote_of(opinion: Opinion, rules: ScoringRules) -> float:
+def vote_weight(opinion: Opinion, rules: ScoringRules) -> float:
     """Return how much an opinion counts: 0 (too little seen, or too long ago) or from a half to 1."""
     if opinion.evidence < LEAST_EVIDENCE or not 0 <= opinion.age_us < rules.stale_us:
         return 0.0
@@ -51,16 +51,16 @@
     return 0.0
 
 
-def joined(opinions: Iterable[Opinion], voters: int, rules: ScoringRules) -> float:
+def aggregate(opinions: Iterable[Opinion], voters: int, rules: ScoringRules) -> float:
     """Return the joined weight of a node, of `voters` heads that may vote on it.
 
     Evidence is pooled before it is judged: what each saw may be next to nothing, as of a slow node that all
     avoid, where all of them together know it well.
     """
-    voting = [(one, vote) for one in opinions if (vote := vote_of(one, rules)) > 0]
+    voting = [(one, vote) for one in opinions if (vote := vote_weight(one, rules)) > 0]
     if sum(min(one.evidence, rules.full) for one, _ in voting) < rules.evidence:
         return 0.0
-    counted = [(clamped(one.log), vote) for one, vote in voting]
+    counted = [(clamp(one.log), vote) for one, vote in voting]
     even = max(0, voters - len(counted))
     if even:
         counted.append((0.0, even * LEAST_VOTE))
--- a/harriertrack/decisions/fleet/scoring/damping.py
+++ b/harriertrack/decisions/fleet/scoring/damping.py
@@ -13,23 +13,23 @@
 import math
 from dataclasses import dataclass
 
-from harriertrack.decisions.fleet.scoring.picture import NodeSight
-from harriertrack.decisions.fleet.scoring.rules import MOST_LOG, ScoringRules
-from harriertrack.decisions.fleet.scoring.weights import clamped
+from harriertrack.decisions.fleet.scoring.rules import MAX_LOG_WEIGHT, ScoringRules
+from harriertrack.decisions.fleet.scoring.snapshot import NodeObservation
+from harriertrack.decisions.fleet.scoring.weights import clamp
 
-NEAR = 0.05  # powers of two within which a weight is where it is wanted
+DEAD_BAND = 0.05  # powers of two within which a weight is where it is wanted
 ALL_TAKEN = 1.0
 
 
-def ceiling(sight: NodeSight | None, rules: ScoringRules) -> float:
+def weight_ceiling(sight: NodeObservation | None, rules: ScoringRules) -> float:
     """Return how high a node's weight may be, as a power of two."""
     if sight is None or sight.cold or sight.evidence < rules.evidence or sight.age_us < 0:
         return 0.0
-    return min(MOST_LOG, math.log2(ALL_TAKEN / max(sight.fill, 2.0**-MOST_LOG)))
+    return min(MAX_LOG_WEIGHT, math.log2(ALL_TAKEN / max(sight.fill, 2.0**-MAX_LOG_WEIGHT)))
 
 
 @dataclass(slots=True)
-class Damped:
+class DampedWeight:
     """One node's weight, as a power of two."""
 
     at: int
@@ -42,13 +42,13 @@
         us = max(0, now - self.at)
         self.at = now
         self.gain = min(1.0, self.gain * 2 ** (us / rules.calm_us))
-        wanted = clamped(wanted)
-        if abs(wanted - self.log) > NEAR:
+        wanted = clamp(wanted)
+        if abs(wanted - self.log) > DEAD_BAND:
             side = 1 if wanted > self.log else -1
             if self.toward == -side:
                 self.gain = max(rules.least_gain, self.gain / 2)
             self.toward = side
         # A head that stood still has no windfall: what it missed is not made up in one step.
         most = rules.rate * self.gain * min(us, 2 * rules.look_us) / 1e6
-        self.log = clamped(self.log + min(most, max(-most, wanted - self.log)))
+        self.log = clamp(self.log + min(most, max(-most, wanted - self.log)))
         return self.log
--- a/harriertrack/decisions/fleet/scoring/sights.py
+++ b/harriertrack/decisions/fleet/scoring/observer.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from harriertrack.decisions.fleet.scoring.picture import NodeSight, Picture
+from harriertrack.decisions.fleet.scoring.snapshot import NodeObservation, Snapshot
 from harriertrack.decisions.interface import (
     Ended,
     Event,
@@ -22,7 +22,7 @@
     Send,
 )
 
-FADE_US = 8_000_000  # after which an answer counts half
+HALF_LIFE_US = 8_000_000  # after which an answer counts half
 BEST_UP = 0.002  # a node's best latency rises by this part with each answer: it may have slowed for good
 SILENT_US = 2_000_000  # a node that is heard again after such a silence, though asked, is returning
 MOVED = (Result.CANCELLED, Result.MOOT)  # say nothing of the node
@@ -43,7 +43,7 @@
 
     def fade(self, now: int) -> None:
         """Bring the sums up to date."""
-        part = 0.5 ** ((now - self.at) / FADE_US)
+        part = 0.5 ** ((now - self.at) / HALF_LIFE_US)
         self.served, self.took_us = self.served * part, self.took_us * part
         self.refused, self.lost = self.refused * part, self.lost * part
         self.at = now
@@ -54,7 +54,7 @@
         return self.served + self.refused + self.lost
 
 
-class Sights:
+class NodeObserver:
     """One head's."""
 
     def __init__(self, zone: str, warm_us: int) -> None:
@@ -110,18 +110,18 @@
         else:
             seen.lost += 1
 
-    def picture(self, now: int) -> Picture:
+    def snapshot(self, now: int) -> Snapshot:
         """Return what is seen now."""
-        return Picture(self.zone, tuple(self._sight(now, self._nodes[name]) for name in sorted(self._nodes)))
+        return Snapshot(self.zone, tuple(self._sight(now, self._nodes[name]) for name in sorted(self._nodes)))
 
-    def _sight(self, now: int, seen: _Seen) -> NodeSight:
+    def _sight(self, now: int, seen: _Seen) -> NodeObservation:
         seen.fade(now)
         sums = seen.sums
         if sums < 1e-3:
-            return NodeSight(seen.entry.node, seen.entry.zone, cold=now < seen.cold_until)
+            return NodeObservation(seen.entry.node, seen.entry.zone, cold=now < seen.cold_until)
         latency = seen.took_us / seen.served if seen.served > 1e-3 else 0.0
-        return NodeSight(
-            seen.entry.node, seen.entry.zone, served=seen.served * 0.6931 / (FADE_US / 1e6),
+        return NodeObservation(
+            seen.entry.node, seen.entry.zone, served=seen.served * 0.6931 / (HALF_LIFE_US / 1e6),
             latency_us=latency, refused=seen.refused / sums, lost=seen.lost / sums,
             fill=max(0.0, 1 - seen.best_us / latency) if latency else 0.0, cold=now < seen.cold_until,
             evidence=sums, age_us=now - seen.heard_at if seen.heard_at >= 0 else -1,
--- a/harriertrack/decisions/fleet/scoring/rules.py
+++ b/harriertrack/decisions/fleet/scoring/rules.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-MOST_LOG = 2.0  # weights stay within a quarter and four: two powers of two each way
+MAX_LOG_WEIGHT = 2.0  # weights stay within a quarter and four: two powers of two each way
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertrack/decisions/fleet/scoring/watching.py
+++ b/harriertrack/decisions/fleet/scoring/score_validation.py
@@ -6,11 +6,11 @@
 from collections.abc import Mapping
 from enum import Enum
 
-from harriertrack.decisions.fleet.scoring.picture import Picture
 from harriertrack.decisions.fleet.scoring.scorers.base import LEAST_SCORE, MOST_SCORE
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 
-class Fault(Enum):
+class ScorerFault(Enum):
     """What a scorer can do wrong."""
 
     RAISED = "raised"
@@ -23,36 +23,36 @@
     SLOW = "took too long"
 
 
-class BadAnswer(Exception):
+class InvalidScores(Exception):
     """An answer that can't be taken."""
 
-    def __init__(self, fault: Fault, detail: str) -> None:
+    def __init__(self, fault: ScorerFault, detail: str) -> None:
         super().__init__(f"{fault.value}: {detail}")
         self.fault, self.detail = fault, detail
 
 
-def scores_of(picture: Picture, answer: object) -> dict[str, float]:
-    """Return a scorer's answer as a value of its own. Raises BadAnswer.
+def validate_scores(picture: Snapshot, answer: object) -> dict[str, float]:
+    """Return a scorer's answer as a value of its own. Raises InvalidScores.
 
     Only what can be compared at once is kept: nothing of a scorer's own making outlives this call.
     """
     if not isinstance(answer, Mapping):
-        raise BadAnswer(Fault.FORM, type(answer).__name__)
+        raise InvalidScores(ScorerFault.FORM, type(answer).__name__)
     if len(answer) > len(picture.nodes):
-        raise BadAnswer(Fault.TOO_MUCH, f"{len(answer)} scores for {len(picture.nodes)} nodes")
+        raise InvalidScores(ScorerFault.TOO_MUCH, f"{len(answer)} scores for {len(picture.nodes)} nodes")
     names, scores = picture.names, {}
     try:
         items = list(answer.items())
     except Exception as error:
-        raise BadAnswer(Fault.FORM, f"{type(error).__name__} in its items") from error
+        raise InvalidScores(ScorerFault.FORM, f"{type(error).__name__} in its items") from error
     for node, score in items:
         if type(node) is not str or node not in names:
-            raise BadAnswer(Fault.UNASKED, repr(node)[:64])
+            raise InvalidScores(ScorerFault.UNASKED, repr(node)[:64])
         if type(score) not in (int, float) or (isinstance(score, float) and math.isnan(score)):
-            raise BadAnswer(Fault.NUMBER, f"{node}: {repr(score)[:32]}")
+            raise InvalidScores(ScorerFault.NUMBER, f"{node}: {repr(score)[:32]}")
         if score > MOST_SCORE:
-            raise BadAnswer(Fault.TOO_MUCH, f"{node}: more than {MOST_SCORE:g}")
+            raise InvalidScores(ScorerFault.TOO_MUCH, f"{node}: more than {MOST_SCORE:g}")
         if score < LEAST_SCORE:
-            raise BadAnswer(Fault.TOO_LITTLE, f"{node}: less than {LEAST_SCORE:g}")
+            raise InvalidScores(ScorerFault.TOO_LITTLE, f"{node}: less than {LEAST_SCORE:g}")
         scores[node] = float(score)
     return dict(sorted(scores.items()))
--- a/harriertrack/decisions/fleet/scoring/scorers/base.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/base.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from harriertrack.decisions.fleet.scoring.picture import Picture
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 MOST_SCORE = 1e9
 LEAST_SCORE = 1e-9
@@ -24,7 +24,7 @@
 class Scorer(Protocol):
     """What a head asks for scores. An equal picture must always get equal scores."""
 
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         """Return a score above 0 for each node of the picture that there is an opinion on."""
 
 
@@ -69,7 +69,7 @@
         return f"{self.scorer} {self.version}{told}"
 
 
-def checked(known: tuple[Parameter, ...], given: Mapping[str, float]) -> dict[str, float]:
+def check_parameters(known: tuple[Parameter, ...], given: Mapping[str, float]) -> dict[str, float]:
     """Return all parameters of a scorer with what was given in place. Raises BadParameters."""
     names = {one.name for one in known}
     for name in given:
--- a/harriertrack/decisions/fleet/scoring/scorers/cost.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/cost.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
-from harriertrack.decisions.fleet.scoring.picture import Picture
 from harriertrack.decisions.fleet.scoring.scorers.base import Parameter, ScorerKind
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 PARAMETERS = (
     Parameter("abroad", 2.0, 1.0, 16.0),  # what a request to another zone costs, in those at home
@@ -19,7 +19,7 @@
     def __init__(self, abroad: float, lateness: float) -> None:
         self._abroad, self._lateness = abroad, lateness
 
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         """Score by zone and latency."""
         return {
             one.node: (1e5 / one.latency_us) ** self._lateness
--- a/harriertrack/decisions/fleet/scoring/scorers/fill.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/fill.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
-from harriertrack.decisions.fleet.scoring.picture import Picture
 from harriertrack.decisions.fleet.scoring.scorers.base import Parameter, ScorerKind
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 PARAMETERS = (
     Parameter("floor", 0.1, 0.01, 1.0),  # least time left that is reckoned with: nobody gets nothing
@@ -19,7 +19,7 @@
     def __init__(self, floor: float, refused: float) -> None:
         self._floor, self._refused = floor, refused
 
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         """Score by the time that nodes have left."""
         return {
             one.node: max(self._floor, 1 - one.fill) / (1 + self._refused * one.refused)
--- a/harriertrack/decisions/fleet/scoring/scorers/latency.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/latency.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
-from harriertrack.decisions.fleet.scoring.picture import Picture
 from harriertrack.decisions.fleet.scoring.scorers.base import Parameter, ScorerKind
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 PARAMETERS = (
     Parameter("power", 1.0, 0.1, 4.0),  # of the latency
@@ -19,7 +19,7 @@
     def __init__(self, power: float, lost: float) -> None:
         self._power, self._lost = power, lost
 
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         """Score by latency, raised by what gets lost."""
         return {
             one.node: (1e5 / (one.latency_us * (1 + self._lost * one.lost))) ** self._power
--- a/harriertrack/decisions/fleet/scoring/picture.py
+++ b/harriertrack/decisions/fleet/scoring/snapshot.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeSight:
+class NodeObservation:
     """One node, of late."""
 
     node: str
@@ -22,17 +22,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Picture:
+class Snapshot:
     """All nodes that are in use, by name."""
 
     zone: str = ""  # of the head itself
-    nodes: tuple[NodeSight, ...] = ()
+    nodes: tuple[NodeObservation, ...] = ()
 
     @property
     def names(self) -> frozenset[str]:
         """Return which nodes there are."""
         return frozenset(one.node for one in self.nodes)
 
-    def find(self, node: str) -> NodeSight | None:
+    def find(self, node: str) -> NodeObservation | None:
         """Return what is seen of a node."""
         return next((one for one in self.nodes if one.node == node), None)
--- a/harriertrack/decisions/fleet/scoring/spreading.py
+++ b/harriertrack/decisions/fleet/scoring/weight_exchange.py
@@ -17,14 +17,14 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.scoring.joining import Opinion
+from harriertrack.decisions.fleet.scoring.aggregation import Opinion
 from harriertrack.decisions.fleet.scoring.rules import ScoringRules
 
-PAGES = 2
-STEP = 1 / 16  # powers of two: how fine weights are told
+PAGE_COUNT = 2
+WEIGHT_STEP = 1 / 16  # powers of two: how fine weights are told
 LEAST_STEPS = 3  # what is nearer to an even share is not said: it is within what one head sees by chance
-MOST_ENTRIES = 32  # of a page; those nearest to an even share are left out of a fuller one
-MOST_EVIDENCE = 255
+MAX_ENTRIES = 32  # of a page; those nearest to an even share are left out of a fuller one
+MAX_EVIDENCE = 255
 VOICES = 8  # heads that may each speak as often as they like
 PAGE_BYTES = 20  # of a page without entries
 ENTRY_BYTES = 6
@@ -34,17 +34,17 @@
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=4).digest(), "big")
 
 
-def page_of(node: int) -> int:
+def page_number(node: int) -> int:
     """Return the page of a node, by its number."""
-    return node % PAGES
+    return node % PAGE_COUNT
 
 
-def number_of(node: str) -> int:
+def node_number(node: str) -> int:
     """Return the 32 bits that stand for a node's name."""
     return _sum(node)
 
 
-def speakers(names: Iterable[str], turn: int, most: int) -> frozenset[str]:
+def select_publishers(names: Iterable[str], turn: int, most: int) -> frozenset[str]:
     """Return who speaks in a turn: all, or so many of them as a checksum draws."""
     everyone = list(names)
     if len(everyone) <= most:
@@ -77,15 +77,15 @@
         return PAGE_BYTES + ENTRY_BYTES * len(self.entries)
 
 
-def entries_of(opinions: Mapping[str, Opinion]) -> list[list[Entry]]:
+def build_entries(opinions: Mapping[str, Opinion]) -> list[list[Entry]]:
     """Return what is to be said, by page: what is no even share, within a page's bound the strongest."""
-    pages: list[list[Entry]] = [[] for _ in range(PAGES)]
+    pages: list[list[Entry]] = [[] for _ in range(PAGE_COUNT)]
     for name, one in opinions.items():
-        if abs(steps := round(one.log / STEP)) >= LEAST_STEPS:
-            node = number_of(name)
-            pages[page_of(node)].append(Entry(node, steps, min(MOST_EVIDENCE, math.ceil(one.evidence))))
+        if abs(steps := round(one.log / WEIGHT_STEP)) >= LEAST_STEPS:
+            node = node_number(name)
+            pages[page_number(node)].append(Entry(node, steps, min(MAX_EVIDENCE, math.ceil(one.evidence))))
     for at, page in enumerate(pages):
-        strongest = sorted(page, key=lambda entry: (-abs(entry.steps), entry.node))[:MOST_ENTRIES]
+        strongest = sorted(page, key=lambda entry: (-abs(entry.steps), entry.node))[:MAX_ENTRIES]
         pages[at] = sorted(strongest, key=lambda entry: entry.node)
     return pages
 
@@ -95,26 +95,26 @@
 
 
 @dataclass(slots=True)
-class Speaker:
+class Publisher:
     """What one head says of one namespace."""
 
     namespace: int
     rules: ScoringRules
-    said: list[tuple[Entry, ...]] = field(default_factory=lambda: [()] * PAGES)
-    said_at: list[int] = field(default_factory=lambda: [-1] * PAGES)
+    said: list[tuple[Entry, ...]] = field(default_factory=lambda: [()] * PAGE_COUNT)
+    said_at: list[int] = field(default_factory=lambda: [-1] * PAGE_COUNT)
     spare: float = 0.0  # bytes that may be said
     at: int = -1
     serial: int = 0
 
-    def next(self, now: int, opinions: Mapping[str, Opinion], voices: int = 1) -> Page | None:
+    def next_page(self, now: int, opinions: Mapping[str, Opinion], voices: int = 1) -> Page | None:
         """Return the page that is to be said now, if any is, where so many heads speak."""
         rules = self.rules
         if self.at >= 0 and now - self.at < rules.say_us * max(1.0, voices / VOICES):
             return None
-        most = PAGE_BYTES + ENTRY_BYTES * MOST_ENTRIES
+        most = PAGE_BYTES + ENTRY_BYTES * MAX_ENTRIES
         gained = rules.say_bytes * (now - self.at) / 1e6 if self.at >= 0 else float(most)
         self.spare, self.at = min(float(most), self.spare + gained), now
-        pages = entries_of(opinions)
+        pages = build_entries(opinions)
         # What changed most and was said longest ago goes first: no page waits for ever.
         due = [
             ((1 + self._change(at, page)) * (now - self.said_at[at]), at)
@@ -144,13 +144,13 @@
         return sum(abs(after.get(node, 0) - before.get(node, 0)) for node in {*before, *after})
 
 
-class Ears:
+class PeerPages:
     """What a head heard of the others' weights in one namespace."""
 
     def __init__(self) -> None:
         self._heard: dict[str, dict[int, tuple[int, Page]]] = {}  # by head and page: when, and what
 
-    def hear(self, now: int, head: str, page: Page) -> None:
+    def receive(self, now: int, head: str, page: Page) -> None:
         """Take a page."""
         self._heard.setdefault(head, {})[page.number] = now, page
 
@@ -158,7 +158,7 @@
         """Forget what a head said."""
         self._heard.pop(head, None)
 
-    def keep(self, names: frozenset[str], since: int) -> None:
+    def prune(self, names: frozenset[str], since: int) -> None:
         """Forget all heads but these, and all that was heard before a time: it has no vote any more."""
         kept = {
             name: {number: heard for number, heard in pages.items() if heard[0] >= since}
@@ -175,11 +175,11 @@
                 continue
             for at, page in pages.values():
                 for entry in page.entries:
-                    opinion = Opinion(entry.steps * STEP, float(entry.evidence), max(0, now - at))
+                    opinion = Opinion(entry.steps * WEIGHT_STEP, float(entry.evidence), max(0, now - at))
                     found.setdefault(entry.node, []).append(opinion)
         return found
 
-    def whole(self, head: str) -> bool:
+    def is_consistent(self, head: str) -> bool:
         """Whether all that was heard of a head's pages is of one moment."""
         return len({page.digest for _, page in self._heard.get(head, {}).values()}) == 1
 
--- a/harriertrack/decisions/graceful_shutdown.py
+++ b/harriertrack/decisions/graceful_shutdown.py
@@ -12,11 +12,11 @@
 from enum import StrEnum
 
 # The platform's promise: it kills no sooner than the longest deadline, or this if that is longer, ...
-KILL_LONGEST_US = 3_000_000
+MAX_KILL_DEADLINE_US = 3_000_000
 KILL_AFTER_US = 700_000  # ... and so much more after it has asked.
 DRAIN_US = 250_000  # open requests are given so long: most are answered within it
-SPARE_US = 150_000  # the last answers leave so long before the kill: the processor may be busy ...
-LAST_US = 100_000  # ... and have so long until the process ends: it takes along what has not left
+KILL_MARGIN_US = 150_000  # the last answers leave so long before the kill: the processor may be busy ...
+FINAL_SEND_US = 100_000  # ... and have so long until the process ends: it takes along what has not left
 
 
 class Phase(StrEnum):
@@ -34,7 +34,7 @@
 
     def __init__(self, longest_us: int) -> None:
         self.phase = Phase.SERVING
-        self._end_after_us = min(longest_us, KILL_LONGEST_US) + KILL_AFTER_US - SPARE_US
+        self._end_after_us = min(longest_us, MAX_KILL_DEADLINE_US) + KILL_AFTER_US - KILL_MARGIN_US
         self._asked_at = 0
 
     def begin(self, now: int) -> bool:
@@ -51,7 +51,7 @@
             self.phase = Phase.DRAINING  # for a look at least: what waits at the listener is taken first
         elif self.phase is Phase.DRAINING and since >= self._end_after_us:
             self.phase = Phase.CLOSING
-        elif self.is_draining and (not connections or since >= self._end_after_us + LAST_US):
+        elif self.is_draining and (not connections or since >= self._end_after_us + FINAL_SEND_US):
             self.phase = Phase.ENDED
         return self.phase
 
--- a/harriertrack/decisions/open_calls.py
+++ b/harriertrack/decisions/open_calls.py
@@ -11,7 +11,7 @@
 
 # Each open call holds a descriptor. A configuration with the fewest descriptors spares twelve besides those
 # of clients and nodes; logs, signals, the listener and Python itself take the others.
-MOST_OPEN_CALLS = 4
+MAX_OPEN_CALLS = 4
 
 OpenCall = TypeVar("OpenCall")
 
@@ -25,14 +25,14 @@
     def __len__(self) -> int:
         return len(self._calls)
 
-    def begin(self, call: OpenCall) -> list[OpenCall]:
+    def add(self, call: OpenCall) -> list[OpenCall]:
         """Take a call that begins now; return those to give up for it."""
         self._calls.append(call)
-        surplus = self._calls[:-MOST_OPEN_CALLS]
-        del self._calls[:-MOST_OPEN_CALLS]
+        surplus = self._calls[:-MAX_OPEN_CALLS]
+        del self._calls[:-MAX_OPEN_CALLS]
         return surplus
 
-    def answered(self, call: OpenCall) -> list[OpenCall]:
+    def complete(self, call: OpenCall) -> list[OpenCall]:
         """A call has its answer; return those to give up: what began before it can tell nothing newer."""
         if call not in self._calls:
             return []
@@ -41,7 +41,7 @@
         del self._calls[: position + 1]
         return older
 
-    def failed(self, call: OpenCall) -> None:
+    def remove(self, call: OpenCall) -> None:
         """A call has failed."""
         if call in self._calls:
             self._calls.remove(call)
--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -68,7 +68,7 @@
 
     def look(self, now: int) -> None:
         """Look whether the process stood still; if so the list has to be asked for."""
-        if self.standstill.look(now, self._board.rules.drain_grace_us):
+        if self.standstill.check(now, self._board.rules.drain_grace_us):
             self._board.port.ask_list()
             self._board.soon()
 
@@ -113,7 +113,7 @@
 
     def time_up(self, now: int, attempt: Attempt) -> None:
         """An attempt can't be waited for any longer, or can't begin any more."""
-        if now >= attempt.until and not self.standstill.has(attempt):
+        if now >= attempt.until and not self.standstill.is_held(attempt):
             self.call_off(now, attempt, api.Result.TIMEOUT)
         elif attempt.state is AttemptState.DIALING:  # it would come too late, which says nothing of its node
             self.call_off(now, attempt, api.Result.CANCELLED)
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -75,9 +75,9 @@
         What a head hears first after it stood still may have come to this machine as early as it fell asleep.
         """
         if news is not None:
-            stood_from = self._attempts.standstill.stood_from
-            if stood_from is not None:
-                news.told_at = min(news.told_at or stood_from, stood_from)
+            paused_since = self._attempts.standstill.paused_since
+            if paused_since is not None:
+                news.told_at = min(news.told_at or paused_since, paused_since)
             self._board.add(news)
 
     def list_failed(self) -> None:
@@ -85,7 +85,7 @@
         self._board.add(api.NodesChanged(api.ListKind.FAILED))
 
     def begin_looks(self, now: int) -> None:
-        """Let `look` be called each `standstill.LOOK_US` from now on."""
+        """Let `look` be called each `standstill.CHECK_PERIOD_US` from now on."""
         self._attempts.standstill.begin(now)
 
     def look(self, now: int) -> None:
@@ -98,7 +98,7 @@
 
     def list_heard(self, began: int, answered: bool) -> None:
         """A call for the list that began then was answered, or failed at its source."""
-        self._attempts.standstill.heard(began, answered)
+        self._attempts.standstill.record_call(began, answered)
         self._board.soon()
 
     # -- requests
@@ -305,7 +305,7 @@
                 self._port.answer(request)
         placing.tell_holders()
         times = [board.due[0][0]] if board.due else []
-        others = (patience.next_at(now), self._closing.next_at(), self._attempts.standstill.until())
+        others = (patience.next_at(now), self._closing.next_at(), self._attempts.standstill.held_until())
         times += [when for when in others if when is not None]
         if times:
             self._port.wake_at(min(times))
--- a/harriertrack/decisions/shares.py
+++ b/harriertrack/decisions/shares.py
@@ -1,12 +1,12 @@
 """What cells share in a head, and what one may take of it: connections, open requests, bytes, processor.
 
-Nodes, windows, limits and budgets are a cell's own (`decisions/celled.py`); a head is not. Of what is given
-back late (connections, open requests, the bytes of open writes) each cell has its even part, and all together
-a common pool on top, which is empty unless the settings say `borrow`: a cell can never be kept from its own
-part. The processor is given back at once, so it is divided only while it is short: then each cell's requests
-are bounded by its even part of what the head was seen to get through, and what it asks beyond that is turned
-away before the core hears of it. Turning away costs too: a cell whose refusals alone use its part up is not
-read from for a while.
+Nodes, windows, limits and budgets are a cell's own (`decisions/cell_scheduler.py`); a head is not. Of what is
+given back late (connections, open requests, the bytes of open writes) each cell has its even part, and all
+together a common pool on top, which is empty unless the settings say `borrow`: a cell can never be kept from
+its own part. The processor is given back at once, so it is divided only while it is short: then each cell's
+requests are bounded by its even part of what the head was seen to get through, and what it asks beyond that
+is turned away before the core hears of it. Turning away costs too: a cell whose refusals alone use its part
+up is not read from for a while.
 
 Pure: the time and the loop's busy time are handed in. Times in microseconds.
 """
@@ -19,13 +19,13 @@
 
 from harriertrack.decisions.bucket import Bucket
 
-TURNED_AWAY = 0.3  # what turning a request away costs, as a part of taking one
+REFUSAL_COST = 0.3  # what turning a request away costs, as a part of taking one
 TIGHT, LOOSE = 0.8, 0.6  # parts of the time that the loop is busy: where dividing begins, and where it ends
-AIM = 0.75  # how busy cells together may make the loop while it is divided
+TARGET_LOAD = 0.75  # how busy cells together may make the loop while it is divided
 SEEN = 0.2  # below this the loop's cost of a request is not told from its own
 GAIN = 0.3  # of a new reading of what the head gets through in a second
 BURST_US = 100_000  # a cell may use so much of its part at once
-REST_US = 100_000  # how long a cell is not read from
+READ_PAUSE_US = 100_000  # how long a cell is not read from
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,14 +39,14 @@
 
 
 @dataclass(slots=True)
-class Used:
+class ShareUsage:
     """What a cell, or a volume of one, has of a head at a time."""
 
     connections: int = 0
     held: int = 0
     held_bytes: int = 0
 
-    def add(self, other: Used) -> None:
+    def add(self, other: ShareUsage) -> None:
         """Count another one's too."""
         self.connections += other.connections
         self.held += other.held
@@ -57,7 +57,7 @@
 class _Cell:
     """A cell, as one head sees it."""
 
-    used: Used = field(default_factory=Used)
+    used: ShareUsage = field(default_factory=ShareUsage)
     spent: float = 0.0  # requests since the last tick, those turned away at their part
     allowed: Bucket = field(default_factory=lambda: Bucket(0))
 
@@ -68,30 +68,30 @@
     def __init__(self, limits: ShareLimits, cells: Mapping[str, str]) -> None:
         """Begin with nothing in use; `cells` is each volume's cell."""
         self.limits = limits
-        self.tight = False
+        self.overloaded = False
         self.rate = 0.0  # requests that the loop would get through in a second of nothing else; 0: unseen
-        self.turned_away: dict[str, int] = {}  # by cell, for those who look at it
+        self.refused: dict[str, int] = {}  # by cell, for those who look at it
         self._of: dict[str, str] = {}
-        self._by_volume: dict[str, Used] = {}
+        self._by_volume: dict[str, ShareUsage] = {}
         self._cells: dict[str, _Cell] = {}
         self._ticked_at: int | None = None
-        self.follow(cells)
+        self.update_cells(cells)
 
-    def follow(self, cells: Mapping[str, str]) -> None:
+    def update_cells(self, cells: Mapping[str, str]) -> None:
         """Take a newer map: what a volume has in use counts for its new cell from now on."""
         self._of = dict(cells)
         self._neighbours = Counter(self._of.values())  # volumes of each cell
         known, self._cells = self._cells, {}
         for name in sorted(set(self._of.values())):
             cell = self._cells[name] = known.get(name, _Cell())
-            cell.used = Used()
+            cell.used = ShareUsage()
         for volume, used in self._by_volume.items():
             if volume in self._of:
                 self._cells[self._of[volume]].used.add(used)
 
     def _count(self, volume: str, **more: int) -> None:
-        change = Used(**more)
-        self._by_volume.setdefault(volume, Used()).add(change)
+        change = ShareUsage(**more)
+        self._by_volume.setdefault(volume, ShareUsage()).add(change)
         if volume in self._of:
             self._cells[self._of[volume]].used.add(change)
 
@@ -109,20 +109,20 @@
 
     # -- connections
 
-    def connects(self, volume: str) -> bool:
+    def try_connect(self, volume: str) -> bool:
         """Count a connection to a volume; return False if its cell has no room for it."""
         if not self._fits("connections", self.limits.connections, volume, 1):
             return False
         self._count(volume, connections=1)
         return True
 
-    def left(self, volume: str) -> None:
+    def disconnect(self, volume: str) -> None:
         """A counted connection ended."""
         self._count(volume, connections=-1)
 
     # -- requests
 
-    def lacks(self, volume: str, size: int, now: int) -> str:
+    def refusal_reason(self, volume: str, size: int, now: int) -> str:
         """Return why there is no room for a request that brings `size` bytes; "" if there is."""
         if not self._fits("held", self.limits.held, volume, 1):
             return "its cell has too much open here"
@@ -132,7 +132,7 @@
             return "the head is busy with its cell"
         return ""
 
-    def spares(self, volume: str, size: int) -> bool:
+    def leaves_equal_room(self, volume: str, size: int) -> bool:
         """Whether a volume leaves as much room as it has itself, so that another one finds some at once.
 
         One flooding volume gets half, two get a third each (dynamic thresholds, Choudhury and Hahne 1998).
@@ -147,23 +147,23 @@
         cell = self._of.get(volume)
         if cell is None or self._neighbours[cell] < 2:
             return True
-        mine = getattr(self._by_volume.get(volume) or Used(), what)
+        mine = getattr(self._by_volume.get(volume) or ShareUsage(), what)
         part = (whole - int(self.limits.borrow * whole)) // len(self._cells)
         room = part - getattr(self._cells[cell].used, what)
         return not mine or mine + more <= max(room, 0)
 
-    def takes(self, volume: str, size: int, now: int) -> str:
+    def admit(self, volume: str, size: int, now: int) -> str:
         """Count a request that brings `size` bytes; return "", or why there is no room for it."""
-        why = self.lacks(volume, size, now)
-        self._spend(volume, now, TURNED_AWAY if why else 1.0)
+        why = self.refusal_reason(volume, size, now)
+        self._spend(volume, now, REFUSAL_COST if why else 1.0)
         if why:
             cell = self._of[volume]
-            self.turned_away[cell] = self.turned_away.get(cell, 0) + 1
+            self.refused[cell] = self.refused.get(cell, 0) + 1
         else:
             self._count(volume, held=1, held_bytes=size)
         return why
 
-    def ended(self, volume: str, size: int) -> None:
+    def release(self, volume: str, size: int) -> None:
         """A counted request has its answer, or nobody waits for it any more."""
         self._count(volume, held=-1, held_bytes=-size)
 
@@ -171,7 +171,7 @@
 
     def _rationed(self, volume: str) -> Bucket | None:
         """Return what is left of a volume's cell's part of the processor, while that is divided."""
-        if not self.tight or len(self._cells) < 2 or volume not in self._of:
+        if not self.overloaded or len(self._cells) < 2 or volume not in self._of:
             return None
         return self._cells[self._of[volume]].allowed
 
@@ -182,12 +182,12 @@
             left.now(now)
             left.level -= cost
 
-    def rest_us(self, volume: str, now: int) -> int:
+    def read_pause_us(self, volume: str, now: int) -> int:
         """Return how long a volume's connections are not to be read from; 0: not at all."""
         left = self._rationed(volume)
-        return REST_US if left is not None and left.now(now) < -left.most else 0
+        return READ_PAUSE_US if left is not None and left.now(now) < -left.most else 0
 
-    def ticked(self, now: int, busy: float) -> None:
+    def update_load(self, now: int, busy: float) -> None:
         """Hear which part of the time since the last tick the loop was busy."""
         since, self._ticked_at = self._ticked_at, now
         done = sum(cell.spent for cell in self._cells.values())
@@ -198,10 +198,10 @@
         if busy >= SEEN and done:
             seen = done * 1e6 / (now - since) / busy
             self.rate += (GAIN if self.rate else 1.0) * (seen - self.rate)
-        was, self.tight = self.tight, busy >= TIGHT or (self.tight and busy >= LOOSE)
-        if not self.tight or not self._cells:
+        was, self.overloaded = self.overloaded, busy >= TIGHT or (self.overloaded and busy >= LOOSE)
+        if not self.overloaded or not self._cells:
             return
-        each = AIM * self.rate / len(self._cells)
+        each = TARGET_LOAD * self.rate / len(self._cells)
         for cell in self._cells.values():
             cell.allowed.now(now)
             cell.allowed.rate, cell.allowed.most = each, each * BURST_US / 1e6
--- a/harriertrack/decisions/standstill.py
+++ b/harriertrack/decisions/standstill.py
@@ -10,12 +10,12 @@
 
 from typing import Generic, TypeVar
 
-LOOK_US = 50_000  # how often a head that has nothing to do looks
+CHECK_PERIOD_US = 50_000  # how often a head that has nothing to do looks
 # A head may be held up for 0.15 s, and each time limit has room for that. A longer gap is a standstill unless
 # it is within the half of a drain's grace that is kept free: a drain of its first moment is acted on in time.
-STANDSTILL_US = 150_000 + LOOK_US
+STANDSTILL_US = 150_000 + CHECK_PERIOD_US
 # A call that is not answered by then is late for discovery itself: the list in hand is all there is.
-HOLD_MOST_US = 1_200_000
+MAX_HOLD_US = 1_200_000
 
 Held = TypeVar("Held")
 
@@ -27,7 +27,7 @@
         self._looked_at: int | None = None  # None: nobody looks regularly
         self._asked_at: int | None = None  # since when an answer is awaited
         # The last look before a standstill, until an answer has told what came since.
-        self.stood_from: int | None = None
+        self.paused_since: int | None = None
         self._awaited_from = 0  # when the last standstill was found
         self._held: dict[Held, None] = {}
 
@@ -35,7 +35,7 @@
         """Look regularly from now on."""
         self._looked_at = now
 
-    def look(self, now: int, grace_us: int) -> bool:
+    def check(self, now: int, grace_us: int) -> bool:
         """Take note that the process runs; return whether it stood still: then the list must be asked for.
 
         `grace_us`: how long after the news of a drain its node may still be sent to.
@@ -46,33 +46,33 @@
         self._looked_at = max(now, self._looked_at)
         if gap_us <= max(STANDSTILL_US, grace_us // 2):
             return False
-        if self.stood_from is None:
-            self.stood_from = now - gap_us
+        if self.paused_since is None:
+            self.paused_since = now - gap_us
         self._asked_at = self._awaited_from = now
         return True
 
-    def heard(self, began: int, answered: bool) -> None:
+    def record_call(self, began: int, answered: bool) -> None:
         """A call for the list that began then was answered, or failed at its source."""
         if began < self._awaited_from:
             return
         self._asked_at = None
         if answered:
-            self.stood_from = None
+            self.paused_since = None
 
-    def until(self) -> int | None:
+    def held_until(self) -> int | None:
         """Return when the list is waited for no longer; None if it is not waited for."""
-        return None if self._asked_at is None else self._asked_at + HOLD_MOST_US
+        return None if self._asked_at is None else self._asked_at + MAX_HOLD_US
 
     def holds(self, now: int) -> bool:
         """Return whether what would be sent has to wait."""
-        until = self.until()
+        until = self.held_until()
         return until is not None and now < until
 
     def hold(self, one: Held) -> None:
         """Let one wait."""
         self._held[one] = None
 
-    def has(self, one: Held) -> bool:
+    def is_held(self, one: Held) -> bool:
         """Return whether one waits."""
         return one in self._held
 
--- a/harriertrack/decisions/verdicts.py
+++ b/harriertrack/decisions/verdicts.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compared:
+class PairedComparison:
     """One comparison: the mean difference, its interval, and the chance of seeing it if there were none."""
 
     name: str
@@ -37,16 +37,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class JudgedComparison:
     """A comparison with its verdict."""
 
-    compared: Compared
+    comparison: PairedComparison
     p_adjusted: float
     verdict: Verdict
     more_seeds: int  # how many more would probably tell; 0 where a verdict was reached
 
 
-def holm(p_values: Sequence[float]) -> list[float]:
+def holm_adjust(p_values: Sequence[float]) -> list[float]:
     """Adjust chances for having compared several times (Holm, 1979): false alarms of all stay bounded."""
     order = sorted(range(len(p_values)), key=lambda at: p_values[at])
     adjusted, highest = [0.0] * len(p_values), 0.0
@@ -56,7 +56,7 @@
     return adjusted
 
 
-def seeds_needed(effect: float, deviation: float, alpha: float, power: float = 0.8) -> int:
+def required_seeds(effect: float, deviation: float, alpha: float, power: float = 0.8) -> int:
     """Return how many pairs show an effect of this size with this power, by the normal approximation."""
     if not deviation:
         return 2
@@ -67,14 +67,16 @@
     return min(MOST_SEEDS, max(2, math.ceil((distance * deviation / effect) ** 2)))
 
 
-def judge(comparisons: Sequence[Compared], alpha: float = 0.05, margin: float = 0.002) -> list[Judged]:
+def judge(
+    comparisons: Sequence[PairedComparison], alpha: float = 0.05, margin: float = 0.002
+) -> list[JudgedComparison]:
     """Give each comparison its verdict, corrected for how many there are.
 
     A difference needs both an adjusted chance under `alpha` and an interval on one side of zero. `margin` is
     the least difference worth acting on, in the units compared: an interval inside it says "same".
     """
     judged = []
-    for one, p in zip(comparisons, holm([one.p for one in comparisons]), strict=True):
+    for one, p in zip(comparisons, holm_adjust([one.p for one in comparisons]), strict=True):
         verdict, more = Verdict.CANT_TELL, 0
         if p < alpha and one.low > 0:
             verdict = Verdict.BETTER
@@ -84,6 +86,6 @@
             verdict = Verdict.SAME
         else:
             effect = max(abs(one.mean), margin)
-            more = max(1, seeds_needed(effect, one.deviation, alpha / len(comparisons)) - one.seeds)
-        judged.append(Judged(one, p, verdict, more))
+            more = max(1, required_seeds(effect, one.deviation, alpha / len(comparisons)) - one.seeds)
+        judged.append(JudgedComparison(one, p, verdict, more))
     return judged
--- a/harriertrack/gateway/fleet/scoring/asking.py
+++ b/harriertrack/gateway/fleet/scoring/asking.py
@@ -13,15 +13,15 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from harriertrack.decisions.fleet.scoring.picture import Picture
+from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerAnswer
 from harriertrack.decisions.fleet.scoring.scorers.base import Scorer
-from harriertrack.decisions.fleet.scoring.voting import Answer
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 from harriertrack.runtime.hub import Hub, VirtualTime
 
 MOST_SAID = 120  # characters of what a scorer raised
 
 
-def _answer(scorer: Scorer, picture: Picture, timed: bool) -> Answer:
+def _answer(scorer: Scorer, picture: Snapshot, timed: bool) -> ScorerAnswer:
     began = time.thread_time_ns() if timed else 0
     try:
         scores: object = scorer.score(picture)
@@ -29,16 +29,16 @@
     except Exception as error:
         scores, raised = None, f"{type(error).__name__}: {error}"[:MOST_SAID]
     took = (time.thread_time_ns() - began) // 1000 if timed else 0
-    return Answer(picture, scores, raised, took)
+    return ScorerAnswer(picture, scores, raised, took)
 
 
 class Asking(Protocol):
     """One scorer that is asked, one round at a time."""
 
-    def ask(self, pictures: Sequence[Picture]) -> None:
+    def ask(self, pictures: Sequence[Snapshot]) -> None:
         """Begin a round."""
 
-    def answers(self) -> list[Answer] | None:
+    def answers(self) -> list[ScorerAnswer] | None:
         """Return what came of the round, once; None while it lasts."""
 
     def close(self) -> None:
@@ -50,13 +50,13 @@
 
     def __init__(self, scorer: Scorer) -> None:
         self._scorer = scorer
-        self._answers: list[Answer] | None = None
+        self._answers: list[ScorerAnswer] | None = None
 
-    def ask(self, pictures: Sequence[Picture]) -> None:
+    def ask(self, pictures: Sequence[Snapshot]) -> None:
         """Begin a round, and end it."""
         self._answers = [_answer(self._scorer, picture, False) for picture in pictures]
 
-    def answers(self) -> list[Answer] | None:
+    def answers(self) -> list[ScorerAnswer] | None:
         """Return what came of the round, once."""
         answers, self._answers = self._answers, None
         return answers
@@ -70,19 +70,19 @@
 
     def __init__(self, scorer: Scorer, name: str) -> None:
         self._scorer = scorer
-        self._asked: queue.SimpleQueue[Sequence[Picture] | None] = queue.SimpleQueue()
-        self._done: queue.SimpleQueue[list[Answer]] = queue.SimpleQueue()
+        self._asked: queue.SimpleQueue[Sequence[Snapshot] | None] = queue.SimpleQueue()
+        self._done: queue.SimpleQueue[list[ScorerAnswer]] = queue.SimpleQueue()
         threading.Thread(target=self._work, name=f"scorer {name}", daemon=True).start()
 
     def _work(self) -> None:
         while (pictures := self._asked.get()) is not None:
             self._done.put([_answer(self._scorer, picture, True) for picture in pictures])
 
-    def ask(self, pictures: Sequence[Picture]) -> None:
+    def ask(self, pictures: Sequence[Snapshot]) -> None:
         """Begin a round."""
         self._asked.put(pictures)
 
-    def answers(self) -> list[Answer] | None:
+    def answers(self) -> list[ScorerAnswer] | None:
         """Return what came of the round, once; None while it lasts."""
         try:
             return self._done.get_nowait()
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -1,6 +1,7 @@
 """A head's scorers, on the hub: a task that draws pictures, asks, says and hears, away from requests.
 
-Decided is all of it in decisions/fleet/scoring; the module asks `Shared.factors` and waits for nothing.
+Decided is all of it in decisions/fleet/scoring; the module asks
+`SharedWeights.factors` and waits for nothing.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from harriertrack.config.settings import HeadSettings, ScoringSettings
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.changes.record import Kind, Version
+from harriertrack.decisions.fleet.scoring.observer import NodeObserver
 from harriertrack.decisions.fleet.scoring.rules import ScoringRules
+from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerState
 from harriertrack.decisions.fleet.scoring.scorers.base import Namespace, Scorer
-from harriertrack.decisions.fleet.scoring.shared import Moment, Shared
-from harriertrack.decisions.fleet.scoring.sights import Sights
-from harriertrack.decisions.fleet.scoring.voting import Vote
+from harriertrack.decisions.fleet.scoring.shared_weights import HeadContext, SharedWeights
 from harriertrack.gateway.fleet.figures import figures
 from harriertrack.gateway.fleet.scoring.asking import Asking, asking_of
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
@@ -43,8 +44,8 @@
 class Scored:
     """What a head has of scoring before it has a fleet: what its module is seen by, and what it asks."""
 
-    sights: Sights
-    shared: Shared
+    sights: NodeObserver
+    shared: SharedWeights
     choice: Choice
 
 
@@ -55,7 +56,9 @@
         choice = Choice(found(note, further), settings.scorers)
     except BadScorer as error:
         raise SettingsError(f"fleet: scoring: {error}") from error
-    return Scored(Sights(head.zone, head.rules.warm_us), Shared(rules_of(settings), settings.alone), choice)
+    return Scored(
+        NodeObserver(head.zone, head.rules.warm_us), SharedWeights(rules_of(settings), settings.alone), choice
+    )
 
 
 class Scoring:
@@ -100,9 +103,9 @@
 
     def _follow(self) -> None:
         """Run what is chosen: what did not change goes on as it was."""
-        before = {name: one.namespace for name, one in self._shared.weighings.items()}
+        before = {name: one.namespace for name, one in self._shared.by_scorer.items()}
         run = self._choice.run()
-        self._shared.use({name: one.namespace for name, one in run.items()})
+        self._shared.set_scorers({name: one.namespace for name, one in run.items()})
         kept = {name for name, one in run.items() if before.get(name) == one.namespace}
         for name in self._asking.keys() - kept:
             self._asking.pop(name).close()
@@ -123,47 +126,51 @@
             self._hub.sleep_until(began + rules.look_us)
 
     def _ask(self, began: int) -> None:
-        picture = self._sights.picture(began)
-        asked = dict(self._shared.weighings)
+        picture = self._sights.snapshot(began)
+        asked = dict(self._shared.by_scorer)
         for name, one in asked.items():
-            if pictures := one.voter.questions(began, picture):
+            if pictures := one.guard.next_queries(began, picture):
                 self._asking[name].ask(pictures)
-        open_ = {name: one for name, one in asked.items() if one.voter.vote in (Vote.ASKED, Vote.HUNG)}
+        open_ = {
+            name: one
+            for name, one in asked.items()
+            if one.guard.state in (ScorerState.PENDING, ScorerState.HUNG)
+        }
         while True:
             for name, one in list(open_.items()):
-                if self._shared.weighings.get(name) is not one:
+                if self._shared.by_scorer.get(name) is not one:
                     del open_[name]  # another version took its place meanwhile
                 elif (answers := self._asking[name].answers()) is not None:
-                    one.voter.answered(self._hub.now(), answers)
+                    one.guard.handle_answers(self._hub.now(), answers)
                     del open_[name]
             if not open_ or self._hub.now() >= began + self._shared.rules.look_us // 2:
                 break
             self._hub.sleep(WAIT_US)
-        for name, one in self._shared.weighings.items():
-            has = one.voter.vote in (Vote.HAS, Vote.ASKED)
+        for name, one in self._shared.by_scorer.items():
+            has = one.guard.state in (ScorerState.ACTIVE, ScorerState.PENDING)
             if self._votes.setdefault(name, True) != has:
                 self._votes[name] = has
                 if has:
                     self._parts.note("scorer has its vote back", scorer=name)
                 else:
-                    seconds = max(0, one.voter.until - self._hub.now()) / 1e6
-                    self._parts.note("scorer lost its vote", scorer=name, why=one.voter.why, for_s=seconds)
+                    seconds = max(0, one.guard.suspended_until - self._hub.now()) / 1e6
+                    self._parts.note("scorer lost its vote", scorer=name, why=one.guard.reason, for_s=seconds)
 
     def _look(self) -> None:
         now, shared = self._hub.now(), self._shared
         self._hear(now)
         there = frozenset(self._swim.view.present)
-        picture = self._sights.picture(now)
-        moment = Moment(self._swim.me.name, self._hub.clock.wall(), picture, there, self._who)
-        for page in shared.look(now, moment):
+        picture = self._sights.snapshot(now)
+        moment = HeadContext(self._swim.me.name, self._hub.clock.wall(), picture, there, self._who)
+        for page in shared.update(now, moment):
             self._swim.say(weighing.topic_of(page), weighing.encode(page))
         if self._settings.tell_us and now >= self._told_at + self._settings.tell_us:
             self._told_at = now
             own = {
                 name: _rounded({node: opinion.log for node, opinion in one.own.items()})
-                for name, one in shared.weighings.items()
+                for name, one in shared.by_scorer.items()
             }
-            joined = {name: _rounded(one.joined) for name, one in shared.weighings.items()}
+            joined = {name: _rounded(one.aggregated) for name, one in shared.by_scorer.items()}
             self._parts.note("fleet weights", weights=_rounded(shared.factors.logs), own=own, joined=joined)
 
     def _who(self, space: Namespace) -> frozenset[str]:
@@ -201,14 +208,17 @@
                     self.garbage += 1
                     continue
                 if weighing.topic_of(page) == topic:
-                    self._shared.hear(now, row.record.name, page)
+                    self._shared.receive(now, row.record.name, page)
 
     def lost(self) -> dict[str, str]:
         """Return which of the record's scorers have no vote here, by thing, and why."""
-        run, votes = self._choice.run(), {name: one.voter for name, one in self._shared.weighings.items()}
+        run, votes = (
+            self._choice.run(),
+            {name: one.guard for name, one in self._shared.by_scorer.items()},
+        )
         return {
-            one.thing: f"it has no vote, {votes[name].why}" for name, one in run.items()
-            if one.thing and name in votes and votes[name].vote in (Vote.LOST, Vote.HUNG)
+            one.thing: f"it has no vote, {votes[name].reason}" for name, one in run.items()
+            if one.thing and name in votes and votes[name].state in (ScorerState.SUSPENDED, ScorerState.HUNG)
         }  # fmt: skip
 
     # -- operators
@@ -217,20 +227,21 @@
         """Return what this head tells of scores."""
         shared = self._shared
         scorers = []
-        for name, one in sorted(shared.weighings.items()):
-            voter = one.voter
+        for name, one in sorted(shared.by_scorer.items()):
+            voter = one.guard
             scorers.append(
                 ScorerTold(
-                    name, str(one.namespace), f"{one.namespace.number:08x}", voter.vote.value,
-                    max(0, voter.until - now) / 1e6 if voter.vote in (Vote.LOST, Vote.HUNG) else 0.0,
-                    voter.why, voter.lost, one.voters, len(one.ears.heads()),
+                    name, str(one.namespace), f"{one.namespace.number:08x}", voter.state.value,
+                    max(0, voter.suspended_until - now) / 1e6
+                    if voter.state in (ScorerState.SUSPENDED, ScorerState.HUNG) else 0.0,
+                    voter.reason, voter.suspensions, one.voters, len(one.peers.heads()),
                 )
             )  # fmt: skip
         nodes = []
-        for sight in self._sights.picture(now).nodes:
+        for sight in self._sights.snapshot(now).nodes:
             node = sight.node
-            logs = {name: one.own[node].log for name, one in shared.weighings.items() if node in one.own}
-            joined = {name: one.joined.get(node, 0.0) for name, one in shared.weighings.items()}
+            logs = {name: one.own[node].log for name, one in shared.by_scorer.items() if node in one.own}
+            joined = {name: one.aggregated.get(node, 0.0) for name, one in shared.by_scorer.items()}
             nodes.append(
                 NodeScore(
                     node, sight.zone, shared.factors.factor(node),
--- a/harriertrack/gateway/fleet/scoring/choosing.py
+++ b/harriertrack/gateway/fleet/scoring/choosing.py
@@ -12,7 +12,12 @@
 from harriertrack.config.settings import ScorerSettings
 from harriertrack.config.sexp import SettingsError, bind, read_text
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.scoring.scorers.base import BadParameters, Namespace, Scorer, checked
+from harriertrack.decisions.fleet.scoring.scorers.base import (
+    BadParameters,
+    Namespace,
+    Scorer,
+    check_parameters,
+)
 from harriertrack.gateway.fleet.scoring.plugins import Kinds
 
 MOST_SCORERS = 2  # at a time: each has pages of its own
@@ -39,7 +44,7 @@
         there = ", ".join(f"{one} {version}" for one, version in sorted(kinds))
         raise BadScorer(f"no scorer {name} of version {settings.version} is installed; there are {there}")
     try:
-        values = checked(kind.parameters, {one.name: one.value for one in settings.parameters})
+        values = check_parameters(kind.parameters, {one.name: one.value for one in settings.parameters})
     except BadParameters as error:
         raise BadScorer(f"{name}: {error}") from error
 
--- a/harriertrack/gateway/front.py
+++ b/harriertrack/gateway/front.py
@@ -168,7 +168,7 @@
                     break
                 # A client that does not read its answers is not read from either.
                 self._stream.drain()
-                if rest := front.shares.rest_us(self.volume, front.hub.now()):
+                if rest := front.shares.read_pause_us(self.volume, front.hub.now()):
                     front.hub.sleep(rest)
         except (ProtocolViolation, DeadlineExceeded) as error:
             front.note("client closed", peer=self._stream.peer, why=str(error) or "too slow a handshake")
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -12,7 +12,7 @@
 from harriertrack.config.settings import FleetSettings, HeadSettings, module_settings, request_rules
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions import Scheduler, interface as api, standstill
-from harriertrack.decisions.celled import Celled, HeadMap, OldMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap, StaleMapError
 from harriertrack.decisions.requests import Attempt, ClientRequest, Core, Module
 from harriertrack.gateway.front import NbdFront
 from harriertrack.gateway.links import Links
@@ -54,7 +54,7 @@
 
     links: Callable[[HeadParts], Links] = Links
     listing: Callable[[HeadParts], Listing] = Listing
-    module: Callable[[api.Settings, int], Scheduler | Celled] = Scheduler
+    module: Callable[[api.Settings, int], Scheduler | CellScheduler] = Scheduler
     datagrams: DatagramNetwork | None = None  # of its fleet; None: sockets
     kept: ChangesCache | None = None  # its copy of the record of changes; None: a file
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
@@ -73,7 +73,7 @@
         self._network, self._note, self._name = network, note, name
         self._extents, self._log, self._wiring = extents, log, wiring
         self._alarm = Alarm(hub, self._flush)
-        self._heartbeat = Heartbeat(hub, standstill.LOOK_US, self._look)
+        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._look)
         self._stopping = Event(hub)
         self.ready = Event(hub)
         self.trace: Callable[[Attempt], None] | None = None  # hears of every send, for rigs that stamp them
@@ -82,7 +82,7 @@
         self.core: Core
         self.reception: Reception
         self.mover: Mover
-        self.module: Scheduler | Celled
+        self.module: Scheduler | CellScheduler
         self.fleet: Fleet | None = None
         self.regional: Regional | None = None
         self._portions: Portions | None = None
@@ -174,7 +174,7 @@
             self.regional = Regional(hub, self._network, scope, settings, self.core, self._links, self._log,
                                      self._note, self._name, self._portions)  # fmt: skip
         self.mover = Mover(hub, scope, self.core, settings, self._note, self._may_move)
-        if isinstance(self.module, Celled):
+        if isinstance(self.module, CellScheduler):
             self.mover.follow(self.module.map)
             if settings.cell_map:
                 scope.spawn("cell map", self._watch_map)
@@ -182,7 +182,7 @@
     def _serve(self, scope: Scope, listeners: list[Listener]) -> None:
         """Start the fronts."""
         settings = self.settings
-        cells = self.module.map.volumes if isinstance(self.module, Celled) else None
+        cells = self.module.map.volumes if isinstance(self.module, CellScheduler) else None
         self.reception = Reception(self.hub, settings, self.core, scope, self._note, self.regional, cells)
         scope.spawn("front", NbdFront(self.reception).serve, listeners[0])
         if settings.nvme is not None:
@@ -230,12 +230,12 @@
             told = replace(told, budget_free=0.0)  # those are drawn from what the fleet divides
         return told
 
-    def _module(self, told: api.Settings, seed: int) -> Scheduler | Celled:
+    def _module(self, told: api.Settings, seed: int) -> Scheduler | CellScheduler:
         """Make the decision module, or where there is a map one for each cell."""
         portions = self._portions
         weights = self.scored.shared.factors if self.scored is not None else None
         if self._cells is not None:
-            return Celled(told, seed, self._cells, partial(Scheduler, weights=weights), portions)
+            return CellScheduler(told, seed, self._cells, partial(Scheduler, weights=weights), portions)
         if portions is None and weights is None:
             return self._wiring.module(told, seed)
         return Scheduler(told, seed, None, portions, weights)
@@ -268,11 +268,11 @@
         # Without a lease's epoch, its own or the holder's, nobody else's newer work would be noticed.
         return self.regional is None or self.regional.acts_on(volume)
 
-    def take_cells(self, cells: HeadMap) -> None:
-        """Follow a newer map of cells. Raises OldMap for one that is not newer."""
-        assert isinstance(self.module, Celled), "a head without cells has no map"
-        self.module.take_map(cells)
-        self.reception.shares.follow(cells.volumes)
+    def take_cells(self, cells: HeadCellMap) -> None:
+        """Follow a newer map of cells. Raises StaleMapError for one that is not newer."""
+        assert isinstance(self.module, CellScheduler), "a head without cells has no map"
+        self.module.apply_map(cells)
+        self.reception.shares.update_cells(cells.volumes)
         self.mover.follow(cells)
 
     def _watch_map(self) -> None:
@@ -286,7 +286,7 @@
                     continue
                 known = text
                 self.take_cells(head_map(path, self.settings.volumes))
-            except OldMap:
+            except StaleMapError:
                 pass  # the one in hand, or an older one put back
             except (OSError, SettingsError) as error:
                 self._note("cell map not taken", why=str(error))
--- a/harriertrack/gateway/listing.py
+++ b/harriertrack/gateway/listing.py
@@ -133,7 +133,7 @@
         index, self._index = self._index, 0  # after a failure the whole list is asked for again
         self._await_call()
         call = self._current = ListCall(self._hub, source, index)
-        for surplus in self._open.begin(call):
+        for surplus in self._open.add(call):
             surplus.give_up()
         agent = f"harriertrack/{self._head_id:016x}"
         call.start(self._scope, self._network, self._name, agent, self._ended)
@@ -142,9 +142,9 @@
     def _ended(self, call: ListCall) -> None:
         """Take what a call has brought, also one that was overdue; follow on from it if nothing does."""
         if call.failure:
-            self._open.failed(call)
+            self._open.remove(call)
         else:
-            for older in self._open.answered(call):
+            for older in self._open.complete(call):
                 older.give_up()
             self._index = call.next_index
             self._told(call.members)
--- a/harriertrack/gateway/mover.py
+++ b/harriertrack/gateway/mover.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from harriertrack.config.settings import HeadSettings
-from harriertrack.decisions.celled import HeadMap
+from harriertrack.decisions.cell_scheduler import HeadCellMap
 from harriertrack.decisions.moving import Move, MoveState, misplaced
 from harriertrack.decisions.requests import ClientRequest, Core
 from harriertrack.decisions.splitting import Kind, Outcome
@@ -33,7 +33,7 @@
         writes = (one.deadline_us for one in settings.classes if Kind.WRITE in one.kinds)
         self._settle_us = max(self._settle_us, *writes)
 
-    def follow(self, cells: HeadMap) -> None:
+    def follow(self, cells: HeadCellMap) -> None:
         """Begin what a map asks for; moves of the map before end after the extent they are at."""
         self._version = cells.version
         for name, volume in self._core.volumes.items():
@@ -52,7 +52,7 @@
                 self._note("move begins", volume=name, cell=home, extents=len(left))
             self._scope.spawn(f"move {name}", self._run, move, cells)
 
-    def _run(self, move: Move, cells: HeadMap) -> None:
+    def _run(self, move: Move, cells: HeadCellMap) -> None:
         while not move.may_follow(self._hub.now()):
             self._hub.sleep(10_000)
         while (when := move.wake_at()) is not None and self._version == cells.version:
@@ -76,7 +76,7 @@
         if move.state is MoveState.DONE:
             self._forget(move, cells)
 
-    def _forget(self, move: Move, cells: HeadMap) -> None:
+    def _forget(self, move: Move, cells: HeadCellMap) -> None:
         """Trim what the volume left behind, by this move or by one that a kill kept from it."""
         places, volume = self._core.places, move.volume
         forgetting = move.forgets(places.left(volume), dict(places.placed(volume)))
--- a/harriertrack/gateway/reception.py
+++ b/harriertrack/gateway/reception.py
@@ -142,14 +142,14 @@
         self.sessions -= 1
         self._choosing -= not guest.chosen
         if guest.counted:
-            self.shares.left(guest.volume)
+            self.shares.disconnect(guest.volume)
 
     def chose(self, guest: Guest) -> bool:
         """A connection has chosen its volume; False: its cell has no room for it."""
         self._choosing -= 1
         guest.chosen = True
         # The other head's connections are few, and what they carry is bounded there.
-        guest.counted = guest.origin is Origin.CLIENT and self.shares.connects(guest.volume)
+        guest.counted = guest.origin is Origin.CLIENT and self.shares.try_connect(guest.volume)
         return guest.counted or guest.origin is not Origin.CLIENT
 
     def watch(self) -> None:
@@ -159,7 +159,7 @@
             began, idle = hub.now(), hub.idle_us
             hub.sleep(TICK_US)
             now = hub.now()
-            self.shares.ticked(now, max(0.0, 1 - (hub.idle_us - idle) / max(1, now - began)))
+            self.shares.update_load(now, max(0.0, 1 - (hub.idle_us - idle) / max(1, now - began)))
             self._let_in()
 
     # -- requests
--- a/harriertrack/lab/experiments.py
+++ b/harriertrack/lab/experiments.py
@@ -27,7 +27,7 @@
 from harriertrack.decisions import scheduler
 from harriertrack.decisions.baselines import BASELINES
 from harriertrack.decisions.scheduler import Scheduler
-from harriertrack.decisions.verdicts import Judged, judge
+from harriertrack.decisions.verdicts import JudgedComparison, judge
 from harriertrack.lab import day as days
 from harriertrack.lab.day import DaySettings
 from harriertrack.lab.emulator import ModuleMaker, emulate
@@ -280,7 +280,7 @@
     """What a plan's results say of its variants beside the base, one for each variant, over all days."""
 
     base: str
-    judged: list[Judged]
+    judged: list[JudgedComparison]
     shares: dict[str, float]  # mean share by variant
     broken: dict[str, int]  # runs with a broken rule, by variant
     pairs: int
--- a/harriertrack/lab/fleet/rig/facts.py
+++ b/harriertrack/lab/fleet/rig/facts.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 
 from harriertrack.config.settings import BudgetUse, PlanSettings, ScoringSettings, VolumeSettings
-from harriertrack.decisions.fleet.scoring.rules import MOST_LOG
+from harriertrack.decisions.fleet.scoring.rules import MAX_LOG_WEIGHT
 from harriertrack.lab.fleet.scenario import ZONES, FleetDaySettings, chosen
 from harriertrack.lab.fleet.weights import BROKEN
 from harriertrack.rules import recording as rec
@@ -44,7 +44,7 @@
     """Return what must hold of weights."""
     names = [f"head{number}" for number in range(heads)]
     return rec.WeightFacts(
-        t=0, most=MOST_LOG, rate=scoring.rate, fresh_us=scoring.stale_us, sway=day.sway,
+        t=0, most=MAX_LOG_WEIGHT, rate=scoring.rate, fresh_us=scoring.stale_us, sway=day.sway,
         notes_bytes=2.0 * day.figures.topic_bytes,  # what a second brings, and what was spared
         liars=chosen(day.liars, names), broken=list(BROKEN),
     )  # fmt: skip
--- a/harriertrack/lab/fleet/weights.py
+++ b/harriertrack/lab/fleet/weights.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from harriertrack.decisions.fleet.scoring.picture import Picture
-from harriertrack.decisions.fleet.scoring.rules import MOST_LOG
+from harriertrack.decisions.fleet.scoring.rules import MAX_LOG_WEIGHT
 from harriertrack.decisions.fleet.scoring.scorers.base import Scorer, ScorerKind
-from harriertrack.decisions.fleet.scoring.spreading import MOST_EVIDENCE, STEP
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
+from harriertrack.decisions.fleet.scoring.weight_exchange import MAX_EVIDENCE, WEIGHT_STEP
 from harriertrack.gateway.fleet.scoring.plugins import scorers
 from harriertrack.lab.fleet.later import TOPICS
 from harriertrack.membership.fleet import weighing
@@ -25,7 +25,7 @@
 from harriertrack.rules import recording as rec
 from harriertrack.runtime.datagrams import Address, DatagramNetwork, DatagramPort, Taken
 
-MOST_STEPS = round(MOST_LOG / STEP)
+MOST_STEPS = round(MAX_LOG_WEIGHT / WEIGHT_STEP)
 SECOND_US = 1_000_000
 BROKEN = ("broken-raises", "broken-nan", "broken-state")
 WORST = "worst-first"
@@ -35,7 +35,7 @@
     """Return a page that says the contrary."""
     page = weighing.decode(about)
     entries = tuple(
-        replace(one, steps=-MOST_STEPS if one.steps > 0 else MOST_STEPS, evidence=MOST_EVIDENCE)
+        replace(one, steps=-MOST_STEPS if one.steps > 0 else MOST_STEPS, evidence=MAX_EVIDENCE)
         for one in page.entries
     )
     return weighing.encode(replace(page, entries=entries))
@@ -82,19 +82,19 @@
 
 
 class _Raises:
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         raise RuntimeError("rehearsed")
 
 
 class _GivesNan:
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         return {one.node: math.nan for one in picture.nodes}
 
 
 class _WorstFirst:
     """It does nothing that a scorer must not, and throws all at the slowest nodes."""
 
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         return {one.node: (one.latency_us / 1e3) ** 4 for one in picture.nodes if one.latency_us > 0}
 
 
@@ -102,7 +102,7 @@
     def __init__(self) -> None:
         self._calls = 0
 
-    def score(self, picture: Picture) -> Mapping[str, float]:
+    def score(self, picture: Snapshot) -> Mapping[str, float]:
         self._calls += 1
         return {one.node: float(self._calls) for one in picture.nodes}
 
--- a/harriertrack/lab/hunting.py
+++ b/harriertrack/lab/hunting.py
@@ -1,4 +1,4 @@
-"""Hunts for the worst day on all cores; what to try next is decided by `decisions/hunting.py`."""
+"""Hunts for the worst day on all cores; what to try next is decided by `decisions/fault_search.py`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from harriertrack.config.settings import Checked, Name, Positive, Whole, read_file
 from harriertrack.config.sexp import SettingsError, bind
-from harriertrack.decisions.hunting import Candidate, Hunt, Outcome, Space
+from harriertrack.decisions.fault_search import Candidate, FaultSearch, Outcome, SearchSpace
 from harriertrack.lab import day as days
 from harriertrack.lab.day import DaySettings, TroubleKind, TroubleSettings
 from harriertrack.lab.experiments import Job, VariantSettings, run_here
@@ -49,22 +49,22 @@
     return hunt
 
 
-def space_of(hunt: HuntSettings, day: DaySettings) -> Space:
+def space_of(hunt: HuntSettings, day: DaySettings) -> SearchSpace:
     """Return what the hunt may draw."""
     kinds = [one.value for one in hunt.kinds or TroubleKind]
     if day.two_regions is None:
         kinds = [kind for kind in kinds if kind not in OF_TWO_REGIONS]
     if not kinds:
         raise SettingsError(f"{hunt.name}: kinds: none of them fits the day {hunt.day}")
-    return Space(tuple(kinds), day.length_us, hunt.most_troubles, day.heads, day.nodes, SIZES)
+    return SearchSpace(tuple(kinds), day.length_us, hunt.most_troubles, day.heads, day.nodes, SIZES)
 
 
 def day_of(day: DaySettings, candidate: Candidate) -> DaySettings:
     """Return the day of a candidate."""
     troubles = tuple(
-        TroubleSettings(name=TroubleKind(one.kind), from_us=one.from_us, for_us=one.for_us, part=one.part,
-                        size=one.size, every_us=max(100_000, one.for_us // 6))
-        for one in candidate.harms
+        TroubleSettings(name=TroubleKind(one.kind), from_us=one.start_us, for_us=one.duration_us,
+                        part=one.part, size=one.size, every_us=max(100_000, one.duration_us // 6))
+        for one in candidate.faults
     )  # fmt: skip
     return msgspec.structs.replace(
         day, name="hunted", troubles=troubles, rate=day.rate * candidate.load,
@@ -92,17 +92,17 @@
     return Outcome(round(1 - scores.share, 6), tuple(sorted(int(rule) for rule in scores.broken)))
 
 
-def hunt_down(settings: HuntSettings, workers: int, told: Callable[[Hunt], None]) -> Hunt:
+def hunt_down(settings: HuntSettings, workers: int, told: Callable[[FaultSearch], None]) -> FaultSearch:
     """Run a hunt to its end; `told` hears of each lot."""
     day = days.load(settings.day)
-    hunt = Hunt(space_of(settings, day), settings.seed, settings.runs)
+    hunt = FaultSearch(space_of(settings, day), settings.seed, settings.runs)
     with ProcessPoolExecutor(max_workers=workers) as pool:
-        while lot := hunt.ask():
+        while lot := hunt.next_batch():
             running = [
                 (number, pool.submit(_play, settings.variant, day_of(day, candidate), settings.seed))
                 for number, candidate in lot
             ]
             for number, future in running:
-                hunt.tell(number, future.result())
+                hunt.record_outcome(number, future.result())
             told(hunt)
     return hunt
--- a/harriertrack/lab/interleaving/models/weights.py
+++ b/harriertrack/lab/interleaving/models/weights.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.scoring.damping import NEAR
-from harriertrack.decisions.fleet.scoring.picture import NodeSight, Picture
-from harriertrack.decisions.fleet.scoring.rules import MOST_LOG, ScoringRules
+from harriertrack.decisions.fleet.scoring.damping import DEAD_BAND
+from harriertrack.decisions.fleet.scoring.rules import MAX_LOG_WEIGHT, ScoringRules
+from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerAnswer, ScorerState
 from harriertrack.decisions.fleet.scoring.scorers.base import Namespace
 from harriertrack.decisions.fleet.scoring.scorers.latency import LeastLatency
-from harriertrack.decisions.fleet.scoring.shared import Moment, Shared
-from harriertrack.decisions.fleet.scoring.voting import Answer, Vote
+from harriertrack.decisions.fleet.scoring.shared_weights import HeadContext, SharedWeights
+from harriertrack.decisions.fleet.scoring.snapshot import NodeObservation, Snapshot
 from harriertrack.lab.interleaving.models.mail import Mail
 
 NAME = Namespace("least-latency", 1)
@@ -27,14 +27,14 @@
 class Head:
     """One life of a head."""
 
-    shared: Shared
+    shared: SharedWeights
     began: int
     life: int = 1
     looked_at: int = 0
     relapses: int = 0  # of its scorer, in a row
     wrong_at: int = 0
     turned: dict[str, int] = field(default_factory=dict)  # by node: which way its weight went last, and turns
-    owes: tuple[Picture, ...] = ()  # what its scorer was asked and has not answered
+    owes: tuple[Snapshot, ...] = ()  # what its scorer was asked and has not answered
 
 
 @dataclass(slots=True)
@@ -54,8 +54,8 @@
 
 
 def _fresh(now: int, life: int = 1) -> Head:
-    shared = Shared(RULES)
-    shared.use({NAME.scorer: NAME})
+    shared = SharedWeights(RULES)
+    shared.set_scorers({NAME.scorer: NAME})
     return Head(shared, now, life)
 
 
@@ -95,13 +95,13 @@
             yield f"{self._names[-1]} restarts"
         yield from state.mail.late()
 
-    def _picture(self, state: State) -> Picture:
+    def _picture(self, state: State) -> Snapshot:
         sights = tuple(
-            NodeSight(one, "z", 5.0, 40_000.0 if one == state.slow else 10_000.0, evidence=20.0, age_us=0,
-                      fill=0.2, cold=state.is_cold and one == "n2")
+            NodeObservation(one, "z", 5.0, 40_000.0 if one == state.slow else 10_000.0, evidence=20.0,
+                            age_us=0, fill=0.2, cold=state.is_cold and one == "n2")
             for one in NODES
         )  # fmt: skip
-        return Picture("z", sights)
+        return Snapshot("z", sights)
 
     def apply(self, state: State, event: str) -> None:
         """Let it happen."""
@@ -132,21 +132,21 @@
                 if came is not None:
                     life, head, page = came[1]
                     if state.heads[head].life == life:  # the view turns down what a life before said
-                        state.heads[came[0]].shared.hear(state.now, head, page)
+                        state.heads[came[0]].shared.receive(state.now, head, page)
 
     def _look(self, state: State, name: str) -> None:
         head, picture = state.heads[name], self._picture(state)
         head.looked_at = state.now
-        voter = head.shared.weighings[NAME.scorer].voter
-        lost_until = voter.until if voter.vote is Vote.LOST else 0
-        questions = voter.questions(state.now, picture)
+        voter = head.shared.by_scorer[NAME.scorer].guard
+        lost_until = voter.suspended_until if voter.state is ScorerState.SUSPENDED else 0
+        questions = voter.next_queries(state.now, picture)
         if questions and state.now < lost_until:
             state.wrong = f"{name} asks a scorer that has no vote"
         head.owes = questions or head.owes
         before = dict(head.shared.factors.logs)
         names = frozenset(state.heads)
-        moment = Moment(name, state.now, picture, names, _Runs(names))
-        for page in head.shared.look(state.now, moment):
+        moment = HeadContext(name, state.now, picture, names, _Runs(names))
+        for page in head.shared.update(state.now, moment):
             for other in state.heads:
                 if other != name:
                     state.mail.send(other, (head.life, name, page))
@@ -158,36 +158,36 @@
         for node, log in after.items():
             gone = log - before.get(node, 0.0)
             turns = abs(head.turned.get(node, 0))
-            far = abs(gone) > NEAR  # what is less is no turn
+            far = abs(gone) > DEAD_BAND  # what is less is no turn
             if far and head.turned.get(node, 0) * gone < 0:
                 turns += 1
             if far:
                 head.turned[node] = max(1, turns) if gone > 0 else -max(1, turns)
             if abs(gone) > RULES.rate * 2 * LOOK_US / 1e6 + 1e-9:
                 state.wrong = f"{name}: {node} moves by {gone:g}"
-            if abs(log) > min(MOST_LOG, RULES.rate * (state.now - head.began) / 1e6) + 1e-9:
+            if abs(log) > min(MAX_LOG_WEIGHT, RULES.rate * (state.now - head.began) / 1e6) + 1e-9:
                 state.wrong = f"{name}: {node} is at {log:g}"
             # Each turn halves the pace; what a second of calm brings back is 2^(1 / 8).
             looks = (state.now - head.began) / LOOK_US
             most = RULES.rate * max(RULES.least_gain, 0.5 ** (turns - 1) * 2 ** (looks / 8))
             if turns > 1 and abs(gone) > 2 * most + 1e-9:
                 state.wrong = f"{name}: {node} moves by {gone:g} after {turns} turns"
-        if state.is_cold and head.shared.wanted.get("n2", 0.0) > 0:
-            state.wrong = f"{name}: a cold node is wanted at {head.shared.wanted['n2']:g}"
+        if state.is_cold and head.shared.desired.get("n2", 0.0) > 0:
+            state.wrong = f"{name}: a cold node is wanted at {head.shared.desired['n2']:g}"
 
     def _answer(self, state: State, name: str, wrongly: bool) -> None:
         head = state.heads[name]
-        voter = head.shared.weighings[NAME.scorer].voter
-        hung = voter.vote is Vote.HUNG
-        answers = [Answer(one, SCORER.score(one)) for one in head.owes]
+        voter = head.shared.by_scorer[NAME.scorer].guard
+        hung = voter.state is ScorerState.HUNG
+        answers = [ScorerAnswer(one, SCORER.score(one)) for one in head.owes]
         if wrongly:
-            answers[-1] = Answer(head.owes[-1], None, "LookupError: no")
+            answers[-1] = ScorerAnswer(head.owes[-1], None, "LookupError: no")
         head.owes = ()
-        heard = voter.answered(state.now, answers)
+        heard = voter.handle_answers(state.now, answers)
         if (hung or wrongly) and (heard or voter.scores):
             state.wrong = f"{name} goes by a scorer that {'hung' if hung else 'did wrong'}"
         if wrongly and not hung:
-            span = voter.until - state.now
+            span = voter.suspended_until - state.now
             head.relapses += 1
             if span < RULES.suspend_us * 2 ** (head.relapses - 1):
                 state.wrong = f"{name}: relapse {head.relapses} costs {span / 1e6:g} s"
@@ -195,8 +195,8 @@
     def wrong(self, state: State) -> str | None:
         """Return what must not be."""
         for name, head in state.heads.items():
-            for node, log in head.shared.weighings[NAME.scorer].joined.items():
-                if abs(log) > MOST_LOG:
+            for node, log in head.shared.by_scorer[NAME.scorer].aggregated.items():
+                if abs(log) > MAX_LOG_WEIGHT:
                     return f"{name}: {node} is joined at {log:g}"
         return state.wrong or None
 
--- a/harriertrack/lab/interleaving/scenarios/watch.py
+++ b/harriertrack/lab/interleaving/scenarios/watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from harriertrack.decisions.discovery_watch import DiscoveryWatch, Watch
+from harriertrack.decisions.discovery_watch import DiscoveryWatch, WatchState
 from harriertrack.decisions.interface import NodesChanged
 from harriertrack.decisions.requests import Core
 from harriertrack.lab.interleaving.world import Scenario, World
@@ -130,7 +130,7 @@
                 given_up = core.given_up or not frozen or hub.now() < frozen[0] + GIVEN_UP_US
                 return None if given_up else "a call that is never answered is not given up"
             known = watching.version == source.version and len(nodes) == len(source.servers)
-            if known or watching.state is Watch.IDLE:
+            if known or watching.state is WatchState.IDLE:
                 return None if known else f"nobody asks: version {watching.version} of {source.version}"
             return f"the list is not told: version {watching.version} of {source.version}"
 
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -12,14 +12,14 @@
 
 from harriertrack.config.settings import ScorerSettings, ScoringSettings
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.scoring.picture import Picture
+from harriertrack.decisions.fleet.scoring.observer import NodeObserver
+from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerAnswer, ScorerState
 from harriertrack.decisions.fleet.scoring.scorers import latency
 from harriertrack.decisions.fleet.scoring.scorers.base import Scorer
-from harriertrack.decisions.fleet.scoring.shared import Shared
-from harriertrack.decisions.fleet.scoring.sights import Sights
-from harriertrack.decisions.fleet.scoring.spreading import Entry
-from harriertrack.decisions.fleet.scoring.voting import Answer, Vote
-from harriertrack.decisions.fleet.scoring.weights import factor_of
+from harriertrack.decisions.fleet.scoring.shared_weights import SharedWeights
+from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
+from harriertrack.decisions.fleet.scoring.weight_exchange import Entry
+from harriertrack.decisions.fleet.scoring.weights import weight_factor
 from harriertrack.decisions.interface import Ended, ListKind, NodeEntry, NodesChanged, Result
 from harriertrack.gateway.fleet.scoring.asking import Asking, AtOnce
 from harriertrack.gateway.fleet.scoring.carrier import Scored, Scoring, rules_of
@@ -54,7 +54,7 @@
         self._ready = False
         self.hangs_until = 0
 
-    def ask(self, pictures: Sequence[Picture]) -> None:
+    def ask(self, pictures: Sequence[Snapshot]) -> None:
         """Begin a round."""
 
         def work() -> None:
@@ -64,7 +64,7 @@
 
         self._hub.at_for(f"{self._place}'s thread", max(self._hub.now(), self.hangs_until), work)
 
-    def answers(self) -> list[Answer] | None:
+    def answers(self) -> list[ScorerAnswer] | None:
         """Return what came of the round, once."""
         self._world.touched.write(f"answers at {self._place}")
         if not self._ready:
@@ -106,15 +106,15 @@
         self.place, self.began = place, hub.now()
         me = Record(name, life, 10 * port + life, 0, State.ALIVE, "x", port)
         self.swim = _Telling(Rules(fleet="fleet"), me, (), life)
-        self.shared = Shared(rules_of(SETTINGS))
+        self.shared = SharedWeights(rules_of(SETTINGS))
         self._world, self._port, self._to, self._slow, self._times = world, port, to, slow, times
         self.scoring: Scoring | None = None
         self.thread: _OnThread | None = None
         self.late_us = 0  # of the next datagram that it sends
         self._logs: dict[str, float] = {}  # as they were at the step before
 
-    def _seen(self) -> Sights:
-        now, sights = self._world.hub.now(), Sights("z", 0)
+    def _seen(self) -> NodeObserver:
+        now, sights = self._world.hub.now(), NodeObserver("z", 0)
         entries = [NodeEntry(one, number, zone="z", started_us=1) for number, one in enumerate(NODES)]
         sights.follow(now, [NodesChanged(ListKind.FULL, entries)], [])
         ends = [
@@ -163,20 +163,23 @@
         """Return what can't be of its weights."""
         most = RATE * (now - self.began) / 1e6 + 1e-9
         for node, log in self.shared.factors.logs.items():
-            if abs(log) > most or not 0.25 <= factor_of(log) <= 4:
+            if abs(log) > most or not 0.25 <= weight_factor(log) <= 4:
                 return f"{self.place}: {node} is at 2^{log:g} after {(now - self.began) / 1e6:g} s"
         logs = self.shared.factors.logs
         for node in logs.keys() & self._logs.keys():
             if abs(logs[node] - self._logs[node]) > RATE * 2 * LOOK_US / 1e6 + 1e-9:
                 return f"{self.place}: {node} goes from 2^{self._logs[node]:g} to 2^{logs[node]:g} at once"
         self._logs = dict(logs)
-        for one in self.shared.weighings.values():
-            if one.voter.vote in (Vote.LOST, Vote.HUNG) and one.voter.scores:
+        for one in self.shared.by_scorer.values():
+            if one.guard.state in (ScorerState.SUSPENDED, ScorerState.HUNG) and one.guard.scores:
                 return f"{self.place}: a scorer that lost its vote is heard"
-            if one.voter.vote in (Vote.HAS, Vote.ASKED) and now < one.voter.until:
+            if (
+                one.guard.state in (ScorerState.ACTIVE, ScorerState.PENDING)
+                and now < one.guard.suspended_until
+            ):
                 return f"{self.place}: a scorer has its vote back before its time"
             power = dict(one.namespace.parameters)["power"]
-            scores = one.voter.scores
+            scores = one.guard.scores
             if scores and abs(max(scores.values()) / min(scores.values()) - self._times**power) > 1e-6:
                 return f"{self.place}: another version's scores count as those of power {power:g}: {scores}"
         return None
@@ -231,8 +234,8 @@
         def held() -> tuple[tuple[int, int, int], ...]:
             """Return life, page and serial of what a counts of b's."""
             found = []
-            for one in a.shared.weighings.values():
-                for number, (_, page) in one.ears._heard.get("b", {}).items():
+            for one in a.shared.by_scorer.values():
+                for number, (_, page) in one.peers._heard.get("b", {}).items():
                     found.append((_life_of(page.entries), number, page.serial))
             return tuple(sorted(found))
 
--- a/harriertrack/lab/report.py
+++ b/harriertrack/lab/report.py
@@ -307,13 +307,13 @@
         broken = str(comparison.broken.get(base, 0))
         table.append([f"{base} (base)", *begin(base), "", "", "", "", "", broken])
     for one in comparison.judged:
-        what = one.compared
+        what = one.comparison
         table.append([
             what.name, *begin(what.name), f"{what.mean:+.4f}",
             f"{what.low:+.4f} to {what.high:+.4f}", f"{one.p_adjusted:.3f}", one.verdict.value,
             str(one.more_seeds) if one.more_seeds else "", str(comparison.broken.get(what.name, 0)),
         ])  # fmt: skip
-    judged = {one.compared.name for one in comparison.judged}
+    judged = {one.comparison.name for one in comparison.judged}
     if comparison.oracle in comparison.shares and comparison.oracle not in {base, *judged}:
         broken = str(comparison.broken.get(comparison.oracle, 0))
         table.append([comparison.oracle, *begin(comparison.oracle), "", "", "", "for reference", "", broken])
@@ -328,10 +328,10 @@
 
     def draw(axes: Axes) -> None:
         for at, one in enumerate(comparison.judged):
-            what = one.compared
+            what = one.comparison
             axes.plot([what.low, what.high], [at, at], color="C0")
             axes.plot(what.mean, at, "o", color="C0")
-        axes.set_yticks(range(len(comparison.judged)), [one.compared.name for one in comparison.judged])
+        axes.set_yticks(range(len(comparison.judged)), [one.comparison.name for one in comparison.judged])
         axes.axvline(0, color="black", linewidth=0.8)
         axes.set(xlabel=f"difference of the share from {comparison.base}")
 
--- a/harriertrack/lab/rig.py
+++ b/harriertrack/lab/rig.py
@@ -28,7 +28,7 @@
     check_head,
 )
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.celled import Celled, HeadMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap
 from harriertrack.decisions.interface import Effect, NodeEntry, NodeState
 from harriertrack.decisions.requests import Attempt
 from harriertrack.gateway.head import Head, Wiring, quiet
@@ -124,12 +124,12 @@
     return [*volumes, *day.beside]
 
 
-def cells_of(day: DaySettings) -> HeadMap:
+def cells_of(day: DaySettings) -> HeadCellMap:
     """Return a day's cells: shards and volumes dealt in turn."""
     regions = 1 if day.two_regions is None else len(REGIONS)
     shards = {shard: f"cell{shard % day.cells}" for shard in range(day.nodes * regions)}
     volumes = {f"vol{number}": f"cell{number % day.cells}" for number in range(day.volumes)}
-    return HeadMap(1, shards, volumes)
+    return HeadCellMap(1, shards, volumes)
 
 
 @dataclass(slots=True, eq=False)
@@ -183,7 +183,7 @@
             for one in self.volumes
             if one.plan == basic.name
         ]
-        cells = self.cells if day.cells > 1 else HeadMap(0)
+        cells = self.cells if day.cells > 1 else HeadCellMap(0)
         settled = dict(cells.volumes)
         if any(one.name is TroubleKind.CELL_MOVE for one in day.troubles):
             del settled[MOVED]  # while it moves it is served in both
@@ -244,9 +244,9 @@
         """Return what hears a head's log."""
         return quiet
 
-    def celled(self, settings: api.Settings, seed: int) -> Celled:
+    def celled(self, settings: api.Settings, seed: int) -> CellScheduler:
         """Make a head's modules, one for each cell of the day."""
-        return Celled(settings, seed, self.cells)
+        return CellScheduler(settings, seed, self.cells)
 
     # -- running
 
--- a/harriertrack/lab/statistics.py
+++ b/harriertrack/lab/statistics.py
@@ -7,7 +7,7 @@
 import numpy as np
 from scipy import stats
 
-from harriertrack.decisions.verdicts import Compared
+from harriertrack.decisions.verdicts import PairedComparison
 
 RESAMPLES = 4999
 
@@ -21,7 +21,9 @@
     return float(found.low), float(found.high)
 
 
-def compare(name: str, differences: Sequence[float], confidence: float = 0.95, seed: int = 1) -> Compared:
+def compare(
+    name: str, differences: Sequence[float], confidence: float = 0.95, seed: int = 1
+) -> PairedComparison:
     """Compare by the paired differences, one for each (day, seed): positive is in the variant's favour.
 
     The interval is a bias-corrected bootstrap of the mean, the chance a sign-flipping permutation test:
@@ -32,7 +34,7 @@
         raise ValueError("a comparison needs at least two pairs")
     mean, deviation = float(values.mean()), float(values.std(ddof=1))
     if not values.any():
-        return Compared(name, 0.0, 0.0, 0.0, 1.0, 0.0, len(values))
+        return PairedComparison(name, 0.0, 0.0, 0.0, 1.0, 0.0, len(values))
     rng = np.random.default_rng(seed)
     if deviation:
         low, high = _interval(values, confidence, "BCa", rng)
@@ -43,4 +45,4 @@
     tested = stats.permutation_test(
         (values,), np.mean, permutation_type="samples", n_resamples=RESAMPLES, vectorized=True, rng=rng
     )
-    return Compared(name, mean, low, high, float(tested.pvalue), deviation, len(values))
+    return PairedComparison(name, mean, low, high, float(tested.pvalue), deviation, len(values))
--- a/harriertrack/lab/troubles.py
+++ b/harriertrack/lab/troubles.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from functools import partial
 
-from harriertrack.decisions.celled import Celled, HeadMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap
 from harriertrack.decisions.interface import NodeState
 from harriertrack.decisions.life import PartState
 from harriertrack.decisions.requests import CHANGING, Part
@@ -178,8 +178,8 @@
 def cell_move(rig: Rig, trouble: TroubleSettings) -> None:
     """One volume is moved to another cell; heads learn of the new map one after another."""
     old = rig.cells
-    there = next(cell for cell in old.cells() if cell != old.volumes[MOVED])
-    rig.cells = HeadMap(old.version + 1, old.shards, {**old.volumes, MOVED: there})
+    there = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED])
+    rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED: there})
     for slot in rig.heads:
         tell_map(rig, slot)
         rig.hub.sleep(trouble.every_us // len(rig.heads))
@@ -191,7 +191,7 @@
     def learn() -> None:
         module = getattr(slot.head, "module", None)  # none in a head that just starts: it will know the map
         alive = slot.head is not None and slot.task is not None and not slot.task.done
-        if alive and isinstance(module, Celled) and module.map.version < rig.cells.version:
+        if alive and isinstance(module, CellScheduler) and module.map.version < rig.cells.version:
             slot.head.take_cells(rig.cells)  # type: ignore[union-attr]
 
     rig.hub.at_for(slot.head, rig.hub.now(), learn)
--- a/harriertrack/lab/watch.py
+++ b/harriertrack/lab/watch.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 
-from harriertrack.decisions.picture import picture
+from harriertrack.decisions.node_snapshots import snapshot_nodes
 from harriertrack.lab.rig import Rig
 from harriertrack.lab.scores import STEP_US, NodeStep
 
@@ -29,7 +29,7 @@
         for slot in rig.heads:
             if slot.head is None or not hasattr(slot.head, "module"):
                 continue
-            for name, seen in picture(slot.head.module).items():
+            for name, seen in snapshot_nodes(slot.head.module).items():
                 windows[name] += seen.window
                 held[name] += seen.held
                 out[name] += seen.out
--- a/harriertrack/membership/fleet/weighing.py
+++ b/harriertrack/membership/fleet/weighing.py
@@ -9,14 +9,21 @@
 
 import struct
 
-from harriertrack.decisions.fleet.scoring.rules import MOST_LOG
-from harriertrack.decisions.fleet.scoring.spreading import MOST_ENTRIES, PAGES, STEP, Entry, Page, page_of
+from harriertrack.decisions.fleet.scoring.rules import MAX_LOG_WEIGHT
+from harriertrack.decisions.fleet.scoring.weight_exchange import (
+    MAX_ENTRIES,
+    PAGE_COUNT,
+    WEIGHT_STEP,
+    Entry,
+    Page,
+    page_number,
+)
 
 VERSION = 1
 TOPIC = "w/"  # what topics of weights begin with
 _HEAD = struct.Struct("<BIBIIB")
 _ENTRY = struct.Struct("<IbB")
-_MOST_STEPS = round(MOST_LOG / STEP)
+_MOST_STEPS = round(MAX_LOG_WEIGHT / WEIGHT_STEP)
 
 
 class MalformedPage(ValueError):
@@ -41,11 +48,11 @@
         raise MalformedPage("too short")
     version, namespace, number, digest, serial, count = _HEAD.unpack_from(data)
     end = _HEAD.size + count * _ENTRY.size
-    if version < VERSION or number >= PAGES or count > MOST_ENTRIES or len(data) < end:
+    if version < VERSION or number >= PAGE_COUNT or count > MAX_ENTRIES or len(data) < end:
         raise MalformedPage(f"page {number} of version {version} with {count} entries in {len(data)} bytes")
     entries = tuple(Entry(*one) for one in _ENTRY.iter_unpack(data[_HEAD.size : end]))
     for before, one in zip((None, *entries), entries, strict=False):
-        if page_of(one.node) != number or abs(one.steps) > _MOST_STEPS:
+        if page_number(one.node) != number or abs(one.steps) > _MOST_STEPS:
             raise MalformedPage(f"node {one.node:08x} with {one.steps} steps on page {number}")
         if before is not None and one.node <= before.node:
             raise MalformedPage(f"node {one.node:08x} after {before.node:08x}")
--- a/harriertrack/planning/cells.py
+++ b/harriertrack/planning/cells.py
@@ -12,7 +12,15 @@
 
 from ortools.sat.python import cp_model
 
-from harriertrack.decisions.cells import CellMap, Fleet, Tenant, change, greedy, impossible, problems
+from harriertrack.decisions.cells import (
+    CellMap,
+    Fleet,
+    Tenant,
+    compute_change,
+    find_infeasibilities,
+    find_violations,
+    plan_greedily,
+)
 
 SCALE = 1000  # units a second as whole numbers
 RACK_PRICE = 64 << 30  # a rack that changes its cell counts as so many bytes moved
@@ -160,26 +168,26 @@
 
     With one worker the search is the same each time, as long as the time is not what ends it.
     """
-    if why := impossible(fleet):
+    if why := find_infeasibilities(fleet):
         return Planned(Outcome.IMPOSSIBLE, why=tuple(why))
     search = _Search(fleet, before)
     for switch, _ in search.switches:
         search.model.add(switch == 1)
     search.model.minimize(search.cost)
-    start = before if not problems(fleet, before) else greedy(fleet, before)
+    start = before if not find_violations(fleet, before) else plan_greedily(fleet, before)
     search.hint(start)
     solver = _solver(seconds, seed, workers)
     status = solver.solve(search.model)
     if status == cp_model.INFEASIBLE:
         return Planned(Outcome.IMPOSSIBLE, why=explain(fleet, before, seconds, seed))
     if status not in (cp_model.OPTIMAL, cp_model.FEASIBLE):
-        if not problems(fleet, start):  # the time went before the search had even looked at its hint
+        if not find_violations(fleet, start):  # the time went before the search had even looked at its hint
             kept = CellMap(before.version + 1, start.racks, start.tenants)
             bound = max(0, round(solver.best_objective_bound))
             return Planned(Outcome.FOUND, kept, price(fleet, before, kept), bound)
         return Planned(Outcome.NOTHING_YET, why=(f"no map was found in {seconds:g} s",))
     cells = search.read(solver)
-    if broken := problems(fleet, cells):  # the solver's whole numbers against the rules themselves
+    if broken := find_violations(fleet, cells):  # the solver's whole numbers against the rules themselves
         raise RuntimeError(f"the planner's map breaks a rule: {broken[0]}")
     outcome = Outcome.BEST if status == cp_model.OPTIMAL else Outcome.FOUND
     return Planned(outcome, cells, round(solver.objective_value), round(solver.best_objective_bound))
@@ -204,6 +212,6 @@
 
 def price(fleet: Fleet, before: CellMap, after: CellMap) -> int:
     """Return what a change costs as the planner counts it: MiB moved, racks at their price."""
-    moved = change(fleet, before, after)
+    moved = compute_change(fleet, before, after)
     sizes = {one.name: max(1, one.size_bytes // GRAIN) for one in fleet.tenants}
     return sum(sizes[name] for name, _, _ in moved.tenants) + len(moved.racks) * (RACK_PRICE // GRAIN)
--- a/harriertrack/service/calls.py
+++ b/harriertrack/service/calls.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from harriertrack.decisions.client_connections import END_KNOWN_US
+from harriertrack.decisions.client_connections import DISCONNECT_KNOWN_US
 from harriertrack.decisions.patience import Waiting
 from harriertrack.decisions.requests import ClientRequest
 from harriertrack.protocol.platform.asked import Asked
@@ -49,4 +49,4 @@
 
     def client_left(self, now: int) -> bool:
         """Whether the client has gone, as known recently enough for an attempt to begin now."""
-        return self.session.left(now - END_KNOWN_US)
+        return self.session.left(now - DISCONNECT_KNOWN_US)
--- a/harriertrack/service/discovery.py
+++ b/harriertrack/service/discovery.py
@@ -10,7 +10,7 @@
 
 import contextlib
 
-from harriertrack.decisions.discovery_watch import DiscoveryWatch, UpdateOutcome, Watch
+from harriertrack.decisions.discovery_watch import DiscoveryWatch, UpdateOutcome, WatchState
 from harriertrack.decisions.open_calls import OpenCalls
 from harriertrack.decisions.requests import Core
 from harriertrack.membership.nodes import Member, NodeList
@@ -80,7 +80,7 @@
 
         That one stays open: its answer may have come already, and counts.
         """
-        if not self._watch.verify():
+        if not self._watch.refresh():
             return
         self._current = None
         self._log_event("discovery asked", why="the head stood still")
@@ -104,9 +104,9 @@
         while True:
             why = self._follow(stream)
             if why == OVERDUE:
-                again_us = self._watch.overdue(self._hub.now(), self._called_at)
+                again_us = self._watch.handle_overdue(self._hub.now(), self._called_at)
             else:
-                again_us = self._watch.failed(self._hub.now(), self._called_at)
+                again_us = self._watch.handle_failure(self._hub.now(), self._called_at)
                 self._tell_failure()
             self._log.failed(why, self._called_at, again_us, self._watch.version)
             stream = self._rest(again_us)
@@ -143,7 +143,7 @@
         while True:
             made = self._begin(stream)
             try:
-                made.ended.wait(made.began + made.call.within_us)
+                made.ended.wait(made.began + made.call.timeout_us)
             except DeadlineExceeded:
                 if not made.over:
                     return OVERDUE  # it stays open: who begins anew waits at the end of the source's queue
@@ -156,15 +156,15 @@
             stream = made.take_stream()
             if made.failure:
                 return made.failure
-            if self._watch.state is Watch.IDLE:
+            if self._watch.state is WatchState.IDLE:
                 if stream is not None:
                     stream.close()
                 return "the whole list was asked for, and changes came"
 
     def _begin(self, stream: Stream | None) -> DiscoveryCall:
-        made = self._current = DiscoveryCall(self._hub, self._watch.call(), self._address)
+        made = self._current = DiscoveryCall(self._hub, self._watch.next_call(), self._address)
         self._called_at = made.began
-        for surplus in self._open.begin(made):
+        for surplus in self._open.add(made):
             surplus.give_up()
         made.start(self._scope, self._network, self._name, stream, self._ended)
         return made
@@ -178,7 +178,7 @@
             except TargetsError as error:
                 made.failure = str(error)
         if made.failure:
-            self._open.failed(made)
+            self._open.remove(made)
             self._put_off(made, late)
         self._core.list_heard(made.began, not made.failure)
         if late:
@@ -188,11 +188,11 @@
     def _put_off(self, made: DiscoveryCall, late: bool) -> None:
         """Make the next call later if the last one under way was turned down after it had waited."""
         if late and self._resting and not len(self._open) and not self._watch.pushed:
-            self._next_call_at += self._watch.turned_down()
+            self._next_call_at += self._watch.handle_late_failure()
 
     def _go_on_from(self, made: DiscoveryCall) -> None:
         """Follow on the connection of an answer that came late, if no other call is under way."""
-        if self._resting and self._watch.state is Watch.FOLLOWING:
+        if self._resting and self._watch.state is WatchState.FOLLOWING:
             self._resting, self._resumed_by = False, made
             self._resumed.set()
         else:
@@ -204,18 +204,18 @@
         # Read whole before any of it is taken.
         members = [member.localised(self._wall_ahead_us) for member in members_of(targets)]
         if late:
-            outcome = self._watch.answered_late(targets.version, targets.full)
+            outcome = self._watch.handle_late_answer(targets.version, targets.full)
         else:
-            outcome = self._watch.answered(targets.version, targets.full, len(members))
-        for older in self._open.answered(made):
+            outcome = self._watch.handle_answer(targets.version, targets.full, len(members))
+        for older in self._open.complete(made):
             older.give_up()
         counts_at = made.came_at
         if outcome is not UpdateOutcome.STALE:
             # A head that was not heard for long, or stood still, begins no grace that is over already.
-            counts_at = self._watch.counted_at(made.began, made.came_at)
+            counts_at = self._watch.effective_at(made.began, made.came_at)
             self._log.answered(made, self._watch.version)
             self.first_update.set()
-        if outcome is UpdateOutcome.TAKE:
+        if outcome is UpdateOutcome.APPLY:
             self._tell(members, targets.full, counts_at)
 
     def _tell(self, members: list[Member], whole: bool, counts_at: int) -> None:
--- a/harriertrack/service/front.py
+++ b/harriertrack/service/front.py
@@ -11,11 +11,11 @@
 from itertools import count
 
 from harriertrack.decisions.client_connections import (
-    ACCEPTS,
-    LATE_US,
+    ACCEPTS_PER_ROUND,
     LINGER_BYTES,
     LINGER_US,
-    MOST_WAITING,
+    MAX_BACKLOG,
+    MAX_LATENESS_US,
     ClientConnections,
     ClientState,
 )
@@ -71,12 +71,12 @@
                 self._take(listener.accept())
             except StreamClosed:
                 return
-            if taken % ACCEPTS == 0:
+            if taken % ACCEPTS_PER_ROUND == 0:
                 self.hub.sleep(0)  # a flood waits while what came over others has its turn
 
     def take_waiting(self, listener: Listener) -> None:
         """Take the connections that the system has made: closing the listener would reset them."""
-        for _ in range(MOST_WAITING):
+        for _ in range(MAX_BACKLOG):
             if (stream := listener.accept_now()) is None:
                 return
             self._take(stream)
@@ -84,7 +84,7 @@
     def _take(self, stream: Stream) -> None:
         connection = ClientConnection(self, stream)
         self.counts.taken += 1
-        victim = self.connections.accepted(connection, self.hub.now(), ClientConnection.silent)
+        victim = self.connections.accept(connection, self.hub.now(), ClientConnection.silent)
         if victim is not None:
             self.counts.turned_away += 1
             self._close(victim)
@@ -95,9 +95,9 @@
         """End overdue connections, for ever (a task)."""
         while True:
             self.hub.sleep(LOOK_US)
-            if not all(connection.silent() for connection in self.connections.overdue(self.hub.now())):
+            if not all(connection.silent() for connection in self.connections.expired(self.hub.now())):
                 self.hub.sleep(0)  # what has come is read first
-            for connection in self.connections.overdue(self.hub.now()):
+            for connection in self.connections.expired(self.hub.now()):
                 state = self.connections.state(connection)
                 self.counts.overdue += state is not ClientState.LINGERING
                 if state is ClientState.READING:
@@ -107,13 +107,13 @@
 
     def part(self) -> None:
         """Close the connections over which nothing is asked; where something has come it is read first."""
-        for connection in self.connections.idle(self.hub.now()):
+        for connection in self.connections.idle_connections(self.hub.now()):
             if connection.silent():
                 self._close(connection)
 
     def refuse_half_read(self) -> None:
         """Refuse the requests of which a part has come: the rest would come too late."""
-        for connection in self.connections.half_read():
+        for connection in self.connections.partially_read():
             connection.refuse(503, "the head is leaving")
 
     def _close(self, connection: ClientConnection) -> None:
@@ -178,10 +178,10 @@
                 return None
             asked = self._http.receive(data)
             if asked is not None:
-                connections.step(self, ClientState.BUSY, self._front.hub.now())
+                connections.transition(self, ClientState.BUSY, self._front.hub.now())
                 return asked
             if connections.state(self) in (ClientState.NEW, ClientState.IDLE):
-                connections.step(self, ClientState.READING, self._front.hub.now())
+                connections.transition(self, ClientState.READING, self._front.hub.now())
         return None
 
     def _discard(self) -> None:
@@ -243,7 +243,7 @@
         self._stream.write(self._http.answer(status, len(body), retry_after_us, close=leaves))
         self._stream.write(body)
         kept = self._http.again()
-        self._send_off(deadline + LATE_US, last=leaves or not kept)
+        self._send_off(deadline + MAX_LATENESS_US, last=leaves or not kept)
 
     def refuse(self, status: int, why: str) -> None:
         """Say why nothing more is taken over the connection."""
@@ -256,7 +256,7 @@
         if connections.state(self) is None:
             return
         self.answered, self._last = True, last
-        connections.sends(self, until, self._front.hub.now())
+        connections.start_sending(self, until, self._front.hub.now())
         self._stream.push(self._sent)
         if connections.state(self) is ClientState.SENDING:
             self._stream.watch_end(self.end)
@@ -269,7 +269,7 @@
         if self._last:
             self._stream.shut_sending()
         state = ClientState.LINGERING if self._last else ClientState.IDLE
-        self._front.connections.step(self, state, self._front.hub.now())
+        self._front.connections.transition(self, state, self._front.hub.now())
         self._changed.notify()
 
     def left(self, since: int) -> bool:
@@ -294,6 +294,6 @@
     def end(self) -> None:
         """Close the connection."""
         self._closed = True
-        self._front.connections.gone(self)
+        self._front.connections.remove(self)
         self._stream.close()
         self._changed.notify()
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -21,7 +21,7 @@
 from harriertrack.service.storage_nodes import StorageNodes
 
 REPORT_US = 5_000_000  # how often a line of counts is logged
-LOOK_US = 20_000  # how often a head that leaves looks whether it can end
+CHECK_PERIOD_US = 20_000  # how often a head that leaves looks whether it can end
 
 
 class NoPlaces:
@@ -54,7 +54,7 @@
         self.hub, self.configuration = hub, configuration
         self._network, self._log = network, log
         self._alarm = Alarm(hub, self._flush, at_round_end=True)
-        self._heartbeat = Heartbeat(hub, standstill.LOOK_US, self._look)
+        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._look)
         self._asked_to_leave = Event(hub)
         self.ready = Event(hub)
         self.leaving = GracefulShutdown(configuration.bounds.longest_us)
@@ -74,7 +74,7 @@
                 watching = self._set_up(scope)
                 scope.spawn("report", self._report)
                 if watching.pushed:
-                    self._await_first_update(watching.hold_us)
+                    self._await_first_update(watching.startup_hold_us)
                 listener = self._network.listen(configuration.listen)
                 try:
                     self._serve(scope, listener)
@@ -132,7 +132,7 @@
                    callers=bounds.callers, ways=bounds.ways, longest_us=bounds.longest_us)  # fmt: skip
         self._asked_to_leave.wait()
         while not self._part(listener):
-            hub.sleep(LOOK_US)
+            hub.sleep(CHECK_PERIOD_US)
         self.report()
 
     def _part(self, listener: Listener) -> bool:
@@ -149,14 +149,14 @@
             front.refuse_half_read()
         return phase is Phase.ENDED
 
-    def _await_first_update(self, hold_us: int) -> None:
+    def _await_first_update(self, startup_hold_us: int) -> None:
         """Follow a pushed list, and take no client before it is here: it counts from the first moment on.
 
         The list that the last life had does not tell what has come to the agent since.
         """
         self.discovery.subscribe(True)
         try:
-            self.discovery.first_update.wait(self.hub.now() + hold_us)
+            self.discovery.first_update.wait(self.hub.now() + startup_hold_us)
         except DeadlineExceeded:
             self._log("list not heard", why="discovery is silent: the last life's list is used")
 
--- a/harriertrack/service/storage_nodes.py
+++ b/harriertrack/service/storage_nodes.py
@@ -80,7 +80,7 @@
             if connection.fit:
                 break
             connection.close()
-        if connection is None and not self.pool.room:
+        if connection is None and not self.pool.has_capacity:
             self.counts.no_room += 1
             # Not sent, for want of this head's own descriptors: that says nothing of the node.
             self.hub.at_end_of_round(lambda: self.core.ended(now, attempt, api.Result.MOOT))
@@ -88,7 +88,7 @@
         if connection is None:
             self.counts.dialled += 1
             connection = NodeConnection(self, entry.node, member.address)
-            victim = self.pool.dials(connection, entry.node)
+            victim = self.pool.add_dialing(connection, entry.node)
             if victim is not None:
                 victim.close()
             self._connection_of[attempt] = connection
@@ -96,7 +96,7 @@
             self._scope.spawn(entry.node, connection.run)
         else:
             self._connection_of[attempt] = connection
-            self.pool.step(connection, ConnectionState.BUSY, now)
+            self.pool.transition(connection, ConnectionState.BUSY, now)
             connection.start(attempt)
 
     def call_off(self, attempt: Attempt) -> None:
@@ -122,14 +122,14 @@
 
     def gone(self, node: str) -> None:
         """A node is gone from the list: nothing more goes over its idle connections."""
-        for connection in self.pool.idle_of(node):
+        for connection in self.pool.idle_connections(node):
             connection.close()
 
     def watch(self) -> None:
         """Close connections that have idled for long, for ever (a task)."""
         while True:
             self.hub.sleep(LOOK_US)
-            for connection in self.pool.overdue(self.hub.now()):
+            for connection in self.pool.expired(self.hub.now()):
                 connection.close()
 
 
@@ -182,7 +182,7 @@
         """Let an attempt go that may not begin: nothing was sent, and the connection can carry another."""
         self._attempt = self._exchange = None
         now = self._owner.hub.now()
-        self._owner.pool.step(self, ConnectionState.IDLE, now)
+        self._owner.pool.transition(self, ConnectionState.IDLE, now)
         self._owner.hub.at_end_of_round(lambda: self._owner.ended(attempt, api.Result.MOOT, now))
 
     def run(self) -> None:
@@ -211,9 +211,9 @@
         if self._attempt is not None and not self._may_begin(now, self._attempt):
             self._lost(api.Result.MOOT)
         if self._attempt is None:
-            owner.pool.step(self, ConnectionState.IDLE, now)
+            owner.pool.transition(self, ConnectionState.IDLE, now)
         else:
-            owner.pool.step(self, ConnectionState.BUSY, now)
+            owner.pool.transition(self, ConnectionState.BUSY, now)
             self.start(self._attempt)
 
     def _may_begin(self, now: int, attempt: Attempt) -> bool:
@@ -244,7 +244,7 @@
         if not answer.reusable:
             owner.counts.surplus += 1
             return False
-        owner.pool.step(self, ConnectionState.IDLE, owner.hub.now())
+        owner.pool.transition(self, ConnectionState.IDLE, owner.hub.now())
         return True
 
     def _lost(self, result: api.Result) -> None:
@@ -266,6 +266,6 @@
         a cut between them is over.
         """
         self._closed = True
-        self._owner.pool.gone(self)
+        self._owner.pool.remove(self)
         if self._stream is not None:
             self._stream.abort() if self._open else self._stream.close()
--- a/tests/endings/test_attempt_ends.py
+++ b/tests/endings/test_attempt_ends.py
@@ -5,7 +5,7 @@
 import pytest
 
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.connection_pool import REST_US
+from harriertrack.decisions.connection_pool import REUSE_DELAY_US
 from harriertrack.standin.platform import NEVER_RAN, answer
 from tests.endings.loopback import SMALL, LoopbackSite, RawClient, RawNode, ask_with_a_lost_answer
 from tests.test_platform import MS, SETTINGS, VOLUME, Site
@@ -18,7 +18,7 @@
 
 def served_over_the_kept_connection(site):
     """Ask once more; nothing came to the node before, and no other connection did."""
-    site.hub.sleep(REST_US)
+    site.hub.sleep(REUSE_DELAY_US)
     client = RawClient(site)
     client.send(site.request(trace="00000000000000ff"))
     assert client.until_answered()[0] == 200
@@ -224,7 +224,7 @@
         client = RawClient(site)
         client.send(site.request(**placed))
         assert client.until_answered()[0] == 200
-        site.hub.sleep(REST_US)
+        site.hub.sleep(REUSE_DELAY_US)
         client.send(site.request(**placed))
         site.until(lambda: site.head.core.open_requests)
         assert len(site.shelfs[1].got) == 1  # held behind the limit of its plan for a second
@@ -374,7 +374,7 @@
         there = node.accept()
         there.serve()
         assert client.until_answered()[0] == 200
-        site.hub.sleep(REST_US)
+        site.hub.sleep(REUSE_DELAY_US)
         client.send(site.request())
         if round_ == "last moment":  # the head has read the request; its module sends at this round's end
             site.hub.sleep(0)
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -10,7 +10,7 @@
 import pytest
 
 from harriertrack.decisions import client_connections, interface as api
-from harriertrack.decisions.client_connections import ACCEPTS, LINGER_BYTES, ClientState
+from harriertrack.decisions.client_connections import ACCEPTS_PER_ROUND, LINGER_BYTES, ClientState
 from harriertrack.service.front import ClientConnection
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import SocketNetwork
@@ -202,8 +202,8 @@
 def test_the_error_for_a_client_that_sends_on_arrives_though_it_reads_only_then(tmp_path, kind, monkeypatch):
     """The time to linger is over once the test says so: a machine that stands still must not end it."""
     said, status = BAD[kind]
-    lingers = {**dict(client_connections.LONGEST), ClientState.LINGERING: 100 * S}
-    monkeypatch.setattr(client_connections, "LONGEST", tuple(lingers.items()))
+    lingers = {**dict(client_connections.STATE_TIMEOUTS), ClientState.LINGERING: 100 * S}
+    monkeypatch.setattr(client_connections, "STATE_TIMEOUTS", tuple(lingers.items()))
 
     def act(site):
         client = RawClient(site)
@@ -252,7 +252,7 @@
 
 def test_half_a_request_is_answered_in_time_though_more_of_it_lies_unread(tmp_path, monkeypatch):
     longest = ((ClientState.READING, 50 * MS), (ClientState.LINGERING, 50 * MS))
-    monkeypatch.setattr("harriertrack.decisions.client_connections.LONGEST", longest)
+    monkeypatch.setattr("harriertrack.decisions.client_connections.STATE_TIMEOUTS", longest)
 
     def act(site):
         client = RawClient(site)
@@ -271,7 +271,7 @@
 
 def test_connections_that_linger_keep_no_newcomer_out(tmp_path):
     def act(site):
-        most = site.head.front.connections.most
+        most = site.head.front.connections.limit
         bad = [RawClient(site) for _ in range(most)]
         for client in bad:
             client.send(BAD["unreadable"][0])
@@ -287,7 +287,9 @@
 
 
 def test_an_answer_that_is_read_slowly_is_neither_evicted_nor_closed_as_idle(tmp_path, monkeypatch):
-    monkeypatch.setattr("harriertrack.decisions.client_connections.LONGEST", ((ClientState.IDLE, 20 * MS),))
+    monkeypatch.setattr(
+        "harriertrack.decisions.client_connections.STATE_TIMEOUTS", ((ClientState.IDLE, 20 * MS),)
+    )
     monkeypatch.setattr("harriertrack.service.front.LOOK_US", 10 * MS)
     site = LoopbackSite(tmp_path, sockets=SMALL)
     site.script = lambda got: answer(LARGE)
@@ -306,7 +308,7 @@
 
 
 def test_an_answer_that_nobody_reads_is_given_up_when_it_is_worth_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr("harriertrack.service.front.LATE_US", 100 * MS)
+    monkeypatch.setattr("harriertrack.service.front.MAX_LATENESS_US", 100 * MS)
     site = LoopbackSite(tmp_path)
     site.script = lambda got: answer(LARGE)
 
@@ -346,11 +348,11 @@
 @pytest.mark.parametrize("kind", ["new", "reading", "idle"])
 def test_what_has_just_come_is_read_before_its_connection_is_closed_as_overdue(tmp_path, kind, monkeypatch):
     longest = tuple((state, 50 * MS) for state in (ClientState.NEW, ClientState.READING, ClientState.IDLE))
-    monkeypatch.setattr("harriertrack.decisions.client_connections.LONGEST", longest)
+    monkeypatch.setattr("harriertrack.decisions.client_connections.STATE_TIMEOUTS", longest)
 
     def act(site):
         client, callers = RawClient(site), site.head.front.connections
-        rest, overdue = site.request(), callers.overdue
+        rest, overdue = site.request(), callers.expired
         if kind == "idle":
             client.send(site.request())
             assert client.until_answered()[0] == 200
@@ -364,7 +366,7 @@
                 sends.pop()()
             return overdue(now)
 
-        callers.overdue = looks
+        callers.expired = looks
         assert client.until_answered()[0] == 200 and not sends
 
     LoopbackSite(tmp_path).run(act)
@@ -372,18 +374,18 @@
 
 def test_a_connection_over_which_a_request_has_come_is_not_closed_for_a_newcomer(tmp_path):
     def act(site):
-        clients = [RawClient(site) for _ in range(site.head.front.connections.most_asked)]
+        clients = [RawClient(site) for _ in range(site.head.front.connections.used_limit)]
         for client in clients:
             client.send(site.request())
             assert client.until_answered()[0] == 200
         first, callers = clients[0], site.head.front.connections
-        came = callers.accepted
+        came = callers.accept
 
         def comes(*args):
             first.send(site.request())
             return came(*args)
 
-        callers.accepted = comes
+        callers.accept = comes
         fresh = RawClient(site)
         fresh.send(site.request())
         assert first.until_answered()[0] == fresh.until_answered()[0] == 200
@@ -406,7 +408,7 @@
         site.head.storage_nodes.send = sends
         flood = [RawClient(site) for _ in range(200)]
         client.send(site.request())
-        assert client.until_answered()[0] == 200 and seen[0] <= 3 * ACCEPTS
+        assert client.until_answered()[0] == 200 and seen[0] <= 3 * ACCEPTS_PER_ROUND
         site.until(lambda: counts.taken == 1 + len(flood))
 
     LoopbackSite(tmp_path, sockets=1024).run(act)
--- a/tests/endings/test_crowded_discovery.py
+++ b/tests/endings/test_crowded_discovery.py
@@ -20,8 +20,13 @@
 
 import pytest
 
-from harriertrack.decisions.discovery_watch import CYCLE_US, PATIENCE_US, TOLD_US, DiscoveryWatch
-from harriertrack.decisions.open_calls import MOST_OPEN_CALLS, OpenCalls
+from harriertrack.decisions.discovery_watch import (
+    CYCLE_US,
+    ANSWER_ALLOWANCE_US,
+    ANNOUNCED_AFTER_US,
+    DiscoveryWatch,
+)
+from harriertrack.decisions.open_calls import MAX_OPEN_CALLS, OpenCalls
 from harriertrack.lab.fleet.processes import Places
 from harriertrack.runtime.hub import Hub
 from harriertrack.standin.platform import PlatformDiscovery, Queue
@@ -102,7 +107,7 @@
         asked_before = len(fleet.node.got)
         fleet.sites[0].until(lambda: len(fleet.node.got) > asked_before)
         fleet.discovery.set("s0", fleet.node.address, 0, "terminated")
-        over = fleet.hub.now() + TOLD_US + GRACE_US + SLACK_US
+        over = fleet.hub.now() + ANNOUNCED_AFTER_US + GRACE_US + SLACK_US
         fleet.sites[0].until(lambda: fleet.hub.now() > over + 500 * MS)
         late = [got for got in fleet.node.got if got.when > over]
         assert not late, f"{len(late)} requests came after the grace; {fleet.sites[0].logged()}"
@@ -115,7 +120,7 @@
     """In simulated time; the node drains while the head has been crowded out for a while, and as it starts."""
 
     def act(site):
-        kept_the_rule(site, drain(site) + TOLD_US)
+        kept_the_rule(site, drain(site) + ANNOUNCED_AFTER_US)
         assert site.head.nodes.find("s1").entry.state.value == "draining"
 
     def act_later(site):
@@ -138,7 +143,7 @@
             while len(site.discovery.calls) == calls:
                 site.hub.sleep(10 * MS)
             site.discovery.fall_silent()
-        kept_the_rule(site, drain(site) + TOLD_US)
+        kept_the_rule(site, drain(site) + ANNOUNCED_AFTER_US)
 
     played(site_of(tmp_path, drainGraceUs=0), act)
 
@@ -187,7 +192,7 @@
     site.discovery.queue = Queue(site.hub, others_us=8 * S)
     drained_at = []
     site.begin = lambda: drained_at.append(drain(site))
-    played(site, lambda site: kept_the_rule(site, drained_at[0] + TOLD_US))
+    played(site, lambda site: kept_the_rule(site, drained_at[0] + ANNOUNCED_AFTER_US))
 
 
 def test_what_a_new_source_tells_after_it_counts_begins_no_new_grace(tmp_path):
@@ -269,17 +274,19 @@
 
 def test_of_the_calls_under_way_the_oldest_goes_and_what_began_before_an_answer():
     calls = OpenCalls()
-    assert [calls.begin(number) for number in range(MOST_OPEN_CALLS + 1)] == [[]] * MOST_OPEN_CALLS + [[0]]
-    calls.failed(2)
-    assert calls.answered(3) == [1] and len(calls) == 1
-    assert calls.answered(3) == [] and calls.clear() == [4] and not calls
+    assert [calls.add(number) for number in range(MAX_OPEN_CALLS + 1)] == [[]] * MAX_OPEN_CALLS + [[0]]
+    calls.remove(2)
+    assert calls.complete(3) == [1] and len(calls) == 1
+    assert calls.complete(3) == [] and calls.clear() == [4] and not calls
 
 
 def test_heads_that_were_crowded_out_together_do_not_call_together_again():
     watches = [DiscoveryWatch(10 * S, 41, seed=seed) for seed in range(100)]
     for watch in watches:
         watch.subscribe(True)
-    waits = [watch.overdue(PATIENCE_US, 0) for watch in watches]
+    waits = [watch.handle_overdue(ANSWER_ALLOWANCE_US, 0) for watch in watches]
     assert (
-        max(waits) <= CYCLE_US - PATIENCE_US and max(waits) - min(waits) > 150 * MS and len(set(waits)) > 90
+        max(waits) <= CYCLE_US - ANSWER_ALLOWANCE_US
+        and max(waits) - min(waits) > 150 * MS
+        and len(set(waits)) > 90
     )
--- a/tests/endings/test_crowded_fleet.py
+++ b/tests/endings/test_crowded_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from harriertrack.decisions.discovery_watch import TOLD_US, DiscoveryWatch
+from harriertrack.decisions.discovery_watch import ANNOUNCED_AFTER_US, DiscoveryWatch
 from harriertrack.membership.nodes import NodeList
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryNetwork
@@ -73,7 +73,7 @@
             for number in range(RELEASE_US // CHANGE_EACH_US):
                 change(source, number)
                 hub.sleep(CHANGE_EACH_US)
-            hub.sleep(3 * TOLD_US)
+            hub.sleep(3 * ANNOUNCED_AFTER_US)
             scope.cancel()
 
     hub.run(main)
@@ -85,4 +85,4 @@
 
 @pytest.mark.parametrize("service_us", [5 * MS, 10 * MS, 15 * MS, 20 * MS, 25 * MS])
 def test_no_head_is_starved_while_the_source_has_more_callers_than_it_can_serve_at_once(service_us):
-    assert oldest_news(service_us) <= TOLD_US
+    assert oldest_news(service_us) <= ANNOUNCED_AFTER_US
--- a/tests/endings/test_crowded_list.py
+++ b/tests/endings/test_crowded_list.py
@@ -15,7 +15,7 @@
 import pytest
 
 from harriertrack.config.settings import ShelfSettings, VolumeSettings
-from harriertrack.decisions.discovery_watch import TOLD_US
+from harriertrack.decisions.discovery_watch import ANNOUNCED_AFTER_US
 from harriertrack.decisions.interface import NodeEntry, NodeState
 from harriertrack.gateway.client import NbdClient
 from harriertrack.lab.fleet.processes import Places
@@ -68,10 +68,13 @@
         site.listing.set_state("n0", NodeState.GONE)
         begun = site.hub.now()
         until(
-            site.hub, lambda: site.head.nodes.find("n0").entry.state is NodeState.GONE, TOLD_US,
+            site.hub, lambda: site.head.nodes.find("n0").entry.state is NodeState.GONE, ANNOUNCED_AFTER_US,
             lambda: [fields for event, fields in site.notes if event == "node list failed"],
         )  # fmt: skip
-        assert client.call(Command.READ, 0, 512).error == Errno.ENOMEM and site.hub.now() - begun <= TOLD_US
+        assert (
+            client.call(Command.READ, 0, 512).error == Errno.ENOMEM
+            and site.hub.now() - begun <= ANNOUNCED_AFTER_US
+        )
 
     play(test)
 
@@ -150,7 +153,7 @@
         shelves[0].stop()
         replies = []  # a client that hears no hints waits
         client.start(Command.READ, 0, 512, b"", replies.append)
-        until(hub, lambda: replies, TOLD_US, lambda: (tmp_path / "log").read_text()[-1500:])
+        until(hub, lambda: replies, ANNOUNCED_AFTER_US, lambda: (tmp_path / "log").read_text()[-1500:])
         assert replies[0].error == 0
 
     hub.run(main)
--- a/tests/endings/test_head_shutdown.py
+++ b/tests/endings/test_head_shutdown.py
@@ -16,7 +16,7 @@
 def patience(monkeypatch):
     """Time enough on a busy machine: a head that has nothing left to do ends before."""
     monkeypatch.setattr(graceful_shutdown, "DRAIN_US", 1_500 * MS)
-    monkeypatch.setattr(graceful_shutdown, "LAST_US", 5_000 * MS)
+    monkeypatch.setattr(graceful_shutdown, "FINAL_SEND_US", 5_000 * MS)
 
 
 class LeavingSite(LoopbackSite):
@@ -27,7 +27,7 @@
         self.phases, self.acts, begins = [], {}, {}
         begins[Phase.DRAINING] = 50 * MS
         begins[Phase.CLOSING] = begins[Phase.DRAINING] + graceful_shutdown.DRAIN_US
-        longest = begins[Phase.CLOSING] + graceful_shutdown.SPARE_US - graceful_shutdown.KILL_AFTER_US
+        longest = begins[Phase.CLOSING] + graceful_shutdown.KILL_MARGIN_US - graceful_shutdown.KILL_AFTER_US
         state = self.head.leaving = graceful_shutdown.GracefulShutdown(longest)
         look = state.advance
 
--- a/tests/endings/test_keyed_windows.py
+++ b/tests/endings/test_keyed_windows.py
@@ -5,7 +5,7 @@
 import pytest
 
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.connection_pool import REST_US
+from harriertrack.decisions.connection_pool import REUSE_DELAY_US
 from tests.endings.loopback import LoopbackSite, RawClient, RawNode, ask_with_a_lost_answer
 from tests.endings.test_attempt_ends import LARGE
 from tests.test_platform import MS, SETTINGS
@@ -54,7 +54,7 @@
         if turn == "same":
             assert client.until_answered()[0] == 500
         site.until(lambda: not site.net.waiting)
-        site.hub.sleep(REST_US)
+        site.hub.sleep(REUSE_DELAY_US)
         assert site.head.module.results() == [api.Result.RESET, api.Result.MOOT]
         assert len(site.head.storage_nodes.pool) == 1
         again = RawClient(site)
--- a/tests/endings/test_list_ends.py
+++ b/tests/endings/test_list_ends.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from harriertrack.decisions.discovery_watch import TOLD_US
+from harriertrack.decisions.discovery_watch import ANNOUNCED_AFTER_US
 from harriertrack.standin.platform import Outage, PlatformDiscovery, answer
 from tests.endings.test_start_and_reload import REQUEST, play
 from tests.test_platform import MS
@@ -69,7 +69,9 @@
 
         site.discovery.spoil = spoil
         # What was never written whole counts when it could be reached; the agent's after each bad answer.
-        told_at = drain(site) + (TOLD_US if way == ASKED or trouble == "late" else times * 300 * MS)
+        told_at = drain(site) + (
+            ANNOUNCED_AFTER_US if way == ASKED or trouble == "late" else times * 300 * MS
+        )
         kept_the_rule(site, told_at)
         assert not left or trouble in ("late", "answered twice")
 
@@ -88,7 +90,7 @@
         drain(site)
         site.hub.sleep(4 * S)
         site.discovery.outage = Outage.NONE
-        kept_the_rule(site, silent_at + TOLD_US)
+        kept_the_rule(site, silent_at + ANNOUNCED_AFTER_US)
 
     played(site_of(tmp_path, way, drainGraceUs=0), act)
 
--- a/tests/endings/test_standstill.py
+++ b/tests/endings/test_standstill.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from harriertrack.decisions.discovery_watch import TOLD_US
+from harriertrack.decisions.discovery_watch import ANNOUNCED_AFTER_US
 from harriertrack.runtime.hub import Event
 from harriertrack.standin.platform import Outage
 from tests.endings.loopback import LoopbackSite, RawClient
@@ -44,7 +44,7 @@
         site.discovery.fall_silent()
         site.hub.freeze(site.head, stood_us)
         site.hub.sleep(drained_us)
-        kept_the_rule(site, drain(site) + TOLD_US)
+        kept_the_rule(site, drain(site) + ANNOUNCED_AFTER_US)
 
     played(site_of(tmp_path, way, drainGraceUs=GRACE_US), act)
 
@@ -182,7 +182,7 @@
         site.send(signal.SIGSTOP)
         site.until(lambda: site.state() == "T")
         site.hub.sleep(drained_us)
-        counts_at = site.hub.now() + TOLD_US
+        counts_at = site.hub.now() + ANNOUNCED_AFTER_US
         site.old.set("s0", site.shelf.address, 0, "terminating")
         site.hub.sleep(8_500 * MS)
         asking.set()
--- a/tests/live/test_live_module.py
+++ b/tests/live/test_live_module.py
@@ -6,7 +6,7 @@
 
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.bucket import Bucket
-from harriertrack.decisions.celled import Celled, HeadMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap
 from harriertrack.decisions.scheduler import Scheduler
 
 S, START = 1_000_000, 1_000_000_000
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("limit", [400.0, 0.0, 1.0])
 def test_modules_of_cells_change_together_and_share_one_store(limit):
     told = replace(TOLD, budget_free=8.0)
-    head = Head(Celled(told, 1, HeadMap(1, {0: "a", 1: "b"}, {"v": "a", "w": "b"})))
+    head = Head(CellScheduler(told, 1, HeadCellMap(1, {0: "a", 1: "b"}, {"v": "a", "w": "b"})))
     head.now += 10 * S
     head.ask()
     plans = (replace(CAPPED, limit=limit, limit_burst=limit), FREE)
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -13,9 +13,9 @@
 from harriertrack.config.settings import ParameterSettings, ScorerSettings
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.scoring.picture import NodeSight, Picture
+from harriertrack.decisions.fleet.scoring.snapshot import NodeObservation, Snapshot
 from harriertrack.decisions.fleet.scoring.scorers.base import Parameter, ScorerKind
-from harriertrack.decisions.fleet.scoring.voting import Vote
+from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerState
 from harriertrack.gateway.fleet.scoring.asking import OnThread
 from harriertrack.gateway.fleet.scoring.carrier import scored_of
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
@@ -25,7 +25,7 @@
 from harriertrack.rules import recording as rec, scoring as score_rules
 from tests.test_fleet_days import head
 
-PICTURE = Picture("z0", (NodeSight("a", evidence=9, age_us=0, latency_us=5.0),))
+PICTURE = Snapshot("z0", (NodeObservation("a", evidence=9, age_us=0, latency_us=5.0),))
 
 
 class Offers:
@@ -177,12 +177,12 @@
             votes = list(votes)
             return sum(value * vote for value, vote in votes) / sum(vote for _, vote in votes)
 
-        monkeypatch.setattr("harriertrack.decisions.fleet.scoring.joining.weighted_median", mean)
+        monkeypatch.setattr("harriertrack.decisions.fleet.scoring.aggregation.weighted_median", mean)
     elif rule == 6:
-        from harriertrack.decisions.fleet.scoring.voting import Voter
+        from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerGuard
 
         day = short("score-broken-plugin", 12)
-        monkeypatch.setattr(Voter, "_lose", lambda self, *_: setattr(self, "vote", Vote.HAS))
+        monkeypatch.setattr(ScorerGuard, "_lose", lambda self, *_: setattr(self, "state", ScorerState.ACTIVE))
     else:
         monkeypatch.setattr("harriertrack.membership.fleet.topics.Topics.pass_time",
                             lambda self, _now: setattr(self, "_spare", 1e9))  # fmt: skip
--- a/tests/scoring/test_notes.py
+++ b/tests/scoring/test_notes.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from harriertrack.decisions.fleet.scoring.spreading import MOST_ENTRIES, Entry, Page, page_of
+from harriertrack.decisions.fleet.scoring.weight_exchange import MAX_ENTRIES, Entry, Page, page_number
 from harriertrack.lab.fleet.later import later
 from harriertrack.lab.fleet.swarm import Swarm
 from harriertrack.lab.fleet.weights import contrary, lied
@@ -45,7 +45,7 @@
     notes: list[Note]
 
 
-NODES = [number for number in range(3000) if page_of(number) == 1][:MOST_ENTRIES]
+NODES = [number for number in range(3000) if page_number(number) == 1][:MAX_ENTRIES]
 PAGE = Page(0xFFFF_FFFF, 1, 9, tuple(Entry(node, -32 + at, 255 - at) for at, node in enumerate(NODES)), 7)
 
 
@@ -84,7 +84,7 @@
         page = weighing.decode(data)
     except weighing.MalformedPage:
         return
-    assert len(page.entries) <= MOST_ENTRIES and weighing.encode(page)
+    assert len(page.entries) <= MAX_ENTRIES and weighing.encode(page)
 
 
 @pytest.mark.parametrize("at", [0, 5, 14, 15, 19])
--- a/tests/test_celled.py
+++ b/tests/test_cell_scheduler.py
@@ -4,13 +4,13 @@
 
 from harriertrack.config.sexp import read_text
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.celled import Celled, HeadMap, OldMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap, StaleMapError
 from harriertrack.decisions.scheduler import Scheduler
 from harriertrack.lab import day as days
 from harriertrack.lab.emulator import emulate
 from harriertrack.rules import checker, recording as rec
 
-MAP = HeadMap(1, {0: "left", 1: "right"}, {"v": "left", "w": "right"})
+MAP = HeadCellMap(1, {0: "left", 1: "right"}, {"v": "left", "w": "right"})
 
 
 class Told:
@@ -27,7 +27,7 @@
 
 def celled(cells=MAP, **more):
     classes = (api.RequestClass("read", 100_000, 500_000, effect=api.Effect.SAFE),)
-    return Celled(api.Settings(1, classes, **more), 5, cells, Told)
+    return CellScheduler(api.Settings(1, classes, **more), 5, cells, Told)
 
 
 def asked(number, volume="v", shard=0):
@@ -80,9 +80,9 @@
     left, right = one.modules()
     left.says = [api.Send(1, "a")]
     one.handle(0, [api.NodesChanged(api.ListKind.FULL, [entry("a", 0), entry("b", 1)]), asked(1)])
-    with pytest.raises(OldMap):
-        one.take_map(MAP)
-    one.take_map(HeadMap(2, {0: "right", 1: "right"}, {"v": "right", "w": "right"}))
+    with pytest.raises(StaleMapError):
+        one.apply_map(MAP)
+    one.apply_map(HeadCellMap(2, {0: "right", 1: "right"}, {"v": "right", "w": "right"}))
     one.handle(1, [asked(2)])
     assert right.heard[-1] == asked(2)
     gone = [e for news in left.heard if isinstance(news, api.NodesChanged) for e in news.entries]
@@ -97,7 +97,7 @@
 
 
 def test_an_extent_is_asked_for_where_it_lies_and_new_ones_go_home():
-    one = celled(HeadMap(1, {0: "left", 1: "right"}, {"v": "right"}))
+    one = celled(HeadCellMap(1, {0: "left", 1: "right"}, {"v": "right"}))
     left, right = one.modules()
     one.handle(0, [asked(1, "v", 0), asked(2, "v", 1), asked(3, "v", -1), asked(4, "v", 9)])
     assert [e.request for e in left.heard] == [1]
@@ -123,11 +123,11 @@
                                      "drain (from 1s) (for 4s) (part 0.3)", "balancer_roll (from 1s) (for 2s)"])  # fmt: skip
 def test_rules_hold_and_no_cell_is_left(trouble):
     day = days.parse(read_text(DAY.replace("TROUBLE", trouble), "cells"), "cells")
-    cells = HeadMap(
+    cells = HeadCellMap(
         1, {shard: f"c{shard % 2}" for shard in range(6)}, {f"vol{n}": f"c{n % 2}" for n in range(6)}
     )
     recorder = rec.Recorder()
-    emulate(day, 2, recorder, lambda settings, seed, _look: Celled(settings, seed, cells))
+    emulate(day, 2, recorder, lambda settings, seed, _look: CellScheduler(settings, seed, cells))
     assert checker.summary(recorder.records)["served"] > 500
     assert [str(one) for one in checker.check(recorder.records)] == []
     got = [one for one in recorder.records if isinstance(one, rec.Got)]
@@ -148,13 +148,13 @@
     flood = days.parse(
         read_text(DAY.replace("TROUBLE", "hot_key (from 1s) (for 4s) (size 40)"), "cells"), "cells"
     )
-    cells = HeadMap(
+    cells = HeadCellMap(
         1, {shard: f"c{shard % 2}" for shard in range(6)}, {f"vol{n}": f"c{n % 2}" for n in range(6)}
     )
     shares = []
     for day in (calm, flood):
         recorder = rec.Recorder()
-        emulate(day, 3, recorder, lambda settings, seed, _look: Celled(settings, seed, cells))
+        emulate(day, 3, recorder, lambda settings, seed, _look: CellScheduler(settings, seed, cells))
         takes = {(one.client, one.request): one for one in recorder.records if isinstance(one, rec.Take)}
         counts = {name: 0 for name in cells.volumes}
         for take in takes.values():
