--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -16,13 +16,13 @@
     Fleet,
     Rack,
     Tenant,
-    change,
-    greedy,
-    impossible,
-    problems,
-    touched_by_rack,
-    touched_by_tenant,
-    whole,
+    compute_change,
+    plan_greedily,
+    find_infeasibilities,
+    find_violations,
+    rack_blast_radius,
+    tenant_blast_radius,
+    single_cell_map,
 )
 from harriertrack.planning.cells import Outcome, explain, plan, price
 from harriertrack.planning.settings import parse_fleet
@@ -47,9 +47,11 @@
 def test_a_plan_keeps_to_all_rules_and_moves_nothing_it_need_not():
     one = fleet()
     first = plan(one, CellMap(0), 20, workers=1)
-    assert first.outcome is Outcome.BEST and problems(one, first.cells) == [] and first.cells.version == 1
+    assert (
+        first.outcome is Outcome.BEST and find_violations(one, first.cells) == [] and first.cells.version == 1
+    )
     again = plan(one, first.cells, 20, workers=1)
-    assert again.cost == 0 and change(one, first.cells, again.cells).tenants == ()
+    assert again.cost == 0 and compute_change(one, first.cells, again.cells).tenants == ()
     for tenant in one.tenants:
         mine = first.cells.nodes_of(one, tenant.name)
         assert 0 < len(mine) < 24
@@ -66,13 +68,13 @@
         for one in before.tenants
     )
     after = Fleet(before.racks, tenants, CellRules(2, large=1.0))
-    assert problems(after, first)
+    assert find_violations(after, first)
     found = plan(after, first, 20, workers=1)
-    assert found.outcome is Outcome.BEST and problems(after, found.cells) == []
+    assert found.outcome is Outcome.BEST and find_violations(after, found.cells) == []
     assert found.cost == price(after, first, found.cells) == found.bound
-    rivals = [greedy(after, first), plan(after, CellMap(0), 20, workers=1).cells]
+    rivals = [plan_greedily(after, first), plan(after, CellMap(0), 20, workers=1).cells]
     for rival in rivals:
-        if not problems(after, rival):
+        if not find_violations(after, rival):
             assert found.cost <= price(after, first, rival)
 
 
@@ -83,7 +85,7 @@
     one = fleet(rng.randint(6, 12), rng.randint(4, 16), rng.randint(2, 3), seed, rng.uniform(0.2, 0.8))
     found = plan(one, CellMap(0), 5, workers=1)
     if found.cells is not None:
-        assert problems(one, found.cells) == []
+        assert find_violations(one, found.cells) == []
     else:
         assert found.outcome in (Outcome.IMPOSSIBLE, Outcome.NOTHING_YET) and found.why
 
@@ -92,7 +94,7 @@
     racks, tenants = dict(cells.racks), dict(cells.tenants)
     racks.update(changes.get("racks", {}))
     tenants.update(changes.get("tenants", {}))
-    return " ".join(problems(one, CellMap(2, racks, tenants)))
+    return " ".join(find_violations(one, CellMap(2, racks, tenants)))
 
 
 def test_each_rule_is_seen_when_a_map_breaks_it():
@@ -108,18 +110,18 @@
     )
     assert "does not exist" in broken(good, base, tenants={"t0": "cell9"})
     assert "not of this fleet" in broken(good, base, tenants={"stranger": "cell0"})
-    assert "is in no cell" in " ".join(problems(good, CellMap(1)))
+    assert "is in no cell" in " ".join(find_violations(good, CellMap(1)))
     assert cells.outcome is Outcome.IMPOSSIBLE  # every tenant is large there, and there are two cells
     large = fleet(tenants=3, large=0.01)
-    everything = whole(large)
-    assert "would share all its nodes" in " ".join(problems(large, everything))
+    everything = single_cell_map(large)
+    assert "would share all its nodes" in " ".join(find_violations(large, everything))
 
 
 def test_impossible_plans_say_why_in_words():
     assert any("capacity in a" in line for line in plan(fleet(load=0.95), CellMap(0)).why)
-    assert any("blast radius: 12 large tenants" in line for line in impossible(fleet(large=0.0)))
-    assert any("racks in a: 1" in line for line in impossible(fleet(racks=2)))
-    assert any("region c" in line for line in impossible(
+    assert any("blast radius: 12 large tenants" in line for line in find_infeasibilities(fleet(large=0.0)))
+    assert any("racks in a: 1" in line for line in find_infeasibilities(fleet(racks=2)))
+    assert any("region c" in line for line in find_infeasibilities(
         Fleet(fleet().racks, (Tenant("t", 1, 0, 1, ("c",)),), CellRules(2))))  # fmt: skip
 
 
@@ -128,7 +130,7 @@
     racks = tuple(Rack(f"r{at}", "a", (f"n{at}",), 100.0) for at in range(3))
     tenants = (Tenant("big", 60.0, 0.0, 1, ("a",)), Tenant("huge", 60.0, 0.0, 1, ("a",)))
     one = Fleet(racks, tenants, CellRules(2))
-    assert impossible(one) == []
+    assert find_infeasibilities(one) == []
     found = plan(one, CellMap(0), 10, workers=1)
     assert found.outcome is Outcome.IMPOSSIBLE
     kinds = {line.split(":")[0] for line in found.why}
@@ -142,8 +144,8 @@
 def test_cells_shrink_what_trouble_touches():
     one = fleet(racks=16, tenants=24, cells=4, load=0.3)
     cells = plan(one, CellMap(0), 20, workers=1).cells
-    assert touched_by_tenant(whole(one)) == touched_by_rack(one, whole(one)) == 1.0
-    assert touched_by_tenant(cells) <= 0.375 and touched_by_rack(one, cells) <= 0.375
+    assert tenant_blast_radius(single_cell_map(one)) == rack_blast_radius(one, single_cell_map(one)) == 1.0
+    assert tenant_blast_radius(cells) <= 0.375 and rack_blast_radius(one, cells) <= 0.375
 
 
 FLEET = """(fleet "f" (cells 1) (headroom 0.7)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,10 +10,17 @@
 from hypothesis import given, settings, strategies as st
 
 from harriertrack.config.sexp import SettingsError, read_text
-from harriertrack.decisions import hunting, interface as api
+from harriertrack.decisions import fault_search, interface as api
 from harriertrack.decisions.baselines import BASELINES
-from harriertrack.decisions.hunting import Candidate, Harm, Hunt, Outcome, Phase, Space
-from harriertrack.decisions.verdicts import Compared, Verdict, holm, judge, seeds_needed
+from harriertrack.decisions.fault_search import (
+    Candidate,
+    InjectedFault,
+    FaultSearch,
+    Outcome,
+    Phase,
+    SearchSpace,
+)
+from harriertrack.decisions.verdicts import PairedComparison, Verdict, holm_adjust, judge, required_seeds
 from harriertrack.lab import report, traces
 from harriertrack.lab.arrivals import (
     PhaseKind,
@@ -285,14 +292,14 @@
 
 
 def test_holm_against_its_definition():
-    assert holm([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
-    assert holm([]) == []
-    assert holm([0.9, 0.8]) == [1.0, 1.0]
+    assert holm_adjust([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
+    assert holm_adjust([]) == []
+    assert holm_adjust([0.9, 0.8]) == [1.0, 1.0]
 
 
 def test_verdicts():
     def one(mean, low, high, p):
-        return Compared("x", mean, low, high, p, 0.05, 20)
+        return PairedComparison("x", mean, low, high, p, 0.05, 20)
 
     judged = judge([one(0.05, 0.03, 0.07, 0.001), one(-0.05, -0.07, -0.03, 0.001), one(0, -0.001, 0.001, 0.9),
                     one(0.01, -0.02, 0.04, 0.3)])  # fmt: skip
@@ -303,7 +310,7 @@
     # A clear single result is not one among a hundred tries.
     many = judge([one(0.05, 0.01, 0.09, 0.02)] + [one(0.0, -0.1, 0.1, 0.9)] * 99)
     assert many[0].verdict is Verdict.CANT_TELL
-    assert seeds_needed(0.1, 0.1, 0.05) == 8 and seeds_needed(0.0, 0.1, 0.05) > 10_000
+    assert required_seeds(0.1, 0.1, 0.05) == 8 and required_seeds(0.0, 0.1, 0.05) > 10_000
 
 
 def test_false_alarms_stay_at_the_stated_rate():
@@ -343,7 +350,7 @@
     assert told == [2, 3, 4, 5, 6, 7, 8]
     assert all(log.done[key] == body for key, body in first.items())
     compared = compare_plan(plan, results_of(plan, log.done))
-    assert [one.compared.name for one in compared.judged] == ["fifo", "salted"] and compared.pairs == 2
+    assert [one.comparison.name for one in compared.judged] == ["fifo", "salted"] and compared.pairs == 2
     assert report.verdict_rows(compared)[-1][0] == "oracle" and 0.5 < compared.of_oracle("now") < 2
     html = report.run_report([scores for _, scores in results_of(plan, log.done)][:2], compared)
     for word in ("Latency of served", "Windows", "Backlog", "hints", "reserve", "limits", "Jain", "verdict"):
@@ -393,30 +400,32 @@
 
 # -- hunts
 
-SPACE = Space(("slow", "hang", "drain"), 12_000_000, 3, 4, 8, {"slow": (2.0, 8.0)})
+SPACE = SearchSpace(("slow", "hang", "drain"), 12_000_000, 3, 4, 8, {"slow": (2.0, 8.0)})
 
 
 def play_out(hunt, outcome_of):
-    while lot := hunt.ask():
+    while lot := hunt.next_batch():
         for number, candidate in random.Random(len(lot)).sample(lot, len(lot)):
-            hunt.tell(number, outcome_of(candidate))
+            hunt.record_outcome(number, outcome_of(candidate))
 
 
 def test_a_hunt_finds_and_shrinks_to_what_does_the_harm():
     """The harm: a rule breaks whenever a hang covers more than a third of the nodes."""
 
     def outcome_of(candidate):
-        hangs = [one for one in candidate.harms if one.kind == "hang" and one.part > 0.35]
-        return Outcome(0.1 * len(candidate.harms), (3,) if hangs else ())
+        hangs = [one for one in candidate.faults if one.kind == "hang" and one.part > 0.35]
+        return Outcome(0.1 * len(candidate.faults), (3,) if hangs else ())
 
-    hunt = Hunt(SPACE, 1, 48)
+    hunt = FaultSearch(SPACE, 1, 48)
     play_out(hunt, outcome_of)
     assert hunt.phase is Phase.DONE
     candidate, outcome = hunt.smallest
     assert outcome.broken == (3,)
-    assert [one.kind for one in candidate.harms] == ["hang"]
+    assert [one.kind for one in candidate.faults] == ["hang"]
     assert (
-        candidate.heads == 1 and candidate.nodes == 2 and candidate.harms[0].for_us < 2 * hunting.SHORTEST_US
+        candidate.heads == 1
+        and candidate.nodes == 2
+        and candidate.faults[0].duration_us < 2 * fault_search.MIN_FAULT_US
     )
 
 
@@ -424,21 +433,21 @@
 @settings(max_examples=20, deadline=None)
 def test_hunts_end_and_repeat_whatever_order_results_come_in(seed):
     def outcome_of(candidate):
-        return Outcome(min(1.0, sum(one.part * one.for_us for one in candidate.harms) / 12e6))
+        return Outcome(min(1.0, sum(one.part * one.duration_us for one in candidate.faults) / 12e6))
 
-    first, again = Hunt(SPACE, seed, 20, 4), Hunt(SPACE, seed, 20, 4)
+    first, again = FaultSearch(SPACE, seed, 20, 4), FaultSearch(SPACE, seed, 20, 4)
     play_out(first, outcome_of)
-    while lot := again.ask():
+    while lot := again.next_batch():
         for number, candidate in lot:
-            again.tell(number, outcome_of(candidate))
+            again.record_outcome(number, outcome_of(candidate))
     assert first.smallest == again.smallest and first.played == again.played
-    assert first.smallest[1].loss >= hunting.KEEP * first.found[0][1].loss
+    assert first.smallest[1].loss >= fault_search.MIN_LOSS_SHARE * first.ranked[0][1].loss
     with pytest.raises(KeyError):
-        again.tell(1, Outcome(0.0))
+        again.record_outcome(1, Outcome(0.0))
 
 
 def test_a_found_day_can_be_kept_as_a_file():
-    found = Candidate((Harm("slow", 1_000_000, 2_000_000, 0.5, 3.0),), 1.1, 2, 4)
+    found = Candidate((InjectedFault("slow", 1_000_000, 2_000_000, 0.5, 3.0),), 1.1, 2, 4)
     base = days.load("calm")
     text = written(base, found)
     again = days.parse(read_text(text, "hunted"), "hunted")
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -9,7 +9,7 @@
 from harriertrack.config.settings import ClassSettings, Kind, RegionSettings, VolumeRegionSettings, check_head
 from harriertrack.config.sexp import SettingsError, read_text
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.celled import HeadMap
+from harriertrack.decisions.cell_scheduler import HeadCellMap
 from harriertrack.decisions.moving import (
     MOST_FAILURES, PACE_US, RETRY_MOST_US, RETRY_US, SETTLE_US, TRIMS, Move, MoveState, misplaced,
 )  # fmt: skip
@@ -372,7 +372,7 @@
         seen.extend((slot.head.mover.moves[MOVED].state, slot.head.mover.moves[MOVED].why, home in cells))
         for shelf in there:
             rig.restart_node(shelf)
-        rig.cells = HeadMap(rig.cells.version + 1, rig.cells.shards, {**rig.cells.volumes, MOVED: home})
+        rig.cells = HeadCellMap(rig.cells.version + 1, rig.cells.shards, {**rig.cells.volumes, MOVED: home})
         for slot in rig.heads:
             tell_map(rig, slot)
 
@@ -406,8 +406,8 @@
         rig.hub.sleep(3_900_000)
         for _ in range(times):  # all while one extent is under way
             old = rig.cells
-            back = next(cell for cell in old.cells() if cell != old.volumes[MOVED])
-            rig.cells = HeadMap(old.version + 1, old.shards, {**old.volumes, MOVED: back})
+            back = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED])
+            rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED: back})
             for slot in rig.heads:
                 tell_map(rig, slot)
             rig.hub.sleep(3_000)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -7,7 +7,7 @@
 
 from harriertrack.decisions import Scheduler, interface as api
 from harriertrack.decisions.graceful_shutdown import DRAIN_US, Phase
-from harriertrack.decisions.connection_pool import REST_US
+from harriertrack.decisions.connection_pool import REUSE_DELAY_US
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import MemoryNetwork
 from harriertrack.service.configuration import ConfigurationError, read
@@ -152,7 +152,7 @@
         for number in range(3):
             status, _, body = site.ask(site.request(True, trace=f"{number + 1:016x}", body="goal"), stream)
             assert (status, body) == (200, bytes(range(256)))
-            site.hub.sleep(REST_US)
+            site.hub.sleep(REUSE_DELAY_US)
         got = site.shelfs[1].got
         assert [one.fields["x-trace-id"] for one in got] == [f"{number:016x}" for number in (1, 2, 3)]
         assert got[0].line == "PUT /note?object=7f3a9c21e0b4d655 HTTP/1.1" and got[0].body == b"goal"
@@ -586,7 +586,7 @@
 
 def test_where_no_connection_to_shelfs_is_left_a_request_ends_and_the_head_lives(site):
     def act(site):
-        site.head.storage_nodes.pool.most = 1
+        site.head.storage_nodes.pool.limit = 1
         site.script = lambda got: MUTE
         holds = site.connect()
         holds.write(site.request())
--- a/tests/test_platform_clock.py
+++ b/tests/test_platform_clock.py
@@ -12,12 +12,12 @@
 
 from harriertrack.decisions.graceful_shutdown import Phase
 from harriertrack.decisions.discovery_watch import (
-    HOLD_US,
+    STARTUP_HOLD_US,
     MARGIN_US,
-    MOVED_AGAIN_US,
-    PATIENCE_US,
-    TOLD_US,
-    WAIT_MOST_US,
+    MOVED_RETRY_US,
+    ANSWER_ALLOWANCE_US,
+    ANNOUNCED_AFTER_US,
+    MAX_WAIT_US,
     DiscoveryWatch,
 )
 from harriertrack.standin.platform import Outage, PlatformDiscovery
@@ -179,7 +179,7 @@
 
     def act(site):
         # Nine in ten restarted heads have to be ready within 10 s: 1.5 s are left for the imports.
-        assert HOLD_US <= site.hub.now() - began <= 8_500 * MS
+        assert STARTUP_HOLD_US <= site.hub.now() - began <= 8_500 * MS
         assert site.ask(site.request())[0] == 200
         assert "list not heard" in [event for event, _ in site.notes]
 
@@ -252,7 +252,7 @@
         if whole:
             site.discovery.spoil = lambda _body: json.dumps(site.discovery.listed()).encode()
         returned = drain(site)
-        kept_the_rule(site, returned + (TOLD_US if way == ASKED else 0))
+        kept_the_rule(site, returned + (ANNOUNCED_AFTER_US if way == ASKED else 0))
         calls = [call for call in site.discovery.calls if call[0] >= returned]
         assert "since=501" in calls[0][1] and "since" not in calls[1][1]
         assert calls[1][0] - calls[0][0] <= 10 * MS and "since=3&" in calls[2][1]
@@ -312,7 +312,7 @@
         site.hub.sleep(lasts_us)
         site.discovery.outage, site.discovery.spoil = Outage.NONE, spoil_once
         returned = drain(site)
-        kept_the_rule(site, returned + TOLD_US)
+        kept_the_rule(site, returned + ANNOUNCED_AFTER_US)
         assert site.head.nodes.find("s1").entry.state.value == "draining"
 
     def spoil_once(_body):
@@ -367,17 +367,17 @@
     """From any moment of a call: it is given up, and one more that fails too, before the next one is due."""
     watching = DiscoveryWatch(within_us, 41, pushed, grace_us)
     watching.subscribe(True)
-    watching.answered(41, False, 0)
-    call = watching.call()
-    assert call.wait_us <= WAIT_MOST_US and call.within_us <= max(
-        WAIT_MOST_US + PATIENCE_US, call.wait_us + grace_us
+    watching.handle_answer(41, False, 0)
+    call = watching.next_call()
+    assert call.wait_us <= MAX_WAIT_US and call.timeout_us <= max(
+        MAX_WAIT_US + ANSWER_ALLOWANCE_US, call.wait_us + grace_us
     )
-    again = watching.failed(call.within_us, 0)
+    again = watching.handle_failure(call.timeout_us, 0)
     if pushed:
         watching.subscribe(True)
-        assert watching.call().within_us + again < grace_us / 2
+        assert watching.next_call().timeout_us + again < grace_us / 2
     elif within_us >= 2 * S:
-        assert PATIENCE_US + again <= max(within_us, PATIENCE_US + 300 * MS)
+        assert ANSWER_ALLOWANCE_US + again <= max(within_us, ANSWER_ALLOWANCE_US + 300 * MS)
 
 
 SETTINGS_OF_WATCHES = (st.integers(0, 300 * S), st.booleans(), st.integers(0, 20 * S))
@@ -391,18 +391,18 @@
         self.now, self.watching = 0, DiscoveryWatch(within_us, 41, pushed, grace_us)
         self.watching.subscribe(True)
         if follows:
-            self.watching.answered(41, False, 0)
+            self.watching.handle_answer(41, False, 0)
 
     def fail(self, share):
-        began, call = self.now, self.watching.call()
-        self.now += int(call.within_us * share)
+        began, call = self.now, self.watching.next_call()
+        self.now += int(call.timeout_us * share)
         # A call that takes all its time is overdue: another is made beside it.
-        end = self.watching.overdue if share == 1 else self.watching.failed
+        end = self.watching.handle_overdue if share == 1 else self.watching.handle_failure
         self.now += end(self.now, began)
         assert self.watching.subscribe(True)
 
     def answered_at(self):
-        return self.now + self.watching.call().within_us
+        return self.now + self.watching.next_call().timeout_us
 
 
 @given(*SETTINGS_OF_WATCHES, st.booleans(), st.lists(SHARES, min_size=1, max_size=9), SHARES, SHARES)
@@ -415,7 +415,7 @@
     returned = calls.now
     calls.fail(under_way)
     calls.fail(one_more)
-    assert calls.answered_at() - returned <= TOLD_US - MARGIN_US
+    assert calls.answered_at() - returned <= ANNOUNCED_AFTER_US - MARGIN_US
 
 
 @given(*SETTINGS_OF_WATCHES, SHARES, SHARES)
@@ -424,21 +424,21 @@
 ):
     calls = FailingCalls(within_us, pushed, grace_us, True)
     calls.fail(silent)
-    assert calls.answered_at() <= TOLD_US - MARGIN_US
+    assert calls.answered_at() <= ANNOUNCED_AFTER_US - MARGIN_US
     calls.fail(one_more)
     # The second call may take all of its patience: the third's answer has half of its own then.
-    assert calls.now + PATIENCE_US // 2 <= TOLD_US - MARGIN_US
+    assert calls.now + ANSWER_ALLOWANCE_US // 2 <= ANNOUNCED_AFTER_US - MARGIN_US
 
 
 def test_until_a_new_source_has_answered_it_is_asked_every_second():
     watching = DiscoveryWatch(10 * S, 41)
     watching.subscribe(True)
-    assert watching.failed(0, 0) > MOVED_AGAIN_US
+    assert watching.handle_failure(0, 0) > MOVED_RETRY_US
     watching.restart(0)
-    assert watching.failed(0, 0) == MOVED_AGAIN_US
+    assert watching.handle_failure(0, 0) == MOVED_RETRY_US
     watching.subscribe(True)
-    watching.answered(41, False, 0)
-    assert watching.failed(0, 0) > MOVED_AGAIN_US
+    watching.handle_answer(41, False, 0)
+    assert watching.handle_failure(0, 0) > MOVED_RETRY_US
 
 
 def test_without_a_grace_what_the_agent_gets_at_the_end_of_a_silent_outage_counts_at_once(tmp_path):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 
 from harriertrack.config.settings import LimitSettings
-from harriertrack.decisions.shares import AIM, REST_US, TURNED_AWAY, ShareLimits, Shares
+from harriertrack.decisions.shares import TARGET_LOAD, READ_PAUSE_US, REFUSAL_COST, ShareLimits, Shares
 from harriertrack.gateway.client import NbdClientError
 from harriertrack.protocol.nbd.wire import Command
 
@@ -23,57 +23,57 @@
 
 def test_a_cell_has_its_part_and_no_more():
     one = shares()
-    assert [one.connects(name) for name in ("a1", "a2", "a1", "a2", "a1")] == [True] * 4 + [False]
-    assert [one.connects("b") for _ in range(5)] == [True] * 4 + [False]
-    one.left("a2")
-    assert one.connects("a1") and not one.connects("a1")
-    assert [one.takes("a1", 0, 0) for _ in range(5)] == [""] * 5 and "too much open" in one.takes("a2", 0, 0)
-    assert [one.takes("b", 0, 0) for _ in range(5)] == [""] * 5
-    one.ended("a1", 0)
-    assert one.takes("a2", 0, 0) == "" and one.turned_away == {"a": 1}
+    assert [one.try_connect(name) for name in ("a1", "a2", "a1", "a2", "a1")] == [True] * 4 + [False]
+    assert [one.try_connect("b") for _ in range(5)] == [True] * 4 + [False]
+    one.disconnect("a2")
+    assert one.try_connect("a1") and not one.try_connect("a1")
+    assert [one.admit("a1", 0, 0) for _ in range(5)] == [""] * 5 and "too much open" in one.admit("a2", 0, 0)
+    assert [one.admit("b", 0, 0) for _ in range(5)] == [""] * 5
+    one.release("a1", 0)
+    assert one.admit("a2", 0, 0) == "" and one.refused == {"a": 1}
 
 
 def test_bytes_count_too_and_one_request_always_fits():
     one = shares()
-    assert one.takes("a1", 5000, 0) == "" and "bytes" in one.takes("a2", 1, 0)
-    assert one.takes("b", 500, 0) == "" and "bytes" in one.takes("b", 1, 0)
-    one.ended("a1", 5000)
-    assert one.takes("a2", 500, 0) == ""
+    assert one.admit("a1", 5000, 0) == "" and "bytes" in one.admit("a2", 1, 0)
+    assert one.admit("b", 500, 0) == "" and "bytes" in one.admit("b", 1, 0)
+    one.release("a1", 5000)
+    assert one.admit("a2", 500, 0) == ""
 
 
 def test_the_pool_is_for_whoever_comes_first_and_bounded():
     one = shares(borrow=0.5)  # parts of 2, a pool of 4
-    assert [one.connects("a1") for _ in range(7)] == [True] * 6 + [False]
-    assert [one.connects("b") for _ in range(3)] == [
+    assert [one.try_connect("a1") for _ in range(7)] == [True] * 6 + [False]
+    assert [one.try_connect("b") for _ in range(3)] == [
         True,
         True,
         False,
     ]  # its own part is there, the pool is gone
-    one.left("a1")
-    assert one.connects("b")
+    one.disconnect("a1")
+    assert one.try_connect("b")
 
 
 def test_without_cells_there_is_one_part_and_the_processor_is_nobodys():
     one = shares(cells=dict.fromkeys(CELLS, ""))
-    assert [one.connects(name) for name in ("a1", "a2", "b") * 3] == [True] * 8 + [False]
+    assert [one.try_connect(name) for name in ("a1", "a2", "b") * 3] == [True] * 8 + [False]
     for now in range(0, 10 * SECOND, SECOND // 10):
-        one.takes("a1", 0, now)
-        one.ended("a1", 0)
-        one.ticked(now, 1.0)
-    assert one.takes("a1", 0, 10 * SECOND) == "" and not one.rest_us("a1", 10 * SECOND)
+        one.admit("a1", 0, now)
+        one.release("a1", 0)
+        one.update_load(now, 1.0)
+    assert one.admit("a1", 0, 10 * SECOND) == "" and not one.read_pause_us("a1", 10 * SECOND)
 
 
 def test_what_a_volume_has_goes_with_it_into_its_new_cell():
     one = shares()
     for _ in range(3):
-        assert one.connects("a1") and one.takes("a1", 10, 0) == ""
-    one.follow({**CELLS, "a1": "b"})
-    assert one.connects("b") and not one.connects("b")  # 3 came along, of 4
-    assert [one.connects("a2") for _ in range(5)] == [True] * 4 + [False]
+        assert one.try_connect("a1") and one.admit("a1", 10, 0) == ""
+    one.update_cells({**CELLS, "a1": "b"})
+    assert one.try_connect("b") and not one.try_connect("b")  # 3 came along, of 4
+    assert [one.try_connect("a2") for _ in range(5)] == [True] * 4 + [False]
     for _ in range(3):
-        one.left("a1")
-        one.ended("a1", 10)
-    assert [one.connects("b") for _ in range(4)] == [True] * 3 + [False]
+        one.disconnect("a1")
+        one.release("a1", 10)
+    assert [one.try_connect("b") for _ in range(4)] == [True] * 3 + [False]
 
 
 @given(st.lists(st.tuples(st.sampled_from([*CELLS, "elsewhere"]), st.integers(0, 400), st.booleans()), max_size=80),
@@ -83,8 +83,8 @@
     one, kept = shares(borrow), {}
     for volume, size, ends in asked:
         if ends and kept.get(volume):
-            one.ended(volume, kept[volume].pop())
-        elif one.takes(volume, size, 0) == "":
+            one.release(volume, kept[volume].pop())
+        elif one.admit(volume, size, 0) == "":
             kept.setdefault(volume, []).append(size)
     held = {cell: sum(len(kept.get(name, ())) for name in CELLS if CELLS[name] == cell) for cell in "ab"}
     assert sum(held.values()) <= 10
@@ -92,7 +92,7 @@
     for volume, cell in (("a1", "a"), ("b", "b")):
         # Bytes aside, a cell below its part is always served.
         assert (
-            held[cell] >= part or "open here" not in one.takes(volume, 0, 0) or sum(kept.get(volume, ())) > 0
+            held[cell] >= part or "open here" not in one.admit(volume, 0, 0) or sum(kept.get(volume, ())) > 0
         )
 
 
@@ -127,30 +127,32 @@
             while left > 0:
                 at = self.now + int(100_000 * (1 - left / whole))
                 names = [
-                    name for name, count in self.waiting.items() if count and not self.one.rest_us(name, at)
+                    name
+                    for name, count in self.waiting.items()
+                    if count and not self.one.read_pause_us(name, at)
                 ]
                 if not names:
                     break
                 name = self.random.choice(names)
                 self.waiting[name] -= 1
-                away = self.one.takes(name, 0, at)
-                left -= TURNED_AWAY if away else 1.0
+                away = self.one.admit(name, 0, at)
+                left -= REFUSAL_COST if away else 1.0
                 if not away:
                     self.served[name] += 1
-                    self.one.ended(name, 0)
+                    self.one.release(name, 0)
             self.now += 100_000
-            self.one.ticked(self.now, 1 - max(0.0, left) / whole)
+            self.one.update_load(self.now, 1 - max(0.0, left) / whole)
 
 
 def test_a_flood_takes_its_part_of_the_processor_and_the_other_cell_is_never_turned_away():
     loop = Loop(10_000, flood=40_000, calm=2_000)
     loop.run(3)
-    assert loop.served["flood"] and loop.one.tight
+    assert loop.served["flood"] and loop.one.overloaded
     loop.count()
     loop.run(10)
     assert loop.served["calm"] == loop.asked["calm"] == 20_000 and not loop.waiting["calm"]
-    assert 0.3 * 100_000 < loop.served["flood"] < AIM / 2 * 100_000 * 1.1
-    assert set(loop.one.turned_away) == {"flood"}
+    assert 0.3 * 100_000 < loop.served["flood"] < TARGET_LOAD / 2 * 100_000 * 1.1
+    assert set(loop.one.refused) == {"flood"}
 
 
 def test_both_floods_get_their_parts():
@@ -163,7 +165,7 @@
 def test_a_loop_that_is_not_short_divides_nothing():
     loop = Loop(100_000, flood=40_000, calm=2_000)
     loop.run(5)
-    assert loop.served == loop.asked and loop.one.turned_away == {} and not loop.one.tight
+    assert loop.served == loop.asked and loop.one.refused == {} and not loop.one.overloaded
 
 
 def test_a_flood_that_ends_is_forgotten():
@@ -171,9 +173,9 @@
     loop.run(5)
     loop.rates["flood"] = 3_000
     loop.run(2)
-    turned = dict(loop.one.turned_away)
+    turned = dict(loop.one.refused)
     loop.run(3)
-    assert loop.one.turned_away == turned and not loop.one.tight
+    assert loop.one.refused == turned and not loop.one.overloaded
 
 
 def test_who_asks_far_too_much_is_not_read_from_for_a_while():
@@ -181,15 +183,15 @@
     now = 0
     for _ in range(3):
         for _ in range(200):
-            if one.takes("flood", 0, now) == "":
-                one.ended("flood", 0)
+            if one.admit("flood", 0, now) == "":
+                one.release("flood", 0)
         now += 100_000
-        one.ticked(now, 1.0)
+        one.update_load(now, 1.0)
     for _ in range(2000):
-        if one.takes("flood", 0, now) == "":
-            one.ended("flood", 0)
-    assert one.rest_us("flood", now) == REST_US and one.rest_us("calm", now) == 0
-    assert one.takes("calm", 0, now) == ""
+        if one.admit("flood", 0, now) == "":
+            one.release("flood", 0)
+    assert one.read_pause_us("flood", now) == READ_PAUSE_US and one.read_pause_us("calm", now) == 0
+    assert one.admit("calm", 0, now) == ""
 
 
 # -- heads
