--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -49,7 +49,9 @@
         """
         now = record.find(self.version.thing, self.version.number)
         if now != self.version:
-            raise operations.ChangeRefused(f"{self.version.thing}: version {self.version.number} has moved on")
+            raise operations.ChangeRefused(
+                f"{self.version.thing}: version {self.version.number} has moved on"
+            )
         return operations.set_state(record, epoch, self.version.thing, self.version.number, self.standing,
                                     at_ms, self.reason, self.stage, self.heads)  # fmt: skip
 
--- a/harriertrack/decisions/requests/admission.py
+++ b/harriertrack/decisions/requests/admission.py
@@ -6,8 +6,8 @@
 from harriertrack.decisions.lifecycle import AttemptState, PartState, PartStep
 from harriertrack.decisions.requests.completion import Completion
 from harriertrack.decisions.requests.model import NO_REQUESTER, ClientRequest, Part
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.placement import Placement
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import MODIFYING_KINDS
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.requests.submission import Submission
@@ -22,7 +22,7 @@
     """Which parts wait when the module turns them down, and when they are offered again."""
 
     def __init__(self, state: CoreState, submission: Submission, placement: Placement,
-                 retry_queue: RetryQueue, completion: Completion) -> None:  # fmt: skip
+                 retry_queue: PartRetryQueue, completion: Completion) -> None:  # fmt: skip
         self._state, self._submission, self._placement = state, submission, placement
         self._retry_queue, self._completion = retry_queue, completion
         self.last_answer_at: dict[int, int] = {}  # when a shard's node last answered
--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -16,8 +16,8 @@
 from harriertrack.decisions.requests.completion import Completion
 from harriertrack.decisions.requests.inputs import ReplyMetadata
 from harriertrack.decisions.requests.model import Attempt
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.port import NodeDirectory
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import MODIFYING_KINDS
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.splitting import Kind
@@ -27,7 +27,7 @@
 class Attempts:
     """The life of attempts, as the module and the links see it."""
 
-    def __init__(self, state: CoreState, nodes: NodeDirectory, retry_queue: RetryQueue,
+    def __init__(self, state: CoreState, nodes: NodeDirectory, retry_queue: PartRetryQueue,
                  completion: Completion, admission: Admission) -> None:  # fmt: skip
         self._state, self._nodes = state, nodes
         self._retry_queue, self._completion, self._admission = retry_queue, completion, admission
--- a/harriertrack/decisions/requests/completion.py
+++ b/harriertrack/decisions/requests/completion.py
@@ -5,8 +5,8 @@
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.lifecycle import PartState, PartStep, next_part_state
 from harriertrack.decisions.requests.model import NO_REQUESTER, Attempt, ClientRequest, Part
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.placement import Placement
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import MODIFYING_KINDS
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.splitting import Kind, Outcome, request_outcome
@@ -15,7 +15,7 @@
 class Completion:
     """The ends of parts, and the one answer of each request."""
 
-    def __init__(self, state: CoreState, placement: Placement, retry_queue: RetryQueue) -> None:
+    def __init__(self, state: CoreState, placement: Placement, retry_queue: PartRetryQueue) -> None:
         self._state, self._placement, self._retry_queue = state, placement, retry_queue
         self._writes = 0
 
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -13,6 +13,7 @@
 from harriertrack.decisions.requests.dispatch import ActionDispatcher
 from harriertrack.decisions.requests.inputs import ReplyMetadata, VolumeFacts
 from harriertrack.decisions.requests.model import Attempt, ClientRequest, Part, Volume
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.placement import Placement
 from harriertrack.decisions.requests.port import (
     CloseGuard,
@@ -22,7 +23,6 @@
     PlacementStore,
     Port,
 )
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import ClientPlacement, RequestRules
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.requests.submission import Submission
@@ -49,7 +49,7 @@
         self.counts = state.counts
         self._submission = Submission(state)
         self._placement = Placement(state, self._submission)
-        self._retry_queue = RetryQueue(state, self._placement)
+        self._retry_queue = PartRetryQueue(state, self._placement)
         self._completion = Completion(state, self._placement, self._retry_queue)
         self._admission = Admission(
             state, self._submission, self._placement, self._retry_queue, self._completion
@@ -319,7 +319,11 @@
                 self._port.answer(request)
         placement.notify_owners()
         times = [state.timers[0][0]] if state.timers else []
-        others = (patience.next_at(now), self._closes.next_restart_at(), self._attempts.standstill.held_until())
+        others = (
+            patience.next_at(now),
+            self._closes.next_restart_at(),
+            self._attempts.standstill.held_until(),
+        )
         times += [when for when in others if when is not None]
         if times:
             self._port.wake_at(min(times))
--- a/harriertrack/decisions/requests/retry_queue.py
+++ b/harriertrack/decisions/requests/part_retry_queue.py
@@ -9,7 +9,7 @@
 from harriertrack.decisions.requests.state import CoreState
 
 
-class RetryQueue:
+class PartRetryQueue:
     """What waits, and in which lane."""
 
     def __init__(self, state: CoreState, placement: Placement) -> None:
--- a/tests/closing/test_closing_schedule.py
+++ b/tests/closing/test_closing_schedule.py
@@ -132,7 +132,8 @@
     read = reader()
     record = update_calendars(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
     assert (
-        record.in_progress(THING).standing is VersionState.PAUSED and record.in_force(THING + CLOSES_SUFFIX) is None
+        record.in_progress(THING).standing is VersionState.PAUSED
+        and record.in_force(THING + CLOSES_SUFFIX) is None
     )
     assert update_calendars(record, 1, 120, NOTICE, read) is record
     record = update_calendars(
