--- a/harriertrack/decisions/fleet/budget_shares.py
+++ b/harriertrack/decisions/fleet/budget_shares.py
@@ -13,7 +13,7 @@
 from harriertrack.decisions.bucket import Bucket
 from harriertrack.decisions.fleet.budgets import BudgetRules, BudgetShare, BudgetTotal, ledger_for
 from harriertrack.decisions.fleet.holder import LeaseHolder
-from harriertrack.decisions.interface import Arrived, Plan
+from harriertrack.decisions.interface import Plan, RequestArrived
 
 
 class BudgetKind(Enum):
@@ -113,13 +113,13 @@
 
     # -- for the module
 
-    def limit(self, now: int, ask: Arrived, plan: Plan) -> Bucket | None:
+    def limit(self, now: int, ask: RequestArrived, plan: Plan) -> Bucket | None:
         """Count what a request asks of its volume's limit; return what this head has of that."""
         hosts = ask.hosts or self.heads
         portion = self._open(
             now, BudgetKind.LIMITS, ask.volume, plan.limit, plan.limit_burst, hosts, plan.name
         )
-        if portion is not None and not ask.tried:
+        if portion is not None and not ask.attempts_made:
             portion.record_demand(ask.units)
         return portion
 
@@ -130,7 +130,7 @@
             return False
         if not draw:
             portion.record_demand(1.0)
-        if portion.now(now) < 1.0:
+        if portion.refill(now) < 1.0:
             return False
         portion.level -= 1.0 if draw else 0.0
         return True
@@ -145,7 +145,7 @@
         if portion is None:
             return rate / self.heads
         portion.record_demand(units)
-        portion.now(now)
+        portion.refill(now)
         return portion.rate
 
     # -- for the head
@@ -180,7 +180,7 @@
             return 0
         if not again:
             portion.record_demand(1.0)
-        wait = portion.wait(now, 1.0)
+        wait = portion.wait_us(now, 1.0)
         if not wait:
             portion.level -= 1.0
         return wait
@@ -207,7 +207,7 @@
         found = []
         for name, portion in self:
             if portion.total.concurrent:
-                portion.now(now)
+                portion.refill(now)
                 if portion.excess:
                     found.append((name.partition("/")[2], portion.excess))
         return found
--- a/harriertrack/decisions/fleet/budgets.py
+++ b/harriertrack/decisions/fleet/budgets.py
@@ -190,7 +190,7 @@
         self.requested = self.requested_squares = 0.0  # asked of it since it was last measured
         self.waiters = 0  # of a number at a time: who would take one
         self._set(0.0)
-        self.level = self.most if whole.concurrent else min(self.most, self.rate * age_us / 1e6)
+        self.level = self.capacity if whole.concurrent else min(self.capacity, self.rate * age_us / 1e6)
 
     def _set(self, share: float) -> None:
         whole, self.leased = self.total, share
@@ -198,9 +198,9 @@
         used = min(share, whole.movable)
         part = whole.fixed / whole.hosts + (used / whole.rate if whole.rate > 0 else 0.0)
         if whole.concurrent:
-            self.rate, self.most = 0.0, whole.rate * part
+            self.rate, self.capacity = 0.0, whole.rate * part
         else:
-            self.rate, self.most = (
+            self.rate, self.capacity = (
                 self.clock_factor * whole.rate * part,
                 max(whole.burst * part, whole.min_burst),
             )
@@ -210,35 +210,39 @@
         self.requested += units
         self.requested_squares += units * units
 
-    def now(self, now: int) -> float:
+    def refill(self, now: int) -> float:
         """Fill up to the present and return the level."""
         if self.leased and now >= self.lease.expires_at:
             self.drop_leased(now)
-        return super().now(now)
+        return super().refill(now)
 
     def drop_leased(self, now: int) -> None:
         """Let the share go: the lease is over, or holds no more; what came with it is gone too."""
         if self.leased:
-            super().now(max(self.at, min(now, self.lease.expires_at)))
-            before = self.most
+            super().refill(max(self.updated_at, min(now, self.lease.expires_at)))
+            before = self.capacity
             self._set(0.0)
             self.level = (
-                self.level + self.most - before if self.total.concurrent else min(self.level, self.most)
+                self.level + self.capacity - before
+                if self.total.concurrent
+                else min(self.level, self.capacity)
             )
 
     def set_total(self, now: int, whole: BudgetTotal) -> None:
         """Go by another whole from now on: the store keeps its level, up to what fits a smaller one."""
-        self.now(now)
-        before, self.total = self.most, whole
+        self.refill(now)
+        before, self.total = self.capacity, whole
         self._set(self.leased)
-        self.level = self.level + self.most - before if whole.concurrent else min(self.level, self.most)
+        self.level = (
+            self.level + self.capacity - before if whole.concurrent else min(self.level, self.capacity)
+        )
 
     # -- of a number at a time
 
     @property
     def in_use(self) -> float:
         """Return how much is taken now."""
-        return self.most - self.level
+        return self.capacity - self.level
 
     @property
     def excess(self) -> int:
@@ -251,25 +255,25 @@
 
     def acquire(self, now: int) -> bool:
         """Take one if there is one."""
-        if self.now(now) < 1.0 - FLOAT_TOLERANCE:
+        if self.refill(now) < 1.0 - FLOAT_TOLERANCE:
             return False
         self.level -= 1.0
         return True
 
     def release(self) -> None:
         """Give one back."""
-        self.level = min(self.most, self.level + 1.0)
+        self.level = min(self.capacity, self.level + 1.0)
 
     def set_leased(self, now: int, share: float, tokens: float) -> float:
         """Take another share, with tokens if it is larger; return those that go if it is smaller."""
-        self.now(now)
-        before, level = self.most, self.level
+        self.refill(now)
+        before, level = self.capacity, self.level
         self._set(share)
         if self.total.concurrent:
-            self.level = level + self.most - before
+            self.level = level + self.capacity - before
             return 0.0
-        if self.most >= before:
-            self.level = min(self.most, level + tokens)
+        if self.capacity >= before:
+            self.level = min(self.capacity, level + tokens)
             return 0.0
-        self.level = min(level, level * self.most / before)
+        self.level = min(level, level * self.capacity / before)
         return level - self.level
--- a/harriertrack/decisions/fleet/holder.py
+++ b/harriertrack/decisions/fleet/holder.py
@@ -61,15 +61,15 @@
             held = self.budgets[budget] = HeldBudget(portion, now)
             idle = self._idle.get(whole.source)
             if idle is not None and not whole.concurrent:
-                portion.level = min(portion.level, idle.now(now) * whole.fixed / whole.hosts)
+                portion.level = min(portion.level, idle.refill(now) * whole.fixed / whole.hosts)
         return held.share
 
     def update_source(self, now: int, says: str, before: RateAndBurst, after: RateAndBurst) -> None:
         """Go by another rate and burst of all that `says` stands for: what is in use, and what will be."""
         slow = 1 - self.rules.clock_error
         idle = self._idle.setdefault(says, Bucket(self.started_at, slow * before[0], before[1]))
-        level = min(idle.now(now), after[1])
-        idle.rate, idle.most, idle.level = slow * after[0], after[1], level
+        level = min(idle.refill(now), after[1])
+        idle.rate, idle.capacity, idle.level = slow * after[0], after[1], level
         for name, held in self.budgets.items():
             if held.total.source == says and after[0] > 0:  # else nobody asks for it, and it is forgotten
                 self.update_total(now, name, replace(held.total, rate=after[0], burst=after[1]))
@@ -182,7 +182,7 @@
         for name, held in self.budgets.items():
             portion = held.share
             if held.recent_rate < 1e-6 * portion.total.rate and not portion.leased and not held.demand:
-                if held.claim_state()[1:] == held.confirmed[1:] and portion.now(now) >= portion.most:
+                if held.claim_state()[1:] == held.confirmed[1:] and portion.refill(now) >= portion.capacity:
                     idle.append(name)
         for name in idle:
             del self.budgets[name]
--- a/harriertrack/decisions/requests/admission.py
+++ b/harriertrack/decisions/requests/admission.py
@@ -36,7 +36,7 @@
                 self._completion.give_up(part, PartStep.REFUSE, self._state.rules.patience.most_us)
             else:
                 self._placement.submit_or_queue(now, part)
-        elif ahead is not None or self._retry_queue.patience.waiting(part.lane):
+        elif ahead is not None or self._retry_queue.patience.has_waiting(part.lane):
             self._retry_queue.enqueue(now, part, None)
         else:
             self._placement.submit_or_queue(now, part)
@@ -88,7 +88,7 @@
                 PartState.AWAITING_PLACEMENT,
             ):
                 if later.state is PartState.SUBMITTED:
-                    self._state.queue_event(api.ClientGone(later.number))
+                    self._state.queue_event(api.ClientLeft(later.number))
                 if later.request.patience_us:
                     self._retry_queue.enqueue(now, later, None)
                 else:
--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -182,7 +182,7 @@
                 part.state = next_part_state(part.state, PartStep.ATTEMPTS_LOST)
             elif part.state is PartState.QUEUED:
                 self._retry_queue.attempts_ended(now, part)
-        self._state.queue_event(api.Ended(
+        self._state.queue_event(api.AttemptEnded(
             part.number, attempt.number, attempt.member.entry.node, result,
             max(0, now - (attempt.left_at or attempt.sent_at)),
             part.state.is_final, *((report.used_percent, report.elsewhere, report.load) if report else ()),
--- a/harriertrack/decisions/requests/closes.py
+++ b/harriertrack/decisions/requests/closes.py
@@ -91,7 +91,7 @@
             if not covers(request.volume.settings.name, part.offset, part.length):
                 continue
             if part.state not in (PartState.AWAITING_PLACEMENT, PartState.QUEUED):
-                state.queue_event(api.ClientGone(part.number))
+                state.queue_event(api.ClientLeft(part.number))
             ran = request.kind in MODIFYING_KINDS and part.may_have_effect
             if ran and state.close_guard is not None:
                 state.close_guard.may_run(request.volume.settings.name, part.extent)
--- a/harriertrack/decisions/requests/completion.py
+++ b/harriertrack/decisions/requests/completion.py
@@ -42,7 +42,7 @@
         told = part.state in (PartState.SUBMITTED, PartState.IN_FLIGHT)
         self.part_served(part, attempt, data)
         if told:
-            self._state.queue_event(api.ClientGone(part.number))
+            self._state.queue_event(api.ClientLeft(part.number))
 
     def give_up(self, part: Part, step: PartStep, hint: int = 0) -> None:
         """A part is given up: its request is answered at once, and its other parts are dropped."""
@@ -69,7 +69,7 @@
                 self._retry_queue.remove(part)
                 part.state = next_part_state(part.state, PartStep.DROP)
                 if told:
-                    self._state.queue_event(api.ClientGone(part.number))
+                    self._state.queue_event(api.ClientLeft(part.number))
                 self._close_part(part)
 
     def finish(self, request: ClientRequest, outcome: Outcome) -> None:
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -75,7 +75,7 @@
         Classes, and how requests are cut, stay.
         """
         self._state.apply_rules(rules)
-        self._retry_queue.patience.retell(now, rules.patience)
+        self._retry_queue.patience.set_rules(now, rules.patience)
         self._state.queue_event(api.SettingsChanged(settings))
 
     def nodes_changed(self, news: api.NodesChanged | None) -> None:
@@ -86,7 +86,7 @@
         if news is not None:
             paused_since = self._attempts.standstill.paused_since
             if paused_since is not None:
-                news.told_at = min(news.told_at or paused_since, paused_since)
+                news.announced_at = min(news.announced_at or paused_since, paused_since)
             self._state.queue_event(news)
 
     def list_failed(self) -> None:
@@ -206,7 +206,7 @@
         """The head ends now: fail whatever is open, which is true of anything that may yet run."""
         for part in list(self._state.parts.values()):
             if not part.state.is_final:
-                self._state.queue_event(api.ClientGone(part.number))
+                self._state.queue_event(api.ClientLeft(part.number))
                 self._completion.give_up(part, PartStep.FAIL)
 
     def stop_waiting(self, why: str) -> None:
@@ -300,7 +300,7 @@
                     dispatcher.execute(now, action)
             placement.write_placements()
             placement.release_queued(now)
-            for part in patience.due(now):
+            for part in patience.take_due(now):
                 if part.state is PartState.QUEUED:  # else one before it in this list ended their request
                     self._admission.resubmit(now, part)
             for request in self._closes.due_restarts(now):
@@ -320,7 +320,7 @@
         placement.notify_owners()
         times = [state.timers[0][0]] if state.timers else []
         others = (
-            patience.next_at(now),
+            patience.next_due_at(now),
             self._closes.next_restart_at(),
             self._attempts.standstill.held_until(),
         )
--- a/harriertrack/decisions/requests/part_retry_queue.py
+++ b/harriertrack/decisions/requests/part_retry_queue.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from harriertrack.decisions.lifecycle import PartStep, next_part_state
-from harriertrack.decisions.patience import Patience, Place
 from harriertrack.decisions.requests.model import Part
 from harriertrack.decisions.requests.placement import Placement
 from harriertrack.decisions.requests.state import CoreState
+from harriertrack.decisions.retry_queue import LaneKey, RetryQueue
 
 
 class PartRetryQueue:
@@ -14,9 +14,9 @@
 
     def __init__(self, state: CoreState, placement: Placement) -> None:
         self._state, self._placement = state, placement
-        self.patience: Patience[Part] = Patience(state.rules.patience)
+        self.patience: RetryQueue[Part] = RetryQueue(state.rules.patience)
         # Of classes in order, by extent: where those wait that the module refused.
-        self.in_order: dict[tuple[str, int], dict[int, Place]] = {}
+        self.in_order: dict[tuple[str, int], dict[int, LaneKey]] = {}
 
     def enqueue(self, now: int, part: Part, hint: int | None) -> None:
         """Let a part wait: refused with a hint, or None: behind others."""
@@ -37,11 +37,11 @@
             line[part.number] = place
         part.hint_us = hint or 0
         if not part.open_attempts:  # else an attempt could not be called off: it waits for that one's end
-            self.patience.keep(now, part, part.number, place, hint)
+            self.patience.add(now, part, part.number, place, hint)
 
     def remove(self, part: Part) -> None:
         """A part that waited is offered again, or over."""
-        self.patience.drop(part)
+        self.patience.discard(part)
         if part.class_name in self._state.in_order:
             key = (part.request.volume.settings.name, part.extent)
             if (line := self.in_order.get(key)) is not None:
@@ -52,9 +52,9 @@
     def attempts_ended(self, now: int, part: Part) -> None:
         """The last attempt of a part that waits is over: now its hint counts."""
         if part not in self.patience:
-            self.patience.keep(now, part, part.number, part.lane, part.hint_us)
+            self.patience.add(now, part, part.number, part.lane, part.hint_us)
 
-    def lane_ahead(self, part: Part) -> Place | None:
+    def lane_ahead(self, part: Part) -> LaneKey | None:
         """Return where those wait that a part of a class in order must not overtake; None: there are none."""
         if part.class_name not in self._state.in_order:
             return None
