--- a/harriertrack/decisions/requests/__init__.py
+++ b/harriertrack/decisions/requests/__init__.py
@@ -8,10 +8,10 @@
 
 `Core` is the interface for fronts and links. All open work is in one `CoreState`; each other module has one
 task: `submission` submits parts to the module, `placement` places new extents and holds extents for exclusive
-use, `retry_queue` stores parts that wait for a retry hint to pass, `completion` finishes parts and gives each
-request its one answer, `admission` decides which parts wait and when they are submitted again, `attempts`
-sends and cancels attempts, `closes` gives up the requests covered by a close, `dispatch` executes the
-module's actions.
+use, `part_retry_queue` stores parts that wait for a retry hint to pass, `completion` finishes parts and gives
+each request its one answer, `admission` decides which parts wait and when they are submitted again,
+`attempts` sends and cancels attempts, `closes` gives up the requests covered by a close, `dispatch` executes
+the module's actions.
 """
 
 from harriertrack.decisions.requests.core import Core
--- a/harriertrack/decisions/requests/admission.py
+++ b/harriertrack/decisions/requests/admission.py
@@ -6,8 +6,8 @@
 from harriertrack.decisions.lifecycle import AttemptState, PartState, PartStep
 from harriertrack.decisions.requests.completion import Completion
 from harriertrack.decisions.requests.model import NO_REQUESTER, ClientRequest, Part
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.placement import Placement
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import MODIFYING_KINDS
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.requests.submission import Submission
@@ -22,7 +22,7 @@
     """Decides which parts wait when the module refuses them, and when they are submitted again."""
 
     def __init__(self, state: CoreState, submission: Submission, placement: Placement,
-                 retry_queue: RetryQueue, completion: Completion) -> None:  # fmt: skip
+                 retry_queue: PartRetryQueue, completion: Completion) -> None:  # fmt: skip
         self._state, self._submission, self._placement = state, submission, placement
         self._retry_queue, self._completion = retry_queue, completion
         self.last_answer_at: dict[int, int] = {}  # by shard: when its node last answered
@@ -36,7 +36,7 @@
                 self._completion.give_up(part, PartStep.REFUSE, self._state.rules.patience.most_us)
             else:
                 self._placement.submit_or_queue(now, part)
-        elif ahead is not None or self._retry_queue.patience.waiting(part.lane):
+        elif ahead is not None or self._retry_queue.patience.has_waiting(part.lane):
             self._retry_queue.enqueue(now, part, None)
         else:
             self._placement.submit_or_queue(now, part)
@@ -88,7 +88,7 @@
                 PartState.AWAITING_PLACEMENT,
             ):
                 if later.state is PartState.SUBMITTED:
-                    self._state.queue_event(api.ClientGone(later.number))
+                    self._state.queue_event(api.ClientLeft(later.number))
                 if later.request.patience_us:
                     self._retry_queue.enqueue(now, later, None)
                 else:
--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -16,8 +16,8 @@
 from harriertrack.decisions.requests.completion import Completion
 from harriertrack.decisions.requests.inputs import ReplyMetadata
 from harriertrack.decisions.requests.model import Attempt
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.port import NodeDirectory
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import MODIFYING_KINDS
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.splitting import Kind
@@ -27,7 +27,7 @@
 class Attempts:
     """Carries attempts through their states, between the module and the links."""
 
-    def __init__(self, state: CoreState, nodes: NodeDirectory, retry_queue: RetryQueue,
+    def __init__(self, state: CoreState, nodes: NodeDirectory, retry_queue: PartRetryQueue,
                  completion: Completion, admission: Admission) -> None:  # fmt: skip
         self._state, self._nodes = state, nodes
         self._retry_queue, self._completion, self._admission = retry_queue, completion, admission
@@ -70,7 +70,7 @@
 
     def check_standstill(self, now: int) -> None:
         """Check whether the process stood still; if so, fetch the list again."""
-        if self.standstill.look(now, self._state.rules.drain_grace_us):
+        if self.standstill.check(now, self._state.rules.drain_grace_us):
             self._state.port.ask_list()
             self._state.request_flush()
 
@@ -116,7 +116,7 @@
 
     def expire(self, now: int, attempt: Attempt) -> None:
         """End an attempt that timed out, or that can no longer begin."""
-        if now >= attempt.times_out_at and not self.standstill.has(attempt):
+        if now >= attempt.times_out_at and not self.standstill.is_held(attempt):
             self.call_off(now, attempt, api.Result.TIMEOUT)
         elif attempt.state is AttemptState.DIALING:  # too late to start: proves nothing about its node
             self.call_off(now, attempt, api.Result.CANCELLED)
@@ -183,7 +183,7 @@
                 part.state = next_part_state(part.state, PartStep.ATTEMPTS_LOST)
             elif part.state is PartState.QUEUED:
                 self._retry_queue.attempts_ended(now, part)
-        self._state.queue_event(api.Ended(
+        self._state.queue_event(api.AttemptEnded(
             part.number, attempt.number, attempt.member.entry.node, result,
             max(0, now - (attempt.left_at or attempt.sent_at)),
             part.state.is_final, *((report.used_percent, report.elsewhere, report.load) if report else ()),
--- a/harriertrack/decisions/requests/completion.py
+++ b/harriertrack/decisions/requests/completion.py
@@ -5,8 +5,8 @@
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.lifecycle import PartState, PartStep, next_part_state
 from harriertrack.decisions.requests.model import NO_REQUESTER, Attempt, ClientRequest, Part
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.placement import Placement
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import MODIFYING_KINDS
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.splitting import Kind, Outcome, request_outcome
@@ -15,7 +15,7 @@
 class Completion:
     """Finishes parts, and gives each request its one answer."""
 
-    def __init__(self, state: CoreState, placement: Placement, retry_queue: RetryQueue) -> None:
+    def __init__(self, state: CoreState, placement: Placement, retry_queue: PartRetryQueue) -> None:
         self._state, self._placement, self._retry_queue = state, placement, retry_queue
         self._writes = 0
 
@@ -42,7 +42,7 @@
         submitted = part.state in (PartState.SUBMITTED, PartState.IN_FLIGHT)
         self.part_served(part, attempt, data)
         if submitted:
-            self._state.queue_event(api.ClientGone(part.number))
+            self._state.queue_event(api.ClientLeft(part.number))
 
     def give_up(self, part: Part, step: PartStep, hint: int = 0) -> None:
         """Give a part up: answer its request at once, and drop the request's other parts."""
@@ -69,7 +69,7 @@
                 self._retry_queue.remove(part)
                 part.state = next_part_state(part.state, PartStep.DROP)
                 if submitted:
-                    self._state.queue_event(api.ClientGone(part.number))
+                    self._state.queue_event(api.ClientLeft(part.number))
                 self._close_part(part)
 
     def finish(self, request: ClientRequest, outcome: Outcome) -> None:
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -13,6 +13,7 @@
 from harriertrack.decisions.requests.dispatch import ActionDispatcher
 from harriertrack.decisions.requests.inputs import ReplyMetadata, VolumeFacts
 from harriertrack.decisions.requests.model import Attempt, ClientRequest, Part, Volume
+from harriertrack.decisions.requests.part_retry_queue import PartRetryQueue
 from harriertrack.decisions.requests.placement import Placement
 from harriertrack.decisions.requests.port import (
     CloseGuard,
@@ -22,7 +23,6 @@
     PlacementStore,
     Port,
 )
-from harriertrack.decisions.requests.retry_queue import RetryQueue
 from harriertrack.decisions.requests.rules import ClientPlacement, RequestRules
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.requests.submission import Submission
@@ -49,7 +49,7 @@
         self.counts = state.counts
         self._submission = Submission(state)
         self._placement = Placement(state, self._submission)
-        self._retry_queue = RetryQueue(state, self._placement)
+        self._retry_queue = PartRetryQueue(state, self._placement)
         self._completion = Completion(state, self._placement, self._retry_queue)
         self._admission = Admission(
             state, self._submission, self._placement, self._retry_queue, self._completion
@@ -75,7 +75,7 @@
         Classes, and how requests are split, stay the same.
         """
         self._state.apply_rules(rules)
-        self._retry_queue.patience.retell(now, rules.patience)
+        self._retry_queue.patience.set_rules(now, rules.patience)
         self._state.queue_event(api.SettingsChanged(settings))
 
     def nodes_changed(self, news: api.NodesChanged | None) -> None:
@@ -85,9 +85,9 @@
         standstill began.
         """
         if news is not None:
-            stood_from = self._attempts.standstill.stood_from
-            if stood_from is not None:
-                news.told_at = min(news.told_at or stood_from, stood_from)
+            paused_since = self._attempts.standstill.paused_since
+            if paused_since is not None:
+                news.announced_at = min(news.announced_at or paused_since, paused_since)
             self._state.queue_event(news)
 
     def list_failed(self) -> None:
@@ -95,7 +95,7 @@
         self._state.queue_event(api.NodesChanged(api.ListKind.FAILED))
 
     def begin_standstill_checks(self, now: int) -> None:
-        """Start the checks: `check_standstill` is called every `standstill.LOOK_US` from now on."""
+        """Start the checks: `check_standstill` is called every `standstill.CHECK_PERIOD_US` from now on."""
         self._attempts.standstill.begin(now)
 
     def check_standstill(self, now: int) -> None:
@@ -108,7 +108,7 @@
 
     def list_call_ended(self, began: int, answered: bool) -> None:
         """Note that a call for the list, begun at that time, was answered, or failed at its source."""
-        self._attempts.standstill.heard(began, answered)
+        self._attempts.standstill.record_call(began, answered)
         self._state.request_flush()
 
     # -- requests
@@ -207,7 +207,7 @@
         """Fail all open requests because the head stops now; any of them may still run."""
         for part in list(self._state.parts.values()):
             if not part.state.is_final:
-                self._state.queue_event(api.ClientGone(part.number))
+                self._state.queue_event(api.ClientLeft(part.number))
                 self._completion.give_up(part, PartStep.FAIL)
 
     def stop_waiting(self, why: str) -> None:
@@ -302,7 +302,7 @@
                     dispatcher.execute(now, action)
             placement.write_placements()
             placement.release_queued(now)
-            for part in patience.due(now):
+            for part in patience.take_due(now):
                 if part.state is PartState.QUEUED:  # else an earlier part in this list ended their request
                     self._admission.resubmit(now, part)
             for request in self._closes.due_restarts(now):
@@ -321,7 +321,11 @@
                 self._port.answer(request)
         placement.notify_owners()
         times = [state.timers[0][0]] if state.timers else []
-        others = (patience.next_at(now), self._closes.next_restart_at(), self._attempts.standstill.until())
+        others = (
+            patience.next_due_at(now),
+            self._closes.next_restart_at(),
+            self._attempts.standstill.held_until(),
+        )
         times += [when for when in others if when is not None]
         if times:
             self._port.wake_at(min(times))
--- a/harriertrack/decisions/requests/dispatch.py
+++ b/harriertrack/decisions/requests/dispatch.py
@@ -32,7 +32,7 @@
         while due and due[0][0] <= now:
             what = heapq.heappop(due)[2]
             if isinstance(what, str):
-                self._state.events.append(api.Woken(what))
+                self._state.events.append(api.TimerFired(what))
             elif isinstance(what, Attempt):
                 self._attempts.expire(now, what)
             elif what.state in (PartState.AWAITING_PLACEMENT, PartState.QUEUED):
--- a/harriertrack/decisions/requests/model.py
+++ b/harriertrack/decisions/requests/model.py
@@ -7,9 +7,9 @@
 from typing import Protocol
 
 from harriertrack.decisions.lifecycle import AttemptState, PartState
-from harriertrack.decisions.patience import Place
 from harriertrack.decisions.requests.inputs import ListedNode, VolumeFacts
 from harriertrack.decisions.requests.rules import MODIFYING_KINDS, ClientPlacement
+from harriertrack.decisions.retry_queue import LaneKey
 from harriertrack.decisions.splitting import Kind, Outcome
 
 
@@ -116,7 +116,7 @@
         )
 
     @property
-    def lane(self) -> Place:
+    def lane(self) -> LaneKey:
         """Return the lane of the retry queue in which it waits."""
         return (self.request.volume.settings.name, self.shard, self.class_name)
 
--- a/harriertrack/decisions/requests/retry_queue.py
+++ b/harriertrack/decisions/requests/part_retry_queue.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from harriertrack.decisions.lifecycle import PartStep, next_part_state
-from harriertrack.decisions.patience import Patience, Place
 from harriertrack.decisions.requests.model import Part
 from harriertrack.decisions.requests.placement import Placement
 from harriertrack.decisions.requests.state import CoreState
+from harriertrack.decisions.retry_queue import LaneKey, RetryQueue
 
 
-class RetryQueue:
+class PartRetryQueue:
     """The waiting parts, in lanes by volume, shard and class."""
 
     def __init__(self, state: CoreState, placement: Placement) -> None:
         self._state, self._placement = state, placement
-        self.patience: Patience[Part] = Patience(state.rules.patience)
+        self.patience: RetryQueue[Part] = RetryQueue(state.rules.patience)
         # Ordered classes, by extent: the lanes of the refused parts that wait.
-        self.in_order: dict[tuple[str, int], dict[int, Place]] = {}
+        self.in_order: dict[tuple[str, int], dict[int, LaneKey]] = {}
 
     def enqueue(self, now: int, part: Part, hint: int | None) -> None:
         """Queue a part: refused with a hint, or behind other parts if the hint is None."""
@@ -36,11 +36,11 @@
             line[part.number] = place
         part.hint_us = hint or 0
         if not part.open_attempts:  # else an attempt could not be cancelled: it is queued when that ends
-            self.patience.keep(now, part, part.number, place, hint)
+            self.patience.add(now, part, part.number, place, hint)
 
     def remove(self, part: Part) -> None:
         """Remove a part that is submitted again or finished."""
-        self.patience.drop(part)
+        self.patience.discard(part)
         if part.class_name in self._state.in_order:
             key = (part.request.volume.settings.name, part.extent)
             if (line := self.in_order.get(key)) is not None:
@@ -51,9 +51,9 @@
     def attempts_ended(self, now: int, part: Part) -> None:
         """Queue a waiting part with its hint, now that its last attempt ended."""
         if part not in self.patience:
-            self.patience.keep(now, part, part.number, part.lane, part.hint_us)
+            self.patience.add(now, part, part.number, part.lane, part.hint_us)
 
-    def lane_ahead(self, part: Part) -> Place | None:
+    def lane_ahead(self, part: Part) -> LaneKey | None:
         """Return the lane of the waiting parts that a part of an ordered class must not overtake, if any."""
         if part.class_name not in self._state.in_order:
             return None
--- a/harriertrack/decisions/requests/rules.py
+++ b/harriertrack/decisions/requests/rules.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from harriertrack.decisions.patience import PatienceRules
+from harriertrack.decisions.retry_queue import RetryRules
 from harriertrack.decisions.splitting import Kind
 
 MODIFYING_KINDS = frozenset((Kind.WRITE, Kind.TRIM, Kind.ZERO))
@@ -45,4 +45,4 @@
     max_open_parts: int
     classes: tuple[ClassRule, ...]
     drain_grace_us: int  # how long a node may still be sent to after its drain was announced
-    patience: PatienceRules = PatienceRules()
+    patience: RetryRules = RetryRules()
--- a/harriertrack/decisions/requests/submission.py
+++ b/harriertrack/decisions/requests/submission.py
@@ -37,18 +37,19 @@
         if part.class_name in state.in_order:
             self.in_order.setdefault((volume.name, part.extent), {})[part.number] = part
         if (placed := part.client_placement) is not None:
-            state.queue_event(api.Arrived(
+            state.queue_event(api.RequestArrived(
                 part.number, part.class_name, volume.plan, volume.name, placed.key, part.shard, placed.units,
                 part.module_deadline - now, volume.hosts, placed.repeat,
             ))  # fmt: skip
             return
-        state.queue_event(api.Arrived(
+        state.queue_event(api.RequestArrived(
             part.number, part.class_name, volume.plan, volume.name,
             f"{volume.name}/{part.extent}" if part.extent >= 0 else "",
             part.shard, units_of(part.length, state.rules.unit_bytes), part.module_deadline - now,
             volume.hosts,
-            further_part=part is not request.parts[0], kept=part.has_waited, tried=len(part.attempts),
-            ran_us=now - part.may_have_run_since
+            further_part=part is not request.parts[0], reoffered=part.has_waited,
+            attempts_made=len(part.attempts),
+            may_have_run_us=now - part.may_have_run_since
             if part.may_have_run and request.kind in MODIFYING_KINDS else -1,
         ))  # fmt: skip
 
--- a/tests/live/test_live_module.py
+++ b/tests/live/test_live_module.py
@@ -6,7 +6,7 @@
 
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.bucket import Bucket
-from harriertrack.decisions.celled import Celled, HeadMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap
 from harriertrack.decisions.scheduler import Scheduler
 
 S, START = 1_000_000, 1_000_000_000
@@ -30,14 +30,16 @@
 
     def ask(self, plan="capped", volume="v", left=1_500_000, units=1.0, shard=0):
         self.serial += 1
-        return self.feed(api.Arrived(self.serial, "r", plan, volume, f"k{self.serial}", shard, units, left))
+        return self.feed(
+            api.RequestArrived(self.serial, "r", plan, volume, f"k{self.serial}", shard, units, left)
+        )
 
     def wake(self):
         """Let the next timer run."""
         due = min(self.timers, key=lambda one: one.at_us)
         self.timers.remove(due)
         self.now = due.at_us
-        return self.feed(api.Woken(due.token))
+        return self.feed(api.TimerFired(due.token))
 
     def limit(self, volume="v", plan="capped"):
         return self.unit._volumes[volume, plan].limit
@@ -57,9 +59,9 @@
     head.ask()
     assert head.limit().level == 3.0  # half of the burst, less what was sent
     head.feed(capped(limit=400, limit_burst=800))
-    assert (head.limit().rate, head.limit().most, head.limit().level) == (200.0, 400.0, 3.0)
+    assert (head.limit().rate, head.limit().capacity, head.limit().level) == (200.0, 400.0, 3.0)
     head.feed(capped(limit=1, limit_burst=4))
-    assert (head.limit().rate, head.limit().most, head.limit().level) == (0.5, 2.0, 2.0)
+    assert (head.limit().rate, head.limit().capacity, head.limit().level) == (0.5, 2.0, 2.0)
     head.ask(volume="new")  # seen for the first time: it grows from the change on
     assert head.limit("new").level <= 0.0
 
@@ -130,7 +132,7 @@
 @pytest.mark.parametrize("limit", [400.0, 0.0, 1.0])
 def test_modules_of_cells_change_together_and_share_one_store(limit):
     told = replace(TOLD, budget_free=8.0)
-    head = Head(Celled(told, 1, HeadMap(1, {0: "a", 1: "b"}, {"v": "a", "w": "b"})))
+    head = Head(CellScheduler(told, 1, HeadCellMap(1, {0: "a", 1: "b"}, {"v": "a", "w": "b"})))
     head.now += 10 * S
     head.ask()
     plans = (replace(CAPPED, limit=limit, limit_burst=limit), FREE)
