--- a/harriertrack/decisions/requests/part_retry_queue.py
+++ b/harriertrack/decisions/requests/part_retry_queue.py
@@ -29,23 +29,23 @@
             part.has_waited = True
             state.counts.waited += 1
             state.schedule(state.last_answer(part.request), part)
-        place, key = part.lane, (part.request.volume.settings.name, part.extent)
+        lane, key = part.lane, (part.request.volume.settings.name, part.extent)
         if part.class_name in state.in_order:
-            line = self.in_order.setdefault(key, {})
-            place = next(iter(line.values()), place)
-            line[part.number] = place
+            lanes = self.in_order.setdefault(key, {})
+            lane = next(iter(lanes.values()), lane)
+            lanes[part.number] = lane
         part.hint_us = hint or 0
         if not part.open_attempts:  # else an attempt could not be cancelled: it is queued when that ends
-            self.patience.add(now, part, part.number, place, hint)
+            self.patience.add(now, part, part.number, lane, hint)
 
     def remove(self, part: Part) -> None:
         """Remove a part that is submitted again or finished."""
         self.patience.discard(part)
         if part.class_name in self._state.in_order:
             key = (part.request.volume.settings.name, part.extent)
-            if (line := self.in_order.get(key)) is not None:
-                line.pop(part.number, None)
-                if not line:
+            if (lanes := self.in_order.get(key)) is not None:
+                lanes.pop(part.number, None)
+                if not lanes:
                     del self.in_order[key]
 
     def attempts_ended(self, now: int, part: Part) -> None:
@@ -57,5 +57,5 @@
         """Return the lane of the waiting parts that a part of an ordered class must not overtake, if any."""
         if part.class_name not in self._state.in_order:
             return None
-        line = self.in_order.get((part.request.volume.settings.name, part.extent))
-        return next(iter(line.values())) if line else None
+        lanes = self.in_order.get((part.request.volume.settings.name, part.extent))
+        return next(iter(lanes.values())) if lanes else None
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -167,7 +167,7 @@
         "limits: in-flight": reception.door.bounds.requests,
         "limits: in-flight-bytes": reception.door.bounds.request_bytes,
         "limits: offers": core._retry_queue.patience.rules.offers,
-        "limits: held": core.rules.held,
+        "limits: held": core.rules.max_open_parts,
         "limits: borrow": reception.shares.limits.borrow,
         "limits: dial": limits.dial_us,
         "limits: idle": limits.idle_us,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -61,7 +61,7 @@
         self.subscribed.append(on)
 
     def ask_list(self):
-        self.list_on_request = True
+        self.list_requested = True
 
     def wake_at(self, when):
         self.wake = when
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -208,23 +208,21 @@
 def test_remaining_bytes_are_trimmed_one_by_one_with_limited_tries():
     move = Move("v", [], 0)
     move.finish_check([])
-    forgetting = move.leftover_trims(
-        [(1, 0), (2, 0), (3, 0)], {1: 5, 2: 5, 3: 0}
-    )  # the last one has moved back
-    assert forgetting.next_trim() == (1, 0) and not move.successor_may_start(10)
-    assert forgetting.finish_trim(10, Outcome.SERVED) == 10 + PACE_US and move.successor_may_start(10)
+    trims = move.leftover_trims([(1, 0), (2, 0), (3, 0)], {1: 5, 2: 5, 3: 0})  # the last one has moved back
+    assert trims.next_trim() == (1, 0) and not move.successor_may_start(10)
+    assert trims.finish_trim(10, Outcome.SERVED) == 10 + PACE_US and move.successor_may_start(10)
     for _ in range(MAX_TRIM_TRIES):
-        assert forgetting.next_trim() == (2, 0)
-        when = forgetting.finish_trim(20, Outcome.REFUSED)
+        assert trims.next_trim() == (2, 0)
+        when = trims.finish_trim(20, Outcome.REFUSED)
         assert 20 < when <= 20 + RETRY_MAX_US and move.successor_may_start(20)
-    assert forgetting.next_trim() is None and forgetting.given_up == 1
+    assert trims.next_trim() is None and trims.given_up == 1
 
 
 def test_the_next_move_waits_for_a_trim_that_may_still_run():
     move = Move("v", [], 0)
-    forgetting = move.leftover_trims([(1, 0)], {1: 5})
-    forgetting.next_trim()
-    assert forgetting.finish_trim(10, Outcome.FAILED) == 10 + SETTLE_US
+    trims = move.leftover_trims([(1, 0)], {1: 5})
+    trims.next_trim()
+    assert trims.finish_trim(10, Outcome.FAILED) == 10 + SETTLE_US
     assert not move.successor_may_start(9 + SETTLE_US) and move.successor_may_start(10 + SETTLE_US)
 
 
