--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -296,7 +296,7 @@
         (session,) = [
             task for task in site.head.reception.scope._tasks if "client" in task.name and not task.done
         ][1:]
-        assert not session.done and site.head.core.counts.taken < 300
+        assert not session.done and site.head.core.counts.accepted < 300
         assert writer.call(Command.READ, 0, 1).data == b"x"
 
     play(test)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -309,7 +309,7 @@
         assert said is not None and 400 <= said[0] < 600
         site.hub.sleep(1000 * MS)
         assert not site.shelfs[0].got and not site.shelfs[1].got
-        assert site.head.core.counts.taken == 0 and len(site.head.front.connections) == 0
+        assert site.head.core.counts.accepted == 0 and len(site.head.front.connections) == 0
         assert site.ask(site.request())[0] == 200
 
     site.run(act)
@@ -339,7 +339,7 @@
         assert len(site.head.front.connections) <= 1
         ends = [site.answered(one, 10 * MS) for one in silent + late]
         assert all(end is None or end[0] == 408 for end in ends)
-        assert len(site.head.front.connections) <= 1 and site.head.core.counts.taken == 1
+        assert len(site.head.front.connections) <= 1 and site.head.core.counts.accepted == 1
 
     Site(tmp_path, sockets=160).run(act)
 
