--- a/harriertrack/decisions/bucket.py
+++ b/harriertrack/decisions/bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket and a fading sum: plain arithmetic, no decision. What they hold is set by scheduler.py."""
+"""A token bucket and a decaying sum: arithmetic only, no decisions. scheduler.py sets their parameters."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 @dataclass(slots=True, eq=False)
 class Bucket:
-    """A token bucket in units that may be overdrawn by the request that empties it."""
+    """A token bucket in units; the request that empties it may overdraw it."""
 
     updated_at: int
-    rate: float = 0.0
+    rate: float = 0.0  # units a second
     capacity: float = 0.0
     level: float = 0.0
 
     def wait_us(self, now: int, units: float) -> int:
-        """How long until it holds so many units."""
+        """Return how long until it holds so many units."""
         return int(max(0.0, units - self.refill(now)) / max(self.rate, 1e-9) * 1e6)
 
     def refill(self, now: int) -> float:
-        """Fill up to the present and return the level."""
+        """Refill it up to the present and return the level."""
         self.level = min(self.capacity, self.level + self.rate * (now - self.updated_at) / 1e6)
         self.updated_at = now
         return self.level
@@ -28,19 +28,19 @@
 
 @dataclass(slots=True, eq=False)
 class DecayingSum:
-    """A sum that fades over a span of microseconds, kept since a stated time."""
+    """A sum that decays exponentially with a time constant in microseconds, begun at a given time."""
 
-    span: int
-    since: int
-    at: int
+    span_us: int
+    began_at: int
+    updated_at: int
     total: float = 0.0
 
     def add(self, now: int, amount: float) -> None:
-        """Count something now."""
-        self.total = self.total * math.exp((self.at - now) / self.span) + amount
-        self.at = now
+        """Add an amount now."""
+        self.total = self.total * math.exp((self.updated_at - now) / self.span_us) + amount
+        self.updated_at = now
 
     def rate(self, now: int, least: int) -> float:
-        """Return the mean rate a microsecond; of a life of `least` or more the sum holds only that much."""
+        """Return the mean rate a microsecond since it began, over `least` at minimum, corrected for decay."""
         self.add(now, 0.0)
-        return self.total / (-math.expm1(-max(now - self.since, least, 1) / self.span) * self.span)
+        return self.total / (-math.expm1(-max(now - self.began_at, least, 1) / self.span_us) * self.span_us)
--- a/harriertrack/decisions/interface.py
+++ b/harriertrack/decisions/interface.py
@@ -1,7 +1,7 @@
 """Types, events and actions of the decision module.
 
-Times are integer microseconds on the caller's clock and sizes are units. Nothing here decides
-anything: these types only carry what a head knows to the module and what it shall do back.
+Times are integer microseconds on the caller's clock and sizes are units. These types decide nothing: they
+carry a head's observations to the module and the resulting actions back.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What repeating a request of a class can do."""
+    """Whether a request of a class may run twice: at any time, with its key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -22,7 +22,7 @@
 
 
 class DedupScope(Enum):
-    """The nodes among which repeats of a keyed request are dropped."""
+    """The nodes among which repeats of a keyed request are dropped as duplicates."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +30,7 @@
 
 
 class NodeState(Enum):
-    """What the node list says of a node."""
+    """State of a node in the node list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -38,7 +38,7 @@
 
 
 class ListKind(Enum):
-    """How a piece of list news is to be read."""
+    """Kind of an update of the node list."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -47,7 +47,7 @@
 
 
 class Result(Enum):
-    """How an attempt ended; the flag says whether that proves that it never ran."""
+    """Outcome of an attempt; the flag says whether it proves that the attempt never ran."""
 
     OK = ("ok", False)
     ERROR = ("error", False)
@@ -65,7 +65,7 @@
 
 
 def _at_least(owner: object, least: float, *names: str) -> None:
-    """Reject a field below its least value (or not a number) by name."""
+    """Raise ValueError for a field that is no number or is below its least value."""
     for name in names:
         value = getattr(owner, name)
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e18:
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: what it is worth, by when, and whether it may run again."""
+    """A class of requests: its worth, its latency target and deadline, and whether it may be repeated."""
 
     name: str
     aim_us: int
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A service plan; every figure is per volume, in units, over all heads and nodes (0: none)."""
+    """A service plan; every value is per volume, in units, over all heads and nodes (0: none)."""
 
     name: str
     rate: float = 0.0
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a head is told at its start; zero or absent means that a thing does not apply."""
+    """The settings of a head; zero or absent means that something does not apply."""
 
     heads: int
     classes: tuple[RequestClass, ...]
@@ -159,20 +159,20 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """One line of the node list."""
+    """One entry of the node list."""
 
     node: str
     shard: int
     state: NodeState = NodeState.UP
     zone: str = ""
     started_us: int = 0
-    kind: str = ""  # of machine; compared for being equal, never read (empty: not told)
-    size: float = 0.0  # as it is registered, where `Settings.list_has_sizes` (0: not told)
+    kind: str = ""  # of machine; only compared for equality (empty: unknown)
+    size: float = 0.0  # as registered, where `Settings.list_has_sizes` (0: unknown)
 
 
 @dataclass(slots=True)
 class NodesChanged:
-    """News of the node list; `announced_at`: when they reached this head, which may have paused (0: now)."""
+    """The node list changed; `announced_at`: when this head received it, if it was stalled since (0: now)."""
 
     kind: ListKind
     entries: list[NodeEntry] = field(default_factory=list)
@@ -183,10 +183,10 @@
 class RequestArrived:
     """A client's request; the head owes it one final answer within time_left_us.
 
-    Where a head cuts a client's request into several, all but one are marked as further parts: a budget
-    counts the client's requests. One that was refused and that its head kept back for a client that waits
-    comes again: `reoffered` says that its aim counts from now, `attempts_made` how many attempts it has had,
-    `may_have_run_us` how long ago the first one was sent that may have run.
+    Where a head splits a client's request into parts, all but one are marked as further parts: a budget
+    counts the client's requests. A part that was refused and held in the head for a client that waits arrives
+    again: with `reoffered` its aim counts from now, `attempts_made` is the number of its attempts so far and
+    `may_have_run_us` the time since the first of them that may have run was sent (-1: none).
     """
 
     request: int
@@ -198,7 +198,7 @@
     units: float
     time_left_us: int
     hosts: int = 0
-    repeat: bool = False
+    repeat: bool = False  # the client's own retry
     further_part: bool = False
     reoffered: bool = False
     attempts_made: int = 0
@@ -207,7 +207,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed answer has begun; from here on no deadline counts."""
+    """A streamed response has started; from here on no deadline applies."""
 
     request: int
     attempt: int
@@ -215,36 +215,36 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt's outcome, with what the node said beside it."""
+    """An attempt ended, with the load data that the node reported with its answer."""
 
     request: int
     attempt: int
     node: str
     result: Result
     elapsed_us: int
-    request_over: bool
-    used_percent: int = 0
-    elsewhere: float = 0.0
+    request_over: bool  # the client has its answer, or left
+    used_percent: int = 0  # meter reading of the volume's use plus one, 0 for none
+    elsewhere: float = 0.0  # what the node served the volume through other heads
     load: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client has left; no answer is owed any more."""
+    """The client left; no answer is owed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer is due."""
+    """A timer fired."""
 
     token: str
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """The result of a probe."""
+    """A probe ended."""
 
     node: str
     result: Result
@@ -254,9 +254,9 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other figures of the same classes and plans hold from now on.
+    """Other values apply to the same classes and plans from now on.
 
-    Requests that came before keep their time; what plans store is carried over, up to what fits now.
+    Earlier requests keep their deadlines; the levels of buckets are kept, up to the new capacity.
     """
 
     settings: Settings
@@ -276,7 +276,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; timeout_us 0 lets it run until the client gives up."""
+    """Start an attempt; with timeout_us 0 it may run until the client gives up."""
 
     request: int
     node: str
@@ -285,7 +285,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not done, and trying again is harmless; retry_after_us 0 gives no hint."""
+    """Final answer: not done, and a retry is harmless; retry_after_us 0 gives no hint."""
 
     request: int
     retry_after_us: int = 0
@@ -293,14 +293,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: not served; nothing is promised about its effect."""
+    """Final answer: not served; whether it had an effect is unknown."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Give up one attempt."""
+    """Cancel one attempt."""
 
     request: int
     attempt: int
@@ -308,14 +308,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a node for a sign of life."""
+    """Probe whether a node responds."""
 
     node: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Wake the module at a time."""
+    """Deliver TimerFired to the module at a time."""
 
     token: str
     at_us: int
@@ -323,39 +323,45 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask for the list's changes from now on."""
+    """Request the changes of the node list from now on."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class Log:
-    """One line for the operators."""
+    """Write one line to the operators' log."""
 
     text: str
 
 
 class BudgetShares(Protocol):
-    """What a head has of figures that all heads divide anew as they need it; without it, an even part."""
+    """This head's shares of budgets that the fleet redistributes by demand; without it, even shares."""
 
-    def limit(self, now: int, ask: RequestArrived, plan: Plan) -> Bucket | None:
-        """Hear of a request, and return what this head has of its volume's limit; None: an even part."""
+    def limit(self, now: int, request: RequestArrived, plan: Plan) -> Bucket | None:
+        """Count a request's demand; return this head's share of its volume's limit (None: an even share)."""
 
     def further(self, now: int, draw: bool) -> bool:
-        """Return whether an attempt beyond the head's own share is to be had; `draw`: it is made."""
+        """Return whether the fleet's budget allows a repeated attempt beyond this head's own share.
+
+        `draw`: the attempt is made, and is charged to the budget.
+        """
 
     def trial(self, now: int, node: str) -> bool:
-        """Return whether this head may try a silent node now; it does."""
+        """Return whether this head may send a trial to a silent node now, and count it if so."""
 
     def cold(self, now: int, node: str, rate: float, units: float) -> float:
-        """Return the head's part of what a cold node bears, `rate` units a second; it has `units` for it."""
+        """Return this head's share of `rate` units a second, which a cold node can take.
+
+        `units` is the demand of this head that is counted for the share.
+        """
 
 
 class Weights(Protocol):
-    """How much more or less work than an even share heads agree to give a node; without it, none."""
+    """Agreed weights of nodes relative to an even share of the work; without it, all are 1."""
 
     def factor(self, node: str) -> float:
-        """Return by how much more, 1/4 to 4; 1 for a node of which nothing is known."""
+        """Return a node's weight, from 1/4 to 4; 1 if nothing is known of the node."""
 
 
 Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | Log
--- a/tests/live/test_live_module.py
+++ b/tests/live/test_live_module.py
@@ -110,7 +110,7 @@
     shorter = replace(TOLD, classes=(replace(READ, aim_us=100_000, deadline_us=500_000),))
     head.feed(api.SettingsChanged(shorter))
     work = head.unit._works[1]
-    assert (work.aim_at, work.end_at) == (START + 300_000, START + 1_500_000)
+    assert (work.aim_at, work.deadline) == (START + 300_000, START + 1_500_000)
     head.ask("free", left=500_000)
     assert head.unit._works[2].aim_at == START + 100_000
     # One that was taken before and is told of late does not make all later ones look like second tries.
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -289,10 +289,10 @@
         head.end(head.ask("b", volume=f"v{turn}", hosts=1))
         head.run(SECOND // 8)
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, started_us=head.now)]))
-    assert 6.5e-6 <= head.unit._nodes["n0"].past <= 8e-6
+    assert 6.5e-6 <= head.unit._nodes["n0"].past_rate <= 8e-6
     head.run(20 * SECOND)  # well again, and asked for nothing
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, started_us=head.now)]))
-    assert head.unit._nodes["n0"].past <= 1.1e-6
+    assert head.unit._nodes["n0"].past_rate <= 1.1e-6
 
 
 def test_a_node_that_comes_up_again_is_known_by_what_it_served_since():
@@ -305,7 +305,7 @@
         head.run(SECOND)
     new = [api.NodeEntry("n0", 0, api.NodeState.GONE), api.NodeEntry("n9", 0, started_us=head.now)]
     head.feed(api.NodesChanged(api.ListKind.CHANGES, new))
-    assert head.unit._nodes["n9"].past == 0
+    assert head.unit._nodes["n9"].past_rate == 0
 
 
 @pytest.mark.parametrize(("idle", "least", "most"), [(7, 2, 2), (12, 20, 27.2 + 3 * 27.2**0.5 + 2)])
@@ -471,7 +471,7 @@
     for _ in range(300):
         head.end(head.ask())
     session = head.unit._volumes[("v", "gold")].sessions[False]
-    assert (session.operations, session.payload) == (128, 64)
+    assert (session.operation_credits, session.payload_credits) == (128, 64)
 
 
 def test_meter_gives_the_leading_head_the_whole_reserve():
@@ -735,7 +735,7 @@
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n1", 1, api.NodeState.GONE)]))
     head.run(200 * SECOND)
     unit = head.unit
-    assert (len(unit._volumes), len(unit._works), len(unit._order), len(unit._rest)) == (0, 0, 0, 0)
+    assert (len(unit._volumes), len(unit._works), len(unit._lines), len(unit._settled)) == (0, 0, 0, 0)
     assert set(unit._nodes) == {"n0"}
 
 
@@ -815,7 +815,7 @@
     new = api.NodeEntry("n9", 0, started_us=head.now)
     head.feed(api.NodesChanged(api.ListKind.FULL, [api.NodeEntry("n1", 1)]))
     head.feed(api.NodesChanged(api.ListKind.FULL, [api.NodeEntry("n1", 1), new]))
-    assert 0 < head.unit._nodes["n9"].past <= 80 / 9e6
+    assert 0 < head.unit._nodes["n9"].past_rate <= 80 / 9e6
 
 
 @pytest.mark.parametrize("hosts", [0, 1, 10**6])
