--- a/harriertrack/decisions/admission.py
+++ b/harriertrack/decisions/admission.py
@@ -1,13 +1,14 @@
-"""Which request a head takes next when it has no room for all: back-pressure in place of overflow.
+"""Admission of requests to a head that is at its bounds: back-pressure instead of overflow.
 
-A connection, a volume, a cell and the head may each hold so many requests and so many bytes. Clients that
-wait are not refused at a bound: their request stays at the door, its connection is not read from, and TCP
-tells the client so. As room comes back volumes take turns at it, first in first out inside a volume. One that
-finds only its own connection's bound stands aside, and does not keep its volume's others waiting.
+A connection, a volume, a cell and the head may each have a bounded number of requests and bytes open. Clients
+that wait are not refused at a bound: the request stays in the admission queue and its connection is not read
+from, so TCP slows the client down. Volumes get capacity that becomes free in round robin, first in first out
+inside a volume. A request that only exceeds its own connection's bound is set aside and doesn't hold up the
+others of its volume.
 
-A connection has one request at the door at most: it is not read from until that one is in.
+A connection has at most one request in the queue: it is not read from until that one is admitted.
 
-Pure: the time is handed in, in microseconds.
+Pure: the time is passed in, in microseconds.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBounds:
-    """What one connection may hold."""
+    """What one connection may have open."""
 
     requests: int
     request_bytes: int
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingRequest(Generic[C]):
-    """A request at the door."""
+    """A request in the admission queue."""
 
     connection: C
     volume: str
@@ -40,97 +41,97 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _Open:
     requests: int = 0
     request_bytes: int = 0
 
 
 class Admission(Generic[C]):
-    """The door of one head."""
+    """Admission control of one head."""
 
     def __init__(self, bounds: ConnectionBounds, shares: Shares) -> None:
         self.bounds, self.shares = bounds, shares
-        self._held: dict[C, _Held] = {}
-        self._lines: dict[str, deque[WaitingRequest[C]]] = {}  # by volume, in the order of turns
-        self._aside: dict[C, WaitingRequest[C]] = {}
+        self._open: dict[C, _Open] = {}
+        self._queues: dict[str, deque[WaitingRequest[C]]] = {}  # by volume, in round-robin order
+        self._aside: dict[C, WaitingRequest[C]] = {}  # over their connection's bounds
 
     def __len__(self) -> int:
-        return len(self._aside) + sum(len(line) for line in self._lines.values())
+        return len(self._aside) + sum(len(queue) for queue in self._queues.values())
 
-    def _own_room(self, connection: C, size: int) -> bool:
-        held = self._held.get(connection)
-        if held is None or not held.requests:  # one request always fits, however large
+    def _within_connection_bounds(self, connection: C, size: int) -> bool:
+        opened = self._open.get(connection)
+        if opened is None or not opened.requests:  # one request always fits, however large
             return True
         bounds = self.bounds
-        return held.requests < bounds.requests and held.request_bytes + size <= bounds.request_bytes
+        return opened.requests < bounds.requests and opened.request_bytes + size <= bounds.request_bytes
 
     def try_admit(self, now: int, connection: C, volume: str, size: int) -> str:
-        """Count a request and return "", or why it can't be taken now."""
-        if not self._own_room(connection, size):
+        """Admit a request and return "", or the reason why it can't be admitted now."""
+        if not self._within_connection_bounds(connection, size):
             return "too much is open on its connection"
-        if why := self.shares.takes(volume, size, now):
-            return why
+        if reason := self.shares.takes(volume, size, now):
+            return reason
         self._count(connection, size)
         return ""
 
     def _count(self, connection: C, size: int) -> None:
-        held = self._held.setdefault(connection, _Held())
-        held.requests += 1
-        held.request_bytes += size
-
-    def admit_or_queue(self, now: int, entrant: WaitingRequest[C], full: bool) -> bool:
-        """Count a request of a client that waits, or let it wait at the door; return whether it is in."""
-        if not self._own_room(entrant.connection, entrant.size):
-            self._aside[entrant.connection] = entrant
-        elif full or entrant.volume in self._lines or not self._room(now, entrant):
-            self._lines.setdefault(entrant.volume, deque()).append(entrant)
+        opened = self._open.setdefault(connection, _Open())
+        opened.requests += 1
+        opened.request_bytes += size
+
+    def admit_or_queue(self, now: int, request: WaitingRequest[C], full: bool) -> bool:
+        """Admit a request of a client that waits, or queue it; return whether it was admitted."""
+        if not self._within_connection_bounds(request.connection, request.size):
+            self._aside[request.connection] = request
+        elif full or request.volume in self._queues or not self._within_shares(now, request):
+            self._queues.setdefault(request.volume, deque()).append(request)
         else:
-            self.shares.takes(entrant.volume, entrant.size, now)
-            self._count(entrant.connection, entrant.size)
+            self.shares.takes(request.volume, request.size, now)
+            self._count(request.connection, request.size)
             return True
         return False
 
-    def _room(self, now: int, entrant: WaitingRequest[C]) -> bool:
-        volume, size = entrant.volume, entrant.size
+    def _within_shares(self, now: int, request: WaitingRequest[C]) -> bool:
+        volume, size = request.volume, request.size
         return self.shares.spares(volume, size) and not self.shares.lacks(volume, size, now)
 
-    def discard(self, entrant: WaitingRequest[C]) -> None:
-        """A request leaves the door: its client left, or its time is up."""
-        if self._aside.get(entrant.connection) is entrant:
-            del self._aside[entrant.connection]
-        elif (line := self._lines.get(entrant.volume)) is not None and entrant in line:
-            line.remove(entrant)
-            if not line:
-                del self._lines[entrant.volume]
+    def discard(self, request: WaitingRequest[C]) -> None:
+        """Remove a request from the queue: its client left, or its time is up."""
+        if self._aside.get(request.connection) is request:
+            del self._aside[request.connection]
+        elif (queue := self._queues.get(request.volume)) is not None and request in queue:
+            queue.remove(request)
+            if not queue:
+                del self._queues[request.volume]
 
     def release(self, connection: C, volume: str, size: int) -> None:
-        """A counted request has its answer, or nobody waits for it any more."""
+        """Release the capacity of an admitted request that was answered or abandoned."""
         self.shares.ended(volume, size)
-        held = self._held[connection]
-        held.requests -= 1
-        held.request_bytes -= size
-        if not held.requests:
-            del self._held[connection]
+        opened = self._open[connection]
+        opened.requests -= 1
+        opened.request_bytes -= size
+        if not opened.requests:
+            del self._open[connection]
         aside = self._aside.get(connection)
-        if aside is not None and self._own_room(connection, aside.size):
+        if aside is not None and self._within_connection_bounds(connection, aside.size):
             del self._aside[connection]
-            self._lines.setdefault(aside.volume, deque()).append(aside)
-
-    def admit_waiting(self, now: int, room: int) -> list[WaitingRequest[C]]:
-        """Count and return who comes in now, `room` at most: one of each volume in turn."""
-        found: list[WaitingRequest[C]] = []
-        stuck: dict[str, None] = {}
-        while room > len(found) and len(stuck) < len(self._lines):
-            volume = next(name for name in self._lines if name not in stuck)
-            line = self._lines.pop(volume)
-            first = line[0]
-            if not self._room(now, first):
-                stuck[volume] = None
+            self._queues.setdefault(aside.volume, deque()).append(aside)
+
+    def admit_waiting(self, now: int, free: int) -> list[WaitingRequest[C]]:
+        """Admit and return up to `free` queued requests: one of each volume in turn."""
+        admitted: list[WaitingRequest[C]] = []
+        blocked: dict[str, None] = {}
+        while free > len(admitted) and len(blocked) < len(self._queues):
+            volume = next(name for name in self._queues if name not in blocked)
+            queue = self._queues.pop(volume)
+            first = queue[0]
+            if not self._within_shares(now, first):
+                blocked[volume] = None
             else:
-                line.popleft()
+                queue.popleft()
                 self.shares.takes(volume, first.size, now)
                 self._count(first.connection, first.size)
-                found.append(first)
-            if line:
-                self._lines[volume] = line  # its next turn comes after the others'
-        return found
+                admitted.append(first)
+            if queue:
+                self._queues[volume] = queue  # behind the other volumes
+        return admitted
--- a/harriertrack/decisions/pacing.py
+++ b/harriertrack/decisions/pacing.py
@@ -1,7 +1,7 @@
-"""Whether a load generator kept to its plan: what it sent late, and when a run is void.
+"""Whether a load generator kept to its schedule: which requests it sent late, and when a run is void.
 
-An open-loop generator must send each request at its drawn time whatever the answers do. One that falls behind
-measures itself; its run says so and is void, and no figure of it may be quoted.
+An open-loop generator must send each request at its scheduled time, whatever the answers do. One that falls
+delay measures itself: its run is marked void, and its results must not be quoted.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class RunValidity(Enum):
-    """What a run's figures are good for."""
+    """Whether the results of a run may be used."""
 
     GOOD = "good"
     VOID = "void"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PacingRule:
-    """What is still on time, in microseconds, and the part of the requests that may be later than that."""
+    """The tolerated delay in microseconds, and the share of the requests that may exceed it."""
 
     late_us: int = 20_000
     late_share: float = 0.01
@@ -27,32 +27,32 @@
 
 
 class Pacing:
-    """Follows how late requests leave."""
+    """Counts how late requests are sent."""
 
     def __init__(self, rule: PacingRule) -> None:
         self.rule = rule
         self.planned = self.sent = self.late = self.unsent = self.worst_us = 0
 
     def record_sent(self, intended_us: int, now_us: int) -> None:
-        """A request left the generator; its time was `intended_us`."""
-        behind = max(0, now_us - intended_us)
+        """Record that a request scheduled for `intended_us` was sent."""
+        delay = max(0, now_us - intended_us)
         self.planned += 1
         self.sent += 1
-        self.late += behind > self.rule.late_us
-        self.worst_us = max(self.worst_us, behind)
+        self.late += delay > self.rule.late_us
+        self.worst_us = max(self.worst_us, delay)
 
     def record_unsent(self) -> None:
-        """A request had no connection to leave over."""
+        """Record that a request found no connection."""
         self.planned += 1
         self.unsent += 1
 
     @property
     def validity(self) -> RunValidity:
-        """Return the verdict so far."""
+        """Return the validity so far."""
         return RunValidity.VOID if self.void_reason() else RunValidity.GOOD
 
     def void_reason(self) -> str:
-        """Return why the run is void; "" if it is not."""
+        """Return why the run is void; "" if it is valid."""
         rule = self.rule
         if not self.planned:
             return "nothing was to be sent"
--- a/harriertrack/decisions/retry_queue.py
+++ b/harriertrack/decisions/retry_queue.py
@@ -1,17 +1,17 @@
-"""Waiting on the hint: what was refused harmlessly waits in the head for clients that can't act on a hint.
+"""Requests that were refused with a hint and wait in the head, for clients that can't act on a hint.
 
-The module refuses on arrival and says when to come again. A client that hears hints comes again by itself;
-for one that doesn't, the head keeps the request and offers it to the module again. What waits stands in
-lanes, one for each volume, shard and class: a hung node keeps nobody waiting for another node, nor a write,
-which may not try whether a silent node is back, a read, which may. In a lane only the oldest is offered, and
-the next one once that was taken, so a lane costs the module one refusal for each hint, however many wait.
-Volumes take turns at the head's offers, whose number a second is bounded; within a volume the oldest of those
-whose lane is due goes first.
+The module refuses on arrival and hints when to come again. A client that accepts hints comes again by itself;
+for any other the head holds the request and offers it to the module again. Waiting requests are in lanes, one
+for each volume, shard and class: a hung node delays only its own requests, and a write, which may not test
+whether a silent node is back, doesn't delay a read, which may. In a lane only the oldest is offered, and the
+next one once that was accepted, so a lane costs the module one refusal per hint, however many wait. Offers are
+bounded in rate and go round robin over the volumes; within a volume the oldest request of the due lanes goes
+first.
 
 Hints may be wrong. One that is too short is doubled for each refusal in a row; one that is too long is cut at
-`most_us`, for a lane must not sleep while its node idles.
+`most_us`, since a lane must not rest while its node is idle.
 
-Pure: the time is handed in, in microseconds.
+Pure: the time is passed in, in microseconds.
 """
 
 from __future__ import annotations
@@ -24,72 +24,72 @@
 
 from harriertrack.decisions.bucket import Bucket
 
-BURST_US = 20_000  # offers of so much time may come at once: all that is due after a standstill comes evenly
+BURST_US = 20_000  # a burst of offers covers this much time: what is due after a stall is spread out
 BURST_LEAST = 8.0
-DOUBLINGS = 10  # more would change nothing: `most_us` cuts before
+DOUBLINGS = 10  # more would change nothing: `most_us` is the limit before
 
 
 class WaitMode(StrEnum):
-    """What becomes of a harmless refusal on a volume."""
+    """How a volume handles a harmless refusal."""
 
-    BY_CLIENT = "by-client"  # clients that hear hints are refused, the others wait
+    BY_CLIENT = "by-client"  # clients that accept hints are refused, the others wait
     WAIT = "wait"
     REFUSE = "refuse"
 
 
-def waits_in_head(mode: WaitMode, hears_hints: bool) -> bool:
+def waits_in_head(mode: WaitMode, accepts_hints: bool) -> bool:
     """Return whether a client's requests wait in the head instead of being refused."""
-    return mode is WaitMode.WAIT or (mode is WaitMode.BY_CLIENT and not hears_hints)
+    return mode is WaitMode.WAIT or (mode is WaitMode.BY_CLIENT and not accepts_hints)
 
 
 @dataclass(frozen=True, slots=True)
 class RetryRules:
-    """The bounds of waiting in one head."""
+    """Bounds of the retries in one head."""
 
-    offers: float = 2_000.0  # the most a second
-    least_us: int = 2_000  # a lane rests at least so long after a refusal, whatever its hint
-    most_us: int = 500_000  # and at most so long
+    offers: float = 2_000.0  # at most, a second
+    least_us: int = 2_000  # a lane rests at least this long after a refusal, whatever its hint
+    most_us: int = 500_000  # and at most this long
 
 
 T = TypeVar("T", bound=Hashable)
-LaneKey = tuple[str, int, str]  # a volume, a shard (below 0: none yet), and a class
+LaneKey = tuple[str, int, str]  # volume, shard (below 0: none yet) and class
 
 
 @dataclass(slots=True, eq=False)
 class _Lane(Generic[T]):
-    """What waits for one place, oldest first; a heap whose dropped entries are skipped."""
+    """Items of one lane, oldest first: a heap in which discarded entries are skipped."""
 
-    place: LaneKey
-    line: list[tuple[int, T]] = field(default_factory=list)
-    living: int = 0
+    key: LaneKey
+    heap: list[tuple[int, T]] = field(default_factory=list)
+    size: int = 0
     due: int = 0
     refusals: int = 0  # in a row
-    asked: bool = False  # its oldest was offered, and the answer is not known
-    asked_at: int = 0
+    offered: bool = False  # its oldest was offered, and the outcome is not known
+    offered_at: int = 0
 
 
 class RetryQueue(Generic[T]):
-    """What waits in one head. Items are the caller's; a ticket tells the order in which they came."""
+    """Waiting requests of one head. Items are the caller's; tickets give their order of arrival."""
 
-    def __init__(self, rules: RetryRules, verdict_us: int = 0) -> None:
-        """Begin with nothing; what is not kept again for `verdict_us` after its offer counts as taken."""
-        self.rules, self._verdict_us = rules, verdict_us
+    def __init__(self, rules: RetryRules, outcome_us: int = 0) -> None:
+        """Start empty; an item not added again within `outcome_us` of its offer counts as accepted."""
+        self.rules, self._outcome_us = rules, outcome_us
         self.offered = 0  # offers so far
-        self._allowed: Bucket | None = None
+        self._rate_limit: Bucket | None = None
         self._lanes: dict[LaneKey, _Lane[T]] = {}
-        self._ticket: dict[T, int] = {}
+        self._tickets: dict[T, int] = {}
         self._lane_of: dict[T, _Lane[T]] = {}
-        self._resting: list[tuple[int, int, _Lane[T]]] = []  # when each is due
-        self._serial = 0
-        self._ready: dict[str, list[_Lane[T]]] = {}  # due lanes by volume, in the order of turns
-        self._asked: list[_Lane[T]] = []
+        self._timers: list[tuple[int, int, _Lane[T]]] = []  # by due time
+        self._timer_serial = 0
+        self._ready: dict[str, list[_Lane[T]]] = {}  # due lanes by volume, in round-robin order
+        self._offered: list[_Lane[T]] = []
 
     def set_rules(self, now: int, rules: RetryRules) -> None:
-        """Go by other bounds from now on; lanes that rest do so for as long as they were told."""
+        """Apply other bounds from now on; lanes that rest keep their due times."""
         self.rules = rules
-        if self._allowed is not None:
-            self._allowed.refill(now)
-            self._allowed.rate, self._allowed.capacity = rules.offers, self._burst
+        if self._rate_limit is not None:
+            self._rate_limit.refill(now)
+            self._rate_limit.rate, self._rate_limit.capacity = rules.offers, self._burst
 
     @property
     def _burst(self) -> float:
@@ -101,138 +101,138 @@
     def __contains__(self, item: T) -> bool:
         return item in self._lane_of
 
-    def has_waiting(self, place: LaneKey) -> bool:
-        """Return whether something waits for a place: what comes now stands behind it."""
-        lane = self._lanes.get(place)
-        return lane is not None and lane.living > 0
+    def has_waiting(self, key: LaneKey) -> bool:
+        """Return whether a lane has items, behind which a new one has to wait."""
+        lane = self._lanes.get(key)
+        return lane is not None and lane.size > 0
 
-    def add(self, now: int, item: T, ticket: int, place: LaneKey, hint_us: int | None = None) -> None:
-        """Let an item wait: refused just now with a hint (0: without one), or None: behind the others."""
+    def add(self, now: int, item: T, ticket: int, key: LaneKey, hint_us: int | None = None) -> None:
+        """Add an item: just refused with a hint (0: without one), or None: to wait behind the others."""
         if item in self._lane_of:
             raise ValueError("it waits already")
-        lane = self._lanes.get(place)
+        lane = self._lanes.get(key)
         if lane is None:
-            lane = self._lanes[place] = _Lane(place, due=now)
-        heapq.heappush(lane.line, (ticket, item))  # tickets are unique: items are never compared
-        lane.living += 1
-        self._ticket[item], self._lane_of[item] = ticket, lane
+            lane = self._lanes[key] = _Lane(key, due=now)
+        heapq.heappush(lane.heap, (ticket, item))  # tickets are unique: items are never compared
+        lane.size += 1
+        self._tickets[item], self._lane_of[item] = ticket, lane
         if hint_us is not None:
-            lane.asked = False
+            lane.offered = False
             least = self.rules.least_us << min(lane.refusals, DOUBLINGS)
             lane.refusals += 1
-            self._rest(lane, now + min(max(hint_us, least), max(self.rules.most_us, self.rules.least_us)))
-        elif lane.living == 1 and not lane.asked:
-            self._rest(lane, max(now, lane.due))
+            self._set_due(lane, now + min(max(hint_us, least), max(self.rules.most_us, self.rules.least_us)))
+        elif lane.size == 1 and not lane.offered:
+            self._set_due(lane, max(now, lane.due))
 
     def discard(self, item: T) -> None:
-        """Forget an item, if it waits: it has its answer, or nobody waits for one."""
+        """Remove an item, if it is here: it was answered or abandoned."""
         lane = self._lane_of.pop(item, None)
         if lane is None:
             return
-        del self._ticket[item]
-        lane.living -= 1
-        if len(lane.line) > 2 * lane.living + 16:
-            lane.line = [one for one in lane.line if self._lives(lane, one)]
-            heapq.heapify(lane.line)
+        del self._tickets[item]
+        lane.size -= 1
+        if len(lane.heap) > 2 * lane.size + 16:
+            lane.heap = [one for one in lane.heap if self._is_current(lane, one)]
+            heapq.heapify(lane.heap)
 
-    def _lives(self, lane: _Lane[T], entry: tuple[int, T]) -> bool:
-        return self._lane_of.get(entry[1]) is lane and self._ticket[entry[1]] == entry[0]
+    def _is_current(self, lane: _Lane[T], entry: tuple[int, T]) -> bool:
+        return self._lane_of.get(entry[1]) is lane and self._tickets[entry[1]] == entry[0]
 
-    def _rest(self, lane: _Lane[T], until: int) -> None:
-        self._unready(lane)
+    def _set_due(self, lane: _Lane[T], until: int) -> None:
+        self._remove_from_ready(lane)
         lane.due = until
-        self._serial += 1
-        heapq.heappush(self._resting, (until, self._serial, lane))
+        self._timer_serial += 1
+        heapq.heappush(self._timers, (until, self._timer_serial, lane))
 
-    def _unready(self, lane: _Lane[T]) -> None:
-        ready = self._ready.get(lane.place[0])
+    def _remove_from_ready(self, lane: _Lane[T]) -> None:
+        ready = self._ready.get(lane.key[0])
         if ready is not None and lane in ready:
             ready.remove(lane)
             if not ready:
-                del self._ready[lane.place[0]]
-
-    def _oldest(self, lane: _Lane[T]) -> int:
-        while not self._lives(lane, lane.line[0]):
-            heapq.heappop(lane.line)
-        return lane.line[0][0]
-
-    def _settle(self, now: int) -> None:
-        """Lanes whose offer came back with no refusal go on at once; empty ones are forgotten."""
-        asked, self._asked = self._asked, []
-        for lane in asked:
-            if lane.asked and now < lane.asked_at + self._verdict_us:
-                self._asked.append(lane)
-            elif lane.asked:
-                lane.asked, lane.refusals = False, 0
-                if lane.living:
-                    self._rest(lane, now)
+                del self._ready[lane.key[0]]
+
+    def _oldest_ticket(self, lane: _Lane[T]) -> int:
+        while not self._is_current(lane, lane.heap[0]):
+            heapq.heappop(lane.heap)
+        return lane.heap[0][0]
+
+    def _update_lanes(self, now: int) -> None:
+        """Make lanes ready that are due, at once if their offer was not refused; remove empty ones."""
+        offered, self._offered = self._offered, []
+        for lane in offered:
+            if lane.offered and now < lane.offered_at + self._outcome_us:
+                self._offered.append(lane)
+            elif lane.offered:
+                lane.offered, lane.refusals = False, 0
+                if lane.size:
+                    self._set_due(lane, now)
                 else:
-                    self._forget(lane)
-        while self._resting and self._resting[0][0] <= now:
-            due, _, lane = heapq.heappop(self._resting)
-            if lane.due != due or lane.asked or self._lanes.get(lane.place) is not lane:
+                    self._remove_lane(lane)
+        while self._timers and self._timers[0][0] <= now:
+            due, _, lane = heapq.heappop(self._timers)
+            if lane.due != due or lane.offered or self._lanes.get(lane.key) is not lane:
                 continue
-            if not lane.living:
-                self._forget(lane)
+            if not lane.size:
+                self._remove_lane(lane)
                 continue
-            ready = self._ready.setdefault(lane.place[0], [])
+            ready = self._ready.setdefault(lane.key[0], [])
             if lane not in ready:
                 ready.append(lane)
 
-    def _forget(self, lane: _Lane[T]) -> None:
-        if self._lanes.get(lane.place) is lane:
-            del self._lanes[lane.place]
+    def _remove_lane(self, lane: _Lane[T]) -> None:
+        if self._lanes.get(lane.key) is lane:
+            del self._lanes[lane.key]
 
     def take_due(self, now: int) -> list[T]:
-        """Return what is to be offered now, one of each lane at most, and forget it.
+        """Remove and return the items to offer now, at most one of each lane.
 
-        Whatever is not kept again with a hint in its time, or before the next call, counts as taken.
+        An item not added again with a hint within `outcome_us`, or before the next call, counts as accepted.
         """
         if not self._lanes:
             return []
-        if self._allowed is None:
-            self._allowed = Bucket(now, self.rules.offers, self._burst, self._burst)
-        self._settle(now)
-        found: list[T] = []
-        while self._ready and self._allowed.refill(now) >= 1:
+        if self._rate_limit is None:
+            self._rate_limit = Bucket(now, self.rules.offers, self._burst, self._burst)
+        self._update_lanes(now)
+        taken: list[T] = []
+        while self._ready and self._rate_limit.refill(now) >= 1:
             volume = next(iter(self._ready))
             lanes = self._ready.pop(volume)
-            living = [lane for lane in lanes if lane.living]
+            occupied = [lane for lane in lanes if lane.size]
             for lane in lanes:
-                if not lane.living:
-                    self._forget(lane)
-            if not living:
+                if not lane.size:
+                    self._remove_lane(lane)
+            if not occupied:
                 continue
-            lane = min(living, key=self._oldest)
-            living.remove(lane)
-            if living:
-                self._ready[volume] = living
-            _, item = heapq.heappop(lane.line)
+            lane = min(occupied, key=self._oldest_ticket)
+            occupied.remove(lane)
+            if occupied:
+                self._ready[volume] = occupied
+            _, item = heapq.heappop(lane.heap)
             self.discard(item)
-            lane.asked, lane.asked_at = True, now
-            self._asked.append(lane)
-            self._allowed.level -= 1
+            lane.offered, lane.offered_at = True, now
+            self._offered.append(lane)
+            self._rate_limit.level -= 1
             self.offered += 1
-            found.append(item)
-        return found
+            taken.append(item)
+        return taken
 
     def next_due_at(self, now: int) -> int | None:
-        """Return when to call `due` again; None if nothing waits."""
+        """Return when to call `take_due` again; None if nothing waits."""
         if self._ready:
-            assert self._allowed is not None
-            return now + self._allowed.wait_us(now, 1.0) + 1
-        asked = [lane.asked_at + self._verdict_us for lane in self._asked if lane.asked]
-        resting = self._next_rested(now)
-        if asked:
-            return max(now + 1, min([*asked, resting] if resting is not None else asked))
+            assert self._rate_limit is not None
+            return now + self._rate_limit.wait_us(now, 1.0) + 1
+        offered = [lane.offered_at + self._outcome_us for lane in self._offered if lane.offered]
+        resting = self._next_timer(now)
+        if offered:
+            return max(now + 1, min([*offered, resting] if resting is not None else offered))
         return resting
 
-    def _next_rested(self, now: int) -> int | None:
-        while self._resting:
-            due, _, lane = self._resting[0]
-            if lane.due == due and not lane.asked and lane.living and self._lanes.get(lane.place) is lane:
+    def _next_timer(self, now: int) -> int | None:
+        while self._timers:
+            due, _, lane = self._timers[0]
+            if lane.due == due and not lane.offered and lane.size and self._lanes.get(lane.key) is lane:
                 return max(due, now + 1)
-            heapq.heappop(self._resting)
-            if lane.due == due and not lane.asked and not lane.living:
-                self._forget(lane)
+            heapq.heappop(self._timers)
+            if lane.due == due and not lane.offered and not lane.size:
+                self._remove_lane(lane)
         return None
--- a/harriertrack/decisions/settings_parser.py
+++ b/harriertrack/decisions/settings_parser.py
@@ -1,7 +1,7 @@
-"""Settings as the users word them, read into the module's own.
+"""Reads the settings in their external form into the decision module's own.
 
 The simulator's first message and the configuration of the platform's heads carry the same object, so one
-reading serves both: the module is told the same in the bench and in service.
+parser serves both: the module gets the same settings in the bench and in service.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
     "non_idempotent": api.Effect.UNSAFE,
 }
 GROUPS = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
-SIZES = ("nominal", "rough")  # what the list's weights tell; others follow the load, or tell nothing
-FROM_ONE = frozenset(("aim_us", "deadline_us", "heads", "max_attempts"))  # other figures may be 0
-UNNAMED_AT_ZERO = frozenset(("mean_units", "most_units"))  # no request has none: 0 says nothing
-MOST = 1e18  # no figure comes near it; above it sums of times are no whole microseconds any more
+SIZES = ("nominal", "rough")  # meanings of the list's weights that are sizes, unlike load or none
+FROM_ONE = frozenset(("aim_us", "deadline_us", "heads", "max_attempts"))  # other numbers may be 0
+ABSENT_AT_ZERO = frozenset(("mean_units", "most_units"))  # a request always has units: 0 means not given
+MAX_NUMBER = 1e18  # far above any real value; above it, sums of times lose whole microseconds
 
 
 def read_object(where: str, source: dict[str, Any], key: str) -> dict[str, Any]:
@@ -31,16 +31,16 @@
     return value or {}
 
 
-def _rows(where: str, source: dict[str, Any], key: str) -> list[Any]:
+def _read_list(where: str, source: dict[str, Any], key: str) -> list[Any]:
     value = source.get(key)
     if value is not None and not isinstance(value, list):
         raise ValueError(f"{where}{key} must be a list")
     return value or []
 
 
-def _objects(source: dict[str, Any], key: str) -> list[tuple[str, dict[str, Any]]]:
-    """Return the objects of a list that have names of their own, each with the words that say where it is."""
-    rows = [(f"{key}[{number}].", row) for number, row in enumerate(_rows("", source, key))]
+def _read_named_objects(source: dict[str, Any], key: str) -> list[tuple[str, dict[str, Any]]]:
+    """Return the objects of a list, whose names must be unique, each with its path for error messages."""
+    rows = [(f"{key}[{number}].", row) for number, row in enumerate(_read_list("", source, key))]
     names = set()
     for where, row in rows:
         if not isinstance(row, dict):
@@ -54,14 +54,14 @@
 
 
 def read_number(where: str, value: object, least: int) -> int | float:
-    """Return a number that is at least so much. Raises ValueError with the words that say where it is."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < MOST:
+    """Return a number of at least `least`. Raises ValueError with its path."""
+    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < MAX_NUMBER:
         raise ValueError(f"{where} must be a number of at least {least}")
     return value
 
 
-def _value(where: str, value: object, kind: object, least: int) -> object:
-    """Return a value as the kind of field that it is for. Raises ValueError."""
+def _read_value(where: str, value: object, kind: object, least: int) -> object:
+    """Convert a value to the type of its field. Raises ValueError."""
     if kind == "str":
         if not isinstance(value, str):
             raise ValueError(f"{where} must be a text")
@@ -74,21 +74,21 @@
     return int(number) if kind == "int" else number
 
 
-def _pick(owner: Any, where: str, source: dict[str, Any], **names: str) -> dict[str, Any]:
-    """Return the values of a type's fields that come under the users' names; null is as absent."""
+def _read_fields(owner: Any, where: str, source: dict[str, Any], **names: str) -> dict[str, Any]:
+    """Return the values of a type's fields, each read under its external name; null counts as absent."""
     known = {field.name: field for field in fields(owner)}
     values = {}
-    for ours, theirs in names.items():
-        value, field = source.get(theirs), known[ours]
-        if value is not None and not (value == 0 and ours in UNNAMED_AT_ZERO):
-            values[ours] = _value(where + theirs, value, field.type, ours in FROM_ONE)
+    for name, external in names.items():
+        value, field = source.get(external), known[name]
+        if value is not None and not (value == 0 and name in ABSENT_AT_ZERO):
+            values[name] = _read_value(where + external, value, field.type, name in FROM_ONE)
         elif field.default is MISSING:
-            raise ValueError(f"{where}{theirs} is missing")
+            raise ValueError(f"{where}{external} is missing")
     return values
 
 
-def _word(where: str, source: dict[str, Any], key: str, words: dict[str, Any], default: str) -> Any:
-    """Return what a word stands for; absent or null stands for the default's."""
+def _read_choice(where: str, source: dict[str, Any], key: str, words: dict[str, Any], default: str) -> Any:
+    """Return the value that a word stands for; absent or null means the default word."""
     value = source.get(key)
     word = default if value is None else value
     if not isinstance(word, str) or word not in words:
@@ -96,45 +96,45 @@
     return words[word]
 
 
-def _classes(conf: dict[str, Any], family: dict[str, Any]) -> tuple[api.RequestClass, ...]:
-    writes = _rows("familyInfo.", family, "classWrites")
+def _read_classes(conf: dict[str, Any], family: dict[str, Any]) -> tuple[api.RequestClass, ...]:
+    writes = _read_list("familyInfo.", family, "classWrites")
     classes = []
-    for number, (where, lane) in enumerate(_objects(conf, "lanes")):
-        picked = _pick(
+    for number, (where, lane) in enumerate(_read_named_objects(conf, "lanes")):
+        picked = _read_fields(
             api.RequestClass, where, lane, name="name", aim_us="aimUs", deadline_us="giveUpUs", worth="value",
             late_worth="lateShare", window_us="keyTtlUs", streams="streaming", in_order="inOrder",
         )  # fmt: skip
-        # A class of which nothing is said may not be repeated: that harms nobody.
-        picked["effect"] = _word(where, lane, "idempotency", EFFECTS, "non_idempotent")
-        picked["group"] = _word(where, lane, "group", GROUPS, "cell")
-        told = writes[number] if number < len(writes) else None
-        picked["writes"] = picked["effect"] is not api.Effect.SAFE if told is None else bool(told)
+        # A class without the field may not be repeated: the safe assumption.
+        picked["effect"] = _read_choice(where, lane, "idempotency", EFFECTS, "non_idempotent")
+        picked["group"] = _read_choice(where, lane, "group", GROUPS, "cell")
+        given = writes[number] if number < len(writes) else None
+        picked["writes"] = picked["effect"] is not api.Effect.SAFE if given is None else bool(given)
         classes.append(api.RequestClass(**picked))
     if not classes:
         raise ValueError("lanes must name at least one class")
     return tuple(classes)
 
 
-def _plans(conf: dict[str, Any]) -> tuple[api.Plan, ...]:
+def _read_plans(conf: dict[str, Any]) -> tuple[api.Plan, ...]:
     return tuple(
         api.Plan(
-            **_pick(
+            **_read_fields(
                 api.Plan, where, plan, name="name", rate="baseRate", reserve="reserve", limit="ceilingRate",
                 limit_burst="mostAtOnce", limit_slack="capSlack", weight="shares", price="pays",
             )
         )
-        for where, plan in _objects(conf, "contracts")
+        for where, plan in _read_named_objects(conf, "contracts")
     )  # fmt: skip
 
 
 def parse_settings(conf: dict[str, Any]) -> api.Settings:
-    """Build the module's settings from such an object; unknown keys are skipped.
+    """Build the module's settings from such an object; unknown keys are ignored.
 
-    Raises ValueError, which names the field, for what can't be read.
+    Raises ValueError, which names the field, for an invalid value.
     """
     family = read_object("", conf, "familyInfo")
-    classes = _classes(conf, family)
-    reports = _rows("report.", read_object("", conf, "report"), "fields")
+    classes = _read_classes(conf, family)
+    reports = _read_list("report.", read_object("", conf, "report"), "fields")
     parts = (
         ("", conf, {"heads": "nInstances", "zone": "locality", "tick_us": "tickUs"}),
         ("permissions.", read_object("", conf, "permissions"), {
@@ -154,10 +154,10 @@
     )  # fmt: skip
     picked: dict[str, Any] = {}
     for where, source, names in parts:
-        picked |= _pick(api.Settings, where, source, **names)
+        picked |= _read_fields(api.Settings, where, source, **names)
     return api.Settings(
         classes=classes,
-        plans=_plans(conf),
+        plans=_read_plans(conf),
         list_on_request=conf.get("discovery") == "on_request",
         list_has_sizes=conf.get("weights") in SIZES,
         report_fields=tuple(str(field) for field in reports),
--- a/harriertrack/wirehost.py
+++ b/harriertrack/wirehost.py
@@ -1,6 +1,6 @@
-"""Adapter: the bench's text wire on standard input and output, many instances of the module.
+"""Adapter for the bench's text protocol on standard input and output, with many instances of the module.
 
-It translates and nothing more; every decision is the module's (harriertrack/decisions/scheduler.py).
+It only translates; all decisions are made by the module (harriertrack/decisions/scheduler.py).
 """
 
 from __future__ import annotations
@@ -35,26 +35,26 @@
 
 
 class WireError(Exception):
-    """A line or a setting that cannot be read; the text says what and where."""
+    """A line or a setting that cannot be parsed; the message says what and where."""
 
 
-def whole(text: str) -> int:
-    """Read a whole number that may be absent."""
+def read_integer(text: str) -> int:
+    """Read an integer; "-" stands for 0."""
     return 0 if text == "-" else int(text)
 
 
-def number(text: str) -> float:
-    """Read a number that may be absent."""
+def read_number(text: str) -> float:
+    """Read a number; "-" stands for 0."""
     return 0.0 if text == "-" else float(text)
 
 
-def load_of(text: str) -> tuple[float, ...]:
-    """Read a load report that may be absent."""
-    return () if text == "-" else tuple(number(value) for value in text.split(","))
+def read_load(text: str) -> tuple[float, ...]:
+    """Read a load report; "-" stands for none."""
+    return () if text == "-" else tuple(read_number(value) for value in text.split(","))
 
 
 class WireHost:
-    """All instances of one process, and the translation of one batch after another."""
+    """Runs all module instances of the process and translates one batch after another."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Scheduler] = {}
@@ -64,7 +64,7 @@
         self.line_number = 0
 
     def serve(self, lines: Iterable[str], out: TextIO) -> None:
-        """Answer batches until the input ends."""
+        """Process batches until the input ends."""
         rows = iter(lines)
         for line in rows:
             self.line_number += 1
@@ -81,14 +81,14 @@
             out.flush()
 
     def read_clock(self, line: str) -> int:
-        """Read the line that begins a batch."""
+        """Return the time from the line that begins a batch."""
         word, _, clock = line.strip().partition(" ")
         if word != "begin_batch":
             raise WireError(f"expected begin_batch and a clock, not {line.strip()[:80]!r}")
         return int(clock)
 
     def read_batch(self, rows: Iterator[str]) -> None:
-        """Collect the events of one batch for each instance."""
+        """Collect the events of one batch by instance."""
         self.pending = {}
         for line in rows:
             self.line_number += 1
@@ -99,15 +99,15 @@
                     api.RequestArrived(
                         int(txn), kind, plan, owner, "" if extent == "-" else extent,
                         -1 if shard == "-" else int(shard), 1.0 if units == "-" else float(units), int(left),
-                        whole(hosts), bool(whole(options) & REPEAT_FLAG),
+                        read_integer(hosts), bool(read_integer(options) & REPEAT_FLAG),
                     )
                 )  # fmt: skip
             elif word == "report_back":
                 txn, trial, shelf, result, rtt, finished, used, delta, load = rest.split(" ")
                 self.add(
                     api.AttemptEnded(
-                        int(txn), int(trial), shelf, RESULTS[result], whole(rtt), finished == "1",
-                        whole(used), number(delta), load_of(load),
+                        int(txn), int(trial), shelf, RESULTS[result], read_integer(rtt), finished == "1",
+                        read_integer(used), read_number(delta), read_load(load),
                     )
                 )  # fmt: skip
             elif word == "wake":
@@ -118,7 +118,7 @@
                 self.add(api.ClientLeft(int(rest)))
             elif word == "pong":
                 shelf, result, rtt, load = rest.split(" ")
-                self.add(api.ProbeEnded(shelf, RESULTS[result], whole(rtt), load_of(load)))
+                self.add(api.ProbeEnded(shelf, RESULTS[result], read_integer(rtt), read_load(load)))
             elif word == "started":
                 txn, _shelf, trial, _rtt = rest.split(" ")
                 self.add(api.ResponseStarted(int(txn), int(trial)))
@@ -127,9 +127,9 @@
                 self.pools[int(bank)] = [self.read_row(rows) for _ in range(int(count))]
             elif word == "directory_update":
                 form, _serial, bank = rest.split(" ")
-                news = FORMS[form]
-                entries = [] if news is api.ListKind.FAILED else self.pools[int(bank)]
-                self.add(api.NodesChanged(news, entries))
+                kind_of_update = FORMS[form]
+                entries = [] if kind_of_update is api.ListKind.FAILED else self.pools[int(bank)]
+                self.add(api.NodesChanged(kind_of_update, entries))
             elif word == "init":
                 seed, conf = rest.split(" ", 1)
                 self.instances[self.current] = Scheduler(parse_settings(json.loads(conf)), int(seed))
@@ -144,7 +144,7 @@
         raise WireError("the input ended inside a batch")
 
     def add(self, event: api.Event) -> None:
-        """Hand an event to the selected instance, which must be running."""
+        """Add an event for the selected instance, which must be running."""
         if self.current not in self.instances:
             raise WireError(f"an event for instance {self.current}, which is not running")
         self.pending.setdefault(self.current, []).append(event)
@@ -155,10 +155,12 @@
         word, shelf, zone, kind, bay, state, nominal, started = next(rows, "").split()
         if word != "row":
             raise WireError(f"expected row, not {word[:80]!r}")
-        return api.NodeEntry(shelf, whole(bay), STATES[state], zone, whole(started), kind, number(nominal))
+        return api.NodeEntry(
+            shelf, read_integer(bay), STATES[state], zone, read_integer(started), kind, read_number(nominal)
+        )
 
     def answer(self, now: int) -> Iterator[str]:
-        """Let each instance with an event act, and write its actions."""
+        """Pass the events to their instances and yield the lines of their actions."""
         for index, events in self.pending.items():
             actions = self.instances[index].handle(now, events)
             if actions:
@@ -185,7 +187,7 @@
 
 
 def main() -> None:
-    """Serve standard input; end with one plain message if it cannot be read."""
+    """Serve standard input; exit with status 2 and a one-line message if it cannot be parsed."""
     host = WireHost()
     lines = open(0, encoding="utf-8", newline="\n", closefd=False)
     out = open(1, "w", encoding="utf-8", newline="\n", closefd=False)
--- a/tests/test_retry_queue.py
+++ b/tests/test_retry_queue.py
@@ -9,8 +9,8 @@
 
 
 def test_who_waits():
-    assert waits_in_head(WaitMode.BY_CLIENT, hears_hints=False) and not waits_in_head(
-        WaitMode.BY_CLIENT, hears_hints=True
+    assert waits_in_head(WaitMode.BY_CLIENT, accepts_hints=False) and not waits_in_head(
+        WaitMode.BY_CLIENT, accepts_hints=True
     )
     assert waits_in_head(WaitMode.WAIT, True) and not waits_in_head(WaitMode.REFUSE, False)
 
