--- a/harriertrack/decisions/baselines.py
+++ b/harriertrack/decisions/baselines.py
@@ -69,7 +69,7 @@
 
 
 class Baseline:
-    """Base of all baselines: node list, deadlines, final answers; subclasses choose where and when to send."""
+    """Node list, deadlines and final answers of all baselines; subclasses choose where and when to send."""
 
     def __init__(self, settings: Settings, seed: int = 0, queue_wait: QueueWait = no_queue_wait) -> None:
         self.settings = settings
--- a/harriertrack/decisions/retry_queue.py
+++ b/harriertrack/decisions/retry_queue.py
@@ -4,9 +4,9 @@
 for any other the head holds the request and offers it to the module again. Waiting requests are in lanes, one
 for each volume, shard and class: a hung node delays only its own requests, and a write, which may not test
 whether a silent node is back, doesn't delay a read, which may. In a lane only the oldest is offered, and the
-next one once that was accepted, so a lane costs the module one refusal per hint, however many wait. Offers are
-bounded in rate and go round robin over the volumes; within a volume the oldest request of the due lanes goes
-first.
+next one once that was accepted, so a lane costs the module one refusal per hint, however many wait. Offers
+are bounded in rate and go round robin over the volumes; within a volume the oldest request of the due lanes
+goes first.
 
 Hints may be wrong. One that is too short is doubled for each refusal in a row; one that is too long is cut at
 `most_us`, since a lane must not rest while its node is idle.
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -1,4 +1,4 @@
-"""Settings that cannot be are rejected with the field's name."""
+"""Invalid settings are rejected with the field's name."""
 
 import pytest
 
@@ -21,10 +21,10 @@
         (lambda: api.Settings(1, (READ,), warm_us=-1), "warm_us"),
     ],
 )
-def test_impossible_settings_name_their_field(make, field):
+def test_errors_of_invalid_settings_name_the_field(make, field):
     with pytest.raises(ValueError, match=field):
         make()
 
 
-def test_absent_settings_mean_that_a_thing_does_not_apply():
+def test_absent_settings_are_zero():
     assert api.Settings(1, (READ,)).budget_window_us == 0
--- a/tests/test_retry_queue.py
+++ b/tests/test_retry_queue.py
@@ -1,4 +1,4 @@
-"""What waits on a hint: order, bounds, wrong hints, standstills."""
+"""The retry queue: order, bounds, wrong hints, stalls."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -8,24 +8,24 @@
 RULES = RetryRules(offers=1000, least_us=2 * MS, most_us=500 * MS)
 
 
-def test_who_waits():
+def test_which_clients_wait():
     assert waits_in_head(WaitMode.BY_CLIENT, accepts_hints=False) and not waits_in_head(
         WaitMode.BY_CLIENT, accepts_hints=True
     )
     assert waits_in_head(WaitMode.WAIT, True) and not waits_in_head(WaitMode.REFUSE, False)
 
 
-def test_the_oldest_of_a_lane_is_offered_when_its_hint_says_so_and_the_next_once_it_was_taken():
+def test_the_oldest_of_a_lane_is_offered_after_its_hint_and_the_next_once_it_was_accepted():
     one = RetryQueue(RULES)
     one.add(0, "a", 1, ("v", 0, ""), 30 * MS)
     one.add(0, "b", 2, ("v", 0, ""))
     assert one.take_due(29 * MS) == [] and one.next_due_at(29 * MS) == 30 * MS
     assert one.take_due(30 * MS) == ["a"]
-    assert one.take_due(30 * MS) == ["b"]  # a was not kept again: it was taken
+    assert one.take_due(30 * MS) == ["b"]  # a was not added again: it was accepted
     assert one.take_due(31 * MS) == [] and len(one) == 0 and one.next_due_at(31 * MS) is None
 
 
-def test_one_refused_again_keeps_its_place_and_those_behind_it_are_not_tried():
+def test_a_request_refused_again_stays_first_and_those_behind_it_are_not_offered():
     one = RetryQueue(RULES)
     for ticket in range(5):
         one.add(0, ticket, ticket, ("v", 0, ""), 10 * MS if not ticket else None)
@@ -34,7 +34,7 @@
     assert one.take_due(49 * MS) == [] and one.take_due(50 * MS) == [0] and one.take_due(50 * MS) == [1]
 
 
-def test_a_place_that_refuses_keeps_no_other_waiting():
+def test_a_lane_that_is_refused_does_not_delay_others():
     one = RetryQueue(RULES)
     one.add(0, "hung", 1, ("v", 0, ""), 500 * MS)
     one.add(0, "well", 2, ("v", 1, ""), 10 * MS)
@@ -56,7 +56,7 @@
     assert other.next_due_at(0) == 500 * MS
 
 
-def test_volumes_take_turns_at_the_offers():
+def test_offers_go_round_robin_over_volumes():
     one = RetryQueue(RetryRules(offers=400, least_us=1, most_us=500 * MS))
     for ticket in range(40):
         one.add(0, ("flood", ticket), ticket, ("flood", ticket, ""), 0)
@@ -66,11 +66,11 @@
     assert [ticket for name, ticket in first if name == "flood"] == list(range(7))  # the oldest first
 
 
-def test_offers_a_second_are_bounded_whatever_waits_and_after_a_standstill():
+def test_the_rate_of_offers_is_bounded_also_after_a_stall():
     one = RetryQueue(RULES)
     for ticket in range(100_000):
         one.add(0, ticket, ticket, (f"v{ticket % 100}", ticket % 43, ""), 5 * MS if ticket < 4300 else None)
-    now, offered = 5_000 * MS, 0  # the head stood still for five seconds: all of it is due
+    now, offered = 5_000 * MS, 0  # the head was stalled for five seconds: everything is due
     assert len(one.take_due(now)) <= 20
     for _ in range(1000):
         now += MS
@@ -81,26 +81,26 @@
     assert 950 <= offered <= 1010 and len(one) >= 99_980
 
 
-def test_where_verdicts_come_late_the_next_is_offered_once_there_was_time_for_one():
+def test_with_late_outcomes_the_next_is_offered_after_the_outcome_time():
     one = RetryQueue(RULES, 10 * MS)
     one.add(0, "a", 1, ("v", 0, ""), 0)
     one.add(0, "b", 2, ("v", 0, ""))
     one.add(0, "c", 3, ("w", 0, ""), 5 * MS)
     assert one.take_due(2 * MS) == ["a"] and one.take_due(3 * MS) == [] and one.next_due_at(3 * MS) == 5 * MS
     assert one.take_due(5 * MS) == ["c"] and one.next_due_at(5 * MS) == 12 * MS
-    one.add(8 * MS, "a", 1, ("v", 0, ""), 0)  # refused after all: its rest is doubled, and b waits with it
+    one.add(8 * MS, "a", 1, ("v", 0, ""), 0)  # refused after all: its rest is doubled, and b waits too
     assert one.take_due(12 * MS) == ["a"] and one.take_due(22 * MS) == ["b"]
 
 
-def test_what_is_dropped_is_not_offered_and_leaves_nothing_behind():
+def test_discarded_items_are_not_offered_and_leave_no_state():
     one = RetryQueue(RULES)
     for ticket in range(1000):
         one.add(0, ticket, ticket, ("v", 0, ""), 0 if not ticket else None)
     for ticket in range(999):
         one.discard(ticket)
-    assert len(one._lanes["v", 0, ""].line) < 32
+    assert len(one._lanes["v", 0, ""].heap) < 32
     assert one.take_due(2 * MS) == [999] and one.take_due(2 * MS) == [] and one.next_due_at(2 * MS) is None
-    assert not one._lanes and not one._resting and not one._ready
+    assert not one._lanes and not one._timers and not one._ready
 
 
 @settings(max_examples=300, deadline=None)
@@ -109,10 +109,10 @@
 def test_nothing_is_lost_or_offered_twice_and_lanes_keep_their_order(steps):
     one, now, ticket, waiting, taken = RetryQueue(RULES), 0, 0, {}, []
     for what, which, amount in steps:
-        place = ("vw"[which % 2], which % 3, "")
+        key = ("vw"[which % 2], which % 3, "")
         if what == "keep":
-            one.add(now, ticket, ticket, place, amount * MS)
-            waiting[ticket] = place
+            one.add(now, ticket, ticket, key, amount * MS)
+            waiting[ticket] = key
             ticket += 1
         elif what == "drop" and waiting:
             gone = sorted(waiting)[amount % len(waiting)]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The rules and the mechanism, one head driven by hand-written events."""
+"""The rules and the scheduling mechanism of one head, driven by hand-written events."""
 
 import random
 
@@ -33,14 +33,14 @@
 
 
 class Head:
-    """Drives one instance, keeps its clock and timers, and checks the rules that hold always."""
+    """Drives one scheduler with its clock and timers, and checks the rules that always hold."""
 
     def __init__(self, nodes=("n0",), seed=1, start=1_000_000_000, **changes):
         self.settings = settings(**changes)
         self.unit = Scheduler(self.settings, seed)
         self.now = start
         self.timers, self.sent, self.answers, self.log = [], [], {}, []
-        self.attempts, self.owed, self.asked, self.serial = {}, {}, [], 0
+        self.attempts, self.deadlines, self.request_times, self.serial = {}, {}, [], 0
         entries = [api.NodeEntry(name, shard) for shard, name in enumerate(nodes)]
         self.feed(api.NodesChanged(api.ListKind.RESTORED, entries))
 
@@ -74,12 +74,12 @@
             self.feed(api.TimerFired(due[0][1]))
         self.now = until
 
-    def ask(self, kind="r", plan="gold", volume="v", key="", shard=0, units=1, left=None, hosts=1):
+    def submit(self, kind="r", plan="gold", volume="v", key="", shard=0, units=1, left=None, hosts=1):
         self.serial += 1
         if left is None:
             left = next(one.deadline_us for one in self.settings.classes if one.name == kind)
-        self.owed[self.serial] = self.now + left
-        self.asked.append(self.now)
+        self.deadlines[self.serial] = self.now + left
+        self.request_times.append(self.now)
         self.feed(api.RequestArrived(self.serial, kind, plan, volume, key, shard, units, left, hosts))
         return self.serial
 
@@ -94,27 +94,27 @@
         return [request for _, request, _, _ in self.sent]
 
 
-def fill(head, **ask):
-    """Fill the first window with requests of a volume of its own."""
-    taken = [head.ask(volume="filler", plan="tin", **ask) for _ in range(3)]
+def fill(head, **options):
+    """Fill the initial window with requests of another volume."""
+    taken = [head.submit(volume="filler", plan="tin", **options) for _ in range(3)]
     assert head.requests()[-3:] == taken
     return taken
 
 
 def test_every_request_is_answered_before_the_client_leaves():
     head = Head()
-    first = head.ask()
+    first = head.submit()
     head.run(1600 * MS)
     assert isinstance(head.answers[first], api.Refuse)
     at = next(at for at, action in head.log if isinstance(action, api.Refuse))
-    assert head.owed[first] - 8 * MS <= at <= head.owed[first]
+    assert head.deadlines[first] - 8 * MS <= at <= head.deadlines[first]
     assert any(isinstance(action, api.Cancel) for _, action in head.log)
 
 
 @pytest.mark.parametrize("kind", ["w", "u"])
-def test_what_may_have_run_is_failed_never_refused(kind):
+def test_a_request_that_may_have_run_is_failed_and_never_refused(kind):
     head = Head()
-    request = head.ask(kind, shard=-1)
+    request = head.submit(kind, shard=-1)
     head.run(2600 * MS)
     assert isinstance(head.answers[request], api.Fail)
 
@@ -122,125 +122,125 @@
 @pytest.mark.parametrize(
     "result", [r for r in api.Result if r.never_ran and r is not api.Result.CONNECT_FAILED]
 )
-def test_unsafe_goes_again_only_when_it_never_ran(result):
+def test_an_unsafe_request_is_retried_only_if_it_never_ran(result):
     head = Head(("n0", "n1"))
-    request = head.ask("u", shard=-1)
+    request = head.submit("u", shard=-1)
     head.end(request, 0, head.sent[0][3], result, over=False)
     assert head.requests() == [request, request]
 
 
 @pytest.mark.parametrize("result", [r for r in api.Result if not r.never_ran and r is not api.Result.OK])
-def test_unsafe_that_may_have_run_ends(result):
+def test_an_unsafe_request_that_may_have_run_fails(result):
     head = Head(("n0", "n1"))
-    request = head.ask("u", shard=-1)
+    request = head.submit("u", shard=-1)
     head.end(request, 0, head.sent[0][3], result, over=False)
     assert head.requests() == [request]
     assert isinstance(head.answers[request], api.Fail)
 
 
 @pytest.mark.parametrize("result", [api.Result.ERROR, api.Result.RESET])
-def test_keyed_that_may_have_run_stays_in_its_cell(result):
+def test_a_keyed_request_that_may_have_run_is_retried_in_its_cell(result):
     for seed in range(8):
         head = Head(("n0", "n1", "n2"), seed=seed)
-        request = head.ask("w", shard=-1)
+        request = head.submit("w", shard=-1)
         head.end(request, 0, head.sent[0][3], result, over=False)
         assert [node for _, _, _, node in head.sent] == [head.sent[0][3]] * 2
 
 
-def test_keyed_is_not_sent_again_after_its_window():
+def test_a_keyed_request_is_not_retried_after_its_window():
     short = api.RequestClass("w", 500 * MS, 2500 * MS, 2, 0.1, api.Effect.KEYED, api.DedupScope.CELL, 50 * MS)
     head = Head(classes=(READ, short))
-    request = head.ask("w")
+    request = head.submit("w")
     head.run(60 * MS)
     head.end(request, result=api.Result.RESET, over=False)
     assert head.requests() == [request]
     assert isinstance(head.answers[request], api.Fail)
 
 
-def test_a_connection_that_failed_alone_is_tried_again_at_once_and_leaves_its_node_in_use():
+def test_a_single_connect_failure_is_retried_at_once_and_its_node_stays_in_use():
     head = Head(("n0", "n1"))
     for _ in range(5):
-        request = head.ask(shard=0)
+        request = head.submit(shard=0)
         head.end(request, 0, "n0", api.Result.CONNECT_FAILED, over=False)
         assert head.requests()[-2:] == [request, request]
         head.end(request, 1, "n0", api.Result.OK, over=True)
         head.run(50 * MS)
 
 
-def test_connect_failures_make_a_node_suspect_and_a_new_object_goes_elsewhere():
+def test_connect_failures_make_a_node_suspect_and_new_objects_avoid_it():
     head = Head(("n0", "n1"))
-    request = head.ask("u", shard=-1)
+    request = head.submit("u", shard=-1)
     bad = head.sent[0][3]
     head.end(request, 0, bad, api.Result.CONNECT_FAILED, over=False)
     assert head.sent[1][3] != bad
-    second = head.ask(shard=int(bad[1]))
+    second = head.submit(shard=int(bad[1]))
     head.end(second, 0, bad, api.Result.CONNECT_FAILED, over=False)
     assert head.answers[second].retry_after_us == head.settings.max_hint_us > 0
-    refused = head.ask(shard=int(bad[1]))
+    refused = head.submit(shard=int(bad[1]))
     assert isinstance(head.answers[refused], api.Refuse)
     head.run(600 * MS)
-    trial = head.ask(shard=int(bad[1]))
+    trial = head.submit(shard=int(bad[1]))
     assert trial in head.requests()
-    assert isinstance(head.answers[head.ask(shard=int(bad[1]))], api.Refuse)
+    assert isinstance(head.answers[head.submit(shard=int(bad[1]))], api.Refuse)
 
 
 def test_resets_leave_a_node_in_use():
     head = Head(("n0", "n1"))
     for _ in range(20):
-        request = head.ask(shard=0)
+        request = head.submit(shard=0)
         for attempt in range(3):
             if request not in head.answers:
                 head.end(request, attempt, "n0", api.Result.RESET, over=False)
         head.run(50 * MS)
-    assert head.ask(shard=0) in head.requests()
+    assert head.submit(shard=0) in head.requests()
 
 
-def test_silent_node_gets_no_more_than_a_trickle():
+def test_a_silent_node_gets_only_occasional_trials():
     head = Head()
     fill(head)
     head.run(900 * MS)
     before = len(head.sent)
     for _ in range(100):
-        head.ask()
+        head.submit()
         head.run(20 * MS)
     assert 1 <= len(head.sent) - before <= 4
 
 
-def test_short_pause_does_not_make_a_node_suspect():
+def test_a_short_pause_does_not_make_a_node_suspect():
     head = Head()
-    one = head.ask()
+    one = head.submit()
     head.run(300 * MS)
     head.end(one, elapsed=300 * MS)
     assert not any(isinstance(action, api.Log) for _, action in head.log)
 
 
-def test_drain_keeps_reads_for_half_the_grace_and_new_objects_away():
+def test_a_draining_node_serves_reads_for_half_the_grace_and_gets_no_new_objects():
     head = Head(("n0", "n1"))
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, api.NodeState.DRAINING)]))
     for _ in range(5):
         assert head.sent == [] or head.sent[-1][3] == "n1"
-        head.end(head.ask("w", shard=-1), node="n1")
-    assert head.ask(shard=0) in head.requests()
+        head.end(head.submit("w", shard=-1), node="n1")
+    assert head.submit(shard=0) in head.requests()
     head.run(600 * MS)
-    assert isinstance(head.answers[head.ask(shard=0)], api.Refuse)
+    assert isinstance(head.answers[head.submit(shard=0)], api.Refuse)
 
 
-def test_gone_node_gets_nothing_and_its_replacement_serves_the_shard():
+def test_a_removed_node_gets_nothing_and_its_replacement_serves_the_shard():
     head = Head(("n0", "n1"))
     head.feed(api.NodesChanged(api.ListKind.FULL, [api.NodeEntry("n1", 1), api.NodeEntry("n9", 0)]))
-    head.ask(shard=0)
+    head.submit(shard=0)
     assert head.sent[-1][3] == "n9"
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n9", 0, api.NodeState.GONE)]))
-    assert isinstance(head.answers[head.ask(shard=0)], api.Refuse)
+    assert isinstance(head.answers[head.submit(shard=0)], api.Refuse)
 
 
 def cold_sends(past, heads=2, offered=50, seconds=9, **changes):
-    """Units all heads send a restarted node in each second, after serving so many units a second before."""
+    """Return the units that all heads send to a restarted node each second; it served `past` a second before."""
     group = [Head(seed=seed, classes=(BULK,), heads=heads, **changes) for seed in range(heads)]
     for turn in range(10 * past):
         head = group[turn % heads]
         head.run(SECOND * heads // max(1, past) - 20 * MS)
-        one = head.ask("b", volume=f"v{turn}", hosts=1)
+        one = head.submit("b", volume=f"v{turn}", hosts=1)
         head.run(20 * MS)
         head.end(one)
     start = max(head.now for head in group)
@@ -252,7 +252,7 @@
         before = sum(len(head.sent) for head in group)
         for turn in range(offered * heads):
             head = group[turn % heads]
-            head.ask("b", volume=f"w{turn % 40}", hosts=1)
+            head.submit("b", volume=f"w{turn % 40}", hosts=1)
             head.run(SECOND // offered - 10 * MS)
             for request in head.requests():
                 if request not in head.answers:
@@ -262,43 +262,43 @@
     return by_second
 
 
-def test_cold_node_without_a_past_gets_our_part_of_what_any_cold_node_bears():
+def test_a_cold_node_without_a_past_rate_gets_the_share_that_any_cold_node_can_take():
     sent = cold_sends(0)
-    assert sum(sent[:2]) <= 12  # four units a second, growing with the least warmth
+    assert sum(sent[:2]) <= 12  # four units a second, growing with the guaranteed warm-up
     assert sum(sent[:6]) <= sum(4 * (1 + 0.4 * second) for second in range(1, 7))
 
 
 @pytest.mark.parametrize("heads", [2, 20])
-def test_cold_node_gets_a_part_of_what_all_heads_had_there(heads):
-    """Twenty units a second before: at the start the rules allow twice a fifth of that, from all heads."""
+def test_a_cold_node_gets_a_fraction_of_what_all_heads_sent_it_before(heads):
+    """After 20 units a second before, the rules first allow twice a fifth of that from all heads together."""
     sent = cold_sends(20, heads, offered=5, seconds=4, cold_units=0)
     assert sum(sent[:3]) >= 2 and max(sent[:2]) <= 2 * (0.2 + 0.8 * 2 / 10) * 20
 
 
-def test_cold_node_gets_its_part_of_the_rate_while_it_was_well_to_the_end():
-    """What it gets while it is cold is our own pace: that must not lower the pace as it warms."""
+def test_a_cold_node_is_paced_by_its_healthy_rate_until_it_is_warm():
+    """The rate while it is cold is the head's own pace: that must not lower the pace as the node warms up."""
     sent = cold_sends(20, 2, offered=20, seconds=7, cold_units=0, warm_us=20 * SECOND)
     paced = [2 * (0.2 + 0.8 * (second + 0.5) / 20) * 20 for second in range(7)]
     assert 0.75 * sum(paced[3:]) <= sum(sent[3:]) <= 1.1 * sum(paced[3:])
 
 
-def test_a_short_life_tells_the_rate_as_well_as_a_long_one():
-    """Sixteen units in two seconds are eight a second, though the memory is ten seconds long."""
+def test_the_past_rate_is_right_also_after_a_short_history():
+    """Sixteen units in two seconds are eight a second, although the sum decays over ten seconds."""
     head = Head(classes=(BULK,), heads=1, cold_units=0, fall_us=SECOND)
     for turn in range(16):
-        head.end(head.ask("b", volume=f"v{turn}", hosts=1))
+        head.end(head.submit("b", volume=f"v{turn}", hosts=1))
         head.run(SECOND // 8)
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, started_us=head.now)]))
     assert 6.5e-6 <= head.unit._nodes["n0"].past_rate <= 8e-6
-    head.run(20 * SECOND)  # well again, and asked for nothing
+    head.run(20 * SECOND)  # healthy again, without requests
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, started_us=head.now)]))
     assert head.unit._nodes["n0"].past_rate <= 1.1e-6
 
 
-def test_a_node_that_comes_up_again_is_known_by_what_it_served_since():
+def test_the_past_rate_of_a_node_that_came_up_again_counts_from_then():
     head = Head(classes=(BULK,), heads=1, cold_units=0, fall_us=SECOND)
     for turn in range(40):
-        head.end(head.ask("b", volume=f"v{turn}", hosts=1))
+        head.end(head.submit("b", volume=f"v{turn}", hosts=1))
         head.run(SECOND // 20)
     for state in (api.NodeState.DRAINING, api.NodeState.UP):
         head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, state)]))
@@ -309,45 +309,45 @@
 
 
 @pytest.mark.parametrize(("idle", "least", "most"), [(7, 2, 2), (12, 20, 27.2 + 3 * 27.2**0.5 + 2)])
-def test_a_head_saves_up_for_chance_once_its_former_rate_is_allowed_in_full(idle, least, most):
-    """Ten a second before, warm after twenty seconds: the whole rate from 7.5 s on, 13.6 a second at 12 s."""
+def test_a_head_accumulates_slack_once_its_full_past_rate_is_allowed(idle, least, most):
+    """Ten a second before, warm after 20 s: the full past rate is allowed from 7.5 s on, 13.6 a second at 12 s."""
     head = Head(classes=(BULK,), heads=1, cold_units=0, warm_us=20 * SECOND, fall_us=2 * SECOND)
     for turn in range(200):
-        head.end(head.ask("b", volume=f"v{turn}", hosts=1))
+        head.end(head.submit("b", volume=f"v{turn}", hosts=1))
         head.run(SECOND // 10)
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, started_us=head.now)]))
-    head.run(idle * SECOND)  # asked for nothing: the pace goes on
+    head.run(idle * SECOND)  # without requests: the allowance accumulates
     before = len(head.sent)
     for _ in range(120):
-        one = head.ask("b", volume="burst", hosts=1)
+        one = head.submit("b", volume="burst", hosts=1)
         if one in head.requests():
             head.end(one)
     assert least <= len(head.sent) - before <= most
 
 
-def test_many_heads_send_a_cold_node_as_much_in_the_first_window_as_in_any():
-    """Forty heads that hear of a start at once, with forty units a window to divide and no past."""
+def test_many_heads_send_a_cold_node_as_much_in_the_first_window_as_later():
+    """Forty heads learn of a start at once and divide forty units a window, without a past rate."""
     sent = cold_sends(0, 40, offered=10, seconds=6, cold_units=40, warm_us=1000 * SECOND)
-    assert max(sent) <= 40 + 3 * 40**0.5 + 3  # the rule's own slack for chance
+    assert max(sent) <= 40 + 3 * 40**0.5 + 3  # the rule's own slack for random variation
     assert min(sent) >= 30
 
 
-def test_limit_is_kept_and_an_earlier_life_is_not_forgotten():
+def test_limit_is_kept_as_if_an_earlier_incarnation_had_used_its_burst():
     head = Head()
     for _ in range(100):
-        head.ask(plan="capped", hosts=2)
+        head.submit(plan="capped", hosts=2)
         head.run(50 * MS)
         for request in head.requests():
             if request not in head.answers:
                 head.end(request)
-    assert 7 <= len(head.sent) <= 10  # half of 4 a second for 5 seconds, from an empty store
+    assert 7 <= len(head.sent) <= 10  # half of 4 a second for 5 seconds, from an empty bucket
     assert head.sent[0][0] > 1_000_000_000 + 400 * MS
 
 
-def test_budget_of_further_attempts():
+def test_repeated_attempts_keep_to_their_budget():
     head = Head(budget_free=1, budget_share=0.1, budget_window_us=5 * SECOND)
     for _ in range(30):
-        request = head.ask()
+        request = head.submit()
         head.end(request, result=api.Result.ERROR, over=False)
         if request not in head.answers:
             head.end(request, 1, result=api.Result.OK)
@@ -356,9 +356,9 @@
     assert 2 <= further <= 1 + 3
 
 
-def test_order_within_a_key_with_rest_after_a_reset():
+def test_order_within_a_key_with_a_pause_after_a_reset():
     head = Head()
-    first, second, other = head.ask("o", key="k"), head.ask("o", key="k"), head.ask("o", key="j")
+    first, second, other = head.submit("o", key="k"), head.submit("o", key="k"), head.submit("o", key="j")
     assert head.requests() == [first, other]
     head.end(first, result=api.Result.RESET, over=False)
     assert head.requests()[-1] == first
@@ -370,21 +370,21 @@
     assert second in head.requests()
 
 
-def test_begun_stream_has_no_deadline():
+def test_a_started_stream_has_no_deadline():
     head = Head()
-    request = head.ask("s")
+    request = head.submit("s")
     head.feed(api.ResponseStarted(request, 0))
     head.run(5 * SECOND)
     assert request not in head.answers
 
 
-def test_reservation_goes_first_then_turns_by_weight():
+def test_reservations_go_first_then_weighted_round_robin():
     head = Head(plans=(api.Plan("gold", 10, 50, weight=1), api.Plan("w3", 10, 0, weight=3), TIN))
     fillers = fill(head)
     held = []
     for _ in range(8):
-        held += [(name, head.ask(plan=name, volume=name)) for name in ("tin", "w3")]
-    reserved = head.ask(plan="gold", volume="gold")
+        held += [(name, head.submit(plan=name, volume=name)) for name in ("tin", "w3")]
+    reserved = head.submit(plan="gold", volume="gold")
     assert reserved not in head.requests()
     head.end(fillers[0])
     assert head.requests()[-1] == reserved
@@ -398,11 +398,11 @@
         assert mine == sorted(mine)
 
 
-def test_one_keys_run_shares_a_turn():
+def test_consecutive_requests_of_one_key_share_a_turn():
     head = Head(plans=(TIN, api.Plan("two", 10, 0)))
     fillers = fill(head)
-    run = [head.ask(plan="tin", volume="a", key="same") for _ in range(3)]
-    head.ask(plan="two", volume="b", key="other")
+    run = [head.submit(plan="tin", volume="a", key="same") for _ in range(3)]
+    head.submit(plan="two", volume="b", key="other")
     for filler in fillers:
         head.end(filler)
     assert head.requests()[-3:] == run
@@ -411,7 +411,7 @@
 def test_background_class_waits_for_the_volumes_own_work():
     head = Head()
     fillers = fill(head)
-    bulk, read = head.ask("b"), head.ask("r")
+    bulk, read = head.submit("b"), head.submit("r")
     head.end(fillers[0])
     assert head.requests()[-1] == read
     head.end(fillers[1])
@@ -421,38 +421,38 @@
 def test_overflow_is_refused_on_arrival_with_a_hint():
     head = Head()
     for _ in range(10):
-        request = head.ask()
+        request = head.submit()
         head.run(100 * MS)
         head.end(request, elapsed=100 * MS)
-    answers = [head.answers.get(head.ask()) for _ in range(60)]
+    answers = [head.answers.get(head.submit()) for _ in range(60)]
     refused = [answer for answer in answers if isinstance(answer, api.Refuse)]
     assert answers[0] is None and len(refused) > 30
     assert all(0 < answer.retry_after_us <= SECOND for answer in refused)
 
 
-def test_hopeless_held_request_is_answered_at_once():
+def test_a_queued_request_that_misses_its_aim_is_answered_at_once():
     head = Head()
     fill(head)
-    request = head.ask()
+    request = head.submit()
     head.run(301 * MS)
     assert isinstance(head.answers[request], api.Refuse)
 
 
-def test_later_try_counts_its_aim_from_the_first():
+def test_a_clients_retry_counts_its_aim_from_the_first_try():
     head = Head()
-    head.end(head.ask())
+    head.end(head.submit())
     fill(head)
-    late = head.ask(left=1000 * MS)
+    late = head.submit(left=1000 * MS)
     assert isinstance(head.answers[late], api.Refuse)
 
 
-def test_window_follows_latency_and_stays_under_the_ceiling():
+def test_window_follows_latency_up_to_its_maximum():
     head = Head()
 
     def out_after(rounds, latency):
         for _ in range(rounds):
             for _ in range(60):
-                head.ask()
+                head.submit()
             out = [request for request in head.requests() if request not in head.answers]
             head.run(20 * MS)
             for request in out:
@@ -466,10 +466,10 @@
     assert out_after(200, 20 * MS) > 10
 
 
-def test_operation_credits_come_back():
+def test_credits_are_returned():
     head = Head()
     for _ in range(300):
-        head.end(head.ask())
+        head.end(head.submit())
     session = head.unit._volumes[("v", "gold")].sessions[False]
     assert (session.operation_credits, session.payload_credits) == (128, 64)
 
@@ -478,7 +478,7 @@
     def rate(used):
         head = Head(meter_us=SECOND)
         for _ in range(20):
-            head.end(head.ask(hosts=2), used_percent=used)
+            head.end(head.submit(hosts=2), used_percent=used)
             head.run(100 * MS)
         return head.unit._volumes[("v", "gold")].reserve.rate
 
@@ -487,7 +487,7 @@
     assert rate(used=0) >= 2.5
 
 
-def test_list_is_asked_for_again_with_backoff():
+def test_the_node_list_is_requested_again_with_backoff():
     head = Head(list_on_request=True)
     waits = []
     for _ in range(6):
@@ -502,7 +502,7 @@
 
 def test_unknown_and_late_events_are_tolerated():
     head = Head()
-    request = head.ask()
+    request = head.submit()
     head.end(request)
     late = [
         api.AttemptEnded(request, 0, "n0", api.Result.OK, 1, True), api.AttemptEnded(99, 0, "n0", api.Result.OK, 1, True),
@@ -516,12 +516,12 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_drawn_sequences_keep_the_rules(seed):
+def test_random_sequences_keep_the_rules(seed):
     rng = random.Random(seed)
     names = [f"n{i}" for i in range(4)]
     limits = dict(budget_free=2, budget_share=0.2, budget_window_us=2 * SECOND)
     head = Head(names, seed=seed, **limits)
-    told, settled, maybe_ran = {}, set(), {}
+    announced, settled, maybe_ran = {}, set(), {}
     for _ in range(1500):
         head.run(rng.choice((2, 2, 10, 40)) * MS)
         roll = rng.random()
@@ -529,12 +529,12 @@
         if roll < 0.55:
             kind = rng.choice("rwubos")
             shard = -1 if kind in "wu" else rng.randrange(4)
-            head.ask(kind, rng.choice(("gold", "tin", "capped")), rng.choice("xyz"), rng.choice("kj"), shard,
+            head.submit(kind, rng.choice(("gold", "tin", "capped")), rng.choice("xyz"), rng.choice("kj"), shard,
                      rng.randint(1, 4), hosts=2)  # fmt: skip
         elif roll < 0.57:
             name = rng.choice(names)
             state = rng.choice(list(api.NodeState))
-            told[name] = (state, head.now)
+            announced[name] = (state, head.now)
             head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry(name, int(name[1]), state)]))
         else:
             open_attempts = [one for one in head.sent if (one[1], one[2]) not in settled]
@@ -549,16 +549,16 @@
                     head.answers[request] = "served"
                 head.feed(api.AttemptEnded(request, number, node, result, 30 * MS, over))
         for at, request, number, node in head.sent[checked:]:
-            state, when = told.get(node, (api.NodeState.UP, 0))
+            state, when = announced.get(node, (api.NodeState.UP, 0))
             assert state is api.NodeState.UP or at <= when + head.settings.drain_grace_us
             assert number == 0 or request not in maybe_ran or maybe_ran[request] == node
     head.run(10 * SECOND)
-    assert set(head.owed) == set(head.answers)
-    assert len(head.owed) > 500
+    assert set(head.deadlines) == set(head.answers)
+    assert len(head.deadlines) > 500
     further = [at for at, _, number, _ in head.sent if number]
     for at in further:
         inside = sum(1 for one in further if at - 2 * SECOND <= one <= at)
-        asked = sum(1 for one in head.asked if at - 2 * SECOND <= one <= at)
+        asked = sum(1 for one in head.request_times if at - 2 * SECOND <= one <= at)
         assert inside <= 2 + 0.2 * asked
     assert further
 
@@ -568,7 +568,7 @@
         head = Head([f"n{i}" for i in range(5)], seed=4)
         rng = random.Random(2)
         for _ in range(400):
-            request = head.ask(
+            request = head.submit(
                 rng.choice("rwb"), volume=rng.choice("abc"), shard=-1 if rng.random() < 0.5 else 2
             )
             if request in head.requests() and rng.random() < 0.7:
@@ -579,102 +579,102 @@
     assert play() == play()
 
 
-def test_lost_attempt_frees_the_window_and_is_no_silence():
+def test_a_lost_attempt_frees_the_window_and_does_not_make_the_node_silent():
     head = Head()
-    lost = head.ask()
+    lost = head.submit()
     for _ in range(8):
         head.run(20 * MS)
-        head.end(head.ask())
+        head.end(head.submit())
     head.run(500 * MS)
     assert not any(isinstance(action, api.Log) for _, action in head.log)
-    again = [head.ask() for _ in range(3)]
+    again = [head.submit() for _ in range(3)]
     assert all(request in head.requests() for request in again) and lost not in head.answers
 
 
-def test_wait_in_turns_counts_what_reserved_work_takes():
+def test_the_estimated_wait_includes_reserved_work():
     def refused(reserved_sends):
         head = Head(plans=(api.Plan("gold", 1000, 1000), TIN))
         for _ in range(40):
-            request = head.ask(plan="gold" if reserved_sends else "tin", volume="first")
+            request = head.submit(plan="gold" if reserved_sends else "tin", volume="first")
             head.run(50 * MS)
             head.end(request, elapsed=50 * MS)
         fill(head)
-        answers = [head.answers.get(head.ask(plan="tin", volume="last")) for _ in range(40)]
+        answers = [head.answers.get(head.submit(plan="tin", volume="last")) for _ in range(40)]
         return sum(isinstance(answer, api.Refuse) for answer in answers)
 
     assert refused(reserved_sends=True) > refused(reserved_sends=False) > 0
 
 
-def slow_answers(head, elapsed, times=6, **ask):
-    """Some answers far apart, each after so long: many other heads share the node."""
+def slow_answers(head, elapsed, times=6, **options):
+    """Feed a few answers far apart, each after `elapsed`: many other heads share the node."""
     for turn in range(times):
-        request = head.ask("b", "tin", f"other{turn}", **ask)
+        request = head.submit("b", "tin", f"other{turn}", **options)
         head.run(elapsed)
         if request in head.requests() and request not in head.answers:
             head.end(request, elapsed=elapsed)
         head.run(2 * SECOND)
 
 
-def sent_of(head, times, plan, **ask):
+def count_sent(head, times, plan, **options):
     before = len(head.sent)
     for turn in range(times):
-        request = head.ask("r", plan, f"{plan}{turn}", **ask)
+        request = head.submit("r", plan, f"{plan}{turn}", **options)
         if request in head.requests():
             head.end(request, elapsed=300 * MS)
         head.run(SECOND)
     return len(head.sent) - before
 
 
-def test_on_signs_of_crowding_work_beyond_the_reserve_yields_first():
+def test_at_a_crowded_node_unreserved_work_is_refused_first():
     spare = reserved = 0
     for seed in range(6):
         for plan in ("tin", "gold"):
             head = Head(seed=seed)
             slow_answers(head, 200 * MS)
-            count = sent_of(head, 10, plan)
+            count = count_sent(head, 10, plan)
             spare, reserved = spare + count * (plan == "tin"), reserved + count * (plan == "gold")
     assert 0 < spare < reserved
 
 
-def test_a_head_that_often_asks_judges_by_its_own_backlog():
+def test_a_head_that_uses_a_node_often_judges_by_its_own_backlog():
     head = Head()
     for _ in range(40):
-        request = head.ask("b", "tin", "dense")
+        request = head.submit("b", "tin", "dense")
         head.run(150 * MS)
         if request in head.requests() and request not in head.answers:
             head.end(request, elapsed=150 * MS)
     assert len(head.sent) >= 36
 
 
-def test_full_node_gets_no_second_try_at_once_and_counts_as_crowded():
+def test_a_full_node_gets_no_immediate_retry_and_counts_as_crowded():
     head = Head()
-    head.end(head.ask(plan="tin"))
+    head.end(head.submit(plan="tin"))
     for _ in range(4):
-        request = head.ask("r", "tin")
+        request = head.submit("r", "tin")
         if request in head.requests():
             head.end(request, result=api.Result.FULL, over=False)
         assert request in head.answers
         assert [r for r in head.requests()].count(request) <= 1
-    assert isinstance(head.answers[head.ask("r", "tin")], api.Refuse)
+    assert isinstance(head.answers[head.submit("r", "tin")], api.Refuse)
 
 
-def test_unanswered_tries_of_clients_that_leave_tell_of_a_deep_queue():
+def test_unanswered_attempts_of_clients_that_leave_reveal_a_deep_queue():
     head = Head()
-    head.end(head.ask())
-    for _ in range(20):  # overdue answers that do come: they are slow here, not lost
-        slow = head.ask("b")
+    head.end(head.submit())
+    for _ in range(20):  # overdue answers that arrive: slow, not lost
+        slow = head.submit("b")
         head.run(900 * MS)
         if slow in head.requests() and slow not in head.answers:
             head.end(slow, elapsed=900 * MS)
         for _ in range(12):
             head.run(20 * MS)
-            quick = head.ask("b")
+            quick = head.submit("b")
             if quick in head.requests() and quick not in head.answers:
                 head.end(quick)
     sent = []
     for _ in range(60):
         before = len(head.sent)
-        request = head.ask(left=150 * MS)
+        request = head.submit(left=150 * MS)
         head.run(149 * MS)
         if len(head.sent) > before and request not in head.answers:
             head.feed(api.ClientLeft(request))
@@ -684,22 +684,22 @@
     assert sent[0] == 1 and 0 < sum(sent[10:]) <= 40  # of fifty: refused until the estimate ages
 
 
-def test_first_try_with_little_time_is_no_late_repeat():
+def test_a_first_try_with_little_time_left_is_not_a_late_retry():
     head = Head()
-    head.end(head.ask())
+    head.end(head.submit())
     fillers = fill(head)
-    short = head.ask("r", left=250 * MS)
-    late = head.ask("r", left=700 * MS)
+    short = head.submit("r", left=250 * MS)
+    late = head.submit("r", left=700 * MS)
     head.end(fillers[0])
     assert short in head.requests()
     assert isinstance(head.answers[late], api.Refuse)
 
 
-def test_where_answers_get_lost_one_more_does_not_make_a_node_silent():
+def test_where_answers_get_lost_a_further_one_does_not_make_a_node_silent():
     def silences(lost_every):
         head = Head()
         for turn in range(60):
-            request = head.ask("b")
+            request = head.submit("b")
             head.run(30 * MS)
             if turn % lost_every != lost_every - 1 and request not in head.answers:
                 head.end(request, elapsed=30 * MS)
@@ -710,12 +710,12 @@
     assert silences(lost_every=1) >= 1
 
 
-def test_what_a_head_reads_after_it_stood_still_is_no_latency():
-    def latency(stood_still):
+def test_delays_after_the_heads_own_stall_do_not_count_as_latency():
+    def latency(stalled):
         head = Head()
-        head.end(head.ask())
-        request = head.ask()
-        if stood_still:
+        head.end(head.submit())
+        request = head.submit()
+        if stalled:
             head.now += 900 * MS
             head.timers.clear()
         else:
@@ -723,14 +723,14 @@
         head.end(request, elapsed=900 * MS)
         return head.unit._nodes["n0"].latency_us
 
-    assert latency(stood_still=True) < 30 * MS < latency(stood_still=False)
+    assert latency(stalled=True) < 30 * MS < latency(stalled=False)
 
 
-def test_state_of_what_is_long_gone_is_dropped():
+def test_idle_state_is_dropped():
     head = Head(("n0", "n1"))
     for turn in range(50):
-        head.end(head.ask("o", volume=f"v{turn}", key=f"k{turn}"))
-    request = head.ask("o", volume="last", key="reset")
+        head.end(head.submit("o", volume=f"v{turn}", key=f"k{turn}"))
+    request = head.submit("o", volume="last", key="reset")
     head.end(request, result=api.Result.RESET, over=True)
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n1", 1, api.NodeState.GONE)]))
     head.run(200 * SECOND)
@@ -739,8 +739,8 @@
     assert set(unit._nodes) == {"n0"}
 
 
-def test_work_for_a_request_does_not_grow_with_the_fleet():
-    def looks(nodes):
+def test_cost_of_a_request_does_not_grow_with_the_fleet():
+    def count_comparisons(nodes):
         head = Head([f"n{i}" for i in range(nodes)])
         seen = [0]
         inner = head.unit._latency
@@ -751,11 +751,11 @@
 
         head.unit._latency = count
         for turn in range(50):
-            head.end(head.ask("w", shard=-1), node=head.sent[-1][3])
-            head.end(head.ask("r", shard=turn % nodes), node=f"n{turn % nodes}")
+            head.end(head.submit("w", shard=-1), node=head.sent[-1][3])
+            head.end(head.submit("r", shard=turn % nodes), node=f"n{turn % nodes}")
         return seen[0]
 
-    assert looks(400) <= 1.2 * looks(100)
+    assert count_comparisons(400) <= 1.2 * count_comparisons(100)
 
 
 def test_hundred_heads_and_forty_nodes_keep_cold_limit_and_drain_rules():
@@ -773,7 +773,7 @@
                 node = rng.randrange(4) if rng.random() < 0.5 else rng.randrange(40)
                 plan = "capped" if head in group[:4] else rng.choice(("gold", "tin"))
                 units, hosts = rng.randint(1, 2), 4 if plan == "capped" else 100
-                head.ask(
+                head.submit(
                     "r", plan, "capped" if plan == "capped" else f"{plan}{node}", "", node, units, hosts=hosts
                 )
             for at, request, _, node in head.sent[before:]:
@@ -804,14 +804,14 @@
     assert 0 < capped <= 8 + 4 * (now - SECOND) / SECOND
 
 
-@pytest.mark.parametrize("told", [api.NodeState.DRAINING, None])
-def test_a_replacement_inherits_no_more_than_what_was_served_lately(told):
+@pytest.mark.parametrize("announced", [api.NodeState.DRAINING, None])
+def test_a_replacement_inherits_at_most_the_recent_rate(announced):
     head = Head(("n0", "n1"))
     for _ in range(20):
-        head.end(head.ask("b", units=4))
+        head.end(head.submit("b", units=4))
     head.run(9 * SECOND)
-    if told:
-        head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, told)]))
+    if announced:
+        head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, announced)]))
     new = api.NodeEntry("n9", 0, started_us=head.now)
     head.feed(api.NodesChanged(api.ListKind.FULL, [api.NodeEntry("n1", 1)]))
     head.feed(api.NodesChanged(api.ListKind.FULL, [api.NodeEntry("n1", 1), new]))
@@ -821,11 +821,11 @@
 @pytest.mark.parametrize("hosts", [0, 1, 10**6])
 @pytest.mark.parametrize("used", [0, 1, 10**9])
 @pytest.mark.parametrize("left", [-5, 0, 1, 10**12])
-def test_odd_host_counts_meters_reports_and_times_left_loosen_no_rule(hosts, used, left):
+def test_odd_values_in_events_loosen_no_rule(hosts, used, left):
     head = Head(meter_us=SECOND)
     for turn in range(40):
-        request = head.ask(plan="capped", volume="v", hosts=2)
-        odd = head.ask(plan="capped", volume="v", left=left, hosts=hosts)
+        request = head.submit(plan="capped", volume="v", hosts=2)
+        odd = head.submit(plan="capped", volume="v", left=left, hosts=hosts)
         head.run(100 * MS)
         for one in (request, odd):
             if one in head.requests() and one not in head.answers:
@@ -833,25 +833,25 @@
     head.run(10 * SECOND)
     assert len(head.sent) <= 8 + 4 * 4
     if left <= SECOND:
-        assert set(head.owed) == set(head.answers)
+        assert set(head.deadlines) == set(head.answers)
 
 
 @pytest.mark.parametrize("result", list(api.Result))
-def test_results_of_probes_change_nothing_for_unknown_and_gone_nodes(result):
+def test_probe_results_change_nothing_for_unknown_and_removed_nodes(result):
     head = Head(("n0", "n1"))
     head.feed(api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n1", 1, api.NodeState.GONE)]))
     for name in ("n1", "nobody", ""):
         actions = head.feed(api.ProbeEnded(name, result, 5, (1.0,)))
         assert [action for action in actions if not isinstance(action, api.SetTimer)] == []
-    assert isinstance(head.answers[head.ask(shard=1)], api.Refuse)
+    assert isinstance(head.answers[head.submit(shard=1)], api.Refuse)
 
 
-def test_a_client_that_repeats_at_once_gets_the_same_answer_from_a_crowded_node():
+def test_immediate_retries_get_the_same_answer_at_a_crowded_node():
     mixed = 0
     for seed in range(20):
         head = Head(seed=seed)
         slow_answers(head, 170 * MS)
-        tries = [head.ask("b", "tin", "impatient", "same") for _ in range(12)]
+        tries = [head.submit("b", "tin", "impatient", "same") for _ in range(12)]
         refused = sum(isinstance(head.answers.get(request), api.Refuse) for request in tries)
         mixed += 0 < refused < 12
     assert mixed <= 2
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, on a transcript written for it."""
+"""The bench adapter as a process, on a hand-written transcript."""
 
 import io
 import json
@@ -56,20 +56,20 @@
     assert "for 3" not in replies[4] and "track 1\n" in replies[4] and "assign 78 shelf-a 0\n" in replies[4]
 
 
-@pytest.mark.parametrize(("weights", "told"), [
+@pytest.mark.parametrize(("weights", "sized"), [
     ("nominal", True), ("rough", True), ("live", False), ("silent", False), (None, False), (3, False),
 ])  # fmt: skip
-def test_rows_tell_kinds_and_settings_whether_their_sizes_are_meant(weights, told):
+def test_list_rows_give_kinds_and_the_settings_say_whether_weights_are_sizes(weights, sized):
     served = wirehost.WireHost()
     conf = {**CONF, "weights": weights}
     out = io.StringIO()
     served.serve(f"begin_batch 1000\n{start(3, conf)}eob\n".splitlines(keepends=True), out)
     unit = served.instances[3]
-    assert unit.settings.list_has_sizes is told
+    assert unit.settings.list_has_sizes is sized
     assert [(node.entry.kind, node.entry.size) for node in unit._nodes.values()] == [("k", 1.0), ("k", 1.5)]
 
 
-def test_refusal_and_failure_on_the_wire():
+def test_refusal_on_the_wire():
     done = play(
         f"begin_batch 1000\n{start(0)}eob\n"
         "begin_batch 2000\nselect 0\nreq 1 1 1500000 read vol 0 key 9 p 2\neob\n"
@@ -90,7 +90,7 @@
         (f"begin_batch 1\n{start(0)}report_back 1 0 shelf-a odd 1 1 - - -\neob\n", "odd"),
     ],
 )
-def test_bad_input_ends_with_one_plain_message(text, what):
+def test_bad_input_ends_with_a_one_line_message(text, what):
     done = play(text)
     assert done.returncode == 2 and done.stdout == ""
     assert what in done.stderr and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
