--- a/tests/endings/test_cold_fleet.py
+++ b/tests/endings/test_cold_fleet.py
@@ -1,8 +1,8 @@
-"""Cold nodes under thirty production modules in simulated time: what all heads together send a node that warms.
+"""Thirty production schedulers in simulated time: what all heads together send to a node that is warming up.
 
-In any span of `fall_us` a cold node bears N + 2 x root of N + 2 requests of mean work, N being what the
-settings allow it at the least warmth that they promise. The bound holds where two thirds of a span's requests
-came from heads that had been told of the start; a new process counts as told from its first moment.
+In any span of `fall_us` a cold node can take N + 2 x root of N + 2 requests of mean work, where N is what the
+settings allow at the lowest warm-up that they guarantee. The bound applies where at least two thirds of a
+span's requests came from heads that had been informed of the start; a new process counts as informed.
 """
 
 import heapq
@@ -17,30 +17,30 @@
 from tests.test_scheduler import BULK, GOLD, MS, READ, SECOND, TIN, WRITE, settings
 
 SEEDS = range(3)
-SHARDS = 3  # all nodes but the last go and come back cold
+SHARDS = 3  # all nodes but the last leave and return cold
 CORES = 3
-QUEUE = 40 * CORES  # a node with so many turns requests away unseen
+QUEUE = 40 * CORES  # a node rejects requests beyond this many, unprocessed
 MEAN_UNITS = 2
-WELL_US = 8 * SECOND  # served before the nodes go
+HEALTHY_US = 8 * SECOND  # time of service before the nodes leave
 
 
 @dataclass(frozen=True)
 class Case:
-    """One way in which cold nodes come back; times in microseconds."""
+    """One way in which cold nodes return; times in microseconds."""
 
     heads: int = 30
-    rate: float = 24.0  # requests of mean work a second that a warm node does
-    load: float = 0.95  # the part of it that clients ask for
-    slower: float = 1.0  # what a node does after its return, against before
+    rate: float = 24.0  # requests of mean work a second that a warm node serves
+    load: float = 0.95  # the share of it that clients demand
+    slower: float = 1.0  # a node's speed after its return, relative to before
     skew: float = 0.5  # sigma of the heads' shares of the demand
-    shift: bool = False  # the shares are drawn anew when the nodes return
+    shift: bool = False  # the shares are redrawn when the nodes return
     away_us: int = 3 * SECOND
-    replaced: bool = False  # by new ids, told as draining before; else nodes vanish and keep their ids
-    spread_us: int = 300 * MS  # within which heads hear of a start ...
-    by_list: float = 0.1  # ... but for this part, which hears by a whole list up to three times as late
-    restarts: float = 0.0  # part of the heads that are killed after the return ...
+    replaced: bool = False  # by new ids, with a drain announced before; else nodes vanish and keep their ids
+    spread_us: int = 300 * MS  # within which heads are informed of a start ...
+    by_list: float = 0.1  # ... except for this share, informed by a full list up to three times as late
+    restarts: float = 0.0  # share of the heads that are killed after the return ...
     restart_within_us: int = 10 * SECOND
-    lull: float = 1.0  # the demand after the return, against before ...
+    lull: float = 1.0  # demand after the return, relative to before ...
     burst: float = 1.0  # ... and from this time after it
     burst_at_us: int = 0
     multiple: float = 2.0
@@ -48,9 +48,9 @@
     cold_share: float = 0.21
     warm_us: int = 16 * SECOND
     cold_units: int = 8
-    classes: tuple = (BULK,)  # patient: nothing but the pace holds them back
-    kinds: tuple = ("", "")  # of machine, before and after their return: not told
-    sizes: tuple = (0.0, 0.0)  # as they are registered; not told
+    classes: tuple = (BULK,)  # long aims: only the pacing holds them back
+    kinds: tuple = ("", "")  # of machine, before and after their return; empty: unknown
+    sizes: tuple = (0.0, 0.0)  # as registered, before and after their return; 0: unknown
 
     def settings(self):
         return settings(
@@ -63,22 +63,22 @@
 
 @dataclass(eq=False)
 class Node:
-    """A node that warms no faster than the settings promise: a queue before its cores."""
+    """A node that warms up no faster than the settings guarantee: a queue in front of its cores."""
 
     name: str
     shard: int
     case: Case
     started: int = 0  # 0: long ago
     up: bool = True
-    free: list = field(default_factory=lambda: [0] * CORES)  # when each core is free
+    core_free_at: list = field(default_factory=lambda: [0] * CORES)  # when each core is free
     queue: deque = field(default_factory=deque)  # when each request in it is done
-    got: list = field(default_factory=list)  # (when, requests of mean work, from a head that was told)
+    received: list = field(default_factory=list)  # (when, requests of mean work, from an informed head)
 
     @property
     def rate(self):
         return self.case.rate * (self.case.slower if self.started else 1.0)
 
-    def warmth(self, now):
+    def warm_capacity(self, now):
         if not self.started:
             return 1.0
         return min(
@@ -86,31 +86,31 @@
         )
 
     def done_at(self, now, work):
-        """When a request is done; None if it is turned away."""
+        """Return when a request is done; None if it is rejected."""
         while self.queue and self.queue[0] <= now:
             self.queue.popleft()
         if len(self.queue) >= QUEUE:
             return None
-        begin = max(now, heapq.heappop(self.free))
-        end = begin + int(work * CORES / self.rate / self.warmth(begin) * SECOND) + 1
-        heapq.heappush(self.free, end)
+        begin = max(now, heapq.heappop(self.core_free_at))
+        end = begin + int(work * CORES / self.rate / self.warm_capacity(begin) * SECOND) + 1
+        heapq.heappush(self.core_free_at, end)
         self.queue.append(end)
         return end
 
-    def largest(self, told=2 / 3):
-        """The largest part of the bound that came in a span while it was cold, from so many told heads."""
+    def highest_load(self, informed_share=2 / 3):
+        """Return the highest load relative to the bound, over cold spans with that share from informed heads."""
         case, span, most = self.case, deque(), 0.0
-        for one in self.got:
+        for one in self.received:
             at = one[0]
             if not self.started <= at < self.started + case.warm_us:
                 continue
             span.append(one)
             while span[0][0] <= at - case.fall_us:
                 span.popleft()
-            allowed = case.multiple * self.warmth(at) * self.rate * case.fall_us / SECOND
+            allowed = case.multiple * self.warm_capacity(at) * self.rate * case.fall_us / SECOND
             allowed = max(allowed, case.cold_units / MEAN_UNITS)
             work = sum(work for _, work, _ in span)
-            if sum(work for _, work, knew in span if knew) >= told * work:
+            if sum(work for _, work, informed in span if informed) >= informed_share * work:
                 most = max(most, work / (allowed + 2 * allowed**0.5 + 2))
         return most
 
@@ -123,23 +123,25 @@
         self.now, self.serial, self.events = SECOND, 0, []
         self.nodes = {f"n{shard}": Node(f"n{shard}", shard, case) for shard in range(SHARDS)}
         self.heads = [None] * case.heads
-        self.told = [True] * case.heads
-        self.lives = [0] * case.heads  # goes up at the death and at the start of a process
-        self.known = [self.listed()] * case.heads  # the list that each had last
+        self.informed = [True] * case.heads
+        self.incarnations = [0] * case.heads  # increases at the end and at the start of a process
+        self.last_list = [self.node_list()] * case.heads  # the list that each received last
         self.requests = {}  # by head and number: (shard, units, tries)
         self.attempts = {}
         self.draw_shares()
-        self.back = self.now + WELL_US + case.away_us
+        self.back = self.now + HEALTHY_US + case.away_us
         for number in range(case.heads):
-            self.begin(number)
-            self.later(self.now, self.arrive, number)
+            self.start_head(number)
+            self.schedule(self.now, self.arrive, number)
             if self.random.random() < case.restarts:
-                self.later(self.back + self.random.randrange(case.restart_within_us), self.kill, number)
+                self.schedule(
+                    self.back + self.random.randrange(case.restart_within_us), self.kill_head, number
+                )
         for shard in range(SHARDS - 1):
-            self.later(self.now + WELL_US, self.leave, shard)
-            self.later(self.back + self.random.randrange(500 * MS), self.come_back, shard)
+            self.schedule(self.now + HEALTHY_US, self.remove_node, shard)
+            self.schedule(self.back + self.random.randrange(500 * MS), self.return_node, shard)
         if case.shift:
-            self.later(self.back, self.draw_shares)
+            self.schedule(self.back, self.draw_shares)
 
     def run(self):
         end = self.back + self.case.warm_us + SECOND
@@ -148,10 +150,10 @@
             act(*arguments)
         return self
 
-    def largest(self, told=2 / 3):
-        return max(node.largest(told) for node in self.nodes.values())
+    def highest_load(self, informed_share=2 / 3):
+        return max(node.highest_load(informed_share) for node in self.nodes.values())
 
-    def later(self, when, act, *arguments):
+    def schedule(self, when, act, *arguments):
         self.serial += 1
         heapq.heappush(self.events, (when, self.serial, act, arguments))
 
@@ -159,7 +161,7 @@
         shares = [self.random.lognormvariate(0, self.case.skew) for _ in self.heads]
         self.shares = [share / sum(shares) for share in shares]
 
-    def listed(self):
+    def node_list(self):
         return [self.entry(node.name, node.shard, node.started) for node in self.nodes.values() if node.up]
 
     def entry(self, name, shard, started, state=api.NodeState.UP):
@@ -167,48 +169,48 @@
         kind, size = self.case.kinds[after], self.case.sizes[after]
         return api.NodeEntry(name, shard, state, started_us=started, kind=kind, size=size)
 
-    def begin(self, number):
-        self.lives[number] += 1
+    def start_head(self, number):
+        self.incarnations[number] += 1
         self.heads[number] = Scheduler(
-            self.case.settings(), self.seed * 1000 + number * 10 + self.lives[number]
+            self.case.settings(), self.seed * 1000 + number * 10 + self.incarnations[number]
         )
-        self.feed(number, api.NodesChanged(api.ListKind.RESTORED, self.known[number]))
+        self.feed(number, api.NodesChanged(api.ListKind.RESTORED, self.last_list[number]))
 
-    def kill(self, number):
-        self.lives[number] += 1
+    def kill_head(self, number):
+        self.incarnations[number] += 1
         self.heads[number] = None
-        self.later(self.now + self.random.randrange(400 * MS, 1500 * MS), self.begin_again, number)
+        self.schedule(self.now + self.random.randrange(400 * MS, 1500 * MS), self.restart_head, number)
 
-    def begin_again(self, number):
-        """A new process begins with the list that the old one had, and soon hears of the present one."""
-        self.begin(number)
-        self.told[number] = True
+    def restart_head(self, number):
+        """Start a new process with the list of the old one; it receives the current list soon after."""
+        self.start_head(number)
+        self.informed[number] = True
         soon = self.now + self.random.randrange(20 * MS, 300 * MS)
-        self.later(soon, self.tell, number, self.lives[number], api.ListKind.FULL)
+        self.schedule(soon, self.update_list, number, self.incarnations[number], api.ListKind.FULL)
 
-    def leave(self, shard):
+    def remove_node(self, shard):
         self.nodes[f"n{shard}"].up = False
         leaving = self.entry(f"n{shard}", shard, 0, api.NodeState.DRAINING)
         for number in range(self.case.heads if self.case.replaced else 0):
             self.feed(number, api.NodesChanged(api.ListKind.CHANGES, [leaving]))
 
-    def come_back(self, shard):
+    def return_node(self, shard):
         if self.case.replaced:
             self.nodes[f"r{shard}"] = Node(f"r{shard}", shard, self.case, self.now)
         else:
             node = self.nodes[f"n{shard}"]
-            node.up, node.started, node.free, node.queue = True, self.now, [self.now] * CORES, deque()
+            node.up, node.started, node.core_free_at, node.queue = True, self.now, [self.now] * CORES, deque()
         for number in range(self.case.heads):
-            self.told[number] = False
+            self.informed[number] = False
             by_list = self.random.random() < self.case.by_list
             wait = (3 if by_list else 1) * self.random.randrange(1, self.case.spread_us + 1)
             kind = api.ListKind.FULL if by_list else api.ListKind.CHANGES
-            self.later(self.now + wait, self.tell, number, self.lives[number], kind)
+            self.schedule(self.now + wait, self.update_list, number, self.incarnations[number], kind)
 
-    def tell(self, number, life, kind):
-        if self.lives[number] == life:
-            self.told[number], self.known[number] = True, self.listed()
-            self.feed(number, api.NodesChanged(kind, self.listed()))
+    def update_list(self, number, incarnation, kind):
+        if self.incarnations[number] == incarnation:
+            self.informed[number], self.last_list[number] = True, self.node_list()
+            self.feed(number, api.NodesChanged(kind, self.node_list()))
 
     def demand(self):
         if self.now < self.back:
@@ -218,11 +220,11 @@
     def arrive(self, number):
         most = max(1.0, self.case.burst)
         rate = most * self.case.load * self.case.rate * SHARDS * self.shares[number]
-        self.later(self.now + int(self.random.expovariate(rate) * SECOND) + 1, self.arrive, number)
+        self.schedule(self.now + int(self.random.expovariate(rate) * SECOND) + 1, self.arrive, number)
         if self.random.random() * most < self.demand():
-            self.ask(number, self.random.randrange(SHARDS), self.random.choice((1, 2, 3)), 1)
+            self.submit(number, self.random.randrange(SHARDS), self.random.choice((1, 2, 3)), 1)
 
-    def ask(self, number, shard, units, tries):
+    def submit(self, number, shard, units, tries):
         self.serial += 1
         kind = self.random.choice(self.case.classes)
         self.requests[number, self.serial] = (shard, units, tries)
@@ -235,43 +237,44 @@
     def feed(self, number, event):
         if self.heads[number] is None:
             return
-        life = self.lives[number]
+        incarnation = self.incarnations[number]
         for action in self.heads[number].handle(self.now, [event]):
             match action:
                 case api.Send():
-                    self.send(number, life, action)
+                    self.send(number, incarnation, action)
                 case api.SetTimer():
-                    self.later(action.at_us, self.wake, number, life, action.token)
+                    self.schedule(action.at_us, self.fire_timer, number, incarnation, action.token)
                 case api.Refuse() | api.Fail():
                     shard, units, tries = self.requests[number, action.request]
                     if tries < 3 and self.random.random() < 0.7:
                         wait = self.random.randrange(45 * MS, 240 * MS)
-                        self.later(self.now + wait, self.ask, number, shard, units, tries + 1)
+                        self.schedule(self.now + wait, self.submit, number, shard, units, tries + 1)
 
-    def wake(self, number, life, token):
-        if self.lives[number] == life:
+    def fire_timer(self, number, incarnation, token):
+        if self.incarnations[number] == incarnation:
             self.feed(number, api.TimerFired(token))
 
-    def send(self, number, life, action):
+    def send(self, number, incarnation, action):
         node, units = self.nodes[action.node], self.requests[number, action.request][1]
         attempt = self.attempts[number, action.request] = self.attempts.get((number, action.request), -1) + 1
         if not node.up:
-            return  # silence
+            return  # no answer
         work = units / MEAN_UNITS
-        node.got.append((self.now, work, self.told[number]))
+        node.received.append((self.now, work, self.informed[number]))
         done = node.done_at(self.now, work * self.random.expovariate(1))
-        self.later(done or self.now + MS, self.end, number, life, action, attempt, done is not None, self.now)
+        self.schedule(done or self.now + MS, self.end_attempt, number, incarnation, action, attempt,
+                      done is not None, self.now)  # fmt: skip
 
-    def end(self, number, life, action, attempt, served, sent):
+    def end_attempt(self, number, incarnation, action, attempt, served, sent):
         node = self.nodes[action.node]
-        if self.lives[number] == life and node.up and node.started <= sent:
+        if self.incarnations[number] == incarnation and node.up and node.started <= sent:
             result = api.Result.OK if served else api.Result.FULL
             elapsed = self.now - sent
             self.feed(number, api.AttemptEnded(action.request, attempt, node.name, result, elapsed, served))
 
 
-NEW = {"replaced": True, "away_us": SECOND // 2}  # told of the drain, heads have no silence to be careful of
-LATER_US = 6 * SECOND  # half of full warmth: what the settings allow is what the node did before
+NEW = {"replaced": True, "away_us": SECOND // 2}  # after an announced drain, heads don't see silent nodes
+HALF_WARM_US = 6 * SECOND  # at half of full capacity the settings allow the node's former rate
 CASES = {
     "same ids": Case(),
     "same ids, told late": Case(spread_us=3 * SECOND, burst=1.5),
@@ -281,8 +284,8 @@
     "some restart": Case(restarts=0.4, burst=1.5, **NEW),
     "most restart at once": Case(restarts=0.7, restart_within_us=300 * MS, burst=1.5, **NEW),
     "a burst": Case(burst=1.5, **NEW),
-    "a burst when half warm": Case(burst=1.5, burst_at_us=LATER_US, **NEW),
-    "a lull, then a burst": Case(lull=0.3, burst=1.5, burst_at_us=LATER_US, **NEW),
+    "a burst when half warm": Case(burst=1.5, burst_at_us=HALF_WARM_US, **NEW),
+    "a lull, then a burst": Case(lull=0.3, burst=1.5, burst_at_us=HALF_WARM_US, **NEW),
     "uneven": Case(skew=1.3, burst=1.5, **NEW),
     "demand that moves": Case(skew=1.3, shift=True, burst=1.5, **NEW),
     "large nodes": Case(rate=60.0, burst=1.5, **NEW),
@@ -295,45 +298,45 @@
 SAME_KIND = {"kinds": ("a", "a")}
 
 
-def bears(case, seeds):
-    """Say that cold nodes are used, and get no more than they bear."""
-    largest = [Fleet(case, seed).run().largest() for seed in seeds]
-    assert max(largest) <= 1.0
-    assert min(largest) >= 0.2
+def check_cold_load(case, seeds):
+    """Check that cold nodes are used and get no more than the bound."""
+    highest = [Fleet(case, seed).run().highest_load() for seed in seeds]
+    assert max(highest) <= 1.0
+    assert min(highest) >= 0.2
 
 
-@pytest.mark.parametrize("told", [{}, SAME_KIND], ids=["no kinds", "same kind"])
+@pytest.mark.parametrize("listed", [{}, SAME_KIND], ids=["no kinds", "same kind"])
 @pytest.mark.parametrize("name", CASES)
-def test_no_fleet_sends_a_cold_node_more_than_it_bears(name, told):
-    bears(replace(CASES[name], **told), SEEDS)
+def test_a_fleet_sends_a_cold_node_no_more_than_the_bound(name, listed):
+    check_cold_load(replace(CASES[name], **listed), SEEDS)
 
 
 @pytest.mark.parametrize("load", [0.6, 0.95])
 @pytest.mark.parametrize("slower", [0.3, 0.5, 0.75, 1.5])
-@pytest.mark.parametrize("told", [
+@pytest.mark.parametrize("listed", [
     {"kinds": ("a", "b")}, {"sizes": (3.0, 1.0)}, {"kinds": ("a", "b"), "sizes": (3.0, 1.0)},
 ], ids=["other kind", "size", "both"])  # fmt: skip
-def test_a_replacement_that_is_told_to_be_another_machine_gets_no_more_than_it_bears(told, slower, load):
-    if "sizes" in told:
-        told = {**told, "sizes": (3.0, 3.0 * slower)}
-    bears(Case(load=load, slower=slower, **told, **NEW), SEEDS)
+def test_a_replacement_listed_as_another_machine_gets_no_more_than_the_bound(listed, slower, load):
+    if "sizes" in listed:
+        listed = {**listed, "sizes": (3.0, 3.0 * slower)}
+    check_cold_load(Case(load=load, slower=slower, **listed, **NEW), SEEDS)
 
 
 def test_a_replacement_of_the_same_kind_may_be_a_quarter_slower():
-    bears(Case(load=0.6, slower=0.75, **SAME_KIND, **NEW), SEEDS)
+    check_cold_load(Case(load=0.6, slower=0.75, **SAME_KIND, **NEW), SEEDS)
 
 
-def test_a_replacement_that_is_slower_than_its_kind_tells_gets_no_more_than_it_bears():
-    """Under full demand, by a quarter or a half. Its first answers tell too late: a head has sent it one request in
-    the mean when the bound is first passed, 3 s after its start (40 plays at half the speed)."""
+def test_a_replacement_slower_than_its_kind_gets_no_more_than_the_bound():
+    """Full demand, a quarter or a half slower. Its first answers come too late: a head has sent it one request on
+    average when the bound is first exceeded, 3 s after its start (40 plays at half the speed)."""
     plays = [(0.75, 110), (0.75, 125), (0.5, 2)]
-    largest = [
-        Fleet(Case(load=0.95, slower=slower, **SAME_KIND, **NEW), seed).run().largest()
+    highest = [
+        Fleet(Case(load=0.95, slower=slower, **SAME_KIND, **NEW), seed).run().highest_load()
         for slower, seed in plays
     ]
-    assert max(largest) <= 1.0
+    assert max(highest) <= 1.0
 
 
-def test_a_replacement_far_slower_than_its_predecessor_gets_no_more_than_it_bears():
-    """Heads give it the rates that they had at the former node, and are told nothing of its size."""
-    assert Fleet(Case(load=0.95, slower=0.5, **NEW), 9).run().largest() <= 1.0
+def test_a_replacement_far_slower_than_its_predecessor_gets_no_more_than_the_bound():
+    """Heads use the rates that they had at the former node, as the list has no sizes."""
+    assert Fleet(Case(load=0.95, slower=0.5, **NEW), 9).run().highest_load() <= 1.0
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait on a hint, through the core and through a whole head with a client that takes no error."""
+"""Requests that wait after a refusal with a hint: in the core, and in a head whose client tolerates no error."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class Rig(CoreRig):
-    """The core with a module whose verdicts on arrival are scripted: `refuse` holds what it refuses."""
+    """The core with a module that refuses, on arrival, the requests in `refuse`."""
 
     def __init__(self, **more):
         super().__init__(**more)
@@ -43,7 +43,7 @@
             passed.append(event)
         return actions + self.module.handle(now, passed)
 
-    def wait(self, kind, offset=0, length=512, data=b"", patience=PATIENCE):
+    def submit_refused(self, kind, offset=0, length=512, data=b"", patience=PATIENCE):
         request = ClientRequest(self.core.volumes["v"], kind, offset, len(data) or length, data, 0, None,
                                 patience_us=patience)  # fmt: skip
         self.refuse.add(self.core._board.number + 1)
@@ -61,7 +61,7 @@
 def test_a_refused_request_waits_and_is_served_once_with_the_same_key():
     rig = Rig()
     rig.write()
-    request = rig.wait(Kind.READ)
+    request = rig.submit_refused(Kind.READ)
     (part,) = request.parts
     assert part.state is PartState.KEPT and rig.core.waiting == 1 and rig.port.answers == rig.port.answers[:1]
     rig.run(25 * MS)
@@ -75,34 +75,36 @@
     assert not rig.core._board.parts and rig.core.counts.served == 2
 
 
-def test_a_client_that_hears_hints_is_refused_on_arrival():
+def test_a_client_that_accepts_hints_is_refused_on_arrival():
     rig = Rig()
     rig.write()
-    request = rig.wait(Kind.READ, patience=0)
+    request = rig.submit_refused(Kind.READ, patience=0)
     assert request.outcome is Outcome.REFUSED and request.hint_us == 20 * MS
 
 
-def test_the_last_moment_of_an_honest_refusal():
+def test_a_waiting_write_is_refused_just_before_its_deadline():
     rig = Rig()
     rig.write()
-    request = rig.wait(Kind.WRITE, data=b"y", patience=3_000 * MS)
+    request = rig.submit_refused(Kind.WRITE, data=b"y", patience=3_000 * MS)
     rig.run(2_997 * MS)
     assert request.outcome is None
     rig.run(2 * MS)
     assert request.outcome is Outcome.REFUSED and rig.core.waiting == 0
     assert not [one for one in rig.port.sent if one.part.request is request]
-    assert {one.request.kind for one in rig.core._board.parts.values()} <= {Kind.FLUSH}  # a scout: see below
+    assert {one.request.kind for one in rig.core._board.parts.values()} <= {
+        Kind.FLUSH
+    }  # a probe of the silent shard
 
 
-def test_an_offer_that_was_sent_and_not_answered_is_offered_again_as_a_further_attempt():
+def test_a_reoffered_request_without_answer_is_offered_again_as_a_further_attempt():
     rig = Rig()
     rig.write()
-    request = rig.wait(Kind.READ)
+    request = rig.submit_refused(Kind.READ)
     rig.refuse.clear()
     rig.run(30 * MS)
     first = rig.port.sent[-1]
     rig.core.sent(first)
-    rig.run(1_600 * MS)  # an offer lasts as long as its class allows
+    rig.run(1_600 * MS)  # an offer lasts until its class's deadline
     assert rig.port.called_off[-1:] == [first] and request.outcome is None
     while rig.port.sent[-1] is first:
         rig.run(20 * MS)
@@ -118,7 +120,7 @@
 def write_without_answer():
     rig = Rig()
     rig.write()
-    request = rig.wait(Kind.WRITE, data=b"y" * 512)
+    request = rig.submit_refused(Kind.WRITE, data=b"y" * 512)
     rig.refuse.clear()
     rig.run(30 * MS)
     attempt = rig.port.sent[-1]
@@ -126,7 +128,7 @@
     return rig, request, attempt
 
 
-def test_a_write_that_may_have_run_is_sent_again_only_while_its_rack_drops_repeats():
+def test_a_write_that_may_have_run_is_repeated_only_while_its_rack_drops_duplicates():
     rig, request, first = write_without_answer()
     rig.run(10_000 * MS)
     assert request.outcome is None and rig.core.waiting == 0
@@ -136,14 +138,12 @@
         rig.core.ended(rig.now, one, api.Result.RESET)
     rig.core.ended(rig.now, first, api.Result.RESET)
     rig.flush()
-    assert (
-        request.outcome is Outcome.FAILED and not rig.core._board.parts
-    )  # nothing will be heard of it any more
+    assert request.outcome is Outcome.FAILED and not rig.core._board.parts  # no more outcome is expected
 
 
-def test_a_first_write_that_may_have_run_is_sent_again_where_it_may_have_run_and_placed_there():
+def test_a_first_write_that_may_have_run_is_repeated_at_that_node_and_its_extent_placed_there():
     rig = Rig()
-    request = rig.wait(Kind.WRITE, data=b"y" * 512)
+    request = rig.submit_refused(Kind.WRITE, data=b"y" * 512)
     rig.refuse.clear()
     rig.run(30 * MS)
     unreached = rig.port.sent[-1]
@@ -154,7 +154,7 @@
     rig.core.ended(rig.now + MS, first, api.Result.RESET)
     rig.now += 2 * MS
     rig.flush()
-    rig.run(700 * MS)  # held for its aim at that node, given up, kept, offered again
+    rig.run(700 * MS)  # queued at that node until its aim, given up, held back, offered again
     again = rig.port.sent[-1]
     assert again is not first and again.member is first.member
     rig.end(again)
@@ -162,7 +162,7 @@
     assert not rig.core._placing.lines
 
 
-def test_a_late_answer_to_a_write_that_was_called_off_serves_the_client_that_waited():
+def test_a_late_answer_to_a_cancelled_write_serves_the_waiting_client():
     rig, request, first = write_without_answer()
     rig.run(10_000 * MS)
     rig.core.ended(rig.now, first, api.Result.OK)
@@ -174,11 +174,11 @@
     assert not rig.core._board.parts and rig.port.answers.count(request) == 1
 
 
-def test_what_comes_later_stands_behind_what_waits_and_leaves_with_its_client():
+def test_later_requests_queue_behind_waiting_ones_and_are_dropped_with_their_client():
     rig = Rig()
     rig.write()
-    first = rig.wait(Kind.READ)
-    later = rig.wait(Kind.READ, offset=512)
+    first = rig.submit_refused(Kind.READ)
+    later = rig.submit_refused(Kind.READ, offset=512)
     assert len([one for one in rig.arrived if one.request == later.parts[0].number]) == 0  # not even offered
     rig.core.client_gone(first)
     rig.flush()
@@ -190,10 +190,10 @@
     assert not rig.core._board.parts and rig.core.waiting == 0
 
 
-def test_an_extent_that_moved_while_a_request_waited_is_asked_for_where_it_is_now():
+def test_a_waiting_request_follows_its_extent_to_another_shard():
     rig = Rig()
     rig.write()
-    request = rig.wait(Kind.READ)
+    request = rig.submit_refused(Kind.READ)
     was = request.parts[0].shard
     rig.extents.place([("v", 0, (was + 1) % 3)])
     rig.refuse.clear()
@@ -201,13 +201,13 @@
     assert rig.port.sent[-1].member.entry.shard == (was + 1) % 3
 
 
-def test_an_extent_that_is_kept_for_a_move_does_not_wait_for_what_waits():
-    rig, told = Rig(), []
+def test_an_extent_held_for_a_move_does_not_wait_for_waiting_requests():
+    rig, notified = Rig(), []
     rig.write()
-    rig.wait(Kind.READ)
-    rig.core.hold_extent("v", 0, type("Holder", (), {"held": lambda self: told.append(1)})())
+    rig.submit_refused(Kind.READ)
+    rig.core.hold_extent("v", 0, type("Holder", (), {"held": lambda self: notified.append(1)})())
     rig.flush()
-    assert told == [1]
+    assert notified == [1]
     rig.refuse.clear()
     rig.run(100 * MS)
     assert len(rig.port.sent) == 1  # it waits for the move now
@@ -226,14 +226,14 @@
 def test_a_class_in_order_keeps_its_order_while_its_oldest_waits():
     rig = Rig(classes=IN_ORDER)
     rig.write()
-    first = rig.wait(Kind.WRITE, data=b"a" * 512)
+    first = rig.submit_refused(Kind.WRITE, data=b"a" * 512)
     rig.refuse = {first.parts[0].number}
     second = ClientRequest(
         rig.core.volumes["v"], Kind.WRITE, 512, 512, b"b" * 512, 0, None, patience_us=PATIENCE
     )
     rig.core.take(rig.now, second)
     impatient = rig.ask(Kind.WRITE, 1024, data=b"c" * 512)
-    assert impatient.outcome is Outcome.REFUSED  # it may not overtake, and does not wait
+    assert impatient.outcome is Outcome.REFUSED  # it may not overtake, and its client doesn't wait
     rig.run(200 * MS)
     assert len(rig.port.sent) == 1
     rig.refuse.clear()
@@ -244,10 +244,10 @@
     assert [one.part.request for one in rig.port.sent[1:]] == [first, second]
 
 
-def test_what_the_module_holds_behind_one_that_it_refuses_is_called_back():
+def test_requests_in_order_queued_behind_a_refused_one_are_withdrawn_from_the_module():
     rig = Rig(classes=IN_ORDER)
     rig.write()
-    blocker = rig.ask(Kind.WRITE, 4096, data=b"o" * 512)  # out: whatever is in order behind it is held
+    blocker = rig.ask(Kind.WRITE, 4096, data=b"o" * 512)  # in flight: later requests in order are queued
     requests = []
     for at in range(2):
         request = ClientRequest(
@@ -270,17 +270,17 @@
     assert not rig.core._keeping.in_order and not rig.core._arriving.in_order
 
 
-def test_at_the_end_of_a_head_nothing_waits_on():
+def test_a_closing_core_refuses_all_waiting_requests():
     rig = Rig()
     rig.write()
-    requests = [rig.wait(Kind.READ, offset=at * 512) for at in range(3)]
+    requests = [rig.submit_refused(Kind.READ, offset=at * 512) for at in range(3)]
     rig.core.close("shutting down")
     rig.flush()
     assert [one.outcome for one in requests] == [Outcome.REFUSED] * 3 and not rig.core._board.parts
     assert requests[0].why == "shutting down"
 
 
-# -- a whole head, and a client that takes no error
+# -- a whole head and a client that tolerates no error
 
 
 def exercise(site, load, us, export="disk", seed=1):
@@ -318,17 +318,17 @@
     play(test, real=True, classes=PATIENT)
 
 
-@pytest.mark.parametrize("trouble", ["slow", "down", "hang"])
-def test_a_strict_client_meets_no_error_on_a_bad_day(trouble):
+@pytest.mark.parametrize("fault", ["slow", "down", "hang"])
+def test_a_strict_client_meets_no_error_while_a_node_is_faulty(fault):
     def test(site):
-        def harm():
+        def inject_fault():
             site.hub.sleep(2_500 * MS)
             shelf = site.shelves[0]
-            if trouble == "slow":
+            if fault == "slow":
                 shelf.faults.slow = 20
                 site.hub.sleep(4_000 * MS)
                 shelf.faults.slow = 1
-            elif trouble == "hang":  # longer than every class's aim, and than a read's whole time
+            elif fault == "hang":  # longer than every class's aim and a read's deadline
                 shelf.faults.hang = True
                 site.hub.sleep(5_000 * MS)
                 shelf.faults.hang = False
@@ -338,11 +338,11 @@
                 site.hub.sleep(2_000 * MS)
                 shelf.start(site.scope)
 
-        site.scope.spawn("harm", harm)
+        site.scope.spawn("inject_fault", inject_fault)
         exercise(site, Load(4, 8, 512, EXTENT), 9_000 * MS)
         assert site.head.core.counts.refused == 0 and site.head.core.counts.kept > 0
 
-    # What was in flight may run again while its rack drops repeats, so that has to outlast the trouble.
+    # Requests in flight may be repeated while the rack drops duplicates, so its window must outlast the fault.
     play(
         test,
         classes=(PATIENT[0], msgspec.structs.replace(PATIENT[1], window_us=20_000 * MS)),
@@ -350,8 +350,8 @@
     )
 
 
-def test_a_volume_with_a_limit_is_slowed_to_it_and_not_broken():
-    limit = 100.0  # units of 4 KiB a second: a tenth of what this client would get
+def test_a_volume_with_a_limit_is_slowed_to_it_without_errors():
+    limit = 100.0  # units of 4 KiB a second: a tenth of this client's unlimited rate
 
     def test(site):
         began = site.hub.now()
@@ -382,7 +382,7 @@
                 lambda reply: replies.append((site.hub.now(), reply)),
             )
         site.hub.sleep(60_000 * MS)
-        assert 40 <= len(replies) <= 80 and site.head.core.offers < 60 * 20  # nobody storms the module
+        assert 40 <= len(replies) <= 80 and site.head.core.offers < 60 * 20  # offers stay few
         site.hub.sleep(90_000 * MS)
         assert len(replies) == 128 and not any(reply.error for _, reply in replies)
         assert replies[-1][0] - began > 120_000 * MS
@@ -391,16 +391,14 @@
     play(test, classes=PATIENT, plans=(plan,))
 
 
-def test_a_client_that_leaves_while_its_requests_wait_takes_them_along():
+def test_waiting_requests_are_dropped_when_their_client_leaves():
     def test(site):
         for shelf in site.shelves:
             shelf.faults.hang = True
         client = NbdClient(site.hub, site.net)
         client.open(site.head.address)
         client.go(site.scope, "disk")
-        for number in range(
-            300
-        ):  # more than it may have in flight: the rest is at the door and in the socket
+        for number in range(300):  # above the bound in flight: the rest waits for admission and in the socket
             client.start(Command.WRITE, number * 4096, 0, b"a" * 4096, lambda reply: None)
         site.hub.sleep(3_000 * MS)
         reception = site.head.reception
@@ -438,14 +436,12 @@
                 client.start(kind, at % 60 * EXTENT + 4096, 512 * (at % 2), data, replies.append)
         site.hub.sleep(35_000 * MS)
         assert site.head.core.waiting > 1900 and site.head.core.offers < 35 * 100
-        assert all(reply.error == Errno.EIO for reply in replies) and len(replies) < 20  # sent into the hang
+        assert all(reply.error == Errno.EIO for reply in replies) and len(replies) < 20  # sent into it
         for shelf in site.shelves:
             shelf.faults.hang = False
             shelf.wake()
         site.hub.sleep(60_000 * MS)
-        assert (
-            len(replies) > 16 * 128 - 20
-        )  # what the nodes took and forgot is listened to while its client waits
+        assert len(replies) > 16 * 128 - 20  # lost answers are awaited while their clients wait
         site.hub.sleep(220_000 * MS)
         assert len(replies) == 16 * 128 and sum(reply.error != 0 for reply in replies) < 20
         assert not site.head.core.waiting and not site.head.core.open_requests
@@ -453,7 +449,7 @@
     play(test, classes=PATIENT)
 
 
-def test_a_flood_that_waits_keeps_no_neighbour_waiting_and_the_head_bounded():
+def test_a_waiting_flood_delays_no_neighbour_and_stays_bounded():
     def median(site, flooded):
         client = NbdClient(site.hub, site.net)
         client.open(site.head.address)
@@ -507,7 +503,7 @@
         assert not replies and site.head.core.waiting > 20
         site.head.stop()
         site.hub.sleep(5 * MS)
-        # What was sent and may run can't be called not done.
+        # A request that was sent and may run can't be reported as not done.
         assert len(replies) > 20 and {reply.error for reply in replies} == {Errno.ESHUTDOWN, Errno.EIO}
         site.shelves[0].faults.hang = site.shelves[1].faults.hang = False
         for shelf in site.shelves:
@@ -518,7 +514,7 @@
     play(test, classes=PATIENT)
 
 
-def test_a_volume_that_refuses_does_so_also_to_who_hears_no_hints():
+def test_a_volume_set_to_refuse_also_refuses_clients_without_hints():
     def test(site):
         client = NbdClient(site.hub, site.net)
         client.open(site.head.address)
@@ -535,7 +531,7 @@
     play(test, classes=PATIENT, volumes=(volume,))
 
 
-def test_a_head_that_stood_still_counts_age_from_when_bytes_may_have_come():
+def test_after_a_stall_the_age_of_requests_counts_from_when_their_bytes_may_have_arrived():
     def test(site):
         client = NbdClient(site.hub, site.net)
         client.open(site.head.address)
@@ -560,11 +556,11 @@
     play(test, classes=PATIENT)
 
 
-# -- what the rule checker sees of it
+# -- the rule checker on faulty heads
 
 
 class AnswersTwice(Ending):
-    """A head that answers again when a second offer is served."""
+    """A faulty head that answers again when a re-offered request is served."""
 
     def served(self, part, attempt, data):
         super().served(part, attempt, data)
@@ -575,7 +571,7 @@
 
 
 class SendsAfter(Ending):
-    """A head that offers a request again though its client has its answer."""
+    """A faulty head that sends a request again although its client has its answer."""
 
     def given_up(self, part, step, hint=0):
         super().given_up(part, step, hint)
@@ -588,7 +584,7 @@
 
 
 class GivesUpEarly(Offering):
-    """A head that refuses what has waited for half a second."""
+    """A faulty head that refuses requests that waited for half a second."""
 
     def again(self, now, part):
         if now > part.request.deadline - part.request.patience_us + 500 * MS:
@@ -600,7 +596,7 @@
 @pytest.mark.parametrize("fault, rule, patience", [
     (AnswersTwice, 1, 20_000), (SendsAfter, 2, 1_600), (GivesUpEarly, 9, 20_000),
 ])  # fmt: skip
-def test_the_checker_catches_what_a_second_offer_must_not_do(monkeypatch, fault, rule, patience):
+def test_the_checker_detects_faults_of_second_offers(monkeypatch, fault, rule, patience):
     monkeypatch.setattr(core, fault.__base__.__name__, fault)
     day = msgspec.structs.replace(days.load("plain-clients"), patience_us=patience * MS, plain=1.0)
     assert rule in {one.rule for one in checker.check(rig.play(day, 1, virtual=True).records)}
