--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -15,8 +15,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
-from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.rollout.plan import USUAL, Plan, Stage
+from harriertrack.decisions.fleet.changes.version_state import VersionState
+from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN, Plan, Stage
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
 
 HARMS = {
@@ -35,7 +35,7 @@
     "failed +2 % of writes in one zone": Harm("write", failed=0.02, zone="z1"),
 }
 BEFORE_S = 60
-QUICK = replace(USUAL, stages=(
+QUICK = replace(DEFAULT_PLAN, stages=(
     Stage("one", heads=1, soak_us=30 * S), Stage("half", share=0.5, soak_us=30 * S),
     Stage("all", share=1.0, soak_us=10 * S, least=0),
 ), before_us=BEFORE_S * S, patience_us=300 * S)  # fmt: skip
@@ -77,7 +77,7 @@
             steps = len(fleet.history)
             fleet.new_decider()
 
-    ends = fleet.until(one.thing, one.most_s, look, (Standing.PAUSED,) if one.pauses else ())
+    ends = fleet.until(one.thing, one.most_s, look, (VersionState.PAUSED,) if one.pauses else ())
     stage = max((version.stage for _, version in fleet.history), default=0)
     return ends.value, stage, fleet.harmed, fleet.now // S
 
@@ -96,7 +96,7 @@
                           tells=not told.silent) for seed in range(told.plays)]  # fmt: skip
             found = _run(plays, told.workers)
             ends = Counter(end for end, *_ in found)
-            stopped = [(stage, took) for end, stage, _, took in found if end == Standing.STOPPED.value]
+            stopped = [(stage, took) for end, stage, _, took in found if end == VersionState.STOPPED.value]
             first = sum(stage == 1 for stage, _ in stopped)
             took = statistics.median(took - BEFORE_S for _, took in stopped) if stopped else 0
             print(f"  {name:42} in force {ends['in force']:5} stopped {ends['stopped']:5} (at one head "
@@ -122,7 +122,7 @@
 def time(told: argparse.Namespace) -> None:
     """Print how long a good version takes to come to all, by the usual plan."""
     for thing in ("settings", "program"):
-        plays = [Play("none", seed, told.heads, told.rate, 0.1, USUAL, thing, 7200)
+        plays = [Play("none", seed, told.heads, told.rate, 0.1, DEFAULT_PLAN, thing, 7200)
                  for seed in range(told.plays)]  # fmt: skip
         found = _run(plays, told.workers)
         took = sorted(seconds for _, _, _, seconds in found)
--- a/harriertrack/decisions/admission.py
+++ b/harriertrack/decisions/admission.py
@@ -69,7 +69,7 @@
         """Admit a request and return "", or the reason why it can't be admitted now."""
         if not self._within_connection_bounds(connection, size):
             return "too much is open on its connection"
-        if reason := self.shares.takes(volume, size, now):
+        if reason := self.shares.admit(volume, size, now):
             return reason
         self._count(connection, size)
         return ""
@@ -86,14 +86,16 @@
         elif full or request.volume in self._queues or not self._within_shares(now, request):
             self._queues.setdefault(request.volume, deque()).append(request)
         else:
-            self.shares.takes(request.volume, request.size, now)
+            self.shares.admit(request.volume, request.size, now)
             self._count(request.connection, request.size)
             return True
         return False
 
     def _within_shares(self, now: int, request: WaitingRequest[C]) -> bool:
         volume, size = request.volume, request.size
-        return self.shares.spares(volume, size) and not self.shares.lacks(volume, size, now)
+        return self.shares.leaves_equal_room(volume, size) and not self.shares.refusal_reason(
+            volume, size, now
+        )
 
     def discard(self, request: WaitingRequest[C]) -> None:
         """Remove a request from the queue: its client left, or its time is up."""
@@ -106,7 +108,7 @@
 
     def release(self, connection: C, volume: str, size: int) -> None:
         """Release the capacity of an admitted request that was answered or abandoned."""
-        self.shares.ended(volume, size)
+        self.shares.release(volume, size)
         opened = self._open[connection]
         opened.requests -= 1
         opened.request_bytes -= size
@@ -129,7 +131,7 @@
                 blocked[volume] = None
             else:
                 queue.popleft()
-                self.shares.takes(volume, first.size, now)
+                self.shares.admit(volume, first.size, now)
                 self._count(first.connection, first.size)
                 admitted.append(first)
             if queue:
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -12,8 +12,8 @@
 from harriertrack.config.settings import FleetSettings, HeadSettings, module_settings, request_rules
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions import Scheduler, interface as api, standstill
-from harriertrack.decisions.celled import Celled, HeadMap, OldMap
-from harriertrack.decisions.requests import Attempt, ClientRequest, Core, Module
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap, StaleMapError
+from harriertrack.decisions.requests import Attempt, ClientRequest, Core, DecisionModule
 from harriertrack.gateway.front import NbdFront
 from harriertrack.gateway.links import Links
 from harriertrack.gateway.listing import Listing
@@ -30,8 +30,8 @@
 from harriertrack.storage.missed import MissedLog
 
 if TYPE_CHECKING:
-    from harriertrack.decisions.fleet.portions import Portions
-    from harriertrack.decisions.fleet.rollout.counting import Counting
+    from harriertrack.decisions.fleet.budget_shares import BudgetShares
+    from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
     from harriertrack.decisions.fleet.zones.evidence import Evidence
     from harriertrack.gateway.fleet.carrier import Fleet
     from harriertrack.gateway.fleet.rollout.carrier import Usage
@@ -54,7 +54,7 @@
 
     links: Callable[[HeadParts], Links] = Links
     listing: Callable[[HeadParts], Listing] = Listing
-    module: Callable[[api.Settings, int], Scheduler | Celled] = Scheduler
+    module: Callable[[api.Settings, int], Scheduler | CellScheduler] = Scheduler
     datagrams: DatagramNetwork | None = None  # of its fleet; None: sockets
     kept: ChangesCache | None = None  # its copy of the record of changes; None: a file
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
@@ -73,19 +73,19 @@
         self._network, self._note, self._name = network, note, name
         self._extents, self._log, self._wiring = extents, log, wiring
         self._alarm = Alarm(hub, self._flush)
-        self._heartbeat = Heartbeat(hub, standstill.LOOK_US, self._look)
+        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._look)
         self._stopping = Event(hub)
         self.ready = Event(hub)
         self.trace: Callable[[Attempt], None] | None = None  # hears of every send, for rigs that stamp them
-        self._counting: Counting | None = None  # of its answers, where versions come in stages
+        self._counting: AnswerCounter | None = None  # of its answers, where versions come in stages
         self.address = self.nvme_address = settings.listen
         self.core: Core
         self.reception: Reception
         self.mover: Mover
-        self.module: Scheduler | Celled
+        self.module: Scheduler | CellScheduler
         self.fleet: Fleet | None = None
         self.regional: Regional | None = None
-        self._portions: Portions | None = None
+        self._portions: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
         self._cells = head_map(settings.cell_map, settings.volumes) if settings.cell_map else None
         self.scored: Scored | None = None
@@ -111,7 +111,7 @@
                 self._serve(scope, listeners)
                 if settings.fleet is not None:
                     self._join(parts, settings.fleet, extents)
-                self.core.begin_looks(hub.now())
+                self.core.begin_standstill_checks(hub.now())
                 self._heartbeat.start()
                 self.ready.set()
                 self._stopping.wait()
@@ -148,7 +148,7 @@
 
             self._portions = portions_of(settings, hub)
         self.module = self._module(self._told(settings), seed)
-        decides: Module = self.module
+        decides: DecisionModule = self.module
         if self._portions is not None and fleet is not None and fleet.zones is not None:
             from harriertrack.decisions.fleet.zones.evidence import Evidence
             from harriertrack.gateway.fleet.observing import Observed
@@ -174,7 +174,7 @@
             self.regional = Regional(hub, self._network, scope, settings, self.core, self._links, self._log,
                                      self._note, self._name, self._portions)  # fmt: skip
         self.mover = Mover(hub, scope, self.core, settings, self._note, self._may_move)
-        if isinstance(self.module, Celled):
+        if isinstance(self.module, CellScheduler):
             self.mover.follow(self.module.map)
             if settings.cell_map:
                 scope.spawn("cell map", self._watch_map)
@@ -182,7 +182,7 @@
     def _serve(self, scope: Scope, listeners: list[Listener]) -> None:
         """Start the fronts."""
         settings = self.settings
-        cells = self.module.map.volumes if isinstance(self.module, Celled) else None
+        cells = self.module.map.volumes if isinstance(self.module, CellScheduler) else None
         self.reception = Reception(self.hub, settings, self.core, scope, self._note, self.regional, cells)
         scope.spawn("front", NbdFront(self.reception).serve, listeners[0])
         if settings.nvme is not None:
@@ -215,13 +215,15 @@
         if self.fleet is not None:
             self.fleet.wait_left()
 
-    def _counts(self) -> Counting | None:
+    def _counts(self) -> AnswerCounter | None:
         fleet = self.settings.fleet
         if fleet is None or fleet.changes is None or fleet.changes.rollout is None:
             return None
-        from harriertrack.decisions.fleet.rollout.counting import Counting  # heads without do not load it
+        from harriertrack.decisions.fleet.rollout.answer_counts import (
+            AnswerCounter,  # heads without do not load it
+        )
 
-        return Counting({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
+        return AnswerCounter({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
 
     def _told(self, settings: HeadSettings) -> api.Settings:
         """Return what the decision module is told."""
@@ -230,12 +232,12 @@
             told = replace(told, budget_free=0.0)  # those are drawn from what the fleet divides
         return told
 
-    def _module(self, told: api.Settings, seed: int) -> Scheduler | Celled:
+    def _module(self, told: api.Settings, seed: int) -> Scheduler | CellScheduler:
         """Make the decision module, or where there is a map one for each cell."""
         portions = self._portions
         weights = self.scored.shared.factors if self.scored is not None else None
         if self._cells is not None:
-            return Celled(told, seed, self._cells, partial(Scheduler, weights=weights), portions)
+            return CellScheduler(told, seed, self._cells, partial(Scheduler, weights=weights), portions)
         if portions is None and weights is None:
             return self._wiring.module(told, seed)
         return Scheduler(told, seed, None, portions, weights)
@@ -254,8 +256,8 @@
             plans, others = (
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
-            self._portions.retell(now, plans, others, divided_of(settings.fleet.budgets))
-        self.core.retell(now, request_rules(settings), told)
+            self._portions.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
+        self.core.apply_settings(now, request_rules(settings), told)
         self._links.settings = settings
         self.mover.retell(settings)
         if self.regional is not None:
@@ -268,11 +270,11 @@
         # Without a lease's epoch, its own or the holder's, nobody else's newer work would be noticed.
         return self.regional is None or self.regional.acts_on(volume)
 
-    def take_cells(self, cells: HeadMap) -> None:
-        """Follow a newer map of cells. Raises OldMap for one that is not newer."""
-        assert isinstance(self.module, Celled), "a head without cells has no map"
-        self.module.take_map(cells)
-        self.reception.shares.follow(cells.volumes)
+    def take_cells(self, cells: HeadCellMap) -> None:
+        """Follow a newer map of cells. Raises StaleMapError for one that is not newer."""
+        assert isinstance(self.module, CellScheduler), "a head without cells has no map"
+        self.module.apply_map(cells)
+        self.reception.shares.update_cells(cells.volumes)
         self.mover.follow(cells)
 
     def _watch_map(self) -> None:
@@ -286,7 +288,7 @@
                     continue
                 known = text
                 self.take_cells(head_map(path, self.settings.volumes))
-            except OldMap:
+            except StaleMapError:
                 pass  # the one in hand, or an older one put back
             except (OSError, SettingsError) as error:
                 self._note("cell map not taken", why=str(error))
@@ -311,8 +313,8 @@
     def send(self, attempt: Attempt) -> None:
         """Start an attempt, unless the process stood still since it was decided."""
         now = self.hub.now()
-        if self.core.must_ask(now):
-            self.hub.at_end_of_round(lambda: self.core.ended(now, attempt, api.Result.MOOT))
+        if self.core.needs_list_refresh(now):
+            self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
             return
         if self.trace is not None:
             self.trace(attempt)
@@ -326,8 +328,8 @@
         """Hand a final answer to whoever asked."""
         self.reception.ended(request)
         if self._counting is not None:
-            self._counting.answered(self.hub.now(), request)
-        request.token.answer(request)
+            self._counting.count_answer(self.hub.now(), request)
+        request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
         """Follow the node list, or stop."""
@@ -350,7 +352,7 @@
         self._note("module", text=text)
 
     def _look(self) -> None:
-        self.core.look(self.hub.now())
+        self.core.check_standstill(self.hub.now())
 
     def _flush(self) -> None:
         self.core.flush(self.hub.now())
--- a/harriertrack/gateway/reception.py
+++ b/harriertrack/gateway/reception.py
@@ -142,14 +142,14 @@
         self.sessions -= 1
         self._choosing -= not guest.chosen
         if guest.counted:
-            self.shares.left(guest.volume)
+            self.shares.disconnect(guest.volume)
 
     def chose(self, guest: Guest) -> bool:
         """A connection has chosen its volume; False: its cell has no room for it."""
         self._choosing -= 1
         guest.chosen = True
         # The other head's connections are few, and what they carry is bounded there.
-        guest.counted = guest.origin is Origin.CLIENT and self.shares.connects(guest.volume)
+        guest.counted = guest.origin is Origin.CLIENT and self.shares.try_connect(guest.volume)
         return guest.counted or guest.origin is not Origin.CLIENT
 
     def watch(self) -> None:
@@ -159,7 +159,7 @@
             began, idle = hub.now(), hub.idle_us
             hub.sleep(TICK_US)
             now = hub.now()
-            self.shares.ticked(now, max(0.0, 1 - (hub.idle_us - idle) / max(1, now - began)))
+            self.shares.update_load(now, max(0.0, 1 - (hub.idle_us - idle) / max(1, now - began)))
             self._let_in()
 
     # -- requests
@@ -173,9 +173,9 @@
             return CLOSING
         limits = self.settings.limits
         if request.origin is not Origin.CLIENT:  # the other head's work is bounded there
-            return TOO_MUCH if open_requests >= limits.in_flight or self.core.full() else None
+            return TOO_MUCH if open_requests >= limits.in_flight or self.core.at_capacity() else None
         size = len(request.data)
-        why = "too much is open" if self.core.full() else ""
+        why = "too much is open" if self.core.at_capacity() else ""
         if why := why or self.door.try_admit(self.hub.now(), guest, request.volume.settings.name, size):
             return TurnedAway(f"refused: not done; {why}")
         self._counted[request] = guest, size
@@ -196,7 +196,7 @@
             and not elsewhere
         ):
             request.patience_us = min(settings.patience_us, guest.most_patience_us or settings.patience_us)
-        now, full = self.hub.now(), self.core.full()
+        now, full = self.hub.now(), self.core.at_capacity()
         if not request.patience_us or self.closing:
             then(self.turns_away(guest, request, open_requests))
             return None
@@ -206,7 +206,7 @@
             then(None)
             return None
         # The last moment at which "not done" is still an honest answer.
-        last = (request.came or now) + request.patience_us - ANSWER_TICKS * self.settings.tick_us
+        last = (request.arrived_at or now) + request.patience_us - ANSWER_TICKS * self.settings.tick_us
         knock.timer = self.hub.at(last, partial(self.leaves_door, knock, TOO_MUCH))
         self._knocks[knock] = None
         return knock
@@ -267,7 +267,7 @@
         self.closing = True
         for knock in list(self._knocks):
             self.leaves_door(knock, CLOSING)
-        self.core.close(CLOSING.why)
+        self.core.stop_waiting(CLOSING.why)
         if self.visits is not None:
             self.visits.close(CLOSING.why)
 
@@ -279,7 +279,7 @@
             else:
                 self.regional.take(request)
         else:
-            self.core.take(self.hub.now(), request)
+            self.core.accept(self.hub.now(), request)
 
     def ended(self, request: ClientRequest) -> None:
         """A request has its answer, or nobody waits for it any more: its room is free again."""
@@ -299,4 +299,4 @@
             else:
                 self.regional.client_gone(request)
         else:
-            self.core.client_gone(request)
+            self.core.client_left(request)
--- a/harriertrack/lab/troubles.py
+++ b/harriertrack/lab/troubles.py
@@ -9,10 +9,10 @@
 from dataclasses import replace
 from functools import partial
 
-from harriertrack.decisions.celled import Celled, HeadMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap
 from harriertrack.decisions.interface import NodeState
-from harriertrack.decisions.life import PartState
-from harriertrack.decisions.requests import CHANGING, Part
+from harriertrack.decisions.lifecycle import PartState
+from harriertrack.decisions.requests import MODIFYING_KINDS, Part
 from harriertrack.decisions.splitting import Kind
 from harriertrack.lab.day import TroubleKind, TroubleSettings
 from harriertrack.lab.rig import MOVED, HeadSlot, Rig
@@ -178,8 +178,8 @@
 def cell_move(rig: Rig, trouble: TroubleSettings) -> None:
     """One volume is moved to another cell; heads learn of the new map one after another."""
     old = rig.cells
-    there = next(cell for cell in old.cells() if cell != old.volumes[MOVED])
-    rig.cells = HeadMap(old.version + 1, old.shards, {**old.volumes, MOVED: there})
+    there = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED])
+    rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED: there})
     for slot in rig.heads:
         tell_map(rig, slot)
         rig.hub.sleep(trouble.every_us // len(rig.heads))
@@ -191,7 +191,7 @@
     def learn() -> None:
         module = getattr(slot.head, "module", None)  # none in a head that just starts: it will know the map
         alive = slot.head is not None and slot.task is not None and not slot.task.done
-        if alive and isinstance(module, Celled) and module.map.version < rig.cells.version:
+        if alive and isinstance(module, CellScheduler) and module.map.version < rig.cells.version:
             slot.head.take_cells(rig.cells)  # type: ignore[union-attr]
 
     rig.hub.at_for(slot.head, rig.hub.now(), learn)
@@ -209,10 +209,12 @@
 
 # The steps of a wait at which a head is killed.
 WAIT_STEPS: tuple[Callable[[Part], bool], ...] = (
-    lambda part: part.state is PartState.KEPT and not part.attempts,  # never sent
-    lambda part: part.state is PartState.HELD and not part.attempts,  # offered again, held by the module
-    lambda part: part.state is PartState.OUT and part.request.kind in CHANGING,  # a write, sent after a wait
-    lambda part: part.state is PartState.KEPT and bool(part.attempts),  # sent, and waiting again
+    lambda part: part.state is PartState.QUEUED and not part.attempts,  # never sent
+    lambda part: part.state is PartState.SUBMITTED and not part.attempts,  # offered again, held by the module
+    lambda part: (
+        part.state is PartState.IN_FLIGHT and part.request.kind in MODIFYING_KINDS
+    ),  # a write, sent after a wait
+    lambda part: part.state is PartState.QUEUED and bool(part.attempts),  # sent, and waiting again
     lambda part: part.request.kind is Kind.FLUSH,
 )
 
@@ -228,7 +230,7 @@
             for slot in rig.heads:
                 core = getattr(slot.head, "core", None)
                 alive = slot.task is not None and not slot.task.done
-                if alive and core is not None and any(map(step, core.kept_parts())):
+                if alive and core is not None and any(map(step, core.parts_that_waited())):
                     struck = slot
         if struck is not None:
             rig.kill_head(struck)
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -49,20 +49,20 @@
 HUB, STREAMS = "runtime.hub", "runtime.streams"
 SOCKET, MEMORY = f"{STREAMS}:SocketStream", f"{STREAMS}:MemoryStream"
 WITNESS, LEASES = "gateway.witness:WitnessClient", "membership.leases"
-KEEPING, WRITING = "gateway.fleet.changes.keeping", "decisions.fleet.changes.writing"
+KEEPING, WRITING = "gateway.fleet.changes.keeping", "decisions.fleet.changes.operations"
 WATCH, LIST = "decisions.discovery_watch:DiscoveryWatch", "service.discovery:Discovery"
-LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:Holder"
-LINK = "decisions.linklife:LinkLife"
+LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:LeaseHolder"
+LINK = "decisions.link_lifecycle:LinkLifecycle"
 CLOSING = "decisions.fleet.closing"
 BUDGETS, TERMS = "decisions.fleet.budgets", "decisions.fleet.terms:Candidate"
 ZONES = "decisions.fleet.zones.evacuation:Evacuation"
 SCORING, VIEW = "decisions.fleet.scoring", "membership.fleet.view:View"
 WEIGHTS = "gateway.fleet.scoring.carrier:Scoring"
-LAUNCHING = "decisions.fleet.rollout.launching:Launching"
+LAUNCHING = "decisions.fleet.rollout.launch_state:LaunchStateMachine"
 LAUNCHER = "gateway.fleet.rollout.launcher.launcher:Launcher"
-CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closing:Closing"
+CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closes:CloseHandling"
 ROLLOUT = "decisions.fleet.rollout.rollout:Rollout"
-FOLLOWING = "decisions.fleet.changes.following:Follower"
+FOLLOWING = "decisions.fleet.changes.follower:Follower"
 
 FAULTS = (
     Fault("a cancel wakes nobody", "hub-cancel-wake", f"{HUB}:Task.cancel", "self._hub._wake(self)", "pass"),
@@ -213,7 +213,13 @@
         "self.state is LinkState.DIALING",
         "True",
     ),
-    Fault("what waited is told twice", "link-node-dies", f"{LINK}.opened", "self._waiting.clear()", "pass"),
+    Fault(
+        "what waited is told twice",
+        "link-node-dies",
+        f"{LINK}.complete_handshake",
+        "self._waiting.clear()",
+        "pass",
+    ),
     Fault(
         "a broken link tells nobody",
         "link-node-dies",
@@ -262,7 +268,7 @@
     Fault(
         "a term that is over decides",
         "changes-terms",
-        f"{WRITING}:step",
+        f"{WRITING}:set_state",
         "if epoch < record.epoch:",
         "if False:",
     ),
@@ -278,66 +284,70 @@
         "news are not taken",
         "watch-late",
         f"{LIST}._take",
-        "if outcome is UpdateOutcome.TAKE:",
+        "if outcome is UpdateOutcome.APPLY:",
         "if targets.full:",
     ),
     Fault(
         "a call has no end",
         "watch-moves",
         f"{LIST}._follow",
-        "made.ended.wait(made.began + made.call.within_us)",
+        "made.ended.wait(made.began + made.call.timeout_us)",
         "made.ended.wait()",
     ),
     Fault(
         "a head that moved goes by the old state",
         "watch-moves",
         f"{WATCH}.restart",
-        "self.state = Watch.CATCHING_UP",
-        "self.state = Watch.IDLE",
+        "self.state = WatchState.CATCHING_UP",
+        "self.state = WatchState.IDLE",
     ),
     Fault(
         "a share is lent before it is back",
         "leases",
-        f"{LEDGER}:Account.counted",
-        "slip.counted",
-        "slip.rate",
+        f"{LEDGER}:BudgetAccount.committed",
+        "slip.committed",
+        "slip.granted",
     ),
     Fault(
         "a share is lowered unheard",
         "leases",
-        f"{HOLDER}.granted",
-        "held.portion.change(now, share.rate, max(0.0, share.tokens))",
-        "held.portion.change(now, max(share.rate, held.portion.share), 0.0)",
+        f"{HOLDER}.apply_grant",
+        "held.share.set_leased(now, share.rate, max(0.0, share.tokens))",
+        "held.share.set_leased(now, max(share.rate, held.share.leased), 0.0)",
     ),
     Fault(
         "a lease counts from its answer",
         "leases-end",
-        f"{HOLDER}.granted",
-        "sent_at + self.rules.relied_us(lease_us)",
-        "now + self.rules.relied_us(lease_us)",
+        f"{HOLDER}.apply_grant",
+        "sent_at + self.rules.holder_lease_us(lease_us)",
+        "now + self.rules.holder_lease_us(lease_us)",
     ),
     Fault(
         "a holder's clock is taken for exact",
         "leases-end",
-        f"{BUDGETS}:BudgetRules.relied_us",
+        f"{BUDGETS}:BudgetRules.holder_lease_us",
         "(1 - self.clock_error)",
         "1",
     ),
     Fault(
         "a ledger ends leases early",
         "leases-end",
-        f"{BUDGETS}:BudgetRules.counted_us",
+        f"{BUDGETS}:BudgetRules.granter_lease_us",
         "lease_us * (1 + self.clock_error)",
         "lease_us * 0.7",
     ),
     Fault(
-        "what was granted outlives its term", "leases", f"{HOLDER}._drop", "held.portion.lapse(now)", "pass"
+        "what was granted outlives its term",
+        "leases",
+        f"{HOLDER}._drop",
+        "held.share.drop_leased(now)",
+        "pass",
     ),
-    Fault("a term opens at once", "terms-cut", f"{TERMS}.taken", "now + earlier", "now", 1),
+    Fault("a term opens at once", "terms-cut", f"{TERMS}.handle_acquire", "now + earlier", "now", 1),
     Fault(
         "a term counts from its answer",
         "terms-cut",
-        f"{TERMS}.taken",
+        f"{TERMS}.handle_acquire",
         "asked_at + self._safe_us",
         "now + self._safe_us",
         1,
@@ -353,7 +363,7 @@
     Fault(
         "no answer counts as a renewal",
         "terms-cut",
-        f"{TERMS}.renewed",
+        f"{TERMS}.handle_renewal",
         "if holds is None:",
         "holds = holds is not False\n    if holds is None:",
         1,
@@ -361,8 +371,8 @@
     Fault(
         "a cut-off head counts",
         "zones",
-        f"{ZONES}.sums",
-        "if not any(sight.good for sight in seen.sights) and len(seen.sights) != 1:",
+        f"{ZONES}.summarize",
+        "if not any(sight.responding for sight in seen.sights) and len(seen.sights) != 1:",
         "if False:",
         2,
     ),
@@ -373,14 +383,14 @@
         "a zone is left at once",
         "zones",
         f"{ZONES}._in",
-        "now >= zone.gone_since + self.rules.gone_us",
-        "now >= zone.gone_since",
+        "now >= zone.failed_since + self.rules.gone_us",
+        "now >= zone.failed_since",
         2,
     ),
     Fault(
         "old sights count",
         "zones",
-        f"{ZONES}.sums",
+        f"{ZONES}.summarize",
         "if seen.at < now - self.rules.fresh_us:",
         "if False:",
         2,
@@ -388,37 +398,37 @@
     Fault(
         "a new decider forgets",
         "zones-left",
-        f"{ZONES}.take_up",
+        f"{ZONES}.resume",
         "word.stage, back_at, word.share",
-        "Stage.IN, back_at, word.share",
+        "ZoneStage.IN, back_at, word.share",
         1,
     ),
     Fault(
         "a fence opens in doubt",
         "closing",
-        f"{CLOSING}.fences:Fence.stance",
+        f"{CLOSING}.fences:Fence.state",
         "reading.high < after[0].at_us",
         "reading.low < after[0].at_us",
     ),
     Fault(
         "a close fires in doubt",
         "closing",
-        f"{CLOSING}.fences:Fence.due",
+        f"{CLOSING}.fences:Fence.closes_to_purge",
         "min(reading.low, sure_until)",
         "min(reading.high, sure_until)",
     ),
     Fault(
         "a head that nobody tells goes on",
         "closing-cut",
-        f"{CLOSING}.fences:Fences.blind",
-        "reading is None or reading.high >= self.sure_until",
+        f"{CLOSING}.fences:Fences.is_blind",
+        "reading is None or reading.high >= self.confirmed_until",
         "reading is None",
         2,
     ),
     Fault(
         "what is announced is changed",
         "closing-cut",
-        f"{CLOSING}.schedule:worked_out",
+        f"{CLOSING}.schedule:compute_schedule",
         "firm_until = latest + notice_us",
         "firm_until = latest",
         3,
@@ -426,7 +436,7 @@
     Fault(
         "a follower goes back",
         "changes-once",
-        f"{FOLLOWING}.fetched",
+        f"{FOLLOWING}.finish_fetch",
         "newer = found is not None and (found.revision, digest) > (self.record.revision, self.digest)",
         "newer = found is not None",
         3,
@@ -456,14 +466,14 @@
     Fault(
         "a weight moves twice as fast",
         "weights-restart",
-        f"{SCORING}.damping:Damped.move",
+        f"{SCORING}.damping:DampedWeight.move",
         "rules.rate * self.gain",
         "rules.rate * 2 * self.gain",
     ),
     Fault(
         "a head that stood still has a windfall",
         "weights-hung",
-        f"{SCORING}.damping:Damped.move",
+        f"{SCORING}.damping:DampedWeight.move",
         "min(us, 2 * rules.look_us)",
         "us",
     ),
@@ -477,23 +487,23 @@
     Fault(
         "who lost its vote is heard",
         "weights-hung",
-        f"{SCORING}.voting:Voter._lose",
+        f"{SCORING}.scorer_guard:ScorerGuard._lose",
         "self.scores, self._kept = {}, None",
         "pass",
     ),
     Fault(
         "an answer that hung counts",
         "weights-hung",
-        f"{SCORING}.voting:Voter.answered",
-        "self._go(Vote.LOST)\n        return False",
-        "self.vote = Vote.ASKED",
+        f"{SCORING}.scorer_guard:ScorerGuard.handle_answers",
+        "self._go(ScorerState.SUSPENDED)\n        return False",
+        "self.state = ScorerState.PENDING",
     ),
     Fault(
         "a start is written down after it",
         "launch-killed",
         f"{LAUNCHER}._start",
-        "self.machine.starting(token)",
-        "self.machine.kept = __import__('dataclasses').replace(self.machine.kept, token=token)",
+        "self.machine.record_start(token)",
+        "self.machine.saved = __import__('dataclasses').replace(self.machine.saved, token=token)",
     ),
     Fault(
         "a launcher that is back forgets its head",
@@ -519,14 +529,14 @@
     Fault(
         "what fell is tried anew",
         "launch-bad",
-        f"{LAUNCHING}.wanted",
+        f"{LAUNCHING}.request_program",
         " or program.number == kept.fell != 0",
         "",
     ),
     Fault(
         "good is who serves for a moment",
         "launch-bad",
-        f"{LAUNCHING}.wake",
+        f"{LAUNCHING}.advance",
         "proven = now >= self._since + rules.prove_us",
         "proven = True",
     ),
@@ -534,13 +544,13 @@
         "a stop between two heads is not heard",
         "launch-stops",
         f"{LAUNCHING}.stop",
-        "self._actions.append(Done())",
+        "self._actions.append(Exit())",
         "pass",
     ),
     Fault(
         "who does not end is never ended",
         "launch-deaf",
-        f"{LAUNCHING}.wake",
+        f"{LAUNCHING}.advance",
         "now >= self._since + rules.drain_us",
         "False",
     ),
@@ -548,27 +558,27 @@
         "a new write overtakes a trim",
         "close-write",
         f"{CLOSES}._close",
-        "core.keep_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
+        "core.hold_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
         "pass",
     ),
     Fault(
         "what is asked in doubt passes",
         "close-write",
-        f"{CLOSING}.fences:Fences.refuses",
-        "is not Stance.OPEN",
-        "is Stance.PURGING",
+        f"{CLOSING}.fences:Fences.refusal_hint_us",
+        "is not FenceState.OPEN",
+        "is FenceState.PURGING",
     ),
     Fault(
         "a guard lets all pass",
         "close-write",
         "gateway.fleet.closing.guard:Guard.refuses",
-        "or not self._fences.guards(volume)",
+        "or not self._fences.may_purge(volume)",
         "or True",
     ),
     Fault(
         "a close that may have come purges",
         "close-write",
-        f"{CLOSING}.fences:Fence.due",
+        f"{CLOSING}.fences:Fence.closes_to_purge",
         "min(reading.low, sure_until)",
         "min(reading.high, sure_until)",
     ),
@@ -599,8 +609,8 @@
     Fault(
         "who is not named runs it",
         "rollout-decider",
-        "decisions.fleet.changes.record:Record.wanted",
-        " and going.names(head)",
+        "decisions.fleet.changes.record:Record.version_for",
+        " and going.targets(head)",
         "",
     ),
     Fault(
@@ -613,9 +623,9 @@
     Fault(
         "what was turned down counts as run",
         "rollout-falls",
-        f"{FOLLOWING}.turned_down",
-        "mine.turned_down, mine.why = number, why",
-        "mine.runs = number",
+        f"{FOLLOWING}.mark_rejected",
+        "mine.rejected, mine.reason = number, why",
+        "mine.running = number",
     ),
     Fault(
         "a head that does not take it stops nothing",
@@ -627,15 +637,15 @@
     Fault(
         "a part of a sweep is the whole",
         "sweeps",
-        f"{CLOSING}.sweeps:Swept.whole",
-        "done & ALL == ALL",
+        f"{CLOSING}.sweeps:SweepProgress.completed",
+        "done & ALL_SLICES == ALL_SLICES",
         "done & 1",
         2,
     ),
     Fault(
         "a volume opens before it is swept",
         "sweeps",
-        f"{CLOSING}.fences:Fence.sweeping",
+        f"{CLOSING}.fences:Fence.unswept_closes",
         "swept < one.number <=",
         "one.number <",
         2,
@@ -643,7 +653,7 @@
     Fault(
         "a slice is done before its last extent",
         "sweeps",
-        f"{CLOSING}.sweeps:Sweep.done",
+        f"{CLOSING}.sweeps:Sweep.done_slices",
         "if not extents",
         "if len(extents) < 2",
         2,
@@ -651,7 +661,7 @@
     Fault(
         "two heads go at once",
         "rollout",
-        "decisions.fleet.rollout.choosing:next_away",
+        "decisions.fleet.rollout.selection:select_next_away",
         "if len(out) >= most:",
         "if False:",
         2,
@@ -659,52 +669,65 @@
     Fault(
         "who has not come back is not away",
         "rollout",
-        f"{ROLLOUT}.away",
-        "elif (name in named) != (one.runs == self.number):",
+        f"{ROLLOUT}.away_heads",
+        "elif (name in named) != (one.running_version == self.number):",
         "elif False:",
         2,
     ),
     Fault(
         "a level is raised by some",
         "rollout",
-        "decisions.fleet.rollout.levels:next_level",
+        "decisions.fleet.rollout.feature_levels:next_level",
         "min(understood[name] for name in voters)",
         "max(understood[name] for name in voters)",
         2,
     ),
-    Fault("turns damp nothing", "weights", f"{SCORING}.damping:Damped.move", "self.gain / 2", "self.gain", 4),
+    Fault(
+        "turns damp nothing",
+        "weights",
+        f"{SCORING}.damping:DampedWeight.move",
+        "self.gain / 2",
+        "self.gain",
+        4,
+    ),
     Fault(
         "a relapse costs no more",
         "weights",
-        f"{SCORING}.voting:Voter._lose",
-        "2 ** min(self.lost, 20)",
+        f"{SCORING}.scorer_guard:ScorerGuard._lose",
+        "2 ** min(self.suspensions, 20)",
         "1",
         2,
     ),
-    Fault("a cold node is a favourite", "weights", f"{SCORING}.damping:ceiling", "sight.cold or ", "", 2),
+    Fault(
+        "a cold node is a favourite", "weights", f"{SCORING}.damping:weight_ceiling", "sight.cold or ", "", 2
+    ),
     Fault(
         "who has no vote is asked",
         "weights",
-        f"{SCORING}.voting:Voter.questions",
-        "self.vote is Vote.LOST and now >= self.until",
-        "self.vote is Vote.LOST",
+        f"{SCORING}.scorer_guard:ScorerGuard.next_queries",
+        "self.state is ScorerState.SUSPENDED and now >= self.suspended_until",
+        "self.state is ScorerState.SUSPENDED",
         2,
     ),
     Fault(
         "a share is lent on while it is in use",
         "budgets-stands",
-        f"{LEDGER}:Account.counted",
-        "slip.counted",
-        "slip.rate",
+        f"{LEDGER}:BudgetAccount.committed",
+        "slip.committed",
+        "slip.granted",
     ),
     Fault(
-        "a lease that is over is used", "budgets-stands", f"{HOLDER}.live", "now < self.lease.until", "True"
+        "a lease that is over is used",
+        "budgets-stands",
+        f"{HOLDER}.lease_valid",
+        "now < self.lease.expires_at",
+        "True",
     ),
     Fault(
         "a share goes down unheard",
         "budgets-return",
-        f"{HOLDER}.granted",
-        "held.portion.change(now, share.rate, max(0.0, share.tokens))",
-        "held.portion.change(now, max(share.rate, held.portion.share), 0.0)",
+        f"{HOLDER}.apply_grant",
+        "held.share.set_leased(now, share.rate, max(0.0, share.tokens))",
+        "held.share.set_leased(now, max(share.rate, held.share.leased), 0.0)",
     ),
 )
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -11,7 +11,7 @@
 from harriertrack.config.settings.changing import _struct, check_change, declared, differences
 from harriertrack.config.sexp import SettingsError, bind, read_text, spoken_names
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.portions import Use
+from harriertrack.decisions.fleet.budget_shares import BudgetKind
 from harriertrack.decisions.interface import NodeEntry
 from harriertrack.gateway.client import NbdClient
 from harriertrack.gateway.fleet.settings_user import SettingsUser
@@ -161,19 +161,19 @@
     name, core, reception = WAYS[path][0][-1], head.core, head.reception
     limits = head._links.settings.limits
     special = {
-        "max-hint": core._keeping.patience.rules.most_us,
-        "class: deadline": core._board.deadlines["read"],
+        "max-hint": core._retry_queue.patience.rules.most_us,
+        "class: deadline": core._state.deadlines["read"],
         "limits: connections": reception.shares.limits.connections,
         "limits: in-flight": reception.door.bounds.requests,
         "limits: in-flight-bytes": reception.door.bounds.request_bytes,
-        "limits: offers": core._keeping.patience.rules.offers,
+        "limits: offers": core._retry_queue.patience.rules.offers,
         "limits: held": core.rules.held,
         "limits: borrow": reception.shares.limits.borrow,
         "limits: dial": limits.dial_us,
         "limits: idle": limits.idle_us,
         "limits: handshake": reception.settings.limits.handshake_us,
-        "fleet: budgets: budget: whole": head._portions.divided[Use.TRIALS].rate,
-        "fleet: budgets: budget: burst": head._portions.divided[Use.TRIALS].burst,
+        "fleet: budgets: budget: whole": head._portions.specs[BudgetKind.TRIALS].rate,
+        "fleet: budgets: budget: burst": head._portions.specs[BudgetKind.TRIALS].burst,
     }
     if path in special:
         return special[path]
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -13,9 +13,9 @@
 from harriertrack.config.settings import ParameterSettings, ScorerSettings
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.changes.record import Version
-from harriertrack.decisions.fleet.scoring.picture import NodeSight, Picture
+from harriertrack.decisions.fleet.scoring.snapshot import NodeObservation, Snapshot
 from harriertrack.decisions.fleet.scoring.scorers.base import Parameter, ScorerKind
-from harriertrack.decisions.fleet.scoring.voting import Vote
+from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerState
 from harriertrack.gateway.fleet.scoring.asking import OnThread
 from harriertrack.gateway.fleet.scoring.carrier import scored_of
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
@@ -25,7 +25,7 @@
 from harriertrack.rules import recording as rec, scoring as score_rules
 from tests.test_fleet_days import head
 
-PICTURE = Picture("z0", (NodeSight("a", evidence=9, age_us=0, latency_us=5.0),))
+PICTURE = Snapshot("z0", (NodeObservation("a", evidence=9, age_us=0, latency_us=5.0),))
 
 
 class Offers:
@@ -177,12 +177,12 @@
             votes = list(votes)
             return sum(value * vote for value, vote in votes) / sum(vote for _, vote in votes)
 
-        monkeypatch.setattr("harriertrack.decisions.fleet.scoring.joining.weighted_median", mean)
+        monkeypatch.setattr("harriertrack.decisions.fleet.scoring.aggregation.weighted_median", mean)
     elif rule == 6:
-        from harriertrack.decisions.fleet.scoring.voting import Voter
+        from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerGuard
 
         day = short("score-broken-plugin", 12)
-        monkeypatch.setattr(Voter, "_lose", lambda self, *_: setattr(self, "vote", Vote.HAS))
+        monkeypatch.setattr(ScorerGuard, "_lose", lambda self, *_: setattr(self, "state", ScorerState.ACTIVE))
     else:
         monkeypatch.setattr("harriertrack.membership.fleet.topics.Topics.pass_time",
                             lambda self, _now: setattr(self, "_spare", 1e9))  # fmt: skip
@@ -199,7 +199,7 @@
 def test_a_scorer_that_the_record_names_is_run_from_the_copy_on_disk_without_anybody_to_ask():
     from harriertrack.config.settings import ChangesSettings
     from harriertrack.decisions.fleet.changes.record import Record
-    from harriertrack.decisions.fleet.changes.standing import Standing
+    from harriertrack.decisions.fleet.changes.version_state import VersionState
     from harriertrack.lab.fleet.rig import SimulatedFleet
     from harriertrack.lab.fleet.scenario import DayBudgets
     from harriertrack.membership.fleet.changing import encode
@@ -209,7 +209,7 @@
 
     body = '(scorer "main" (kind "least-latency") (parameter "power" (value %s)))'
     told = [
-        Version(thing, number, 0, body % power, "me", 0, "because", standing=Standing.IN_FORCE)
+        Version(thing, number, 0, body % power, "me", 0, "because", standing=VersionState.IN_FORCE)
         for thing, number, power in (("scorer/main", 1, 2), ("scorer/other", 1, 99))
     ]
     hub, recorder = Hub.virtual(1), rec.Recorder()
