--- a/harriertrack/wirehost.py
+++ b/harriertrack/wirehost.py
@@ -94,20 +94,20 @@
             self.line_number += 1
             word, _, rest = line.rstrip("\n").partition(" ")
             if word == "req":
-                txn, hosts, left, kind, owner, options, extent, shard, plan, units = rest.split(" ")
+                request, hosts, left, kind, volume, options, extent, shard, plan, units = rest.split(" ")
                 self.add(
                     api.RequestArrived(
-                        int(txn), kind, plan, owner, "" if extent == "-" else extent,
+                        int(request), kind, plan, volume, "" if extent == "-" else extent,
                         -1 if shard == "-" else int(shard), 1.0 if units == "-" else float(units), int(left),
                         read_integer(hosts), bool(read_integer(options) & REPEAT_FLAG),
                     )
                 )  # fmt: skip
             elif word == "report_back":
-                txn, trial, shelf, result, rtt, finished, used, delta, load = rest.split(" ")
+                request, attempt, node, result, elapsed, finished, used, elsewhere, load = rest.split(" ")
                 self.add(
                     api.AttemptEnded(
-                        int(txn), int(trial), shelf, RESULTS[result], read_integer(rtt), finished == "1",
-                        read_integer(used), read_number(delta), read_load(load),
+                        int(request), int(attempt), node, RESULTS[result], read_integer(elapsed),
+                        finished == "1", read_integer(used), read_number(elsewhere), read_load(load),
                     )
                 )  # fmt: skip
             elif word == "wake":
@@ -117,19 +117,19 @@
             elif word == "timed_out_client":
                 self.add(api.ClientLeft(int(rest)))
             elif word == "pong":
-                shelf, result, rtt, load = rest.split(" ")
-                self.add(api.ProbeEnded(shelf, RESULTS[result], read_integer(rtt), read_load(load)))
+                node, result, elapsed, load = rest.split(" ")
+                self.add(api.ProbeEnded(node, RESULTS[result], read_integer(elapsed), read_load(load)))
             elif word == "started":
-                txn, _shelf, trial, _rtt = rest.split(" ")
-                self.add(api.ResponseStarted(int(txn), int(trial)))
+                request, _node, attempt, _elapsed = rest.split(" ")
+                self.add(api.ResponseStarted(int(request), int(attempt)))
             elif word == "pool":
-                bank, count = rest.split(" ")
-                self.pools[int(bank)] = [self.read_row(rows) for _ in range(int(count))]
+                index, count = rest.split(" ")
+                self.pools[int(index)] = [self.read_row(rows) for _ in range(int(count))]
             elif word == "directory_update":
-                form, _serial, bank = rest.split(" ")
-                kind_of_update = FORMS[form]
-                entries = [] if kind_of_update is api.ListKind.FAILED else self.pools[int(bank)]
-                self.add(api.NodesChanged(kind_of_update, entries))
+                form, _serial, index = rest.split(" ")
+                kind = FORMS[form]
+                entries = [] if kind is api.ListKind.FAILED else self.pools[int(index)]
+                self.add(api.NodesChanged(kind, entries))
             elif word == "init":
                 seed, conf = rest.split(" ", 1)
                 self.instances[self.current] = Scheduler(parse_settings(json.loads(conf)), int(seed))
@@ -152,11 +152,11 @@
     def read_row(self, rows: Iterator[str]) -> api.NodeEntry:
         """Read one entry of a node list."""
         self.line_number += 1
-        word, shelf, zone, kind, bay, state, nominal, started = next(rows, "").split()
+        word, node, zone, kind, shard, state, size, started = next(rows, "").split()
         if word != "row":
             raise WireError(f"expected row, not {word[:80]!r}")
         return api.NodeEntry(
-            shelf, read_integer(bay), STATES[state], zone, read_integer(started), kind, read_number(nominal)
+            node, read_integer(shard), STATES[state], zone, read_integer(started), kind, read_number(size)
         )
 
     def answer(self, now: int) -> Iterator[str]:
--- a/tests/endings/test_cold_fleet.py
+++ b/tests/endings/test_cold_fleet.py
@@ -277,9 +277,9 @@
 HALF_WARM_US = 6 * SECOND  # at half of full capacity the settings allow the node's former rate
 CASES = {
     "same ids": Case(),
-    "same ids, told late": Case(spread_us=3 * SECOND, burst=1.5),
+    "same ids, informed late": Case(spread_us=3 * SECOND, burst=1.5),
     "new ids": Case(**NEW),
-    "new ids, told late": Case(spread_us=3 * SECOND, burst=1.5, **NEW),
+    "new ids, informed late": Case(spread_us=3 * SECOND, burst=1.5, **NEW),
     "new and slower": Case(load=0.6, slower=0.6, **NEW),
     "some restart": Case(restarts=0.4, burst=1.5, **NEW),
     "most restart at once": Case(restarts=0.7, restart_within_us=300 * MS, burst=1.5, **NEW),
--- a/tests/live/test_live_module.py
+++ b/tests/live/test_live_module.py
@@ -92,7 +92,7 @@
         def __init__(self):
             self.bucket = type("Part", (Bucket,), {})(START, 1.0, 2.0, 2.0)
 
-        def limit(self, now, ask, plan):
+        def limit(self, now, request, plan):
             return self.bucket
 
     shares = Shares()
--- a/tests/test_retry_queue.py
+++ b/tests/test_retry_queue.py
@@ -104,20 +104,20 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(["keep", "refuse", "drop", "wait"]), st.integers(0, 5), st.integers(0, 60)),
+@given(st.lists(st.tuples(st.sampled_from(["add", "refuse", "discard", "wait"]), st.integers(0, 5), st.integers(0, 60)),
                 max_size=80))  # fmt: skip
 def test_nothing_is_lost_or_offered_twice_and_lanes_keep_their_order(steps):
     one, now, ticket, waiting, taken = RetryQueue(RULES), 0, 0, {}, []
     for what, which, amount in steps:
         key = ("vw"[which % 2], which % 3, "")
-        if what == "keep":
+        if what == "add":
             one.add(now, ticket, ticket, key, amount * MS)
             waiting[ticket] = key
             ticket += 1
-        elif what == "drop" and waiting:
-            gone = sorted(waiting)[amount % len(waiting)]
-            one.discard(gone)
-            del waiting[gone]
+        elif what == "discard" and waiting:
+            discarded = sorted(waiting)[amount % len(waiting)]
+            one.discard(discarded)
+            del waiting[discarded]
         else:
             now += amount * MS
             for item in one.take_due(now):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -557,9 +557,9 @@
     assert len(head.deadlines) > 500
     further = [at for at, _, number, _ in head.sent if number]
     for at in further:
-        inside = sum(1 for one in further if at - 2 * SECOND <= one <= at)
-        asked = sum(1 for one in head.request_times if at - 2 * SECOND <= one <= at)
-        assert inside <= 2 + 0.2 * asked
+        repeated = sum(1 for one in further if at - 2 * SECOND <= one <= at)
+        requests = sum(1 for one in head.request_times if at - 2 * SECOND <= one <= at)
+        assert repeated <= 2 + 0.2 * requests
     assert further
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -362,11 +362,11 @@
     def test(site):
         began = site.hub.now()
         found = exercise(site, Load(2, 16, 4096, 8192, 4096, span=16 * EXTENT), 10_000 * MS)
-        took = (site.hub.now() - began) / 1e6
+        elapsed = (site.hub.now() - began) / 1e6
         units = sum(
             max(1, -(-got.length // 4096)) for got in site.recorder.records if type(got).__name__ == "Got"
         )
-        assert 0.6 * limit * took < units < limit * took + 64 and site.head.core.counts.refused == 0
+        assert 0.6 * limit * elapsed < units < limit * elapsed + 64 and site.head.core.counts.refused == 0
         assert found.done > 300
 
     plan = PlanSettings(name="p", rate=100, reserve=50, limit=limit, limit_burst=16, limit_slack=1)
@@ -460,14 +460,14 @@
         client = NbdClient(site.hub, site.net)
         client.open(site.head.address)
         client.go(site.scope, "shared")
-        took = []
+        elapsed = []
         for at in range(200):
             began = site.hub.now()
             assert client.call(Command.READ, (at % 60) * EXTENT, 4096).error == 0
-            took.append(site.hub.now() - began)
+            elapsed.append(site.hub.now() - began)
             site.hub.sleep(20 * MS)
         client.close()
-        return sorted(took)[100]
+        return sorted(elapsed)[100]
 
     def test(site):
         calm = median(site, False)
@@ -543,7 +543,7 @@
         client.open(site.head.address)
         client.go(site.scope, "disk")
         assert client.call(Command.WRITE, 0, data=b"a" * 4096).error == 0
-        replies, asked = [], site.hub.now()
+        replies, requested_at = [], site.hub.now()
         site.hub.freeze(site.head, 5_000 * MS)
         for number in range(100):
             client.start(Command.READ, number % 8 * 512, 512, b"", replies.append)
@@ -552,12 +552,12 @@
         hinted = site.client()
         site.hub.freeze(site.head, 1_400 * MS)
         hinted.start(Command.READ, 0, 512, b"", replies.append)
-        asked = site.hub.now()
+        requested_at = site.hub.now()
         for shelf in site.shelves:
             shelf.faults.hang = True
         while len(replies) < 101:
             site.hub.sleep(MS)
-        assert replies[-1].error == Errno.ENOMEM and site.hub.now() - asked <= 1_501 * MS
+        assert replies[-1].error == Errno.ENOMEM and site.hub.now() - requested_at <= 1_501 * MS
 
     play(test, classes=PATIENT)
 
