--- a/harriertrack/decisions/fleet/rollout/__init__.py
+++ b/harriertrack/decisions/fleet/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""How a version comes to all heads: in stages, by evidence, and back if it is worse. Pure."""
+"""Staged rollouts: a version reaches heads in stages, is judged by evidence, and rolled back if worse."""
--- a/harriertrack/decisions/fleet/rollout/answer_counts.py
+++ b/harriertrack/decisions/fleet/rollout/answer_counts.py
@@ -1,6 +1,6 @@
-"""What a head counts of its own answers, by class: the evidence that a rollout is judged by. Pure.
+"""Counts of a head's answers by class: the evidence by which a rollout is judged. Pure.
 
-Counts only grow in a head's life, so a report that is lost is made up for by the next one.
+Counts only grow during a head's incarnation, so the next report makes up for one that was lost.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from harriertrack.decisions.requests import ClientRequest, Origin
 from harriertrack.decisions.splitting import Outcome
 
-LATENCY_BUCKETS = 16  # of what served requests took: below 250 us, below 500 us, and so on
+LATENCY_BUCKETS = 16  # latency of served requests: below 250 us, below 500 us, and so on
 FIRST_BUCKET_US = 250
 
 
 @dataclass(slots=True)
 class Tally:
-    """Answers of one class. Each is in one of the first four."""
+    """Answers of one class. Each is counted in exactly one of the first four fields."""
 
     timely: int = 0  # served within the aim
     late: int = 0
@@ -28,11 +28,11 @@
 
     @property
     def answers(self) -> int:
-        """Return how many there were."""
+        """Return the number of answers."""
         return self.timely + self.late + self.refused + self.failed
 
     def add(self, other: Tally, times: int = 1) -> None:
-        """Add another one's, or (-1) take it away."""
+        """Add another tally, or subtract it (`times` -1)."""
         self.timely += times * other.timely
         self.late += times * other.late
         self.refused += times * other.refused
@@ -43,28 +43,28 @@
         ]
 
     def since(self, before: Tally) -> Tally:
-        """Return what came since an earlier state of the same counts."""
-        found = Tally()
-        found.add(self)
-        found.add(before, -1)
-        return found
+        """Return the increase since an earlier state of the same counts."""
+        increase = Tally()
+        increase.add(self)
+        increase.add(before, -1)
+        return increase
 
 
 def latency_bucket(took_us: int) -> int:
-    """Return which bucket a time belongs to."""
+    """Return the index of the bucket for a latency."""
     return min(LATENCY_BUCKETS - 1, max(0, took_us // FIRST_BUCKET_US).bit_length())
 
 
 class AnswerCounter:
-    """One head's counts."""
+    """The counts of one head."""
 
     def __init__(self, classes: Mapping[str, tuple[int, int]]) -> None:
-        """`classes`: each one's aim and deadline at the head's start: no version moves them."""
+        """`classes`: each one's aim and deadline when the head started; no later version changes them."""
         self._classes = dict(classes)
         self.classes: dict[str, Tally] = {}
 
     def count_answer(self, now: int, request: ClientRequest) -> None:
-        """Count a final answer to a client; what the head asks for itself is nobody's."""
+        """Count a final answer to a client; the head's own requests are not counted."""
         if request.origin is not Origin.CLIENT or request.background or not request.parts:
             return
         name = request.parts[0].class_name
@@ -72,16 +72,16 @@
         if not deadline_us:
             return
         took_us = now - (request.deadline - max(deadline_us, request.patience_us))
-        one = self.classes.setdefault(name, Tally())
-        one.past_deadline += now > request.deadline
+        tally = self.classes.setdefault(name, Tally())
+        tally.past_deadline += now > request.deadline
         match request.outcome:
             case Outcome.REFUSED:
-                one.refused += 1
+                tally.refused += 1
             case Outcome.FAILED:
-                one.failed += 1
+                tally.failed += 1
             case Outcome.SERVED:
                 if took_us <= max(aim_us, request.patience_us):
-                    one.timely += 1
+                    tally.timely += 1
                 else:
-                    one.late += 1
-                one.latency_counts[latency_bucket(took_us)] += 1
+                    tally.late += 1
+                tally.latency_counts[latency_bucket(took_us)] += 1
--- a/harriertrack/decisions/fleet/rollout/baseline_filter.py
+++ b/harriertrack/decisions/fleet/rollout/baseline_filter.py
@@ -1,10 +1,11 @@
-"""Which of the figures that heads tell of before are gone by, after who decided then is gone. Pure.
-
-Who decides next has these figures from the heads alone. Gone by are those of one and the same time, where at
-least half of the heads tell such: between figures of two times lies all that a fleet went through meanwhile.
-A head that says that it went far worse before than at the others says nothing of theirs, and is not counted
-while it runs the version: by its word alone that would seem better than it is where others show it. Heads
-can harm a version by words in other ways, and need none for it: they need but not take it.
+"""Which of the baselines reported by heads are used after a change of the deciding head. Pure.
+
+A new deciding head has baselines only from the heads' reports. It uses those of one common period, if at
+least half of the heads report one: baselines of different periods also differ by everything that the fleet
+went through in between. A head whose baseline is far worse than the others' is an outlier: its counts do not
+apply to others, and it is left out of the comparison while it runs the version, for by its own report the
+version would look better than at other heads. A faulty head can harm a version through its reports in other
+ways too, but needs no report for that: it can simply reject the version.
 """
 
 from __future__ import annotations
@@ -16,23 +17,23 @@
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.baseline import Baseline
 from harriertrack.decisions.fleet.rollout.expected_rates import (
-    LEAST_BADLY,
-    SLOWEST,
+    MIN_BAD_FRACTION,
+    SLOW_FRACTION,
     count_answers,
     count_bad,
     first_slow_bucket,
 )
 from harriertrack.decisions.fleet.rollout.plan import Measure
 
-APART_US = 15_000_000  # one time ended at all heads within so long of the median
-FAR = 4.0  # times as often as at the others
-SURE = 4.0  # standard deviations of chance, or of clumps of twice that
-CLUMPS = 2.0
+MAX_END_SPREAD_US = 15_000_000  # baselines are of one period if they ended this close to the median
+OUTLIER_RATIO = 4.0  # times the rate of bad answers at the others
+OUTLIER_DEVIATIONS = 4.0  # standard deviations of chance, where bad answers come in clusters
+CLUSTER_VARIANCE = 2.0  # ... with a variance of this many times that of independent answers
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedBaseline:
-    """What a head told of before, and when that ended by the clock of who decides."""
+    """A baseline reported by a head, and when its period ended by the deciding head's clock."""
 
     ended_at: int
     baseline: Baseline
@@ -40,55 +41,58 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedBaselines:
-    """What is gone by."""
+    """The baselines that are used."""
 
     counts: Mapping[tuple[str, str], Tally] = field(default_factory=dict)  # by head and class
-    outliers: Mapping[str, str] = field(
-        default_factory=dict
-    )  # heads whose figures are their own alone, and why
+    outliers: Mapping[str, str] = field(default_factory=dict)  # heads whose counts apply to them alone; why
 
 
 def accept_baselines(
-    told: Mapping[str, ReportedBaseline], heads: Collection[str], more: float
+    reported: Mapping[str, ReportedBaseline], heads: Collection[str], more: float
 ) -> AcceptedBaselines:
-    """Return what is gone by; nothing if fewer than half of `heads` tell of one time. `more`: the bound's."""
-    some = {name: one for name, one in told.items() if name in heads}
-    if not some:
+    """Return the baselines to use; none if fewer than half of `heads` report one of the same period.
+
+    `more`: as in the plan's bounds.
+    """
+    known = {name: one for name, one in reported.items() if name in heads}
+    if not known:
         return AcceptedBaselines()
-    middle = median(one.ended_at for one in some.values())
-    same = {name: one.baseline for name, one in some.items() if abs(one.ended_at - middle) <= APART_US}
+    middle = median(one.ended_at for one in known.values())
+    same = {
+        name: one.baseline for name, one in known.items() if abs(one.ended_at - middle) <= MAX_END_SPREAD_US
+    }
     if 2 * len(same) < len(heads):
         return AcceptedBaselines()
-    odd: dict[str, str] = {}
+    outliers: dict[str, str] = {}
     for class_name in sorted({name for one in same.values() for name in one.classes}):
         counts = {name: one.classes[class_name] for name, one in same.items() if class_name in one.classes}
         for measure in Measure:
-            for name, why in _far(measure, counts, more).items():
-                odd.setdefault(name, f"{measure.value} in class {class_name}: {why}")
+            for name, why in _find_outliers(measure, counts, more).items():
+                outliers.setdefault(name, f"{measure.value} in class {class_name}: {why}")
     counts_of = {
         (name, class_name): tally for name, one in same.items() for class_name, tally in one.classes.items()
     }
-    return AcceptedBaselines(counts_of, odd)
+    return AcceptedBaselines(counts_of, outliers)
 
 
-def _far(measure: Measure, counts: Mapping[str, Tally], more: float) -> dict[str, str]:
-    """Return which heads tell of a class that it went far worse than the others tell.
+def _find_outliers(measure: Measure, counts: Mapping[str, Tally], more: float) -> dict[str, str]:
+    """Return the heads whose counts of a class are far worse than the others', and why.
 
-    Of two nobody can say which is odd.
+    Of two heads it can't be said which is the outlier.
     """
     if len(counts) < 3:
         return {}
     slow = round(median(first_slow_bucket(one.latency_counts) for one in counts.values()))
-    figures = {
+    rates = {
         name: (count_bad(measure, one, slow), count_answers(measure, one)) for name, one in counts.items()
     }
-    least = SLOWEST if measure is Measure.SLOW else LEAST_BADLY * more
-    parts = {name: bad / n for name, (bad, n) in figures.items() if n}
-    found = {}
-    for name in parts:
-        bad, n = figures[name]
-        usual = median(part for other, part in parts.items() if other != name)
-        unsure = SURE * (CLUMPS * (bad + 1)) ** 0.5
-        if bad - unsure > FAR * max(usual, least) * n:
-            found[name] = f"{bad} of {n} before, {usual:.2%} at the others"
-    return found
+    least = SLOW_FRACTION if measure is Measure.SLOW else MIN_BAD_FRACTION * more
+    fractions = {name: bad / n for name, (bad, n) in rates.items() if n}
+    outliers = {}
+    for name in fractions:
+        bad, n = rates[name]
+        usual = median(fraction for other, fraction in fractions.items() if other != name)
+        margin = OUTLIER_DEVIATIONS * (CLUSTER_VARIANCE * (bad + 1)) ** 0.5
+        if bad - margin > OUTLIER_RATIO * max(usual, least) * n:
+            outliers[name] = f"{bad} of {n} before, {usual:.2%} at the others"
+    return outliers
--- a/harriertrack/decisions/fleet/rollout/comparison.py
+++ b/harriertrack/decisions/fleet/rollout/comparison.py
@@ -1,10 +1,10 @@
-"""One comparison of heads with a version beside heads without, and beside themselves before. Pure.
+"""One comparison of heads that run the version with heads that do not, and with their own baseline. Pure.
 
-Of all requests that went badly in a tick so many fall to heads with the version by chance: a part that is
-known from what was expected of both, if the version is no worse, and a larger one if it is. What is expected
-is known only so well (`doubt`): the part has a Beta distribution around that, and the counts are
-beta-binomial; against before they are negative binomial, in the same way. Requests go badly in clumps: so
-many of them count as one as old heads scatter in time more than chance lets them.
+Of all bad answers in a tick, chance gives a certain fraction to the heads with the version: it follows from
+what was expected of both groups if the version is no worse, and is larger if it is worse. The expectation is
+uncertain (`variance`), so the fraction has a Beta distribution and the counts are beta-binomial; against the
+baseline they are, in the same way, negative binomial. Bad answers come in clusters, so as many of them count
+as one as the variance of the old heads over time exceeds that of chance (`dispersion`).
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 import math
 from dataclasses import dataclass, field
 
-PRIOR = 4.0  # pieces of evidence of clumps twice as large as chance, before any are seen
-HARMS = (1.0, 4.0, 16.0)  # times the bounds: what is far worse is found though little is known of before
-LEAST_PART = 1e-6  # of what goes badly
-LEAST_DOUBT = 1e-6
-CALM = 20.0  # bad answers' worth of evidence that it goes as before
-BLOCK = 10  # ticks: clumps that last as long are seen
+PRIOR_FREEDOM = 4.0  # degrees of freedom of the prior, by which the dispersion is 2 before any is observed
+HARMS = (1.0, 4.0, 16.0)  # times the bounds: finds far worse versions although the baseline is uncertain
+MIN_FRACTION = 1e-6  # of bad answers
+MIN_VARIANCE = 1e-6
+CALM = 20.0  # weight, in bad answers, of the assumption that the fleet is as in the baseline
+BLOCK_TICKS = 10  # the dispersion shows clusters that last as long
 
 
 @dataclass(slots=True)
 class Arm:
-    """What heads of one kind did in a tick, or in all."""
+    """Answers of one group of heads, in a tick or in total."""
 
     n: int = 0
     bad: int = 0
     expected: float = 0.0
 
     def add(self, other: Arm) -> None:
-        """Add another one's."""
+        """Add the answers of another."""
         self.n += other.n
         self.bad += other.bad
         self.expected += other.expected
@@ -37,122 +37,123 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """One comparison: a measure of a class, or of a zone."""
+    """One comparison: a measure for a class, or for a zone."""
 
     new: Arm = field(default_factory=Arm)
     old: Arm = field(default_factory=Arm)
-    concurrent: Arm = field(
-        default_factory=Arm
-    )  # of bad answers where both answered: all, new heads', expected
-    expected_if_worse: list[float] = field(
-        default_factory=lambda: [0.0] * len(HARMS)
-    )  # expected if it is worse
-    own_expected: float = 0.0  # expected of new heads by what was before
-    own_expected_if_worse: float = 0.0  # ... if it is worse
-    _doubts: dict[tuple[str, bool], list[float]] = field(default_factory=dict)  # expected, and unsurely so
+    # Bad answers in ticks in which both groups answered: of both (n), of new heads (bad), and the expected of
+    # new heads.
+    concurrent: Arm = field(default_factory=Arm)
+    expected_if_worse: list[float] = field(default_factory=lambda: [0.0] * len(HARMS))  # of those, by harm
+    own_expected: float = 0.0  # of new heads by their baseline
+    own_expected_if_worse: float = 0.0
+    _uncertainty: dict[tuple[str, bool], list[float]] = field(default_factory=dict)  # expected, deviation
     _block: dict[str, float] = field(default_factory=dict)
-    _before: dict[str, float] = field(default_factory=dict)
+    _last_block: dict[str, float] = field(default_factory=dict)
     _ticks: int = 0
-    _scatter: float = 2 * PRIOR
-    _freedom: float = PRIOR
-
-    def add_head(self, head: str, new: bool, badly: int, expected: float, doubt: float) -> None:
-        """Hear what a head did in this tick."""
-        both = self._doubts.setdefault((head, new), [0.0, 0.0])
-        both[0] += expected
-        both[1] += expected * math.sqrt(doubt)
+    _chi_square: float = 2 * PRIOR_FREEDOM
+    _freedom: float = PRIOR_FREEDOM
+
+    def add_head(self, head: str, new: bool, bad: int, expected: float, variance: float) -> None:
+        """Add the answers of one head in this tick; `variance`: relative, of what was expected."""
+        sums = self._uncertainty.setdefault((head, new), [0.0, 0.0])
+        sums[0] += expected
+        sums[1] += expected * math.sqrt(variance)
         if not new:
-            self._block[head] = self._block.get(head, 0.0) + badly
+            self._block[head] = self._block.get(head, 0.0) + bad
 
     def add_tick(self, new: Arm, old: Arm, times: float, more: float) -> None:
-        """Take a tick: what all heads with the version did, and all without."""
+        """Add the answers in one tick of all heads with the version, and of all without."""
         self.old.add(old)
         if not new.n:
             return
         self.new.add(new)
         if old.n:
             both = new.bad + old.bad
-            part = new.expected / (new.expected + old.expected)
-            self.concurrent.add(Arm(both, new.bad, both * part))
+            fraction = new.expected / (new.expected + old.expected)
+            self.concurrent.add(Arm(both, new.bad, both * fraction))
             for at, harm in enumerate(HARMS):
                 worse = max(min(harm * (times * new.expected + more * new.n), new.n), new.expected)
                 self.expected_if_worse[at] += both * worse / (worse + old.expected)
-        # Where all went worse before than now, the version is measured by now.
+        # If the whole fleet did worse in the baseline than it does now, the version is measured against now.
         calmer = min(1.0, (self.old.bad + CALM) / (self.old.expected + CALM))
         self.own_expected += calmer * new.expected
         self.own_expected_if_worse += calmer * times * new.expected + more * new.n
 
     def end_tick(self) -> None:
-        """A tick is over: see after some how unevenly in time old heads did."""
+        """End a tick; after each block of them, update how unevenly over time the old heads did."""
         self._ticks += 1
-        if self._ticks % BLOCK:
+        if self._ticks % BLOCK_TICKS:
             return
-        now, before = self._block, self._before
-        self._block, self._before = {}, now
+        now, before = self._block, self._last_block
+        self._block, self._last_block = {}, now
         if not before:
             return
         both = now.keys() & before.keys()
-        whole = [sum(part[head] for head in both) for part in (before, now)]
-        if not all(whole):
+        totals = [sum(block[head] for head in both) for block in (before, now)]
+        if not all(totals):
             return
-        part = whole[1] / sum(whole)
+        fraction = totals[1] / sum(totals)
         for head in both:
             if (pair := now[head] + before[head]) > 0:
-                self._scatter += (now[head] - pair * part) ** 2 / (pair * part * (1 - part))
+                self._chi_square += (now[head] - pair * fraction) ** 2 / (pair * fraction * (1 - fraction))
                 self._freedom += 1
         self._freedom -= 1
 
     @property
     def scatter(self) -> tuple[float, float]:
-        """Return how far old heads scatter in time, and how far chance alone lets them."""
-        return self._scatter, self._freedom
+        """Return Pearson's sum for old heads over time, and its degrees of freedom."""
+        return self._chi_square, self._freedom
 
-    def _unsure(self, new: bool) -> float:
-        mine = [both for (_, is_new), both in self._doubts.items() if is_new is new]
-        whole = sum(expected for expected, _ in mine)
-        return sum(unsure**2 for _, unsure in mine) / whole**2 if whole else 0.0
+    def _relative_variance(self, new: bool) -> float:
+        group = [sums for (_, is_new), sums in self._uncertainty.items() if is_new is new]
+        total = sum(expected for expected, _ in group)
+        return sum(deviation**2 for _, deviation in group) / total**2 if total else 0.0
 
-    def log_ratios(self, clumps: float) -> tuple[float, float]:
-        """Return how much says that it is worse, and how little that it is no worse, as logarithms of ratios.
+    def log_ratios(self, dispersion: float) -> tuple[float, float]:
+        """Return log likelihood ratios: of "worse", and one that has to be low for "no worse".
 
-        Worse: beside the others, by the bounds or several times that (a mixture of tests is one). No worse:
-        less than the bounds, beside the others or against before.
+        Worse: compared with the other heads, by the bounds or several times those (a mixture of tests is a
+        test). No worse: by less than the bounds, compared with the other heads or with the own baseline.
         """
-        clumps, new = max(clumps, self._scatter / self._freedom), self._unsure(True)
-        new *= clumps  # what was before went badly in clumps too
-        doubt, beside = new + clumps * self._unsure(False), self.concurrent
-        bad, fine = beside.bad / clumps, (beside.n - beside.bad) / clumps
-        sides = [0.0] * len(HARMS)
-        if beside.n:
-            usual = _shared(bad, fine, beside.expected / beside.n, doubt)
-            sides = [_shared(bad, fine, worse / beside.n, doubt) - usual for worse in self.expected_if_worse]
-        mine = self.new.bad / clumps
-        own = _counted(mine, self.own_expected_if_worse / clumps, new) - _counted(
-            mine, self.own_expected / clumps, new
+        dispersion, new = max(dispersion, self._chi_square / self._freedom), self._relative_variance(True)
+        new *= dispersion  # bad answers came in clusters in the baseline too
+        variance, concurrent = new + dispersion * self._relative_variance(False), self.concurrent
+        bad, good = concurrent.bad / dispersion, (concurrent.n - concurrent.bad) / dispersion
+        ratios = [0.0] * len(HARMS)
+        if concurrent.n:
+            usual = _beta_binomial(bad, good, concurrent.expected / concurrent.n, variance)
+            ratios = [
+                _beta_binomial(bad, good, worse / concurrent.n, variance) - usual
+                for worse in self.expected_if_worse
+            ]
+        mine = self.new.bad / dispersion
+        own = _negative_binomial(mine, self.own_expected_if_worse / dispersion, new) - _negative_binomial(
+            mine, self.own_expected / dispersion, new
         )
-        return max(sides) - math.log(len(HARMS)), min(sides[0], own)
+        return max(ratios) - math.log(len(HARMS)), min(ratios[0], own)
 
     def is_material(self, times: float, more: float) -> bool:
-        """Whether heads with the version are at least half as bad as the bounds say, beside the others."""
-        is_ = self.new.expected * (self.old.bad + 1) / (self.old.expected + 1)
-        return self.new.bad - is_ >= ((times - 1) * is_ + more * self.new.n) / 2
+        """Whether heads with the version are worse than the others by at least half of the bounds."""
+        usual = self.new.expected * (self.old.bad + 1) / (self.old.expected + 1)
+        return self.new.bad - usual >= ((times - 1) * usual + more * self.new.n) / 2
 
 
-def _shared(bad: float, fine: float, part: float, doubt: float) -> float:
-    """Return the logarithm of a beta-binomial chance, as far as it depends on the part."""
-    part = min(max(part, LEAST_PART), 1 - LEAST_PART)
-    whole = 1 / (max(doubt, LEAST_DOUBT) * part * (1 - part))
-    a, b = whole * part, whole * (1 - part)
-    return _ratio(a, bad) + _ratio(b, fine) - _ratio(whole, bad + fine)
+def _beta_binomial(bad: float, good: float, fraction: float, variance: float) -> float:
+    """Return the logarithm of a beta-binomial probability, up to terms independent of `fraction`."""
+    fraction = min(max(fraction, MIN_FRACTION), 1 - MIN_FRACTION)
+    size = 1 / (max(variance, MIN_VARIANCE) * fraction * (1 - fraction))
+    a, b = size * fraction, size * (1 - fraction)
+    return _log_rising(a, bad) + _log_rising(b, good) - _log_rising(size, bad + good)
 
 
-def _ratio(of: float, more: float) -> float:
-    return math.lgamma(of + more) - math.lgamma(of)
+def _log_rising(base: float, steps: float) -> float:
+    return math.lgamma(base + steps) - math.lgamma(base)
 
 
-def _counted(bad: float, expected: float, doubt: float) -> float:
-    """Return the logarithm of a negative binomial chance, as far as it depends on what is expected."""
+def _negative_binomial(bad: float, expected: float, variance: float) -> float:
+    """Return the logarithm of a negative binomial probability, up to terms independent of `expected`."""
     if expected <= 0:
         return 0.0
-    shape = 1 / max(doubt, LEAST_DOUBT)
+    shape = 1 / max(variance, MIN_VARIANCE)
     return bad * math.log(expected / (expected + shape)) - shape * math.log1p(expected / shape)
--- a/harriertrack/decisions/fleet/rollout/controller.py
+++ b/harriertrack/decisions/fleet/rollout/controller.py
@@ -1,7 +1,7 @@
-"""All rollouts of a fleet, as the head that decides conducts them: reports in, the next step out.
+"""All rollouts of a fleet, controlled by the deciding head: reports in, the next steps out.
 
-Begins anew with each term. What one decider leaves to the next is written in the record, but for how it went
-before the version: that each head holds of itself, and tells. Pure.
+Its state begins empty with each term. What a deciding head leaves to the next is written in the record,
+except for the baselines before a version: each head stores and reports its own. Pure.
 """
 
 from __future__ import annotations
@@ -30,19 +30,19 @@
     excess_usage,
 )
 
-HEARD_US = 6_000_000  # a head that reports no more is not heard; it reports each second
-LATE_US = 2_000_000  # what a head tells is as old as it says, but for the way
-MOST_PAST = 7  # lives of a head that are remembered to be over
-NOTHING = Finding(Verdict.NOT_YET, "no evidence yet")
+REPORT_TIMEOUT_US = 6_000_000  # a head whose last report is older is absent; heads report each second
+MAX_DELAY_US = 2_000_000  # by which reports of one baseline differ in when its period ended
+PAST_INCARNATIONS = 7  # earlier incarnations of a head that are remembered
+NO_EVIDENCE = Finding(Verdict.NOT_YET, "no evidence yet")
 
 
 class InvalidPlan(ValueError):
-    """A version can't be brought about as it says."""
+    """A version can't be rolled out by its plan or body."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeadLocation:
-    """A head by the view: where it is, and for how long it has not been there (-1: it is)."""
+    """A head in the member view: its location, and for how long it has been absent (-1: it is present)."""
 
     zone: str = ""
     cell: str = ""
@@ -51,215 +51,225 @@
 
 
 @dataclass(slots=True)
-class _Heard:
+class _LastReport:
     at: int
     report: Report
     volumes: frozenset[int] | None
-    past: tuple[int, ...] = ()  # lives that are over
+    past: tuple[int, ...] = ()  # earlier incarnations
 
 
 @dataclass(slots=True)
 class TrackedRollout:
-    """One version under way."""
+    """One version in progress."""
 
     rollout: Rollout
     evidence: Evidence
     test: SequentialTest | None = None
-    finding: Finding = NOTHING
+    finding: Finding = NO_EVIDENCE
     stage: int = 0
     excess: str = ""
-    taken_over: bool = False  # this decider did not see the whole time of before
-    reported_baselines: dict[str, ReportedBaseline] = field(default_factory=dict)  # what heads told of it
-    weighed_heads: int = 0  # heads, when that was weighed
+    taken_over: bool = False  # this head did not observe the complete baseline period
+    reported_baselines: dict[str, ReportedBaseline] = field(default_factory=dict)  # when last filtered
+    weighed_heads: int = 0  # number of heads then
 
 
 @dataclass(slots=True)
 class RolloutController:
-    """Of one term. `plan_of` reads a version's plan and body, or raises BadPlan."""
+    """Controls the rollouts during one term.
+
+    `plan_of` reads a version's plan and checks its body, or raises InvalidPlan.
+    """
 
     plan_of: Callable[[Version], Plan]
     tracked: dict[tuple[str, int], TrackedRollout] = field(default_factory=dict)
-    _heard: dict[str, _Heard] = field(default_factory=dict)
-    _told: dict[str, ReportedBaseline] = field(default_factory=dict)
+    _reports: dict[str, _LastReport] = field(default_factory=dict)
+    _baselines: dict[str, ReportedBaseline] = field(default_factory=dict)
 
-    def add_baseline(self, now: int, head: str, before: Baseline) -> None:
-        """Take what a head tells of the time before a version."""
-        ended, known = now - before.ago_us, self._told.get(head)
-        key = before.thing, before.number
+    def add_baseline(self, now: int, head: str, baseline: Baseline) -> None:
+        """Process a head's report of its baseline."""
+        ended, known = now - baseline.ago_us, self._baselines.get(head)
+        key = baseline.thing, baseline.number
         if known is not None and (known.baseline.thing, known.baseline.number) == key:
             if (
-                abs(known.ended_at - ended) <= LATE_US
-                and known.baseline.classes.keys() == before.classes.keys()
+                abs(known.ended_at - ended) <= MAX_DELAY_US
+                and known.baseline.classes.keys() == baseline.classes.keys()
             ):
-                return  # the same again
-        self._told[head] = ReportedBaseline(ended, before)
+                return  # the same report again
+        self._baselines[head] = ReportedBaseline(ended, baseline)
 
     def add_report(self, now: int, report: Report, volumes: frozenset[int] | None, zone: str,
-              asked: Collection[int] = ()) -> None:  # fmt: skip
-        """Take a head's report.
+                   stopped: Collection[int] = ()) -> None:  # fmt: skip
+        """Process a head's report.
 
-        `volumes`: checksums of those it serves, None if not all were told; `asked`: its lives that ended as
-        somebody wished.
+        `volumes`: checksums of those it serves, None if not all were reported; `stopped`: its incarnations
+        that exited on request.
         """
-        before = self._heard.get(report.head)
+        before = self._reports.get(report.head)
         past: tuple[int, ...] = ()
         if before is not None:
             past = before.past
             if report.incarnation in past:
-                return  # it was late
+                return  # a delayed report
             if report.incarnation != before.report.incarnation:
-                past = (*past[-MOST_PAST:], before.report.incarnation)
-        self._heard[report.head] = _Heard(now, report, volumes, past)
-        for one in self.tracked.values():
-            one.evidence.add_report(now, report, zone, asked)
+                past = (*past[-PAST_INCARNATIONS:], before.report.incarnation)
+        self._reports[report.head] = _LastReport(now, report, volumes, past)
+        for rollout in self.tracked.values():
+            rollout.evidence.add_report(now, report, zone, stopped)
 
     def feature_levels(self) -> dict[str, int]:
-        """Return the feature level that each head said last that it understands."""
-        return {name: one.report.feature_level for name, one in self._heard.items()}
+        """Return the feature level that each head last reported."""
+        return {name: last.report.feature_level for name, last in self._reports.items()}
 
     def head_states(
         self, now: int, known: Mapping[str, HeadLocation], version: Version
     ) -> dict[str, HeadState]:
-        """Return the heads as far as a version is concerned."""
-        found = {}
+        """Return the state of all heads with respect to a version."""
+        states = {}
         for name, where in known.items():
-            heard, runs, fell = self._heard.get(name), None, ""
-            silent = now - heard.at if heard is not None else None
-            here = where.absent_us < 0 and silent is not None and silent <= HEARD_US
-            if heard is not None:
-                runs = heard.report.versions.get(version.thing, 0)
-                number, why = heard.report.rejected.get(version.thing, (0, ""))
-                fell = why if number == version.number else ""
-            absent = 0 if here else max(where.absent_us, silent or 0)
-            found[name] = HeadState(name, where.zone, where.cell, where.region,
-                                 heard.volumes if heard is not None else None, runs, fell, here,
-                                 absent)  # fmt: skip
-        return found
+            last, runs, rejection = self._reports.get(name), None, ""
+            silent = now - last.at if last is not None else None
+            present = where.absent_us < 0 and silent is not None and silent <= REPORT_TIMEOUT_US
+            if last is not None:
+                runs = last.report.versions.get(version.thing, 0)
+                number, why = last.report.rejected.get(version.thing, (0, ""))
+                rejection = why if number == version.number else ""
+            absent = 0 if present else max(where.absent_us, silent or 0)
+            states[name] = HeadState(name, where.zone, where.cell, where.region,
+                                     last.volumes if last is not None else None, runs, rejection, present,
+                                     absent)  # fmt: skip
+        return states
 
     def next_steps(self, now: int, record: Record, known: Mapping[str, HeadLocation], me: str) -> list[Step]:
-        """Return what is due, for each version under way."""
-        under_way = {(one.thing, one.number): one for one in record.versions
-                     if one.standing in UNDER_WAY and is_staged(one.thing)}  # fmt: skip
-        for gone in self.tracked.keys() - under_way.keys():
-            del self.tracked[gone]
+        """Return the steps to write now, for all versions in progress."""
+        in_progress = {(one.thing, one.number): one for one in record.versions
+                       if one.standing in UNDER_WAY and is_staged(one.thing)}  # fmt: skip
+        for over in self.tracked.keys() - in_progress.keys():
+            del self.tracked[over]
         steps = []
-        for version in under_way.values():
+        for version in in_progress.values():
             try:
-                step = self._look(now, record, version, known, me)
+                step = self._next_step(now, record, version, known, me)
             except InvalidPlan as error:
-                step = _undo(version, str(error))
+                step = _withdraw(version, str(error))
             if step is not None:
                 steps.append(step)
         return steps
 
-    def _look(self, now: int, record: Record, version: Version, known: Mapping[str, HeadLocation],
-              me: str) -> Step | None:  # fmt: skip
+    def _next_step(self, now: int, record: Record, version: Version, known: Mapping[str, HeadLocation],
+                   me: str) -> Step | None:  # fmt: skip
         key = version.thing, version.number
-        one = self.tracked.get(key)
-        if one is None:
+        tracked = self.tracked.get(key)
+        if tracked is None:
             plan = self.plan_of(version)
-            one = TrackedRollout(Rollout(*key, plan), Evidence(*key, plan.settle_us))
+            tracked = TrackedRollout(Rollout(*key, plan), Evidence(*key, plan.settle_us))
             if version.standing is not Standing.PROPOSED:
-                one.taken_over = True  # it was seen by another
-                one.evidence.end_baseline()
-            self.tracked[key] = one
+                tracked.taken_over = True  # an earlier deciding head observed the baseline period
+                tracked.evidence.end_baseline()
+            self.tracked[key] = tracked
         members = self.head_states(now, known, version)
-        plan = one.rollout.plan
+        plan = tracked.rollout.plan
         if version.standing is Standing.PROPOSED and blocking_version(record, version.thing) is not None:
-            one.evidence = Evidence(*key, plan.settle_us)  # while another thing changes nothing is as before
+            tracked.evidence = Evidence(*key, plan.settle_us)  # not a baseline while another thing changes
         if version.standing in RUN:
-            self._disturb(now, version, one, members)
-            self._judge(now, version, one, members)
-        step = one.rollout.next_step(now, record, members, me, one.finding, self._spoilt(one, plan))
+            self._exclude_disturbed(now, version, tracked, members)
+            self._evaluate(now, version, tracked, members)
+        step = tracked.rollout.next_step(
+            now, record, members, me, tracked.finding, self._check_usage(tracked, plan)
+        )
         if step is not None and version.standing is Standing.PROPOSED:
-            one.evidence.end_baseline()
+            tracked.evidence.end_baseline()
         return step
 
-    def _disturb(
-        self, now: int, version: Version, one: TrackedRollout, members: Mapping[str, HeadState]
+    def _exclude_disturbed(
+        self, now: int, version: Version, tracked: TrackedRollout, members: Mapping[str, HeadState]
     ) -> None:
-        """Leave out heads that bear the load of one that is away."""
+        """Leave out the heads that carry the load of heads that are away."""
         if not interrupts_service(kind_of(version.thing)):
             return
-        away = one.rollout.away_heads(version.heads, members)
+        away = tracked.rollout.away_heads(version.heads, members)
         moved = {volume for name in away if name in members for volume in members[name].volumes or ()}
-        # What a head serves that went before this decider heard of it is not known: any head may bear it.
-        unknown = any(members[name].volumes is None and members[name].absent_us <= one.rollout.plan.ready_us
-                      for name in away if name in members)  # fmt: skip
-        bears = [name for name, member in members.items()
-                 if unknown or (member.volumes and member.volumes & moved)]  # fmt: skip
-        one.evidence.exclude(bears, now + one.rollout.plan.settle_us)
-
-    def _judge(
-        self, now: int, version: Version, one: TrackedRollout, members: Mapping[str, HeadState]
+        # The volumes of a head that left before it reported here are unknown: any head may carry its load.
+        unknown = any(
+            members[name].volumes is None and members[name].absent_us <= tracked.rollout.plan.ready_us
+            for name in away if name in members
+        )  # fmt: skip
+        loaded = [name for name, member in members.items()
+                  if unknown or (member.volumes and member.volumes & moved)]  # fmt: skip
+        tracked.evidence.exclude(loaded, now + tracked.rollout.plan.settle_us)
+
+    def _evaluate(
+        self, now: int, version: Version, tracked: TrackedRollout, members: Mapping[str, HeadState]
     ) -> None:
-        plan = one.rollout.plan
+        plan = tracked.rollout.plan
         if not plan.measures:
-            one.finding = Finding(Verdict.NOT_WORSE, "nothing is compared")
+            tracked.finding = Finding(Verdict.NOT_WORSE, "nothing is compared")
             return
-        fresh = one.test is None or one.stage != version.stage
-        if one.test is None or fresh:
-            one.test, one.stage, one.reported_baselines = (
-                SequentialTest(plan, one.evidence.baseline),
+        fresh = tracked.test is None or tracked.stage != version.stage
+        if tracked.test is None or fresh:
+            tracked.test, tracked.stage, tracked.reported_baselines = (
+                SequentialTest(plan, tracked.evidence.baseline),
                 version.stage,
                 {},
             )
-        if one.taken_over:
-            self._believe(version, one, one.test)
-        ticks = list(one.evidence.take_ticks(now))
+        if tracked.taken_over:
+            self._apply_baselines(version, tracked, tracked.test)
+        ticks = list(tracked.evidence.take_ticks(now))
         for rows in ticks:
-            one.test.add_tick(rows)
+            tracked.test.add_tick(rows)
         if ticks or fresh:
             at = min(max(version.stage, 1), len(plan.stages)) - 1
             alone = all(name in version.heads for name, member in members.items() if member.present)
-            one.finding = one.test.evaluate(at, alone)
+            tracked.finding = tracked.test.evaluate(at, alone)
 
-    def _believe(self, version: Version, one: TrackedRollout, judge: SequentialTest) -> None:
-        """Go by what heads tell of the time before, as far as it is to be believed."""
+    def _apply_baselines(self, version: Version, tracked: TrackedRollout, test: SequentialTest) -> None:
+        """Use the baselines that heads reported, as far as they are accepted."""
         key = version.thing, version.number
-        telling = {name: told for name, told in self._told.items()
-                   if (told.baseline.thing, told.baseline.number) == key}  # fmt: skip
-        heads = one.evidence.heads
-        if telling == one.reported_baselines and len(heads) == one.weighed_heads:
+        reported = {name: one for name, one in self._baselines.items()
+                    if (one.baseline.thing, one.baseline.number) == key}  # fmt: skip
+        heads = tracked.evidence.heads
+        if reported == tracked.reported_baselines and len(heads) == tracked.weighed_heads:
             return
-        one.reported_baselines, one.weighed_heads = telling, len(heads)
-        found = accept_baselines(telling, heads, one.rollout.plan.bounds.more)
-        judge.set_baseline(found.counts, found.outliers)
-        for name in {head for head, _ in found.counts}:
-            one.evidence.set_baseline_usage(name, telling[name].baseline.usage)
-
-    def _spoilt(self, one: TrackedRollout, plan: Plan) -> str:
+        tracked.reported_baselines, tracked.weighed_heads = reported, len(heads)
+        accepted = accept_baselines(reported, heads, tracked.rollout.plan.bounds.more)
+        test.set_baseline(accepted.counts, accepted.outliers)
+        for name in {head for head, _ in accepted.counts}:
+            tracked.evidence.set_baseline_usage(name, reported[name].baseline.usage)
+
+    def _check_usage(self, tracked: TrackedRollout, plan: Plan) -> str:
+        """Return why a version is stopped for crashes or resource use; "" if it is not."""
         if not plan.measures:
             return ""
-        mine, others = one.evidence.crash_counts()
+        mine, others = tracked.evidence.crash_counts()
         if plan.bounds.crashes and mine - others >= plan.bounds.crashes:
             return f"{mine} heads with it ended unasked, {others} without"
-        grew = excess_usage(one.evidence, plan)
-        # A figure alone may be a moment's: it has to hold from one look to the next.
-        found, one.excess = (grew if one.excess else ""), grew
+        excess = excess_usage(tracked.evidence, plan)
+        # A single measurement may be momentary: the excess has to last from one check to the next.
+        found, tracked.excess = (excess if tracked.excess else ""), excess
         return found
 
     def status_lines(self, record: Record) -> list[str]:
-        """Return where each rollout stands, for operators."""
+        """Return the state of each rollout, for operators."""
         lines = []
-        for (thing, number), one in self.tracked.items():
+        for (thing, number), tracked in self.tracked.items():
             version = record.find(thing, number)
             if version is not None:
-                lines.append(f"{thing} {number}: {status_text(version, one.rollout)}{_before(one)}")
+                lines.append(
+                    f"{thing} {number}: {status_text(version, tracked.rollout)}{_baseline_text(tracked)}"
+                )
         return lines
 
 
-def _before(one: TrackedRollout) -> str:
-    """Return what a decider that took over goes by, for operators."""
-    if not one.taken_over or one.test is None:
+def _baseline_text(tracked: TrackedRollout) -> str:
+    """Return which baselines a deciding head that took over uses, for operators."""
+    if not tracked.taken_over or tracked.test is None:
         return ""
-    tell = len({head for head, _ in one.test.baseline})
-    odd = "".join(f"; not {head}, {why}" for head, why in sorted(one.test.outliers.items()))
-    return f" (before as {tell} of {one.weighed_heads} heads tell it{odd})"
+    reporting = len({head for head, _ in tracked.test.baseline})
+    outliers = "".join(f"; not {head}, {why}" for head, why in sorted(tracked.test.outliers.items()))
+    return f" (before as {reporting} of {tracked.weighed_heads} heads tell it{outliers})"
 
 
-def _undo(version: Version, why: str) -> Step | None:
-    """Take a version back that can't be brought about."""
+def _withdraw(version: Version, why: str) -> Step | None:
+    """Return the step that takes back a version that can't be rolled out."""
     match version.standing:
         case Standing.PROPOSED:
             return Step(version, Standing.ABORTED, why, version.stage, ())
--- a/harriertrack/decisions/fleet/rollout/expected_rates.py
+++ b/harriertrack/decisions/fleet/rollout/expected_rates.py
@@ -1,9 +1,10 @@
-"""What is to be expected of each head: how it went there before, as far as that is known, and how surely.
+"""The rate of bad answers expected of each head, from its baseline as far as known, and its uncertainty.
 
-A head's own figure is drawn to that of all heads by how much heads differ at all (Gamma and Poisson, the
-difference by the method of moments, from all classes together and at least what a class shows by itself).
-Without a time before, as for who took over in the middle of heads that do not tell it, all are expected to
-be alike, as surely as those of the old version are. Pure.
+A head's own rate is shrunk towards that of all heads, according to how much heads differ at all
+(Gamma-Poisson; the variance between heads by the method of moments, from all classes together and at least
+what a class shows by itself). Without a baseline, as for a deciding head that took over among heads that do
+not report theirs, all heads are expected to be alike, with the uncertainty of the old version's own counts.
+Pure.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from harriertrack.decisions.fleet.rollout.answer_counts import LATENCY_BUCKETS, Tally
 from harriertrack.decisions.fleet.rollout.plan import Measure
 
-SLOWEST = 0.1  # of what was served before was as slow as what is called slow
-LEAST_BADLY = 0.1  # of a bound's `more`: nothing is taken to go badly more seldom
-ALIKE = 0.02  # heads' rates differ by this squared deviation at least, as parts of the mean
-UNLIKE = 0.25  # ... and by this where nothing is known, and at most
+SLOW_FRACTION = 0.1  # of the answers served in the baseline were as slow as what is called slow
+MIN_BAD_FRACTION = 0.1  # of a bound's `more`: no lower rate of bad answers is expected
+MIN_VARIANCE = 0.02  # squared relative deviation between heads' rates: at least this
+MAX_VARIANCE = 0.25  # ... at most this, and this where nothing is known
 
 
 def count_bad(measure: Measure, tally: Tally, slow: int) -> int:
-    """Return how many of a class's answers went badly."""
+    """Return how many of a class's answers are bad by a measure; `slow`: the first slow bucket."""
     match measure:
         case Measure.WORTH:
             return tally.late + tally.refused + tally.failed
@@ -36,23 +37,23 @@
 
 
 def count_answers(measure: Measure, tally: Tally) -> int:
-    """Return of how many answers that is."""
+    """Return how many answers a measure applies to."""
     return sum(tally.latency_counts) if measure is Measure.SLOW else tally.answers
 
 
-def first_slow_bucket(took: list[int]) -> int:
-    """Return the first bucket from which on at most a tenth lies."""
-    whole, above = sum(took), 0
+def first_slow_bucket(latency_counts: list[int]) -> int:
+    """Return the first bucket such that it and the later ones hold at most a tenth of the answers."""
+    total, above = sum(latency_counts), 0
     for at in reversed(range(LATENCY_BUCKETS)):
-        above += took[at]
-        if above > SLOWEST * whole:
+        above += latency_counts[at]
+        if above > SLOW_FRACTION * total:
             return at + 1
     return LATENCY_BUCKETS
 
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """Which part goes badly, and the squared relative deviation of that figure."""
+    """The expected fraction of bad answers, and the relative variance of that estimate."""
 
     fraction: float
     relative_variance: float
@@ -60,11 +61,11 @@
 
 @dataclass(slots=True)
 class ExpectedRates:
-    """Rates of all heads, from counts by head and class."""
+    """Expected rates of all heads, from counts by head and class."""
 
     counts: Mapping[tuple[str, str], Tally]
-    more: float  # the bound's
-    outliers: Collection[str] = ()  # heads that say nothing of others
+    more: float  # as in the plan's bounds
+    outliers: Collection[str] = ()  # heads whose counts do not apply to others
     _rates: dict[tuple[Measure, str, str], Rate] = field(default_factory=dict)
     _classes: dict[str, dict[str, Tally]] = field(default_factory=dict)
     _slow: dict[str, int] = field(default_factory=dict)
@@ -76,51 +77,51 @@
                 self._classes.setdefault(class_name, {})[head] = tally
 
     def slow_from(self, class_name: str) -> int:
-        """Return from which bucket on a class's answers are slow; where nothing is known nothing is."""
+        """Return the first bucket of a class that counts as slow; without any counts no bucket does."""
         if class_name not in self._slow:
-            whole = Tally()
-            for one in self._classes.get(class_name, {}).values():
-                whole.add(one)
+            total = Tally()
+            for tally in self._classes.get(class_name, {}).values():
+                total.add(tally)
             self._slow[class_name] = (
-                first_slow_bucket(whole.latency_counts) if whole.answers else LATENCY_BUCKETS
+                first_slow_bucket(total.latency_counts) if total.answers else LATENCY_BUCKETS
             )
         return self._slow[class_name]
 
     def rate(self, measure: Measure, class_name: str, head: str) -> Rate:
-        """Return what is to be expected at a head."""
+        """Return the rate that is expected of a head."""
         key = (measure, class_name, head)
         if key not in self._rates:
-            pool, weight = self._pool(measure, class_name)
+            pooled, weight = self._pool(measure, class_name)
             own = self.counts.get((head, class_name), Tally())
             bad, n = count_bad(measure, own, self.slow_from(class_name)), count_answers(measure, own)
-            part = pool * (bad + weight) / (n * pool + weight)
-            least = max(LEAST_BADLY * self.more, part)
-            # Raised to the least, a figure is no less sure than it was: its own deviation stays.
-            self._rates[key] = Rate(least, (part / least) ** 2 / (bad + weight))
+            fraction = pooled * (bad + weight) / (n * pooled + weight)
+            raised = max(MIN_BAD_FRACTION * self.more, fraction)
+            # Raising a rate to the minimum makes it no less certain: its absolute deviation stays the same.
+            self._rates[key] = Rate(raised, (fraction / raised) ** 2 / (bad + weight))
         return self._rates[key]
 
     def _pool(self, measure: Measure, class_name: str) -> tuple[float, float]:
-        """Return the part of all heads, and how many bad answers of its own outweigh it."""
+        """Return the rate of all heads, and how many bad answers of a head's own weigh as much as it."""
         key = (measure, class_name)
         if key not in self._pools:
-            part, uneven, freedom, expected = self._uneven(measure, class_name)
-            sums = [self._uneven(measure, name)[1:] for name in self._classes]
-            all_uneven, all_freedom, all_expected = (sum(each[at] for each in sums) for at in range(3))
-            # What chance alone gives has a standard deviation: more than seen by all, less by one class.
-            differ = (
-                max((all_uneven - all_freedom + (2 * all_freedom) ** 0.5) / all_expected,
-                    (uneven - freedom - (2 * freedom) ** 0.5) / expected if expected else 0.0)
-                if all_expected else UNLIKE
+            fraction, chi_square, freedom, expected = self._dispersion(measure, class_name)
+            sums = [self._dispersion(measure, name)[1:] for name in self._classes]
+            all_chi_square, all_freedom, all_expected = (sum(each[at] for each in sums) for at in range(3))
+            # The standard deviation by chance alone is added for all classes, and subtracted for one.
+            variance = (
+                max((all_chi_square - all_freedom + (2 * all_freedom) ** 0.5) / all_expected,
+                    (chi_square - freedom - (2 * freedom) ** 0.5) / expected if expected else 0.0)
+                if all_expected else MAX_VARIANCE
             )  # fmt: skip
-            self._pools[key] = part, 1 / min(UNLIKE, max(ALIKE, differ))
+            self._pools[key] = fraction, 1 / min(MAX_VARIANCE, max(MIN_VARIANCE, variance))
         return self._pools[key]
 
-    def _uneven(self, measure: Measure, class_name: str) -> tuple[float, float, int, float]:
-        """Return a class's part, Pearson's sum over heads, its degrees of freedom, and what was expected."""
+    def _dispersion(self, measure: Measure, class_name: str) -> tuple[float, float, int, float]:
+        """Return a class's rate, Pearson's sum over heads, its degrees of freedom, and the expected count."""
         slow = self.slow_from(class_name)
-        some = self._classes.get(class_name, {}).values()
-        heads = [(count_bad(measure, one, slow), count_answers(measure, one)) for one in some]
+        tallies = self._classes.get(class_name, {}).values()
+        heads = [(count_bad(measure, tally, slow), count_answers(measure, tally)) for tally in tallies]
         n = sum(each for _, each in heads)
-        part = max(LEAST_BADLY * self.more, sum(bad for bad, _ in heads) / n if n else 0.0)
-        uneven = sum((bad - each * part) ** 2 / (each * part) for bad, each in heads if each)
-        return part, uneven, max(0, len(heads) - 1), n * part
+        fraction = max(MIN_BAD_FRACTION * self.more, sum(bad for bad, _ in heads) / n if n else 0.0)
+        chi_square = sum((bad - each * fraction) ** 2 / (each * fraction) for bad, each in heads if each)
+        return fraction, chi_square, max(0, len(heads) - 1), n * fraction
--- a/harriertrack/decisions/fleet/rollout/feature_levels.py
+++ b/harriertrack/decisions/fleet/rollout/feature_levels.py
@@ -1,9 +1,10 @@
-"""The fleet's feature level: what a later program brought is used once all who vote understand it.
+"""The fleet's feature level: what a later program introduced is used once all voters understand it.
 
-A program says the highest level that it understands. The record's level is what anybody may write: messages,
-notes, the record itself and what lies on disk. It is raised when the last stage of a program is in force and
-all who vote are heard to understand it, and never falls, so what was written at a level is always read by
-whoever may start: a program that understands less than the level is not brought about. Pure.
+A program reports the highest level that it understands. The record's level limits what any head may write:
+messages, notes, the record itself and data on disk. It is raised when the last stage of a program is in force
+and all voters have reported that they understand the higher level, and it never falls. So whatever was
+written at a level can be read by any head that may start: a program that understands less than the level is
+not rolled out. Pure.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 
 
 def next_level(record: Record, understood: Mapping[str, int], voters: Collection[str]) -> int:
-    """Return the level that may hold from now on; the record's own if it may not be raised.
+    """Return the level that may apply from now on; the record's own if it may not be raised.
 
-    `understood`: by each head that said so, `voters`: all that are there or may come back. One that is not
-    heard has a vote too: it may wake up with the program that it had.
+    `understood`: the level that each head reported, `voters`: all heads that are present or may return. An
+    unreachable head votes too: it may resume with the program that it had.
     """
     going = any(record.under_way(thing) is not None for thing in record.things()
                 if kind_of(thing) is Kind.PROGRAM)  # fmt: skip
@@ -27,7 +28,7 @@
 
 
 def level_conflict(record: Record, level: int | None) -> str:
-    """Return why a program that understands a level can't be brought about; "" if it can, or does not say."""
+    """Return why a program that understands `level` can't be rolled out; "" if it can, or states no level."""
     if level is None or level >= record.level:
         return ""
     return f"it understands level {level}, and what is written is of level {record.level}"
--- a/harriertrack/decisions/fleet/rollout/plan.py
+++ b/harriertrack/decisions/fleet/rollout/plan.py
@@ -1,7 +1,7 @@
-"""The plan of a rollout, as data: stages, what each needs, who may be away, what is compared, what stops it.
+"""The plan of a rollout: its stages, how many heads may be away, what is compared, and what stops a version.
 
-A stage names how many heads run the new version by its end, those of earlier stages among them. Times are
-microseconds of the clock of who decides.
+A stage gives how many heads run the new version by its end, including those of earlier stages. Times are in
+microseconds of the deciding head's clock.
 """
 
 from __future__ import annotations
@@ -13,65 +13,71 @@
 
 
 class Measure(Enum):
-    """What of a class's requests is counted against a version."""
+    """Which requests of a class count against a version."""
 
     WORTH = "worth"  # not served within the class's aim: refused, failed or late
     FAILED = "failed"
     REFUSED = "refused"
-    SLOW = "slow"  # slower than nine tenths of those before
+    SLOW = "slow"  # slower than nine tenths of the baseline
     BROKEN = "broken"  # answered after the deadline, or another rule seen broken
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """How far a version goes before it is looked at again."""
+    """How many heads a version reaches before it is judged again."""
 
     name: str
-    heads: int = 0  # so many in all; 0: `share`
-    share: float = 0.0  # of each zone, at least one; below 1 it leaves one, where there are more
-    zones: tuple[str, ...] = ()  # only there; none: everywhere
+    heads: int = 0  # number of heads in total; 0: use `share`
+    share: float = (
+        0.0  # of each zone, at least one head; below 1 at least one is left out, if the zone has more
+    )
+    zones: tuple[str, ...] = ()  # only heads in these zones; empty: in all
     cells: tuple[str, ...] = ()
     regions: tuple[str, ...] = ()
-    soak_us: int = 60_000_000  # since the last of its heads was heard to run it
-    least: int = 200  # answers by heads that run it, of every class that is busy enough; 0: nothing is
-    # waited for but the soak, as in the last stage, where nobody is left to compare with
+    soak_us: int = 60_000_000  # from the report of the last of its heads that it runs the version
+    least: int = (
+        200  # answers required from heads that run it, in every class that is busy enough; 0: only the
+    )
+    # soak is required, as in the last stage, where no head of the old version is left to compare with
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What counts as worse, and how sure that must be."""
+    """What counts as worse, and the error rates of the tests."""
 
-    times: float = 2.0  # so much more often than without
-    more: float = 0.01  # ... and of so many of all requests beyond that
-    wrongly: float = 0.01  # of good versions stopped, over all that is compared in all stages
-    missed: float = 0.05  # of versions just so bad, that the last stage which is judged calls not worse
-    early: float = 0.25  # ... and each stage before that: what it lets pass is judged again
-    falls: int = 1  # heads that went back by themselves, or would not take it
-    crashes: int = 2  # ends that nobody asked for, of heads that run it, beyond what the others have
-    memory: float = 1.5  # times, against the head itself before and the others meanwhile; 0: not looked at
-    processor: float = 2.0  # the same, a request
+    times: float = 2.0  # a version is worse if requests go badly this many times as often
+    more: float = 0.01  # ... and this fraction of all requests in addition
+    wrongly: float = 0.01  # of good versions that are stopped, over all comparisons in all stages
+    missed: float = 0.05  # of versions exactly that bad that pass the last judged stage
+    early: float = 0.25  # ... and that pass each earlier stage: a later one judges them again
+    falls: int = 1  # heads that returned to the old version by themselves, or rejected the new one
+    crashes: int = 2  # unrequested exits of heads that run it, beyond those of other heads
+    memory: float = 1.5  # growth against the head's own baseline and the other heads; 0: not checked
+    processor: float = 2.0  # the same, per request
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How a version is brought about."""
+    """How a version is rolled out."""
 
     stages: tuple[Stage, ...]
-    away: int = 1  # heads at once, and never of two zones, or all that serve a volume
+    away: int = 1  # heads away at once; never of two zones, nor all that serve a volume
     away_share: float = 0.05  # of all heads, if that is more
-    back_away: int = 4  # the same, on the way back
+    back_away: int = 4  # the same during a rollback
     back_share: float = 0.2
-    alone: bool = False  # a volume that one head alone serves may be without for a while
-    missing: float = 0.1  # of a stage's heads need not be heard
-    before_us: int = 120_000_000  # heads are watched for so long before the first changes
-    settle_us: int = 5_000_000  # what a head does first is left out: cold caches, empty windows
-    ready_us: int = 60_000_000  # after which a head that is to change and is not heard holds the stage up
+    alone: bool = False  # whether a volume that only one head serves may be unavailable for a while
+    missing: float = 0.1  # fraction of a stage's heads that need not report
+    before_us: int = 120_000_000  # baseline: how long heads are observed before the first changes
+    settle_us: int = (
+        5_000_000  # ignored at the start: cold caches and empty windows distort a head's first answers
+    )
+    ready_us: int = 60_000_000  # after which a changing head that does not report holds the stage up
     patience_us: int = 900_000_000  # a stage that takes longer is paused
     measures: tuple[Measure, ...] = tuple(Measure)
     bounds: Bounds = Bounds()
 
     def max_away(self, heads: int, back: bool) -> int:
-        """Return how many of so many heads may be away at once."""
+        """Return how many of `heads` may be away at once; `back`: during a rollback."""
         least, share = (self.back_away, self.back_share) if back else (self.away, self.away_share)
         return max(least, int(share * heads))
 
@@ -83,5 +89,5 @@
 
 
 def interrupts_service(kind: Kind) -> bool:
-    """Whether a head that takes such a version stops serving meanwhile."""
+    """Whether a head stops serving while it switches to a version of this kind."""
     return kind is Kind.PROGRAM
--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -1,14 +1,14 @@
-"""The next step of a version that is being brought about, from the record and what is heard of the heads.
+"""The next step of a version that is being rolled out, from the record and the reports of heads.
 
-Where a rollout stands is in the record alone: standing, stage, heads. Whoever decides next goes on from
-there, also from between any two steps. What a decider knows beside it, since when by its own clock each head
-is heard to run the version, and what they answered, is gathered anew by the next one: a soak then begins
-again, and none is ever shortened. No wall clock plays a part. Pure.
+The state of a rollout is in the record alone: standing, stage, heads. The next deciding head continues from
+there, also between any two steps. Whatever else a deciding head knows, such as since when by its own clock
+each head has reported that it runs the version, and the answers, is collected again by the next one: a soak
+then starts again, so none is ever shortened. No wall clock is used. Pure.
 
-    PROPOSED   heads are watched as they are; another rollout is waited for
-    GOING      heads are named, ever more of the stage; when all run it: the soak; then the next stage
-    PAUSED     as it is, but for going back
-    BACK       heads are named no more, at a pace of its own, until none is heard to run it
+    PROPOSED   heads are observed as they are; another rollout has to finish first
+    GOING      more heads of the stage are named; when all run the version: the soak; then the next stage
+    PAUSED     no more heads are named; a rollback may still begin
+    BACK       heads are removed from the named ones, at a pace of its own, until none reports the version
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 )
 from harriertrack.decisions.fleet.rollout.sequential_test import Finding, Verdict
 
-STOPPED_PREFIX = "worse: "  # begins the reason of a version that the evidence stopped
-INSUFFICIENT_PREFIX = "not enough yet: "  # ... and of one that is paused for want of it
+STOPPED_PREFIX = "worse: "  # begins the reason of a version that was stopped by evidence
+INSUFFICIENT_PREFIX = "not enough yet: "  # ... and of one that is paused for lack of evidence
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What is to be written, and the version as it was when that was decided."""
+    """A change to write, and the version as it was when that was decided."""
 
     version: Version
     standing: Standing
@@ -43,9 +43,9 @@
     heads: tuple[str, ...]
 
     def apply(self, record: Record, epoch: int, at_ms: int) -> Record:
-        """Return the record with this step taken. Raises what `writing.step` raises.
+        """Return the record with this step. Raises what `writing.step` raises.
 
-        An operator, or another head, may have come first: then nothing of this is to be done.
+        If an operator or another head changed the version first, the step is refused.
         """
         now = record.find(self.version.thing, self.version.number)
         if now != self.version:
@@ -55,12 +55,12 @@
 
 
 def is_staged(thing: str) -> bool:
-    """Whether versions of a thing come in stages. Calendars hold for all at once, as closes decide."""
+    """Whether versions of a thing are rolled out in stages; calendars apply to all heads, by their closes."""
     return kind_of(thing) is not Kind.CALENDAR
 
 
 def blocking_version(record: Record, thing: str) -> Version | None:
-    """Return the version of another thing that goes first: one at a time, in the order of being proposed."""
+    """Return the version of another thing that goes first: one at a time, in the order of proposal."""
     others = [one for one in record.versions if is_staged(one.thing)]
     running = next((one for one in others if one.standing in RUN), None)
     if running is not None:
@@ -71,58 +71,60 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """One version, as who decides follows it."""
+    """One version, as followed by the deciding head."""
 
     thing: str
     number: int
     plan: Plan
-    running_since: dict[str, int] = field(default_factory=dict)  # when each head was first heard to run it
-    first_seen_at: int = -1  # when this decider first looked at it
-    changed_at: int = -1  # ... and since when it stands where it does
+    running_since: dict[str, int] = field(
+        default_factory=dict
+    )  # when each head first reported that it runs it
+    first_seen_at: int = -1  # when this deciding head first processed it
+    changed_at: int = -1  # ... and last found that its state had changed
     last_state: tuple[Standing, int, int, int] | None = None
-    waiting_for: str = ""  # what the next step waits for
+    waiting_for: str = ""  # condition for the next step
 
     @property
     def seed(self) -> str:
-        """Return what a version's line is drawn by."""
+        """Return the seed of the version's rollout order."""
         return f"{self.thing}\0{self.number}"
 
     def next_step(self, now: int, record: Record, members: Mapping[str, HeadState], me: str, finding: Finding,
-             spoilt: str = "") -> Step | None:  # fmt: skip
-        """Return the next step, if one is due.
+                  defect: str = "") -> Step | None:  # fmt: skip
+        """Return the next step, if there is one now.
 
-        `members`: all that are known, `finding`: what the evidence of this stage says, `spoilt`: why it is
-        stopped whatever that says.
+        `members`: all known heads, `finding`: from the evidence of this stage, `defect`: why the version is
+        to be stopped regardless of the finding.
         """
         version = record.find(self.thing, self.number)
         if version is None or version.standing not in (Standing.PROPOSED, *RUN):
             return None
-        self._follow(now, version, members)
+        self._observe(now, version, members)
         match version.standing:
             case Standing.PROPOSED:
                 return self._begin(now, record, version, members, me)
             case Standing.BACK:
-                return self._back(version, members)
+                return self._continue_rollback(version, members)
             case Standing.PAUSED:
-                return self._worse(version, members, finding, spoilt)
+                return self._begin_rollback(version, members, finding, defect)
             case _:
-                worse = self._worse(version, members, finding, spoilt)
-                return worse or self._go(now, version, members, me, finding)
+                rollback = self._begin_rollback(version, members, finding, defect)
+                return rollback or self._advance(now, version, members, me, finding)
 
-    def _follow(self, now: int, version: Version, members: Mapping[str, HeadState]) -> None:
+    def _observe(self, now: int, version: Version, members: Mapping[str, HeadState]) -> None:
         if self.first_seen_at < 0:
             self.first_seen_at = now
-        # The last tells that somebody paused it and let it go on between two looks; it is no time here.
-        where = (version.standing, version.stage, len(version.heads), version.since_ms)
-        if where != self.last_state:
-            self.last_state, self.changed_at = where, now
-        for name, one in members.items():
-            if one.present and one.running_version == self.number:
+        # `since_ms` shows that it was paused and resumed between two checks; it is not used as a time here.
+        state = (version.standing, version.stage, len(version.heads), version.since_ms)
+        if state != self.last_state:
+            self.last_state, self.changed_at = state, now
+        for name, head in members.items():
+            if head.present and head.running_version == self.number:
                 self.running_since.setdefault(name, now)
-            elif one.present or one.absent_us > self.plan.ready_us:
+            elif head.present or head.absent_us > self.plan.ready_us:
                 self.running_since.pop(name, None)
 
-    # -- there
+    # -- forward
 
     def _begin(self, now: int, record: Record, version: Version, members: Mapping[str, HeadState],
                me: str) -> Step | None:  # fmt: skip
@@ -132,13 +134,13 @@
             self.first_seen_at = now
             return None
         if now < self.first_seen_at + self.plan.before_us:
-            self.waiting_for = "heads are watched as they are"
+            self.waiting_for = "heads are observed before the change"
             return None
-        return self._name(version, 1, (), members, me)
+        return self._name_heads(version, 1, (), members, me)
 
-    def _name(self, version: Version, stage: int, named: tuple[str, ...], members: Mapping[str, HeadState],
-              me: str) -> Step | None:  # fmt: skip
-        """Name who changes next in a stage (from 1)."""
+    def _name_heads(self, version: Version, stage: int, named: tuple[str, ...],
+                    members: Mapping[str, HeadState], me: str) -> Step | None:  # fmt: skip
+        """Return the step that names the next heads to change in a stage (from 1)."""
         wanted = select_for_stage(self.plan.stages, stage - 1, members, named, self.seed, me)
         if interrupts_service(kind_of(self.thing)):
             chosen = select_next_away(wanted, self.away_heads(named, members), self.plan, members)
@@ -149,43 +151,46 @@
                 f"{len(wanted)} more heads are to change, and none may be away now" if wanted else ""
             )
             return None
-        said = f"stage {self.plan.stages[stage - 1].name}"
-        return Step(version, Standing.GOING, said, stage, (*named, *chosen))
+        reason = f"stage {self.plan.stages[stage - 1].name}"
+        return Step(version, Standing.GOING, reason, stage, (*named, *chosen))
 
     def away_heads(self, named: Iterable[str], members: Mapping[str, HeadState]) -> set[str]:
-        """Return who is away for this, or may be: another decider may have sent whoever left lately."""
+        """Return the heads that are or may be away for this version.
+
+        That includes heads that left recently: an earlier deciding head may have named them.
+        """
         away = {name for name in named if name not in members}
-        for name, one in members.items():
-            if not one.present:
-                if one.absent_us <= self.plan.ready_us or name in named:
+        for name, head in members.items():
+            if not head.present:
+                if head.absent_us <= self.plan.ready_us or name in named:
                     away.add(name)
-            elif (name in named) != (one.running_version == self.number):
+            elif (name in named) != (head.running_version == self.number):
                 away.add(name)
         return away
 
-    def _go(self, now: int, version: Version, members: Mapping[str, HeadState], me: str,
-            finding: Finding) -> Step | None:  # fmt: skip
+    def _advance(self, now: int, version: Version, members: Mapping[str, HeadState], me: str,
+                 finding: Finding) -> Step | None:  # fmt: skip
         plan, named = self.plan, version.heads
         at = max(1, version.stage)
         if at > len(plan.stages):
-            return self._in_force(version)
-        step = self._name(version, at, named, members, me)
+            return self._put_in_force(version)
+        step = self._name_heads(version, at, named, members, me)
         if step is not None:
             return step
-        if not self.waiting_for:  # all of the stage are named
-            self.waiting_for = self._unripe(now, plan.stages[at - 1], named, members, finding)
+        if not self.waiting_for:  # all heads of the stage are named
+            self.waiting_for = self._unmet_condition(now, plan.stages[at - 1], named, members, finding)
         if not self.waiting_for:
             if at == len(plan.stages):
-                return self._in_force(version)
-            step = self._name(version, at + 1, named, members, me)
+                return self._put_in_force(version)
+            step = self._name_heads(version, at + 1, named, members, me)
             if step is not None:
                 return step
             if not select_for_stage(plan.stages, at, members, named, self.seed, me):
-                said = f"stage {plan.stages[at].name}: no more heads than before"
-                return Step(version, Standing.GOING, said, at + 1, named)
-        everybody = all(name in named for name, one in members.items() if one.present)
-        alone = finding.verdict is Verdict.FLEET_WORSE and everybody
-        if alone or now - self.changed_at > plan.patience_us:
+                reason = f"stage {plan.stages[at].name}: no more heads than before"
+                return Step(version, Standing.GOING, reason, at + 1, named)
+        all_named = all(name in named for name, head in members.items() if head.present)
+        incomparable = finding.verdict is Verdict.FLEET_WORSE and all_named
+        if incomparable or now - self.changed_at > plan.patience_us:
             return Step(
                 version,
                 Standing.PAUSED,
@@ -195,61 +200,66 @@
             )
         return None
 
-    def _in_force(self, version: Version) -> Step:
-        return Step(version, Standing.IN_FORCE, "all that are heard run it", version.stage, ())
+    def _put_in_force(self, version: Version) -> Step:
+        return Step(version, Standing.IN_FORCE, "all reporting heads run it", version.stage, ())
 
-    def _unripe(self, now: int, stage: Stage, named: tuple[str, ...], members: Mapping[str, HeadState],
-                finding: Finding) -> str:  # fmt: skip
-        """Return what a stage lacks; "" if it may end. Heads that are not heard count for nothing."""
-        heard = [
+    def _unmet_condition(self, now: int, stage: Stage, named: tuple[str, ...],
+                         members: Mapping[str, HeadState], finding: Finding) -> str:  # fmt: skip
+        """Return what a stage still requires; "" if it may end. Absent heads count neither way."""
+        running = [
             name for name in named if name in members and members[name].present and name in self.running_since
         ]
-        missing = len(named) - len(heard)
-        if missing > int(self.plan.missing * len(named)) or not heard:
-            odd = ", ".join(sorted(set(named) - set(heard))[:3])
-            return f"{missing} of {len(named)} heads are not heard to run it: {odd}"
-        left = max(self.running_since[name] for name in heard) + stage.soak_us - now
+        missing = len(named) - len(running)
+        if missing > int(self.plan.missing * len(named)) or not running:
+            examples = ", ".join(sorted(set(named) - set(running))[:3])
+            return f"{missing} of {len(named)} heads do not report that they run it: {examples}"
+        left = max(self.running_since[name] for name in running) + stage.soak_us - now
         if left > 0:
             return f"soaks {left / 1e6:.0f} s more"
         return "" if finding.verdict is Verdict.NOT_WORSE else f"{finding.verdict.value}: {finding.why}"
 
-    # -- and back
+    # -- back
 
-    def _worse(self, version: Version, members: Mapping[str, HeadState], finding: Finding,
-               spoilt: str) -> Step | None:  # fmt: skip
-        fell = [one for name, one in sorted(members.items()) if one.rejection and name in version.heads]
-        if len(fell) >= self.plan.bounds.falls:
-            spoilt = f"{fell[0].name} does not run it: {fell[0].rejection}"
+    def _begin_rollback(self, version: Version, members: Mapping[str, HeadState], finding: Finding,
+                        defect: str) -> Step | None:  # fmt: skip
+        """Return the step that begins a rollback; None if there is no reason for one."""
+        rejecting = [
+            head for name, head in sorted(members.items()) if head.rejection and name in version.heads
+        ]
+        if len(rejecting) >= self.plan.bounds.falls:
+            defect = f"{rejecting[0].name} does not run it: {rejecting[0].rejection}"
         elif finding.verdict is Verdict.WORSE:
-            spoilt = finding.why
-        if not spoilt:
+            defect = finding.why
+        if not defect:
             return None
-        return Step(version, Standing.BACK, STOPPED_PREFIX + spoilt, version.stage, version.heads)
+        return Step(version, Standing.BACK, STOPPED_PREFIX + defect, version.stage, version.heads)
 
-    def _back(self, version: Version, members: Mapping[str, HeadState]) -> Step | None:
-        """Let ever more heads go back, whoever is not heard first: it can't be asked to wait."""
+    def _continue_rollback(self, version: Version, members: Mapping[str, HeadState]) -> Step | None:
+        """Return the step that lets more heads go back; absent heads first, as they can't be made to wait."""
         named = version.heads
-        unheard = [name for name in named if name not in members or not members[name].present]
-        at_home = [name for name in named if name in members and members[name].running_version != self.number]
-        others = rollout_order(self.seed, set(named) - set(unheard) - set(at_home), "")
+        absent = [name for name in named if name not in members or not members[name].present]
+        returned = [
+            name for name in named if name in members and members[name].running_version != self.number
+        ]
+        others = rollout_order(self.seed, set(named) - set(absent) - set(returned), "")
         if interrupts_service(kind_of(self.thing)):
             away = self.away_heads((), members) - set(others)
             others = select_next_away(others, away, self.plan, members, back=True)
-        leaving = {*unheard, *at_home, *others}
-        if leaving:
-            kept = tuple(name for name in named if name not in leaving)
-            return Step(version, Standing.BACK, version.reason, version.stage, kept)
+        released = {*absent, *returned, *others}
+        if released:
+            remaining = tuple(name for name in named if name not in released)
+            return Step(version, Standing.BACK, version.reason, version.stage, remaining)
         if not named and not any(
-            one.present and one.running_version == self.number for one in members.values()
+            head.present and head.running_version == self.number for head in members.values()
         ):
-            ends = Standing.STOPPED if version.reason.startswith(STOPPED_PREFIX) else Standing.ABORTED
-            return Step(version, ends, version.reason, version.stage, ())
-        self.waiting_for = "heads that go back are away" if named else "heads are still heard to run it"
+            final = Standing.STOPPED if version.reason.startswith(STOPPED_PREFIX) else Standing.ABORTED
+            return Step(version, final, version.reason, version.stage, ())
+        self.waiting_for = "heads that go back are away" if named else "heads still report that they run it"
         return None
 
 
 def status_text(version: Version, rollout: Rollout) -> str:
-    """Return where a rollout stands, for operators."""
+    """Return the state of a rollout, for operators."""
     stages = rollout.plan.stages
     at = stages[version.stage - 1].name if 0 < version.stage <= len(stages) else "-"
     return (
--- a/harriertrack/decisions/fleet/rollout/selection.py
+++ b/harriertrack/decisions/fleet/rollout/selection.py
@@ -1,7 +1,7 @@
-"""Which heads a stage has, and who of them changes next: by checksum, so that every decider says the same.
+"""Which heads belong to a stage and which change next, ordered by checksum so that deciding heads agree.
 
-Pure functions of the members that are heard. Who decides comes last of its stage: it hands its term on when
-it goes. A head whose volumes are not all known is not taken away.
+Pure functions of the heads' reported state. The deciding head comes last of its stage, because it hands over
+its term when it restarts. A head whose volumes are not all known is not taken out of service.
 """
 
 from __future__ import annotations
@@ -16,72 +16,77 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadState:
-    """A head as who decides hears it."""
+    """A head as known to the deciding head, with respect to one version."""
 
     name: str
     zone: str = ""
     cell: str = ""
     region: str = ""
-    volumes: frozenset[int] | None = frozenset()  # checksums of their names; None: not all told yet
-    running_version: int | None = 0  # the version of the thing; None: it has not said
-    rejection: str = ""  # why it does not run the version that is brought about, if it said so
-    present: bool = True  # it is heard
-    absent_us: int = 0  # otherwise: for so long
+    volumes: frozenset[int] | None = frozenset()  # checksums of their names; None: not all reported yet
+    running_version: int | None = 0  # of the thing that the version is of; None: not reported
+    rejection: str = ""  # why it does not run the version that is rolled out, if it reported that
+    present: bool = True  # a member of the fleet that reports
+    absent_us: int = 0  # otherwise: for how long it has not been
 
 
 def order_key(seed: str, name: str) -> int:
-    """Return a head's place in a version's line."""
+    """Return a head's position in a version's rollout order."""
     return crc32(f"{seed}\0{name}".encode())
 
 
 def rollout_order(seed: str, names: Iterable[str], last: str) -> list[str]:
-    """Return heads in a version's order, `last` at the end."""
+    """Return heads in a version's order, with `last` at the end."""
     return sorted(names, key=lambda name: (name == last, order_key(seed, name), name))
 
 
-def _within(stage: Stage, one: HeadState) -> bool:
+def _is_in_scope(stage: Stage, head: HeadState) -> bool:
     return all(
-        not named or is_in in named
-        for named, is_in in ((stage.zones, one.zone), (stage.cells, one.cell), (stage.regions, one.region))
-    )
+        not allowed or value in allowed
+        for allowed, value in (
+            (stage.zones, head.zone), (stage.cells, head.cell), (stage.regions, head.region),
+        )
+    )  # fmt: skip
 
 
 def head_quota(stage: Stage, members: Iterable[HeadState]) -> dict[str, int]:
-    """Return how many heads of each zone a stage has by its end; of a stage of a number: of "" in all."""
-    inside = [one for one in members if _within(stage, one)]
+    """Return how many heads of each zone run the version by the end of a stage.
+
+    A stage that gives a number of heads has one total, under "".
+    """
+    in_scope = [head for head in members if _is_in_scope(stage, head)]
     if stage.heads:
-        return {"": min(stage.heads, len(inside))}
+        return {"": min(stage.heads, len(in_scope))}
     sizes: dict[str, int] = {}
-    for one in inside:
-        sizes[one.zone] = sizes.get(one.zone, 0) + 1
-    return {zone: _part(stage.share, size) for zone, size in sizes.items()}
+    for head in in_scope:
+        sizes[head.zone] = sizes.get(head.zone, 0) + 1
+    return {zone: _share_of(stage.share, size) for zone, size in sizes.items()}
 
 
-def _part(share: float, size: int) -> int:
+def _share_of(share: float, size: int) -> int:
     most = size if share >= 1 or size == 1 else size - 1
     return min(most, max(1, math.ceil(share * size - 1e-9)))
 
 
 def select_for_stage(stages: Sequence[Stage], at: int, members: Mapping[str, HeadState],
                      named: Collection[str], seed: str, decider: str) -> list[str]:  # fmt: skip
-    """Return the heads that a stage adds to those that are named already, in order.
+    """Return the heads that stage `at` (from 0) adds to those already `named`, in order.
 
-    Who is named and not heard counts: it may run the version, and comes back some day.
+    Named heads that are absent count: they may run the version, and may return.
     """
     stage = stages[at]
-    room = head_quota(stage, (one for one in members.values() if one.present or one.name in named))
-    whole, left = "" in room and bool(stage.heads), sum(room.values()) - len(named)
+    free = head_quota(stage, (head for head in members.values() if head.present or head.name in named))
+    in_total, left = "" in free and bool(stage.heads), sum(free.values()) - len(named)
     for name in named:
-        zone = "" if whole else members[name].zone if name in members else None
-        if zone is None:  # of a head that is not heard the zone is not known: it takes a place anywhere
-            zone = max(room, key=lambda each: (room[each], each), default="")
-        room[zone] = room.get(zone, 0) - 1
+        zone = "" if in_total else members[name].zone if name in members else None
+        if zone is None:  # the zone of an unknown head: any may be charged; the one with most free places is
+            zone = max(free, key=lambda each: (free[each], each), default="")
+        free[zone] = free.get(zone, 0) - 1
     added = []
     for name in rollout_order(seed, members.keys() - set(named), decider):
-        one = members[name]
-        zone = "" if whole else one.zone
-        if one.present and _within(stage, one) and room.get(zone, 0) > 0 and left > 0:
-            room[zone] -= 1
+        head = members[name]
+        zone = "" if in_total else head.zone
+        if head.present and _is_in_scope(stage, head) and free.get(zone, 0) > 0 and left > 0:
+            free[zone] -= 1
             left -= 1
             added.append(name)
     return added
@@ -90,36 +95,42 @@
 def volumes_stay_served(
     name: str, away: Collection[str], members: Mapping[str, HeadState], alone: bool
 ) -> bool:
-    """Whether every volume of a head is served by another one that is heard and not away."""
+    """Whether every volume of a head is also served by another head that is present and not away.
+
+    `alone`: volumes that no other head serves are permitted to be without.
+    """
     mine = members[name].volumes
     if mine is None:
         return False
-    others = [one for one in members.values() if one.name != name and one.present]
+    others = [head for head in members.values() if head.name != name and head.present]
     for volume in mine:
-        hosts = [one for one in others if one.volumes is not None and volume in one.volumes]
+        hosts = [head for head in others if head.volumes is not None and volume in head.volumes]
         if not hosts and alone:
             continue
-        if all(one.name in away for one in hosts):
+        if all(head.name in away for head in hosts):
             return False
     return True
 
 
-def select_next_away(wanted: Iterable[str], away: Collection[str], plan: Plan,
+def select_next_away(candidates: Iterable[str], away: Collection[str], plan: Plan,
                      members: Mapping[str, HeadState], back: bool = False) -> list[str]:  # fmt: skip
-    """Return who of `wanted`, in order, may go away now, beside those that are `away` for this already."""
-    most = plan.max_away(sum(one.present for one in members.values()), back)
+    """Return which of `candidates`, in order, may leave service now in addition to the heads that are `away`.
+
+    `back`: during a rollback.
+    """
+    most = plan.max_away(sum(head.present for head in members.values()), back)
     out = set(away)
     zones = {members[name].zone for name in out if name in members}
     chosen: list[str] = []
-    for name in wanted:
+    for name in candidates:
         if len(out) >= most:
             break
-        one = members.get(name)
-        if one is None or name in out or not one.present or (zones and zones != {one.zone}):
+        head = members.get(name)
+        if head is None or name in out or not head.present or (zones and zones != {head.zone}):
             continue
         if not volumes_stay_served(name, out, members, plan.alone):
             continue
         out.add(name)
-        zones.add(one.zone)
+        zones.add(head.zone)
         chosen.append(name)
     return chosen
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -592,8 +592,8 @@
     Fault(
         "a stage ends unheard",
         "rollout-decider",
-        f"{ROLLOUT}._unripe",
-        "if missing > int(self.plan.missing * len(named)) or not heard:",
+        f"{ROLLOUT}._unmet_condition",
+        "if missing > int(self.plan.missing * len(named)) or not running:",
         "if not named:",
     ),
     Fault(
@@ -606,7 +606,7 @@
     Fault(
         "the first stage is the last",
         "rollout-decider",
-        f"{ROLLOUT}._go",
+        f"{ROLLOUT}._advance",
         "if at == len(plan.stages):",
         "if at >= 1:",
     ),
@@ -620,8 +620,8 @@
     Fault(
         "a head that does not take it stops nothing",
         "rollout-falls",
-        f"{ROLLOUT}._worse",
-        "if len(fell) >= self.plan.bounds.falls:",
+        f"{ROLLOUT}._begin_rollback",
+        "if len(rejecting) >= self.plan.bounds.falls:",
         "if False:",
     ),
     Fault(
@@ -660,7 +660,7 @@
         "who has not come back is not away",
         "rollout",
         f"{ROLLOUT}.away_heads",
-        "elif (name in named) != (one.running_version == self.number):",
+        "elif (name in named) != (head.running_version == self.number):",
         "elif False:",
         2,
     ),
--- a/tests/rollout/test_remembering.py
+++ b/tests/rollout/test_remembering.py
@@ -282,7 +282,7 @@
 def test_ends_that_operators_asked_for_are_no_crashes() -> None:
     evidence = Evidence("settings", 1, 0)
     for at, life in ((0, 1), (60, 2), (120, 3), (180, 4)):
-        evidence.add_report(at * S, Report("a", life, {"settings": 1}, {}), "z0", asked={1, 3})
+        evidence.add_report(at * S, Report("a", life, {"settings": 1}, {}), "z0", stopped={1, 3})
     assert evidence.crash_counts() == (1, 0)
 
 
--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -53,10 +53,10 @@
     Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.closes_to_purge", "min(reading.low, sure_until)", "min(reading.high, sure_until)"),
     Fault("slices are done untrimmed", "closes", f"{CLOSING}.sweeps:Sweep.done_slices", "if not extents", "if True"),
     Fault("one clock moves all", "closes", f"{CLOSING}.clocks:majority_interval", "if depth == enough and low is None:", "if depth >= enough:"),
-    Fault("any number may be away", "rollouts", f"{ROLLOUT}.rollout:Rollout._name", "select_next_away(wanted, self.away_heads(named, members), self.plan, members)", "wanted"),
-    Fault("a stage ends unheard", "rollouts", f"{ROLLOUT}.rollout:Rollout._unripe", "if missing > int(self.plan.missing * len(named)) or not heard:", "if not heard:"),
+    Fault("any number may be away", "rollouts", f"{ROLLOUT}.rollout:Rollout._name_heads", "select_next_away(wanted, self.away_heads(named, members), self.plan, members)", "wanted"),
+    Fault("a stage ends unheard", "rollouts", f"{ROLLOUT}.rollout:Rollout._unmet_condition", "if missing > int(self.plan.missing * len(named)) or not running:", "if not running:"),
     Fault("two versions change at once", "rollouts", f"{ROLLOUT}.rollout:blocking_version", "if running is not None:", "if False:"),
-    Fault("a version is never taken back", "rollouts", f"{ROLLOUT}.rollout:Rollout._back", "Standing.BACK", "Standing.GOING"),
+    Fault("a version is never taken back", "rollouts", f"{ROLLOUT}.rollout:Rollout._continue_rollback", "Standing.BACK", "Standing.GOING"),
     Fault("weights have no bound on bytes", "scores", "membership.fleet.topics:Topics.pass_time", "min(self._rate, self._spare + self._rate * max(0, now - self._at) / 1e6)", "10.0**9"),
 )  # fmt: skip
 
