--- a/harriertrack/decisions/fleet/rollout/launch_state.py
+++ b/harriertrack/decisions/fleet/rollout/launch_state.py
@@ -1,11 +1,12 @@
-"""A head's launcher: which version of the program runs, and which runs again when one does not.
+"""State machine of a head's launcher: which program version runs, and which one replaces one that fails.
 
-One child at a time. A version that is tried is *good* once it has served for a while; until then, if it is
-not ready in time or ends unasked again and again, the last good one is started in its place, and the version
-is not tried again: all of it from what lies on disk, so also when nobody can be asked, and when the launcher
-itself was killed in between. A good one that ends is started again and again, ever more slowly.
+One child process at a time. A version on trial becomes *good* once it has served for a while; until then, if
+it does not become ready in time or repeatedly exits unasked, the last good version is started in its place,
+and the version is not tried again. All of this works from what is on disk, so also when no other head can be
+reached, and after the launcher itself was killed in between. A good version that exits is always restarted,
+with growing delays.
 
-    IDLE -> STARTING -> RUNNING -> DRAINING -> IDLE      the child's way; it may end from everywhere
+    IDLE -> STARTING -> RUNNING -> DRAINING -> IDLE      phases of the child, which may exit in any of them
 
 Pure: events and time in (microseconds of one clock), actions out.
 """
@@ -15,13 +16,13 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-PAUSE_US = 250_000  # before a version that ended unasked is started again; doubled up to
-MOST_PAUSE_US = 30_000_000
+RESTART_DELAY_US = 250_000  # after an unrequested exit; doubled each time, up to
+MAX_RESTART_DELAY_US = 30_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Program:
-    """A version of the program; number 0 is what the launcher's own settings say."""
+    """A version of the program; number 0 is the one in the launcher's own settings."""
 
     number: int = 0
     name: str = ""
@@ -32,35 +33,35 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchRules:
-    """The figures."""
+    """The parameters of a launcher."""
 
     ready_us: int = 60_000_000  # a child that does not serve by then is not ready in time
-    prove_us: int = 120_000_000  # a version that serves so long in all without ending is good
-    drain_us: int = 30_000_000  # a child that was asked to end is ended after that
-    tries: int = 3  # of a version that is not good yet
+    prove_us: int = 120_000_000  # a version that serves this long without exiting is good
+    drain_us: int = 30_000_000  # a child that was asked to exit is killed after that
+    tries: int = 3  # of a version on trial
 
 
 @dataclass(frozen=True, slots=True)
 class SavedState:
-    """What survives the launcher: written before any action that rests on it."""
+    """State that survives the launcher: written to disk before any action that depends on it."""
 
     good: Program = Program()
-    trial: Program | None = None  # in place of it, until it is good or given up
-    tries: int = 0  # of the trial, that ended badly
+    trial: Program | None = None  # runs in place of the good one, until it is good or given up
+    tries: int = 0  # failed ones of the version on trial
     fell: int = 0  # the version given up last
     why: str = ""
-    child: int = 0  # process id; 0: none, or (with a token) not known: it may have been started
-    token: str = ""  # which start of it
-    runs: int = 0  # the version that the child is
+    child: int = 0  # process id; 0: none, or (with a token) unknown: it may have been started
+    token: str = ""  # identifies the start of the child
+    runs: int = 0  # the child's version
 
     @property
     def target(self) -> Program:
-        """Return what is to run."""
+        """Return the version that should run."""
         return self.trial or self.good
 
 
 class Phase(Enum):
-    """What the child is doing."""
+    """The phase of the child process."""
 
     IDLE = "idle"
     STARTING = "starting"
@@ -68,7 +69,7 @@
     DRAINING = "draining"
 
 
-PHASES: dict[Phase, frozenset[Phase]] = {
+TRANSITIONS: dict[Phase, frozenset[Phase]] = {
     Phase.IDLE: frozenset({Phase.STARTING}),
     Phase.STARTING: frozenset({Phase.RUNNING, Phase.DRAINING, Phase.IDLE}),
     Phase.RUNNING: frozenset({Phase.DRAINING, Phase.IDLE}),
@@ -77,19 +78,19 @@
 
 
 class IllegalPhase(Exception):
-    """A child can't go from one phase to another."""
+    """A transition between phases that is not allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Save:
-    """Write this down, before anything that follows."""
+    """Write this state to disk before any later action."""
 
     saved: SavedState
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Start a program; `fell` and `why` are told to it."""
+    """Start a program, and pass it the version given up last and the reason."""
 
     program: Program
     rejected: int
@@ -98,14 +99,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    """End the child: asked (SIGTERM), or at once (SIGKILL)."""
+    """End the child by SIGTERM, or with `force` by SIGKILL."""
 
     force: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """The launcher may end."""
+    """The launcher may exit."""
 
 
 Action = Save | Start | Terminate | Exit
@@ -113,7 +114,7 @@
 
 @dataclass(slots=True)
 class LaunchStateMachine:
-    """One head's launcher."""
+    """The state machine of one head's launcher."""
 
     rules: LaunchRules
     saved: SavedState = field(default_factory=SavedState)
@@ -121,90 +122,90 @@
     stopping: bool = False
     _since: int = 0  # when the phase began
     _not_before: int = 0
-    _pause_us: int = PAUSE_US
+    _restart_delay_us: int = RESTART_DELAY_US
     _killed: bool = False
     _actions: list[Action] = field(default_factory=list)
 
     def take_actions(self) -> list[Action]:
-        """Return what is to be done, in order."""
+        """Return the actions to carry out, in order, and clear them."""
         actions, self._actions = self._actions, []
         return actions
 
-    def _go(self, now: int, phase: Phase) -> None:
-        if phase not in PHASES[self.phase]:
+    def _set_phase(self, now: int, phase: Phase) -> None:
+        if phase not in TRANSITIONS[self.phase]:
             raise IllegalPhase(f"from {self.phase.value} to {phase.value}")
         self.phase, self._since = phase, now
 
-    def _keep(self, **changed: object) -> None:
+    def _save(self, **changed: object) -> None:
         self.saved = replace(self.saved, **changed)  # type: ignore[arg-type]
         self._actions.append(Save(self.saved))
 
     # -- events
 
     def begin(self, now: int, child: int) -> None:
-        """The launcher starts; `child`: the process id of an earlier life's, 0 if none runs any more."""
+        """Start the launcher; `child`: the process id of an earlier incarnation's child, 0 if none runs."""
         if child:
             if child != self.saved.child:
-                self._keep(child=child)  # that life was ended before it had written it down
-            self._go(now, Phase.STARTING)  # if it serves already, that is heard at once
-            self._turn(now)
+                self._save(child=child)  # that incarnation exited before it had saved the id
+            self._set_phase(now, Phase.STARTING)  # if it serves already, that is noticed at once
+            self._drain_if_replaced(now)
         else:
-            self._keep(child=0, token="")
+            self._save(child=0, token="")
             self.advance(now)
 
     def record_start(self, token: str) -> None:
-        """The child is about to be started: by its token a later life finds it, wherever this one ends."""
-        self._keep(child=0, token=token, runs=self.saved.target.number)
+        """Save the token of a child about to be started, by which a later incarnation can find it."""
+        self._save(child=0, token=token, runs=self.saved.target.number)
 
     def record_child(self, child: int) -> None:
-        """The child that was to be started runs under a process id."""
-        self._keep(child=child)
+        """Save the process id of the started child."""
+        self._save(child=child)
 
     def child_ready(self, now: int) -> None:
-        """The child serves."""
+        """Handle that the child serves."""
         if self.phase is Phase.STARTING:
-            self._go(now, Phase.RUNNING)
+            self._set_phase(now, Phase.RUNNING)
 
     def child_ended(self, now: int, how: str) -> None:
-        """The child is gone; `how`: in words."""
-        asked, phase, served_us = self.phase is Phase.DRAINING, self.phase, now - self._since
-        self._go(now, Phase.IDLE)
+        """Handle the exit of the child; `how`: as text."""
+        requested, phase, served_us = self.phase is Phase.DRAINING, self.phase, now - self._since
+        self._set_phase(now, Phase.IDLE)
         self._killed = False
-        self._keep(child=0, token="")
+        self._save(child=0, token="")
         if self.stopping:
             self._actions.append(Exit())
             return
-        if asked:
-            self._pause_us, self._not_before = PAUSE_US, now
+        if requested:
+            self._restart_delay_us, self._not_before = RESTART_DELAY_US, now
         else:
             if phase is Phase.RUNNING and served_us >= self.rules.prove_us:
-                self._pause_us = PAUSE_US
-            self._failed(now, how)
+                self._restart_delay_us = RESTART_DELAY_US
+            self._handle_failure(now, how)
         self.advance(now)
 
     def request_program(self, now: int, program: Program) -> None:
-        """The head says which version is to run."""
-        kept = self.saved
-        if program.number == kept.target.number or program.number == kept.fell != 0:
+        """Handle the head's request to run a version."""
+        saved = self.saved
+        if program.number == saved.target.number or program.number == saved.fell != 0:
             return
-        if program.number == kept.good.number:
-            self._keep(trial=None, tries=0)
+        if program.number == saved.good.number:
+            self._save(trial=None, tries=0)
         else:
-            self._keep(trial=program, tries=0)
-        self._turn(now)
+            self._save(trial=program, tries=0)
+        self._drain_if_replaced(now)
 
     def reject_program(self, now: int, number: int, why: str) -> None:
-        """A version that is to be started can't be: its folder is not there, or not allowed."""
-        self._go(now, Phase.IDLE)
-        self._keep(child=0, token="")
+        """Handle that a version can't be started: its folder is missing or not allowed."""
+        self._set_phase(now, Phase.IDLE)
+        self._save(child=0, token="")
         if self.saved.trial is not None and self.saved.trial.number == number:
             self._give_up(why)
             return
-        self._not_before = now + self._pause_us
-        self._pause_us = min(2 * self._pause_us, MOST_PAUSE_US)
+        self._not_before = now + self._restart_delay_us
+        self._restart_delay_us = min(2 * self._restart_delay_us, MAX_RESTART_DELAY_US)
 
     def stop(self, now: int) -> None:
-        """The launcher is asked to end, and its head with it."""
+        """Handle a request to end the launcher and its head."""
         self.stopping = True
         if self.phase is Phase.IDLE:
             self._actions.append(Exit())
@@ -214,48 +215,48 @@
     # -- time
 
     def advance(self, now: int) -> None:
-        """Do what is due."""
-        kept, rules = self.saved, self.rules
+        """Do what the time requires."""
+        saved, rules = self.saved, self.rules
         match self.phase:
             case Phase.IDLE:
                 if not self.stopping and now >= self._not_before:
-                    self._go(now, Phase.STARTING)
-                    self._actions.append(Start(kept.target, kept.fell, kept.why))
+                    self._set_phase(now, Phase.STARTING)
+                    self._actions.append(Start(saved.target, saved.fell, saved.why))
             case Phase.STARTING:
                 if now >= self._since + rules.ready_us and not self._killed:
                     self._killed = True
                     self._actions.append(Terminate(True))
             case Phase.RUNNING:
                 proven = now >= self._since + rules.prove_us
-                if kept.trial is not None and kept.runs == kept.trial.number and proven:
-                    self._keep(good=kept.trial, trial=None, tries=0, fell=0, why="")
+                if saved.trial is not None and saved.runs == saved.trial.number and proven:
+                    self._save(good=saved.trial, trial=None, tries=0, fell=0, why="")
             case Phase.DRAINING:
                 if now >= self._since + rules.drain_us and not self._killed:
                     self._killed = True
                     self._actions.append(Terminate(True))
 
-    def _turn(self, now: int) -> None:
-        """Let another version take the child's place, if it is another."""
+    def _drain_if_replaced(self, now: int) -> None:
+        """End the child if another version should run."""
         if self.phase in (Phase.STARTING, Phase.RUNNING) and self.saved.runs != self.saved.target.number:
             self._drain(now)
 
     def _drain(self, now: int) -> None:
         if self.phase is not Phase.DRAINING:
-            self._go(now, Phase.DRAINING)
+            self._set_phase(now, Phase.DRAINING)
             self._actions.append(Terminate(False))
 
-    def _failed(self, now: int, how: str) -> None:
-        self._not_before = now + self._pause_us
-        self._pause_us = min(2 * self._pause_us, MOST_PAUSE_US)
-        kept = self.saved
-        if kept.trial is None or kept.runs != kept.trial.number:
+    def _handle_failure(self, now: int, how: str) -> None:
+        self._not_before = now + self._restart_delay_us
+        self._restart_delay_us = min(2 * self._restart_delay_us, MAX_RESTART_DELAY_US)
+        saved = self.saved
+        if saved.trial is None or saved.runs != saved.trial.number:
             return
-        if kept.tries + 1 >= self.rules.tries:
-            self._give_up(f"{how}, {kept.tries + 1} times")
-            self._pause_us, self._not_before = PAUSE_US, now
+        if saved.tries + 1 >= self.rules.tries:
+            self._give_up(f"{how}, {saved.tries + 1} times")
+            self._restart_delay_us, self._not_before = RESTART_DELAY_US, now
         else:
-            self._keep(tries=kept.tries + 1)
+            self._save(tries=saved.tries + 1)
 
     def _give_up(self, why: str) -> None:
         assert self.saved.trial is not None
-        self._keep(trial=None, tries=0, fell=self.saved.trial.number, why=why)
+        self._save(trial=None, tries=0, fell=self.saved.trial.number, why=why)
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -512,15 +512,15 @@
     Fault(
         "a bad version is tried for ever",
         "launch-bad",
-        f"{LAUNCHING}._failed",
-        "kept.tries + 1 >= self.rules.tries",
+        f"{LAUNCHING}._handle_failure",
+        "saved.tries + 1 >= self.rules.tries",
         "False",
     ),
     Fault(
         "what fell is tried anew",
         "launch-bad",
         f"{LAUNCHING}.request_program",
-        " or program.number == kept.fell != 0",
+        " or program.number == saved.fell != 0",
         "",
     ),
     Fault(
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -124,7 +124,7 @@
 
 def test_an_illegal_phase_raises():
     with pytest.raises(IllegalPhase):
-        LaunchStateMachine(RULES)._go(0, Phase.RUNNING)
+        LaunchStateMachine(RULES)._set_phase(0, Phase.RUNNING)
 
 
 def test_what_is_damaged_on_disk_counts_as_not_there(tmp_path):
