--- a/harriertrack/decisions/fleet/closing/__init__.py
+++ b/harriertrack/decisions/fleet/closing/__init__.py
@@ -1,1 +1,1 @@
-"""Purges at a market's close: which closes there are, when each head goes over to the next, what it trims."""
+"""Purges at a market's local close: when closes are, when each head steps over one, and what it trims."""
--- a/harriertrack/decisions/fleet/closing/calendars.py
+++ b/harriertrack/decisions/fleet/closing/calendars.py
@@ -1,8 +1,8 @@
-"""What who decides does to the record of changes for calendars: takes them up, and keeps their closes ahead.
+"""How the deciding head processes the calendars in the record of changes and keeps their schedules ahead.
 
-A calendar `calendar/NAME` is proposed by operators. One that can't be is taken back with the reason; one that
-would purge what no calendar of the name purged before waits for a word (paused until it is resumed). What
-heads act on is another thing, `calendar/NAME.closes`, which only who decides writes.
+A calendar `calendar/NAME` is proposed by operators. An invalid one is withdrawn with the reason; one that
+would purge what no earlier calendar of that name purged waits for confirmation (paused until it is resumed).
+Heads act on another thing, the schedule `calendar/NAME.closes`, which only the deciding head writes.
 """
 
 from __future__ import annotations
@@ -23,92 +23,97 @@
 )
 from harriertrack.decisions.fleet.closing.sweeps import SweepKey
 
-CLOSES_SUFFIX = ".closes"  # ends the name of what heads act on
+CLOSES_SUFFIX = ".closes"  # ends the name of the schedule of a calendar
 
 
 def is_close_schedule(thing: str) -> bool:
-    """Whether a thing is what heads act on."""
+    """Whether a thing is the schedule of a calendar."""
     return thing.endswith(CLOSES_SUFFIX)
 
 
 def calendar_names(record: Record) -> list[str]:
-    """Return the things that are calendars."""
-    return [one for one in record.things() if kind_of(one) is Kind.CALENDAR and not is_close_schedule(one)]
+    """Return the names of the calendars in the record."""
+    return [
+        thing for thing in record.things() if kind_of(thing) is Kind.CALENDAR and not is_close_schedule(thing)
+    ]
 
 
 class InvalidCalendar(ValueError):
-    """A body that is no calendar; the message says why."""
+    """A body that is not a valid calendar; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class CalendarCodec:
-    """How bodies are read and written. `plan` (body, version, schedule) raises BadCalendar."""
+    """How bodies are read and written. `read_plan` (body, version, schedule) raises InvalidCalendar."""
 
     read_plan: Callable[[str, int, Schedule], Plan]
-    read_purges: Callable[[str], tuple[Purge, ...]]  # of a calendar's body; raises BadCalendar
+    read_purges: Callable[[str], tuple[Purge, ...]]  # of a calendar's body; raises InvalidCalendar
     read_schedule: Callable[[str], Schedule]
     write_schedule: Callable[[Schedule], str]
 
 
-def recorded_schedule(record: Record, calendar: str, reader: CalendarCodec) -> Schedule:
-    """Return a calendar's closes as they stand on record."""
-    holds = record.in_force(calendar + CLOSES_SUFFIX)
-    return reader.read_schedule(holds.body) if holds is not None else Schedule()
+def recorded_schedule(record: Record, calendar: str, codec: CalendarCodec) -> Schedule:
+    """Return a calendar's schedule as recorded."""
+    current = record.in_force(calendar + CLOSES_SUFFIX)
+    return codec.read_schedule(current.body) if current is not None else Schedule()
 
 
-def _ever(record: Record, calendar: str, reader: CalendarCodec) -> list[Purge]:
-    done = (Standing.IN_FORCE, Standing.REPLACED)
-    bodies = [one.body for one in record.of(calendar) if one.standing in done]
-    return [purge for body in bodies for purge in reader.read_purges(body)]
+def _earlier_purges(record: Record, calendar: str, codec: CalendarCodec) -> list[Purge]:
+    applied = (Standing.IN_FORCE, Standing.REPLACED)
+    bodies = [one.body for one in record.of(calendar) if one.standing in applied]
+    return [purge for body in bodies for purge in codec.read_purges(body)]
 
 
-def _taken_up(record: Record, epoch: int, going: Version, at_ms: int, reader: CalendarCodec) -> Record:
-    """Take a proposed calendar a step further, or leave it."""
+def _process_version(record: Record, epoch: int, going: Version, at_ms: int, codec: CalendarCodec) -> Record:
+    """Return the record with the next step of a proposed calendar, or as it is if there is none."""
     thing, number = going.thing, going.number
 
-    def to(before: Record, standing: Standing, why: str) -> Record:
+    def move(before: Record, standing: Standing, why: str) -> Record:
         return step(before, epoch, thing, number, standing, at_ms, why)
 
     match going.standing:
         case Standing.PROPOSED:
             try:
-                purges = reader.read_purges(going.body)
+                purges = codec.read_purges(going.body)
             except InvalidCalendar as error:
-                return to(record, Standing.ABORTED, str(error))
-            beyond = uncovered_purges(purges, _ever(record, thing, reader))
-            if not beyond:
-                return to(record, Standing.IN_FORCE, "a calendar that can be")
-            first = beyond[0]
+                return move(record, Standing.ABORTED, str(error))
+            uncovered = uncovered_purges(purges, _earlier_purges(record, thing, codec))
+            if not uncovered:
+                return move(record, Standing.IN_FORCE, "valid calendar")
+            first = uncovered[0]
             until = str(first.end) if first.end else "the end"
-            why = f"would purge {first.volume} from {first.start} to {until}, as none did before: resume it"
-            return to(to(record, Standing.GOING, why), Standing.PAUSED, why)
+            why = (
+                f"would purge {first.volume} from {first.start} to {until}, "
+                "which no earlier calendar did: resume to confirm"
+            )
+            return move(move(record, Standing.GOING, why), Standing.PAUSED, why)
         case Standing.GOING:
-            return to(record, Standing.IN_FORCE, going.reason or "resumed")
+            return move(record, Standing.IN_FORCE, going.reason or "resumed")
         case Standing.BACK:
-            return to(record, Standing.ABORTED, going.reason)
+            return move(record, Standing.ABORTED, going.reason)
     return record
 
 
-def update_calendars(record: Record, epoch: int, latest: int, notice_us: int, reader: CalendarCodec,
-             swept: Sequence[SweepKey] = ()) -> Record:  # fmt: skip
-    """Return the record with all calendars taken up and their closes ahead; the same one if nothing is due.
+def update_calendars(record: Record, epoch: int, latest: int, notice_us: int, codec: CalendarCodec,
+                     swept: Sequence[SweepKey] = ()) -> Record:  # fmt: skip
+    """Return the record with all calendars processed and enough closes ahead; the same object if unchanged.
 
-    `latest` is the latest instant that it may be now, `swept` what is proven to be swept. Raises Outdated if
-    a later term has decided since.
+    `latest` is the latest instant that it may be now, `swept` the sweeps proven to be complete. Raises
+    Outdated if a later term has written since.
     """
     at_ms = latest // 1000
     for thing in calendar_names(record):
         going = record.under_way(thing)
         if going is not None:
-            record = _taken_up(record, epoch, going, at_ms, reader)
-        holds = record.in_force(thing)
-        if holds is None:
+            record = _process_version(record, epoch, going, at_ms, codec)
+        current = record.in_force(thing)
+        if current is None:
             continue
-        before = recorded_schedule(record, thing, reader)
+        before = recorded_schedule(record, thing, codec)
         try:
-            plan = reader.read_plan(holds.body, holds.number, before)
+            plan = codec.read_plan(current.body, current.number, before)
         except InvalidCalendar:
-            continue  # it was taken up by a later program: what stands goes on
+            continue  # accepted by a later program version: its schedule stays as recorded
         after = (
             compute_schedule(before, plan, latest, notice_us)
             if needs_update(before, plan, latest)
@@ -118,14 +123,16 @@
             if key.calendar == thing and key.number > after.last_swept(key.volume):
                 after = after.with_swept(key.volume, key.number)
         if after is not before:
-            record = _put(record, epoch, thing + CLOSES_SUFFIX, reader.write_schedule(after), at_ms, plan)
+            record = _put_schedule(
+                record, epoch, thing + CLOSES_SUFFIX, codec.write_schedule(after), at_ms, plan
+            )
     return record
 
 
-def _put(record: Record, epoch: int, thing: str, body: str, at_ms: int, plan: Plan) -> Record:
-    holds = record.in_force(thing)
-    base = holds.number if holds is not None else 0
-    if holds is not None and holds.body == body:
+def _put_schedule(record: Record, epoch: int, thing: str, body: str, at_ms: int, plan: Plan) -> Record:
+    current = record.in_force(thing)
+    base = current.number if current is not None else 0
+    if current is not None and current.body == body:
         return record
     why = f"closes of version {plan.version} by time zones {plan.zones}"
     record = propose(record, thing, base, body, "who decides", at_ms, why)
--- a/harriertrack/decisions/fleet/closing/sweeps.py
+++ b/harriertrack/decisions/fleet/closing/sweeps.py
@@ -1,9 +1,10 @@
-"""What a close leaves on volumes that several heads serve, whose extents lie where they were allocated.
+"""Sweeps of volumes that several heads serve, whose extents were allocated beforehand, after a close.
 
-No head's map can say that such an extent was not written since: all its places are trimmed, and until that is
-proven no head lets anything of the range pass. Who serves the volume shares the work without being told:
-each goes through the range's slices in an order of its own and says which it has done; who decides puts on
-record that all were. A slice that two did was done twice, which harms nothing before the range is open again.
+No head's map shows that such an extent was not written since: all its locations are trimmed, and until that
+is proven no head admits requests for the range. The heads that serve the volume share the work without
+coordination: each processes the slices of the range in an order of its own and reports which are done; the
+deciding head records when all are. A slice that two heads did was done twice, which is harmless before the
+range is open again.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 def slice_of(extent: int) -> int:
-    """Return to which slice an extent belongs."""
+    """Return the slice of an extent."""
     return extent % SLICES
 
 
@@ -35,11 +36,11 @@
     """One head's part in one sweep."""
 
     key: SweepKey
-    remaining: dict[int, set[int]] = field(default_factory=dict)  # of each slice: what is to be trimmed
+    remaining: dict[int, set[int]] = field(default_factory=dict)  # by slice: extents still to trim
 
     @staticmethod
     def for_extents(key: SweepKey, extents: Iterable[int]) -> Sweep:
-        """Begin the sweep of some extents."""
+        """Return the sweep of the given extents, not yet begun."""
         left: dict[int, set[int]] = {number: set() for number in range(SLICES)}
         for extent in extents:
             left[slice_of(extent)].add(extent)
@@ -47,34 +48,34 @@
 
     @property
     def done_slices(self) -> int:
-        """Return the slices that this head has done, a bit for each."""
+        """Return a bit mask of the slices that this head has completed."""
         return sum(1 << number for number, extents in self.remaining.items() if not extents)
 
     def slice_order(self, head: str) -> list[int]:
-        """Return the slices in this head's order."""
+        """Return the slices in the order in which a head processes them."""
         return sorted(
             self.remaining, key=lambda number: crc32(f"{self.key.volume}\0{number}\0{head}".encode())
         )
 
     def mark_trimmed(self, extent: int) -> None:
-        """An extent is trimmed."""
+        """Mark an extent as trimmed."""
         self.remaining[slice_of(extent)].discard(extent)
 
 
 class SweepProgress:
-    """What who decides hears of sweeps, in one term."""
+    """The progress of sweeps as reported to the deciding head during one term."""
 
     def __init__(self) -> None:
         self._done: dict[SweepKey, int] = {}
 
     def record_done(self, key: SweepKey, done: int) -> None:
-        """A head says which slices it has done."""
+        """Add the slices that a head reports as done."""
         self._done[key] = self._done.get(key, 0) | done
 
     def completed(self) -> list[SweepKey]:
-        """Return the sweeps that are whole."""
+        """Return the sweeps of which all slices are done."""
         return sorted(key for key, done in self._done.items() if done & ALL_SLICES == ALL_SLICES)
 
     def forget(self, key: SweepKey) -> None:
-        """It is on record."""
+        """Drop a sweep that is on record."""
         self._done.pop(key, None)
--- a/harriertrack/decisions/fleet/closing/trims.py
+++ b/harriertrack/decisions/fleet/closing/trims.py
@@ -1,9 +1,10 @@
-"""What is to be trimmed after closes: background work, paced, the extents that somebody waits for first.
+"""The trims to do after closes: background work at a limited rate; extents that clients wait for come first.
 
-The fence makes old bytes unreadable at once; trims give their room back and let their extents be written
-again. So they need no hurry but where a client waits. Each head trims what it placed itself, at its part of
-the fleet's pace, beginning at a moment of its own. A shard where one fails is left alone for a while, ever
-longer, and then tried with one at a time: its shelf may be down, and others' trims go on.
+The fence makes old bytes unreadable at once; trims free their space and allow their extents to be written
+again. So they are urgent only where a client waits. Each head trims what it placed itself, at its share of
+the fleet's rate, starting at a time of its own. After a failed trim a shard is left alone for a pause, which
+doubles with each failure, and is then tried with one trim at a time: its node may be down, and trims at
+other shards continue.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 from dataclasses import dataclass, field
 
 FIRST_PAUSE_US = 200_000
-MOST_PAUSE_US = 5_000_000
+MAX_PAUSE_US = 5_000_000
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class TrimTarget:
-    """Bytes of an extent that a close left at a shard."""
+    """Old bytes of an extent at a shard, left by a close."""
 
     volume: str
     extent: int
@@ -27,150 +28,150 @@
 
 @dataclass(frozen=True, slots=True)
 class TrimRules:
-    """The figures of trimming."""
+    """The parameters of trimming."""
 
-    rate: float = 200.0  # trims a second that all heads together begin
-    burst: float = 8.0  # of one head at once
+    rate: float = 200.0  # trims that all heads together begin per second
+    burst: float = 8.0  # that one head may begin at once
     in_flight: int = 4
-    spread_us: int = 500_000  # over which heads begin
+    spread_us: int = 500_000  # over which the heads spread their starts
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far a head has come."""
+    """The progress of one head."""
 
     requested: int = 0
     done: int = 0
-    failed: int = 0  # tries that brought nothing
+    failed: int = 0  # attempts
 
     @property
     def remaining(self) -> int:
-        """How many are left."""
+        """Return how many are left."""
         return self.requested - self.done
 
 
 @dataclass(slots=True)
 class _Shard:
-    """What is due at one shard, and how long it is left alone after a try that brought nothing."""
+    """The queue of one shard, and its pause after a failed attempt."""
 
-    line: list[tuple[int, int, TrimTarget]] = field(default_factory=list)  # outdated ones are passed over
-    rests_until: int = 0
-    pause_us: int = 0  # above 0: one try at a time
-    out: int = 0
+    queue: list[tuple[int, int, TrimTarget]] = field(default_factory=list)  # outdated entries are skipped
+    paused_until: int = 0
+    pause_us: int = 0  # above 0: one attempt at a time
+    in_flight: int = 0
 
 
 class TrimQueue:
-    """One head's."""
+    """The trims of one head."""
 
     def __init__(self, rules: TrimRules, now: int) -> None:
         self.rules = rules
         self.progress = Progress()
         self._shards: dict[int, _Shard] = {}
-        self._due: dict[TrimTarget, int] = {}  # when each may begin
-        self._least: dict[TrimTarget, int] = {}
-        self._tried: set[TrimTarget] = set()
-        self._out: set[TrimTarget] = set()
-        self._again: set[TrimTarget] = set()
+        self._start_at: dict[TrimTarget, int] = {}  # of queued targets
+        self._earliest: dict[TrimTarget, int] = {}
+        self._failed: set[TrimTarget] = set()
+        self._in_flight: set[TrimTarget] = set()
+        self._repeat: set[TrimTarget] = set()
         self._dropped: set[TrimTarget] = set()
         self._serial = 0
         self._tokens, self._filled_at = rules.burst, now
 
     def __len__(self) -> int:
-        return len(self._due) + len(self._out)
+        return len(self._start_at) + len(self._in_flight)
 
     def add(
-        self, now: int, lefts: Iterable[TrimTarget], place: float, least: Mapping[TrimTarget, int]
+        self, now: int, targets: Iterable[TrimTarget], place: float, earliest: Mapping[TrimTarget, int]
     ) -> None:
-        """Take on more; `place` (0 to 1) is this head's among those that begin now.
+        """Add targets; `place` (0 to 1) is this head's position among the heads that begin now.
 
-        `least`: when some may begin at the earliest, for what may still run there.
+        `earliest`: when some may begin at the earliest, because an earlier write may still run at the node.
         """
         begin = now + int(place * self.rules.spread_us)
-        for left in lefts:
-            if left in self._out:
-                self._again.add(left)  # what is out was sent for an earlier close
-            elif left not in self._due:
+        for target in targets:
+            if target in self._in_flight:
+                self._repeat.add(target)  # the one in flight was sent for an earlier close
+            elif target not in self._start_at:
                 self.progress.requested += 1
-                self._least[left] = least.get(left, 0)
-                self._stand(left, max(begin, self._least[left]))
+                self._earliest[target] = earliest.get(target, 0)
+                self._enqueue(target, max(begin, self._earliest[target]))
 
-    def _stand(self, left: TrimTarget, when: int) -> None:
-        self._due[left] = when
+    def _enqueue(self, target: TrimTarget, when: int) -> None:
+        self._start_at[target] = when
         self._serial += 1
-        line = self._shards.setdefault(left.shard, _Shard()).line
-        heapq.heappush(line, (when, self._serial, left))
+        queue = self._shards.setdefault(target.shard, _Shard()).queue
+        heapq.heappush(queue, (when, self._serial, target))
 
     def prioritize(self, now: int, volume: str, extent: int) -> None:
-        """A client waits for an extent: what is left of it comes first."""
-        for left in [one for one in self._due if (one.volume, one.extent) == (volume, extent)]:
-            soon = max(now, self._least.get(left, 0))
-            if soon < self._due[left]:
-                self._stand(left, soon)
+        """Move the targets of an extent that a client waits for to the front."""
+        for target in [one for one in self._start_at if (one.volume, one.extent) == (volume, extent)]:
+            soon = max(now, self._earliest.get(target, 0))
+            if soon < self._start_at[target]:
+                self._enqueue(target, soon)
 
     def take_next(self, now: int, heads: int) -> TrimTarget | None:
-        """Return what is to be trimmed now, within this head's part of the pace; None: nothing yet."""
+        """Return the target to trim now, within this head's share of the rate; None: none yet."""
         rate = self.rules.rate / max(1, heads)
         self._tokens = min(self.rules.burst, self._tokens + rate * (now - self._filled_at) / 1e6)
         self._filled_at = now
-        if self._tokens < 1 or len(self._out) >= self.rules.in_flight:
+        if self._tokens < 1 or len(self._in_flight) >= self.rules.in_flight:
             return None
         ready = [shard for shard in self._shards.values() if self._ready(now, shard)]
         if not ready:
             return None
-        shard = min(ready, key=lambda one: one.line[0][:2])
-        _, _, left = heapq.heappop(shard.line)
-        del self._due[left]
-        self._out.add(left)
-        shard.out += 1
+        shard = min(ready, key=lambda one: one.queue[0][:2])
+        _, _, target = heapq.heappop(shard.queue)
+        del self._start_at[target]
+        self._in_flight.add(target)
+        shard.in_flight += 1
         self._tokens -= 1
-        return left
+        return target
 
     def _ready(self, now: int, shard: _Shard) -> bool:
-        while shard.line and self._due.get(shard.line[0][2]) != shard.line[0][0]:
-            heapq.heappop(shard.line)
-        if not shard.line or shard.line[0][0] > now or now < shard.rests_until:
+        while shard.queue and self._start_at.get(shard.queue[0][2]) != shard.queue[0][0]:
+            heapq.heappop(shard.queue)
+        if not shard.queue or shard.queue[0][0] > now or now < shard.paused_until:
             return False
-        return not (shard.pause_us and shard.out)
+        return not (shard.pause_us and shard.in_flight)
 
-    def drop(self, lefts: Iterable[TrimTarget]) -> None:
-        """These are not to be trimmed any more; what is out is called off, and not tried again."""
-        for left in lefts:
-            if self._due.pop(left, None) is not None:
+    def drop(self, targets: Iterable[TrimTarget]) -> None:
+        """Drop targets that need no trim any more; those in flight are not tried again."""
+        for target in targets:
+            if self._start_at.pop(target, None) is not None:
                 self.progress.requested -= 1
-                self._tried.discard(left)
-            elif left in self._out:
-                self._dropped.add(left)
-                self._again.discard(left)
-
-    def failed_before(self, left: TrimTarget) -> bool:
-        """Whether an earlier try may yet run at its shard."""
-        return left in self._tried
-
-    def finish(self, now: int, left: TrimTarget, done: bool) -> None:
-        """Hear how one ended."""
-        shard = self._shards[left.shard]
-        self._out.discard(left)
-        shard.out -= 1
-        again = left in self._again
-        self._again.discard(left)
-        if left in self._dropped:
-            self._dropped.discard(left)
-            self._tried.discard(left)
+                self._failed.discard(target)
+            elif target in self._in_flight:
+                self._dropped.add(target)
+                self._repeat.discard(target)
+
+    def failed_before(self, target: TrimTarget) -> bool:
+        """Whether an earlier attempt may still run at the shard."""
+        return target in self._failed
+
+    def finish(self, now: int, target: TrimTarget, done: bool) -> None:
+        """Handle the completion of a trim."""
+        shard = self._shards[target.shard]
+        self._in_flight.discard(target)
+        shard.in_flight -= 1
+        again = target in self._repeat
+        self._repeat.discard(target)
+        if target in self._dropped:
+            self._dropped.discard(target)
+            self._failed.discard(target)
             if again:
-                self._stand(left, now)
+                self._enqueue(target, now)
             else:
                 self.progress.requested -= 1
             return
         if done:
-            shard.pause_us = shard.rests_until = 0
+            shard.pause_us = shard.paused_until = 0
         else:
             self.progress.failed += 1
-            self._tried.add(left)
-            shard.pause_us = min(max(FIRST_PAUSE_US, 2 * shard.pause_us), MOST_PAUSE_US)
-            shard.rests_until = now + shard.pause_us
+            self._failed.add(target)
+            shard.pause_us = min(max(FIRST_PAUSE_US, 2 * shard.pause_us), MAX_PAUSE_US)
+            shard.paused_until = now + shard.pause_us
         if not done or again:
-            self._stand(left, now)
+            self._enqueue(target, now)
             return
         self.progress.done += 1
-        self._tried.discard(left)
-        self._least.pop(left, None)
+        self._failed.discard(target)
+        self._earliest.pop(target, None)
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -404,8 +404,8 @@
         "a close fires in doubt",
         "closing",
         f"{CLOSING}.fences:Fence.closes_to_purge",
-        "min(reading.low, sure_until)",
-        "min(reading.high, sure_until)",
+        "min(reading.low, confirmed_until)",
+        "min(reading.high, confirmed_until)",
     ),
     Fault(
         "a head that nobody tells goes on",
@@ -569,8 +569,8 @@
         "a close that may have come purges",
         "close-write",
         f"{CLOSING}.fences:Fence.closes_to_purge",
-        "min(reading.low, sure_until)",
-        "min(reading.high, sure_until)",
+        "min(reading.low, confirmed_until)",
+        "min(reading.high, confirmed_until)",
     ),
     Fault(
         "a close purges nothing", "close-write", f"{CLOSES}._covers", "return touched and", "return False and"
--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -50,7 +50,7 @@
     Fault("a zone that is out stays out", "zones", f"{ZONES}.take_up", "Zone(word.stage, now", "Zone(word.stage, now + 10**9"),
     Fault("a head alone leaves a zone", "zones", f"{ZONES}.sums", "if not any(sight.good for sight in seen.sights) and len(seen.sights) != 1:", "if False:"),
     Fault("a fence opens in doubt", "closes", f"{CLOSING}.fences:Fence.state", "reading.high < after[0].at_us", "reading.low < after[0].at_us"),
-    Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.closes_to_purge", "min(reading.low, sure_until)", "min(reading.high, sure_until)"),
+    Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.closes_to_purge", "min(reading.low, confirmed_until)", "min(reading.high, confirmed_until)"),
     Fault("slices are done untrimmed", "closes", f"{CLOSING}.sweeps:Sweep.done_slices", "if not extents", "if True"),
     Fault("one clock moves all", "closes", f"{CLOSING}.clocks:majority_interval", "if depth == enough and low is None:", "if depth >= enough:"),
     Fault("any number may be away", "rollouts", f"{ROLLOUT}.rollout:Rollout._name_heads", "select_next_away(wanted, self.away_heads(named, members), self.plan, members)", "wanted"),
