--- a/tests/closing/test_closing_calendar.py
+++ b/tests/closing/test_closing_calendar.py
@@ -1,4 +1,4 @@
-"""Calendars: what can be written, and when a market closes, whatever its clocks do."""
+"""Calendars: their syntax, and when a market closes across changes of its local time."""
 
 from datetime import UTC, datetime
 
@@ -14,7 +14,7 @@
     return int(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp()) * 1_000_000
 
 
-def found(body, since, until):
+def closes_in(body, since, until):
     given = parse(f'(calendar "x" {body} {PURGE})', "x")
     return [
         datetime.fromtimestamp(at / 1e6, UTC).strftime("%m-%d %H:%M")
@@ -22,39 +22,39 @@
     ]
 
 
-def test_days_of_business_holidays_and_early_closes():
+def test_business_days_holidays_and_early_closes():
     body = """(zone "America/New_York") (markets "XNYS") (close (at "16:00")) (early (on "2026-11-27") (at "13:00"))
               (holidays "2026-11-30")"""
-    assert found(body, "2026-11-25", "2026-12-02") == [
+    assert closes_in(body, "2026-11-25", "2026-12-02") == [
         "11-25 21:00",
         "11-27 18:00",
         "12-01 21:00",
     ]  # 26th: Thanksgiving
 
 
-def test_two_closes_a_day_and_days_of_their_own():
+def test_two_closes_a_day_with_their_own_days():
     body = '(zone "Asia/Tokyo") (close (at "11:30")) (close (at "15:30") (days "mon"))'
-    assert found(body, "2026-12-06", "2026-12-09") == ["12-07 02:30", "12-07 06:30", "12-08 02:30"]
+    assert closes_in(body, "2026-12-06", "2026-12-09") == ["12-07 02:30", "12-07 06:30", "12-08 02:30"]
 
 
 @pytest.mark.parametrize(("twice", "at"), [("first", "10-25 00:30"), ("second", "10-25 01:30")])
-def test_a_time_that_comes_twice(twice, at):
+def test_repeated_local_time(twice, at):
     body = f'(zone "Europe/Lisbon") (twice {twice}) (close (at "01:30") (days "sun"))'
-    assert found(body, "2026-10-24", "2026-10-26") == [at]
+    assert closes_in(body, "2026-10-24", "2026-10-26") == [at]
 
 
 @pytest.mark.parametrize("twice", ["first", "second"])
-def test_a_time_that_does_not_exist_comes_as_if_clocks_had_stayed(twice):
+def test_skipped_local_time_uses_the_offset_before_the_change(twice):
     body = f'(zone "Europe/Lisbon") (twice {twice}) (close (at "01:30") (days "sun"))'
-    assert found(body, "2026-03-28", "2026-03-30") == ["03-29 01:30"]
+    assert closes_in(body, "2026-03-28", "2026-03-30") == ["03-29 01:30"]
 
 
 def test_leap_days():
     body = '(zone "UTC") (close (at "12:00") (days "mon" "tue" "wed" "thu" "fri" "sat" "sun"))'
-    assert found(body, "2028-02-28", "2028-03-02") == ["02-28 12:00", "02-29 12:00", "03-01 12:00"]
+    assert closes_in(body, "2028-02-28", "2028-03-02") == ["02-28 12:00", "02-29 12:00", "03-01 12:00"]
 
 
-def test_a_plan_names_its_time_zone_data():
+def test_plan_names_its_time_zone_data():
     plan = plan_of(
         parse(f'(calendar "x" (zone "UTC") (close (at "12:00")) {PURGE})', "x"), 7, 0, 86_400_000_000 * 2
     )
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "said"),
+    ("body", "expected"),
     [
         ('(zone "Mars/Base") (close (at "12:00"))', "zone: Mars/Base"),
         ('(zone "../../etc/passwd") (close (at "12:00"))', "zone: ../../etc"),
@@ -74,7 +74,7 @@
         ('(zone "UTC") (close (at "12:00")) (purge (volume "v") (start 8MiB) (end 4MiB))', "purge: end"),
     ],
 )
-def test_what_can_not_be_is_told_with_its_field(body, said):
+def test_invalid_calendar_is_reported_with_its_field(body, expected):
     with pytest.raises(SettingsError, match="c.sexp:1") as error:
         parse(f'(calendar "x" {body} {PURGE})', "c.sexp")
-    assert said in str(error.value)
+    assert expected in str(error.value)
--- a/tests/closing/test_closing_cli.py
+++ b/tests/closing/test_closing_cli.py
@@ -1,4 +1,4 @@
-"""What operators see of closes."""
+"""The command `closes`, and the messages about closes."""
 
 import msgspec
 import pytest
@@ -14,39 +14,41 @@
 TOLD = ClosingTold(True, False, (1_796_190_000_000_000, 1_796_190_000_020_000), False, 5, 6, [FENCE])
 
 
-def asked(monkeypatch, told, *options):
+def run_closes(monkeypatch, told, *options):
     document = Document("f", "h1", "alive", "0", 1, 0, 0, {}, [], closing=told)
     monkeypatch.setattr(closing, "document_of", lambda _place: (b"", document))
     return CliRunner().invoke(closing.closes, ["--at", "127.0.0.1:1", *options])
 
 
-def test_closes_are_told_with_what_they_would_purge(monkeypatch):
-    said = asked(monkeypatch, TOLD, "--dry-run")
-    assert said.exit_code == 0
-    for word in (
+def test_closes_are_shown_with_what_they_would_purge(monkeypatch):
+    result = run_closes(monkeypatch, TOLD, "--dry-run")
+    assert result.exit_code == 0
+    for text in (
         "17 extents",
         "2026-12-02 15:30:00 Asia/Tokyo",
         "2026-12-02 06:30:00",
         "within 10.0 ms",
         "5 extents to trim",
     ):
-        assert word in said.output
-    assert "17 extents" not in asked(monkeypatch, TOLD).output
+        assert text in result.output
+    assert "17 extents" not in run_closes(monkeypatch, TOLD).output
 
 
-def test_a_head_that_can_not_know_says_so(monkeypatch):
-    said = asked(monkeypatch, ClosingTold(False, True, None, True, 0, 0, []))
+def test_blind_head_is_reported(monkeypatch):
+    result = run_closes(monkeypatch, ClosingTold(False, True, None, True, 0, 0, []))
     assert (
-        "BLIND" in said.output and "does not know the time" in said.output and "CLOCK IS WRONG" in said.output
+        "BLIND" in result.output
+        and "does not know the time" in result.output
+        and "CLOCK IS WRONG" in result.output
     )
 
 
-def test_json_and_a_head_without(monkeypatch):
-    assert msgspec.json.decode(asked(monkeypatch, TOLD, "--json").output, type=ClosingTold) == TOLD
-    assert asked(monkeypatch, None).exit_code == 2
+def test_json_output_and_a_head_without_closes(monkeypatch):
+    assert msgspec.json.decode(run_closes(monkeypatch, TOLD, "--json").output, type=ClosingTold) == TOLD
+    assert run_closes(monkeypatch, None).exit_code == 2
 
 
-def test_what_is_no_message_is_none():
+def test_messages_round_trip_and_malformed_ones_are_none():
     ask = Ask(1, 2, 3, (4, 5), [Done("c", 1, 2, 3)])
     assert ask_from(encode(ask)) == ask and ask_from(b"\x91\x01") is None is ruling_from(b"")
     ruling = Ruling(1, 2, None, 3, [], [])
@@ -60,7 +62,7 @@
         ('(budgets (witness "10.0.0.9" 8500)) (changes) (closing (volumes "v*"))', "no class takes move"),
     ],
 )
-def test_settings_that_can_not_be(more, why):
+def test_invalid_settings(more, why):
     from tests.test_fleet_days import head
 
     with pytest.raises(SettingsError, match=why):
--- a/tests/closing/test_closing_copies.py
+++ b/tests/closing/test_closing_copies.py
@@ -1,4 +1,4 @@
-"""Copies of two regions, epochs of leases and closes, and what of them is on disk: the pure parts by hand."""
+"""Copies between two regions, epochs of leases and closes, and what of them is on disk: unit tests."""
 
 from types import SimpleNamespace
 
@@ -31,7 +31,7 @@
     return Copies(view, CatchUp("v", 16, log)), log
 
 
-def test_a_write_is_copied_before_it_is_acknowledged_and_dropped_when_late():
+def test_write_is_copied_before_acknowledgement_and_dropped_when_late():
     one, log = copies(copy_us=100)
     assert one.held(0, 1, range(2)) is Held.COPY and one.held(5, 2, range(0)) is Held.COPY
     assert one.turn(50, 1, True) is Turn.SEND and one.until(1) == 100 and one.busy() == {0, 1}
@@ -44,7 +44,7 @@
     assert one.turn(103, 1, True) is Turn.GONE and list(one) == [2]
 
 
-def test_while_the_other_region_is_out_of_sync_a_write_is_missed_or_copied_behind():
+def test_write_is_missed_or_copied_behind_while_the_other_region_is_out_of_sync():
     one, log = copies(in_sync=frozenset("a"), copy_us=100)
     assert one.held(0, 1, range(1)) is Held.ANSWER and log.missed("v") == {0}
     assert one.held(0, 2, range(0)) is Held.ANSWER
@@ -53,41 +53,41 @@
     assert log.missed("v") == {0, 4} and not one.dropping
 
 
-def test_mode_home_counts_what_is_behind_until_it_ends():
+def test_mode_home_limits_copies_behind():
     one, _ = copies(Mode.HOME, behind_writes=1)
     assert one.held(0, 1, range(1)) is Held.COPY_BEHIND and one.held(0, 2, range(1)) is Held.COPY
     one.ended(1)
     assert one.held(0, 3, range(1)) is Held.COPY_BEHIND
 
 
-def test_around_a_close_the_other_regions_time_begins_when_both_are_over_it():
+def test_copy_timeout_begins_when_both_regions_are_past_a_close():
     one, _ = copies(copy_us=100)
     one.held(0, 1, range(1))
     assert one.turn(90, 1, True, unsettled_us=50) is Turn.SEND and one.until(1) == 240
     assert one.turn(239, 1, True) is Turn.SEND and one.turn(240, 1, True) is Turn.DROP
 
 
-def test_how_a_write_stands_to_a_close():
+def test_overlap_of_a_write_with_a_close():
     gone = {0, 1}.__contains__
     assert [crossed(one, gone) for one in (range(2), range(1, 3), range(2, 4), range(0))] == [
         Crossed.WHOLE, Crossed.PART, Crossed.NOT, Crossed.NOT]  # fmt: skip
 
 
-def test_a_close_takes_what_was_read_for_the_copy_and_what_is_missed():
+def test_close_drops_extents_read_for_the_copy_and_missed_ones():
     one, log = copies(in_sync=frozenset("a"))
     one.catch_up.missed((0, 1, 2))
     one.catch_up.read((0, 2), "reader")
     log.begin_write("v", (1, 2))
     one.catch_up.purged({0, 1}.__contains__)
     assert log.missed("v") == {2} == log.opened("v")
-    one.catch_up.missed((0,))  # written anew
+    one.catch_up.missed((0,))  # written again
     one.catch_up.caught(0, "reader")
-    assert log.missed("v") == {0, 2}, "what was read before the close is not what is missed now"
+    assert log.missed("v") == {0, 2}, "an extent read before the close is not the one missed now"
     one.catch_up.caught(2, "reader")
     assert log.missed("v") == {0}
 
 
-def test_the_log_forgets_what_was_purged_on_disk_and_keeps_what_says_everything(tmp_path):
+def test_log_drops_purged_extents_on_disk_and_retains_the_whole_volume_mark(tmp_path):
     log = MissedLog(str(tmp_path), most=3)
     log.miss("v", (0, 5))
     log.begin_write("v", (0, 6))
@@ -102,7 +102,7 @@
     log.close()
 
 
-def test_epochs_grow_with_lease_and_close_and_never_back():
+def test_epochs_grow_with_leases_and_closes_and_never_decrease():
     one = Epochs()
     seen = [one.of("v")]
     for step in (lambda: one.leased("v", 3), lambda: one.closed("v", 1000), lambda: one.leased("v", 4),
@@ -114,10 +114,10 @@
     assert not one.closed("v", 1500) and one.of("v") == seen[-1]
     assert one.of("w") == 0 and not one.knows_lease("w") and one.knows_lease("v")
     one.closed("w", 5)
-    assert not one.knows_lease("w"), "a close is no lease: nothing is moved by it"
+    assert not one.knows_lease("w"), "a close is not a lease: it moves nothing"
 
 
-def test_under_which_epoch_work_is_sent_outlives_the_closes_that_are_remembered(tmp_path):
+def test_raised_epoch_outlives_the_listed_closes(tmp_path):
     one = ExtentMap(str(tmp_path))
     one.raise_to("v", 7_000_000)
     one.raise_to("v", 9_000_001)
@@ -127,7 +127,7 @@
     again.close()
 
 
-def test_a_generation_goes_with_the_name_of_a_connection():
+def test_generation_is_part_of_the_connection_context():
     plain, copy = context_of(7, 0, RELAY_CONTEXT), context_of(7, 3, COPY_CONTEXT, 1_796_193_000_000_000)
     assert identity_of(copy, COPY_CONTEXT) == (7, 3) and generation_of(copy) == 1_796_193_000_000_000
     pulls = context_of(7, 0, RELAY_CONTEXT, 255)
@@ -147,19 +147,19 @@
     return one
 
 
-def test_bytes_of_another_generation_are_not_admitted():
+def test_bytes_of_another_generation_are_not_accepted():
     one = fences((1, 1000), (2, 2000))
     sure = Interval(1500, 1600)
     assert one.accepts_generation(sure, "v", 1000, 1000) and not one.accepts_generation(sure, "v", 1000, 0)
-    assert not one.accepts_generation(sure, "v", 1000, 2000), "its close has not come here"
-    assert one.accepts_generation(sure, "v", 0, 1000), "a close that nobody remembers"
+    assert not one.accepts_generation(sure, "v", 1000, 2000), "its close has not come yet"
+    assert one.accepts_generation(sure, "v", 0, 1000), "a close that is no longer listed"
     assert not one.accepts_generation(None, "v", 0, 1000) and not one.accepts_generation(
         Interval(20_000, 20_001), "v", 0, 1000
     )
     assert one.accepts_generation(None, "v", 1000, 1000) and one.accepts_generation(None, "w", 0, 9)
 
 
-def test_how_long_another_head_may_be_on_another_side_of_a_close():
+def test_how_long_another_head_may_be_on_the_other_side_of_a_close():
     one = fences((1, 1000), (2, 2000))
     assert one.unsettled_us(Interval(900, 999), "v", 50) == 0
     assert one.unsettled_us(Interval(950, 1050), "v", 50) == 100
@@ -168,7 +168,7 @@
     assert one.unsettled_us(None, "v", 50) == 0 and one.unsettled_us(Interval(950, 1050), "w", 50) == 0
 
 
-def test_settings_turn_down_volumes_of_two_regions_only_where_sweeps_would_be_needed():
+def test_settings_reject_two_region_volumes_only_where_sweeps_are_needed():
     kinds = [SimpleNamespace(kinds=(Kind.MOVE,))]
     closing = ClosingSettings(volumes=("desk*",))
     said = []
--- a/tests/closing/test_closing_core.py
+++ b/tests/closing/test_closing_core.py
@@ -1,4 +1,4 @@
-"""What a close does to requests that are open at a head's core, and to its extent map, in memory and on disk."""
+"""Effects of a close on open requests in a head's core and on its extent map, in memory and on disk."""
 
 import importlib.util
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 class Closings:
-    """Refuses while told to."""
+    """A stub that refuses while `hint` is set."""
 
     def __init__(self, places):
         self.hint, self.waited, self.risky, self._places = None, [], [], places
@@ -36,7 +36,7 @@
         self.waited.append((volume, extent))
 
 
-def everything(_volume, _offset, _length):
+def covers_everything(_volume, _offset, _length):
     return True
 
 
@@ -49,7 +49,7 @@
 
 def close(rig, number=1):
     """Step over a close, as a head does."""
-    counts = rig.core.close_off(rig.now, everything)
+    counts = rig.core.close_off(rig.now, covers_everything)
     lefts = rig.extents.purge("c", number, 1000 * number, lambda _volume, _extent: True)
     rig.core.keep_purged({(volume, extent) for volume, extent, _ in lefts})
     rig.flush()
@@ -100,7 +100,7 @@
     assert write.outcome is Outcome.SERVED and rig.extents.shard_of("v", 0) is not None
 
 
-def test_open_reads_and_unsent_writes_are_refused_and_sent_writes_failed(rig):
+def test_open_reads_and_unsent_writes_are_refused_and_sent_writes_fail(rig):
     written(rig)
     read = rig.ask(Kind.READ)
     sent = rig.ask(Kind.WRITE, data=b"b" * 512)
@@ -113,10 +113,10 @@
     for attempt in list(rig.port.sent[1:]):
         if attempt.state.value in ("sent", "dialing"):
             rig.end(attempt, data=bytes(512), sent=attempt.state.value == "dialing")
-    assert len(rig.port.answers) == before, "each got one answer"
+    assert len(rig.port.answers) == before, "each request got exactly one answer"
 
 
-def test_a_read_that_was_served_and_not_answered_when_the_close_came_is_refused(rig):
+def test_read_served_but_not_answered_at_the_close_is_refused(rig):
     written(rig)
     read = rig.ask(Kind.READ)
     rig.core.sent(rig.port.sent[-1])
@@ -125,7 +125,7 @@
     assert read.outcome is Outcome.REFUSED and rig.port.answers.count(read) == 1
 
 
-def test_nothing_is_taken_or_answered_while_a_close_may_have_come(rig):
+def test_nothing_is_admitted_or_answered_while_a_close_may_have_come(rig):
     written(rig)
     read = rig.ask(Kind.READ)
     rig.core.closings.hint = 700
@@ -135,7 +135,7 @@
     assert rig.ask(Kind.FLUSH, length=0).outcome is not Outcome.REFUSED
 
 
-def test_a_first_write_whose_end_is_not_known_at_the_close_is_trimmed_where_it_may_lie(rig):
+def test_first_write_in_flight_at_the_close_is_trimmed_where_it_may_be_stored(rig):
     rig.ask(Kind.WRITE, data=b"a" * 512)
     attempt = rig.port.sent[-1]
     rig.core.sent(attempt)
@@ -143,10 +143,10 @@
     shard = attempt.member.entry.shard
     assert lefts == [("v", 0, shard)]
     rig.end(attempt, sent=False)
-    assert rig.extents.shard_of("v", 0) is None, "it does not place the extent any more"
+    assert rig.extents.shard_of("v", 0) is None, "the late completion does not place the extent"
 
 
-def test_a_move_under_way_ends_with_the_close(rig):
+def test_move_in_progress_ends_with_the_close(rig):
     shard = written(rig)
 
     class Holder:
@@ -167,22 +167,22 @@
     rig.core.sent(rig.port.sent[-1])
     _, lefts = close(rig)
     assert move.outcome is Outcome.FAILED and {one[2] for one in lefts} == {shard, target}
-    rig.core.free_extent("v", 0)  # as the mover does when its read was refused
+    rig.core.free_extent("v", 0)  # as the mover does after its read was refused
     sent = len(rig.port.sent)
     rig.ask(Kind.WRITE, data=b"n" * 512)
-    assert len(rig.port.sent) == sent, "still kept until it is trimmed"
+    assert len(rig.port.sent) == sent, "held until the extent is trimmed"
 
 
 # -- on disk
 
 
-def test_a_close_is_on_disk_whole_and_a_kill_leaves_what_was_to_be_trimmed(tmp_path):
+def test_close_is_on_disk_atomically_and_a_kill_preserves_pending_trims(tmp_path):
     path = str(tmp_path / "extents")
     one = ExtentMap(path)
     one.place([("v", 0, 1), ("v", 1, 2), ("w", 0, 1)])
     one.doubt("v", 2, 0)
     one.doubt("v", 3, 0)
-    one.place([("v", 3, 0), ("v", 1, 0)])  # one is no doubt any more, one was moved
+    one.place([("v", 3, 0), ("v", 1, 0)])  # one is now known to be placed, one was moved
     lefts = one.purge("c", 4, 9_000_000, lambda volume, _extent: volume == "v")
     assert lefts == [("v", 0, 1), ("v", 1, 0), ("v", 1, 2), ("v", 2, 0), ("v", 3, 0)]
     one.trimmed("v", 0, 1)
@@ -199,7 +199,7 @@
     again.close()
 
 
-def test_a_close_that_fails_half_way_leaves_the_map_as_it_was(tmp_path, monkeypatch):
+def test_failed_close_leaves_the_map_unchanged(tmp_path, monkeypatch):
     path = str(tmp_path / "extents")
     one = ExtentMap(path)
     one.place([("v", 0, 1)])
@@ -220,7 +220,7 @@
 # -- clients that wait
 
 
-def patient(rig, kind, data=b""):
+def ask_patiently(rig, kind, data=b""):
     request = ClientRequest(
         rig.core.volumes["v"], kind, 0, len(data) or 512, data, 0, None, patience_us=20_000_000
     )
@@ -229,13 +229,13 @@
     return request
 
 
-def test_a_client_that_waits_is_not_refused_but_begins_anew_after_the_close(rig):
+def test_patient_request_is_retried_after_the_close_instead_of_refused(rig):
     shard = written(rig)
-    read, write = patient(rig, Kind.READ), patient(rig, Kind.WRITE, b"b" * 512)
+    read, write = ask_patiently(rig, Kind.READ), ask_patiently(rig, Kind.WRITE, b"b" * 512)
     rig.core.closings.hint = 300_000
-    rig.end(rig.port.sent[-2], data=b"a" * 512)  # the read: it ends while the close may have come
-    close(rig)  # the write has not been sent: it is given up, and not refused
-    later = patient(rig, Kind.READ)
+    rig.end(rig.port.sent[-2], data=b"a" * 512)  # the read completes while the close may have come
+    close(rig)  # the write was not sent: it is dropped and retried, not refused
+    later = ask_patiently(rig, Kind.READ)
     assert read.outcome is write.outcome is later.outcome is None
     assert not {read, write, later} & set(rig.port.answers)
     rig.core.closings.hint = None
@@ -253,20 +253,23 @@
 
 def test_waiting_for_a_close_ends_with_the_patience_the_client_or_the_head(rig):
     rig.core.closings.hint = 300_000
-    gone, stopped, tired = (patient(rig, Kind.READ) for _ in range(3))
+    gone, stopped, expired = (ask_patiently(rig, Kind.READ) for _ in range(3))
     rig.core.client_gone(gone)
     rig.run(19_000_000)
-    assert stopped.outcome is tired.outcome is None
+    assert stopped.outcome is expired.outcome is None
     rig.run(1_100_000)
-    assert tired.outcome is Outcome.REFUSED and rig.port.answers.count(tired) == 1
-    late = patient(rig, Kind.READ)
+    assert expired.outcome is Outcome.REFUSED and rig.port.answers.count(expired) == 1
+    late = ask_patiently(rig, Kind.READ)
     rig.core.close("shutting down")
     rig.flush()
     assert late.outcome is Outcome.REFUSED and gone not in rig.port.answers and rig.core.open_requests == 0
 
 
-def test_a_trim_that_is_called_off_is_not_sent_under_a_later_epoch():
-    """Found by days over processes: a trim that the module still had was sent after the volume was open again."""
+def test_cancelled_trim_is_not_sent_under_a_later_epoch():
+    """A trim still queued in the scheduler used to be sent after the volume was open again.
+
+    Found by lab days over real processes.
+    """
     from types import SimpleNamespace
 
     from harriertrack.decisions.fleet.closing.trims import TrimTarget, TrimQueue, TrimRules
--- a/tests/closing/test_closing_days.py
+++ b/tests/closing/test_closing_days.py
@@ -1,4 +1,4 @@
-"""Days of closes in simulated time, and faults in the program that rule 10 finds."""
+"""Days of closes in simulated time, and seeded faults that rule 10 has to find."""
 
 import msgspec
 import pytest
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_a_day_of_closes_keeps_rule_10(name):
+def test_day_of_closes_complies_with_rule_10(name):
     records = play(name)
     assert closing.check(records) == [] and checker.check(records) == [] and changes.check(records) == []
     due = [one for one in records if isinstance(one, rec.CloseDue)]
@@ -123,11 +123,11 @@
     "fault, heads", [(passes_reads_back_over_a_close, 4), (skips_a_close_in_one_region, 2)]
 )
 def test_a_fault_of_two_regions_is_found(fault, heads, monkeypatch):
-    fault(monkeypatch)  # a read has to be on its way at the close: seven seeds of ten find the first one
+    fault(monkeypatch)  # a read has to be in flight at the close: seven of ten seeds find the first fault
     assert any(closing.check(play("close-regions", heads, seed)) for seed in range(5, 11))
 
 
-def test_slow_trims_are_waited_for():
+def test_new_writes_wait_for_slow_trims():
     slow = msgspec.structs.replace(
         scenario.load("close-plain").closing, rate=12.0, burst=1.0, spread_us=2_000_000
     )
--- a/tests/closing/test_closing_fences.py
+++ b/tests/closing/test_closing_fences.py
@@ -1,4 +1,4 @@
-"""What a fence lets pass, and how trims are paced."""
+"""Which requests fences admit, how sweeps complete, and how trims are paced."""
 
 import random
 
@@ -21,7 +21,7 @@
     return one
 
 
-def test_what_passes_before_in_and_after_a_close():
+def test_admission_before_during_and_after_a_close():
     one = fences()
     fence = one.fence("c")
     assert one.refusal_hint_us(Interval(800, 999), "m1", 0, 10) is None
@@ -29,18 +29,18 @@
         one.refusal_hint_us(Interval(900, 1000), "m1", 0, 10) == 1000
         and fence.state(Interval(900, 1000)) is FenceState.CLOSING
     )
-    assert one.refusal_hint_us(Interval(900, 1000), "m1", 100, 10) is None, "beside the range"
+    assert one.refusal_hint_us(Interval(900, 1000), "m1", 100, 10) is None, "outside the range"
     assert one.refusal_hint_us(Interval(900, 1000), "other", 0, 10) is None
     assert fence.closes_to_purge(Interval(900, 1100), 10_000) == []
     (close,) = fence.closes_to_purge(Interval(1000, 1100), 10_000)
-    assert one.refusal_hint_us(Interval(1000, 1100), "m1", 0, 10) is not None, "not before it is on disk"
+    assert one.refusal_hint_us(Interval(1000, 1100), "m1", 0, 10) is not None, "refused until it is on disk"
     fence.mark_purged(close.number)
     assert one.refusal_hint_us(Interval(1000, 1100), "m1", 0, 10) is None
     with pytest.raises(ValueError):
         fence.mark_purged(1)
 
 
-def test_a_head_that_can_not_know_refuses_what_calendars_may_touch_and_purges_nothing():
+def test_blind_head_refuses_all_volumes_of_calendars_and_purges_nothing():
     one = fences(sure=1500)
     assert (
         one.refusal_hint_us(None, "m1", 500, 10) == BLIND_HINT_US
@@ -52,7 +52,7 @@
     ] == [1]
 
 
-def test_a_schedule_that_contradicts_what_was_done_is_not_taken():
+def test_schedule_that_contradicts_past_closes_is_rejected():
     fence = fences(done=1).fence("c")
     assert "another time" in fence.set_schedule(
         Schedule(2, "a", (Close(1, 999, PURGES), Close(2, 2000, PURGES)))
@@ -61,7 +61,7 @@
     assert fence.schedule is SCHEDULE
 
 
-def test_a_volume_of_several_heads_opens_when_its_sweep_is_on_record():
+def test_shared_volume_opens_when_its_sweep_is_on_record():
     one = fences(done=1, several=["m1"])
     now = Interval(1500, 1501)
     assert (
@@ -73,7 +73,7 @@
     assert one.refusal_hint_us(now, "m1", 0, 10) is None
 
 
-def test_heads_that_did_a_part_each_have_done_the_whole():
+def test_slices_done_by_different_heads_complete_a_sweep():
     key, swept = SweepKey("c", 1, "m"), SweepProgress()
     first, second = Sweep.for_extents(key, range(40)), Sweep.for_extents(key, range(40))
     assert sorted(first.slice_order("a")) == list(range(SLICES)) and first.slice_order(
@@ -92,43 +92,45 @@
 # -- trims
 
 RULES = TrimRules(rate=100.0, burst=2.0, in_flight=2, spread_us=0)
-LEFTS = [TrimTarget("m", extent, 0) for extent in range(6)]
+TARGETS = [TrimTarget("m", extent, 0) for extent in range(6)]
 
 
 def trims():
     one = TrimQueue(RULES, 0)
-    one.add(0, LEFTS, 0.0, {})
+    one.add(0, TARGETS, 0.0, {})
     return one
 
 
-def test_a_burst_then_a_part_of_the_fleets_pace():
+def test_burst_then_a_share_of_the_fleets_rate():
     one = trims()
     out = [one.take_next(0, 1), one.take_next(0, 1)]
-    assert out == LEFTS[:2] and one.take_next(0, 1) is None
+    assert out == TARGETS[:2] and one.take_next(0, 1) is None
     for left in out:
         one.finish(0, left, True)
-    assert one.take_next(5_000, 1) is None and one.take_next(10_000, 1) == LEFTS[2]
-    assert one.take_next(30_000, 10) is None, "with ten heads each has a tenth"
-    assert one.take_next(10_000 + 100_000, 10) == LEFTS[3]
+    assert one.take_next(5_000, 1) is None and one.take_next(10_000, 1) == TARGETS[2]
+    assert one.take_next(30_000, 10) is None, "each of ten heads has a tenth of the rate"
+    assert one.take_next(10_000 + 100_000, 10) == TARGETS[3]
     assert one.progress.done == 2 and len(one) == 4
 
 
-def test_what_a_client_waits_for_comes_first_but_never_before_it_may():
+def test_extent_with_a_waiting_client_comes_first_but_not_before_its_earliest_time():
     one = trims()
     one.prioritize(0, "m", 5)
-    assert one.take_next(0, 1) == LEFTS[0] and one.take_next(0, 1) == LEFTS[1], "all are due: the order stays"
+    assert one.take_next(0, 1) == TARGETS[0] and one.take_next(0, 1) == TARGETS[1], (
+        "all may start: the order stays"
+    )
     late = TrimQueue(RULES, 0)
-    late.add(0, LEFTS, 0.0, dict.fromkeys(LEFTS, 1_000_000))
+    late.add(0, TARGETS, 0.0, dict.fromkeys(TARGETS, 1_000_000))
     late.prioritize(0, "m", 5)
     assert late.take_next(999_999, 1) is None and late.take_next(1_000_000, 1) is not None
     spread = TrimQueue(TrimRules(spread_us=10_000_000), 0)
-    spread.add(0, LEFTS, 0.5, {})
+    spread.add(0, TARGETS, 0.5, {})
     assert spread.take_next(0, 1) is None
     spread.prioritize(0, "m", 5)
-    assert spread.take_next(0, 1) == LEFTS[5]
+    assert spread.take_next(0, 1) == TARGETS[5]
 
 
-def test_a_shard_where_one_fails_is_left_alone_ever_longer_and_others_go_on():
+def test_shard_with_failures_is_paused_with_growing_delays_and_others_continue():
     one = TrimQueue(TrimRules(rate=1000.0, burst=8.0, in_flight=2, spread_us=0), 0)
     one.add(0, [TrimTarget("m", extent, extent % 2) for extent in range(20)], 0.0, {})
     tried, done, now = [], 0, 0
@@ -143,12 +145,12 @@
     assert gaps == sorted(gaps) and gaps[-1] >= 2 * gaps[0]
     assert one.failed_before(TrimTarget("m", 0, 0)) and not one.failed_before(TrimTarget("m", 18, 0))
     back = one.take_next(now + 5_000_000, 1)
-    assert back is not None and one.take_next(now + 5_000_000, 1) is None, "one at a time until one is done"
+    assert back is not None and one.take_next(now + 5_000_000, 1) is None, "one at a time until one succeeds"
     one.finish(now + 5_000_000, back, True)
     assert one.take_next(now + 5_000_000, 1) is not None is not one.take_next(now + 5_000_000, 1)
 
 
-def test_what_is_out_when_another_close_comes_is_done_once_more():
+def test_trim_in_flight_at_another_close_is_repeated():
     one = trims()
     left = one.take_next(0, 1)
     one.add(0, [left], 0.0, {})
@@ -161,18 +163,18 @@
     assert found.count(left) == 1 and one.progress.done == one.progress.requested == 6
 
 
-def test_what_is_dropped_is_not_begun():
+def test_dropped_target_is_not_started():
     one = trims()
-    one.drop(LEFTS[:5])
-    assert one.take_next(0, 1) == LEFTS[5] and one.take_next(0, 1) is None and len(one) == 1
+    one.drop(TARGETS[:5])
+    assert one.take_next(0, 1) == TARGETS[5] and one.take_next(0, 1) is None and len(one) == 1
 
 
-# -- heads together
+# -- several heads
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_heads_whose_clocks_keep_their_bounds_never_serve_two_generations_at_one_moment(seed):
-    """Whatever each is off by, however late it looks, loses confirmations, dies with its disk or is cut off."""
+def test_heads_with_clocks_within_bounds_never_serve_two_generations_at_once(seed):
+    """Whatever its clock error, delays, lost confirmations, unknown times and restarts from its disk."""
     rng = random.Random(seed)
     closes = tuple(Close(number, 1000 * number, PURGES) for number in range(1, 6))
     heads = [Fences(["m*"], {}) for _ in range(4)]
@@ -186,8 +188,8 @@
             if rng.random() < 0.2:
                 one.confirm_until(
                     now - rng.randrange(50) + 400
-                )  # said a while ago: no other closes within the notice
-            if rng.random() < 0.02:  # it dies: what was on disk stays, the confirmation does not
+                )  # sent a while ago: no other closes within the notice
+            if rng.random() < 0.02:  # it restarts: its state on disk survives, the confirmation does not
                 heads[number] = one = Fences(["m*"], {"c": one.fence("c").last_purged})
                 assert one.fence("c").set_schedule(Schedule(1, "a", closes)) == ""
             if reading is not None and rng.random() < 0.3:
@@ -199,10 +201,10 @@
     assert len(served) >= 18, "each head serves in nearly every generation"
 
 
-def test_what_is_dropped_while_it_is_out_is_not_tried_again_unless_another_close_asks():
+def test_target_dropped_in_flight_is_retried_only_for_another_close():
     one = trims()
     first, second = one.take_next(0, 1), one.take_next(0, 1)
-    one.drop(LEFTS)
+    one.drop(TARGETS)
     one.add(0, [second], 0.0, {})
     one.finish(0, first, False)
     one.finish(0, second, False)
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -1,7 +1,7 @@
-"""Volumes of two regions over a close: real heads, nodes and links, closes at moments that each test chooses.
+"""Volumes of two regions across a close: real heads, nodes and links; each test chooses the moments of closes.
 
-Each test ends with what the two regions hold; with one line of the program changed it finds that they hold
-bytes of before, or lost bytes of after.
+Each test checks what the two regions store in the end. With one line of the program changed, it finds that
+they store bytes from before the close, or lost bytes from after it.
 """
 
 import importlib.util
@@ -33,7 +33,7 @@
 
 
 class Closes:
-    """What a head knows of closes, in place of a fleet's: which it has stepped over, and that it is sure."""
+    """A stub for a fleet's closes: the last one that the head stepped over, with certainty."""
 
     def __init__(self):
         self.done, self.settled_at = 0, 0
@@ -57,7 +57,7 @@
 
 
 class ClosingRig(regions.RegionRig):
-    """One volume, no load; `script` says what happens."""
+    """One volume, no load; `script` drives the events."""
 
     def __init__(self, *args, script, **more):
         super().__init__(*args, **more)
@@ -68,7 +68,7 @@
             self.scope, self.extent = scope, self.day.extent_bytes
             self.build()
             self.wait_until(self.settled)
-            self.hub.sleep(S)  # the heads have heard of each other
+            self.hub.sleep(S)  # until the heads have found each other
             self.script(self)
             self.ended = True
             scope.cancel()
@@ -89,7 +89,7 @@
         return client
 
     def write(self, region, data, extent=0, offset=0):
-        """Begin a write; what is returned has its reply once there is one."""
+        """Begin a write; the returned list receives its reply."""
         found = []
         self.client(region).start(Command.WRITE, extent * self.extent + offset, len(data), data, found.append)
         return found
@@ -101,7 +101,7 @@
         return found[0]
 
     def close(self, region, at, extents=range(8)):
-        """Let a head step over a close of some extents, as the carrier does."""
+        """Make a head step over a close of some extents, as the carrier does."""
         slot, head, size = self.slots[region], self.head(region), self.extent
         end = extents.stop * size
 
@@ -142,7 +142,7 @@
             self.hub.sleep(10 * MS)
 
     def holds(self, region, extent=0, length=4096):
-        """Return the first bytes of an extent as a region holds them."""
+        """Return the first bytes of an extent as a region stores them."""
         places = dict(self.slots[region].extents().placed(VOLUME))
         if extent not in places:
             return bytes(length)
@@ -160,23 +160,23 @@
     assert one.ended
 
 
-def a_copy_on_its_way(rig):
-    """The home holds a write and the link carries its copy while both heads step over the close."""
+def copy_in_transit(rig):
+    """The home has stored a write and its copy is on the link while both heads step over the close."""
     rig.slow(40 * MS)
     reply = rig.write("a", OLD)
     rig.hub.sleep(50 * MS)
     assert rig.holds("a") == OLD and len(rig.head("a").regional.volumes[VOLUME].copies) == 1
     for region in "ab":
         rig.close(region, 100)
-    assert rig.wait(reply).error, "it may have run: it is failed"
+    assert rig.wait(reply).error, "it may have run, so it fails"
     rig.hub.sleep(2 * S)
     assert rig.both() == [bytes(4096)] * 2
     assert rig.wait(rig.write("b", NEW)).error == 0 and rig.both() == [NEW] * 2
-    assert len(rig.in_sync()) == 2, "none of it cost the copy"
+    assert len(rig.in_sync()) == 2, "the regions stayed in sync"
 
 
-def a_write_over_the_edge(rig):
-    """Half of a write's bytes are purged: the other half stays, and is the same in both regions."""
+def write_across_the_boundary(rig):
+    """Half of a write's bytes are purged; the other half stays and is the same in both regions."""
     rig.slow(40 * MS)
     reply = rig.write("a", OLD, offset=rig.extent - 2048)
     rig.hub.sleep(50 * MS)
@@ -190,8 +190,8 @@
     assert last == [bytes(2048)] * 2
 
 
-def the_copy_is_behind(rig):
-    """The home has stepped over the close and the other head has not: what is written now is not purged there."""
+def copy_region_behind(rig):
+    """The home has stepped over the close, the other head has not: a new write must not be purged there."""
     assert rig.wait(rig.write("a", OLD)).error == 0 and rig.both() == [OLD] * 2
     rig.close("a", 100)
     reply = rig.write("a", NEW)
@@ -201,8 +201,8 @@
     assert rig.wait(reply).error == 0 and rig.both() == [NEW] * 2
 
 
-def the_copy_is_ahead(rig):
-    """The other head has stepped over the close: what the home wrote before it does not come there."""
+def copy_region_ahead(rig):
+    """The other head has stepped over the close: it must not store what the home wrote before it."""
     reply = rig.write("a", OLD)
     rig.close("b", 100)
     rig.hub.sleep(100 * MS)
@@ -212,17 +212,17 @@
     assert rig.wait(reply).error and rig.both() == [bytes(4096)] * 2
 
 
-def missed(rig, data=OLD):
-    """Let a region miss a write, and come back over a slow link."""
+def miss_a_write(rig, data=OLD):
+    """Make a region miss a write, and slow the link over which it will reconnect."""
     rig.split(True)
     assert rig.wait(rig.write("a", data)).error == 0
     rig.wait_until(lambda: len(rig.in_sync()) == 1)
     rig.slow(40 * MS)
 
 
-def an_extent_is_read_for_the_copy(rig):
-    """The other region catches up, and has read an extent at the home when the close comes to both."""
-    missed(rig)
+def extent_read_for_catch_up(rig):
+    """The other region is catching up and has read an extent from the home when both step over the close."""
+    miss_a_write(rig)
     rig.split(False)
     real, read = rig.head("b").regional._ask_peer, []
 
@@ -239,12 +239,12 @@
     assert read == [OLD] and rig.both() == [bytes(4096)] * 2
 
 
-def a_region_is_behind_and_catches_up(rig):
-    """The home has stepped over the close and written anew, and the region that missed both comes back.
+def region_behind_catches_up(rig):
+    """The home has stepped over the close and written again, and the region that missed both reconnects.
 
-    It gets nothing of after before it has stepped over the close itself.
+    It must not get new bytes before it has stepped over the close itself.
     """
-    missed(rig)
+    miss_a_write(rig)
     rig.close("a", 100)
     assert rig.wait(rig.write("a", NEW)).error == 0
     rig.split(False)
@@ -254,14 +254,14 @@
     assert rig.both() == [NEW] * 2
 
 
-def a_region_was_dark(rig):
-    """A region dies, misses writes and the close, and steps over it before it takes part again."""
+def region_was_down(rig):
+    """A region's head is killed, misses writes and the close, and steps over it when it has restarted."""
     assert rig.wait(rig.write("a", OLD)).error == 0 and rig.both() == [OLD] * 2
     rig.kill_head(rig.slots["b"])
     assert rig.wait(rig.write("a", OLD, extent=1)).error == 0
     rig.close("a", 100)
     log = rig.head("a").regional._log
-    assert not log.missed(VOLUME) and not log.opened(VOLUME), "nothing of it is owed any more"
+    assert not log.missed(VOLUME) and not log.opened(VOLUME), "purged extents need no catch-up"
     rig.start_head(rig.slots["b"])
     rig.close("b", 100)
     rig.wait_until(lambda: len(rig.in_sync()) == 2)
@@ -269,8 +269,8 @@
     assert rig.wait(rig.write("b", NEW)).error == 0 and rig.both() == [NEW] * 2
 
 
-def the_home_dies_at_the_close(rig):
-    """The home steps over the close and dies; who takes over serves nothing of before, and keeps what is new."""
+def home_killed_at_the_close(rig):
+    """The home steps over the close and is killed; its successor serves no old bytes and retains new ones."""
     assert rig.wait(rig.write("a", OLD)).error == 0
     rig.close("a", 100)
     rig.kill_head(rig.slots["a"])
@@ -283,8 +283,8 @@
     assert rig.both() == [bytes(4096)] * 2 and rig.both(1) == [NEW] * 2
 
 
-def a_read_that_was_passed_on(rig):
-    """A read passed on to the home is answered there before the close, and comes back after it."""
+def relayed_read(rig):
+    """A read relayed to the home is answered there before the close; the answer arrives after it."""
     assert rig.wait(rig.write("a", OLD)).error == 0
     client, reply = rig.client("b"), []
     assert client.call(Command.READ, 0, 4096).data == OLD
@@ -293,47 +293,49 @@
     rig.hub.sleep(60 * MS)
     for region in "ab":
         rig.close(region, 100)
-    assert not rig.wait(reply).error and reply[0].data == bytes(4096), "its client waits: it is asked anew"
+    assert not rig.wait(reply).error and reply[0].data == bytes(4096), (
+        "its client is patient: the read is sent again"
+    )
     rig.hub.sleep(S)
     assert len(reply) == 1
 
 
 SCRIPTS = [
-    a_copy_on_its_way, a_write_over_the_edge, the_copy_is_behind, the_copy_is_ahead, an_extent_is_read_for_the_copy,
-    a_region_is_behind_and_catches_up, a_region_was_dark, the_home_dies_at_the_close, a_read_that_was_passed_on,
+    copy_in_transit, write_across_the_boundary, copy_region_behind, copy_region_ahead, extent_read_for_catch_up,
+    region_behind_catches_up, region_was_down, home_killed_at_the_close, relayed_read,
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.__name__)
-def test_over_a_close(script):
+def test_across_a_close(script):
     play(script)
 
 
 REGIONAL, COPIES = "gateway.regional:Regional", "decisions.copies:Copies"
 fault = partial(_FAULTS.Fault, by="")
 FAULTS = [
-    (a_copy_on_its_way, fault("a copy is kept over a close", where=f"{REGIONAL}._crossed",
+    (copy_in_transit, fault("a copy survives a close", where=f"{REGIONAL}._crossed",
                               right="if work.number not in copies:", wrong="if True:")),
-    (a_write_over_the_edge, fault("a copy is kept that a close cut", where=f"{REGIONAL}._crossed",
+    (write_across_the_boundary, fault("a partly purged copy survives", where=f"{REGIONAL}._crossed",
                                   right="if work.number not in copies:", wrong="if True:")),
-    (a_write_over_the_edge, fault("what a close left of a write is not read back", where=f"{REGIONAL}._after_unknown",
+    (write_across_the_boundary, fault("a partly purged write is not read back", where=f"{REGIONAL}._after_unknown",
                                   right="work.crossed is Crossed.WHOLE", wrong="work.crossed is not Crossed.NOT")),
-    (the_copy_is_behind, fault("a region's generation is skipped", where=f"{REGIONAL}.copy_opened",
+    (copy_region_behind, fault("the generation of a region behind is not checked", where=f"{REGIONAL}.copy_opened",
                                right="not self.generations.admits(volume, generation)", wrong="False")),
-    (the_copy_is_ahead, fault("a copy's generation is not looked at", where=f"{REGIONAL}.copy_opened",
+    (copy_region_ahead, fault("the generation of a region ahead is not checked", where=f"{REGIONAL}.copy_opened",
                               right="not self.generations.admits(volume, generation)", wrong="False")),
-    (an_extent_is_read_for_the_copy, fault("what was read is stored over a close", where=f"{REGIONAL}._pull",
+    (extent_read_for_catch_up, fault("an extent read before a close is stored after it", where=f"{REGIONAL}._pull",
                                            right=" or generation != self._generation(volume.name)", wrong="")),
-    (a_region_is_behind_and_catches_up, fault("who is behind catches up", where=f"{REGIONAL}.same_generation",
+    (region_behind_catches_up, fault("a region of an older generation catches up", where=f"{REGIONAL}.same_generation",
                                               right="theirs == self._generation(volume)", wrong="True")),
-    (a_region_was_dark, fault("the log is not dropped", where="decisions.catchup:CatchUp.purged",
+    (region_was_down, fault("the log of missed extents is not purged", where="decisions.catchup:CatchUp.purged",
                               right="self.log.purged(self.volume, gone)", wrong="pass")),
-    (a_read_that_was_passed_on, fault("a read is passed back over a close", where=f"{REGIONAL}.closed",
+    (relayed_read, fault("a relayed read is answered across a close", where=f"{REGIONAL}.closed",
                                       right="self._refuse(request, CLOSED)", wrong="pass")),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("found_by, wrong", FAULTS, ids=lambda one: getattr(one, "name", ""))
-def test_a_fault_is_found(found_by, wrong):
+@pytest.mark.parametrize("script, wrong", FAULTS, ids=lambda one: getattr(one, "name", ""))
+def test_seeded_fault_is_found(script, wrong):
     with wrong.made(), pytest.raises(AssertionError):
-        play(found_by)
+        play(script)
--- a/tests/closing/test_closing_rules.py
+++ b/tests/closing/test_closing_rules.py
@@ -1,4 +1,4 @@
-"""Rule 10 finds what it is there to find, and nothing in a day that keeps it."""
+"""The checker of rule 10 finds each kind of breach, and none in a compliant day."""
 
 import pytest
 
@@ -60,34 +60,34 @@
     return [breach.why for breach in closing.check([FACTS, DUE, *flat])]
 
 
-def test_a_day_that_keeps_it():
+def test_compliant_day():
     assert broken(
         LIVED, CLOSED, kept(5 * S, 1), read(6 * S, 1), read(AT, 0, outcome="refused"), read(AT + S, 0), kept(11 * S, 2),
         read(12 * S, 2), did(5 * S, "write"), did(AT + S, "trim", SIZE), did(AT + 2 * S, "write"), did(AT + 3 * S, "read"),
     ) == []  # fmt: skip
 
 
-def test_a_byte_of_before_is_found_after_the_bound_and_not_before():
+def test_old_byte_is_a_breach_only_after_the_bound():
     assert broken(LIVED, CLOSED, kept(5 * S, 1), read(AT + BOUND - 20_000, 1)) == []
     (why,) = broken(LIVED, CLOSED, kept(5 * S, 1), read(AT + BOUND, 1))
     assert "read 1" in why
 
 
-def test_a_byte_of_after_that_is_lost():
+def test_lost_new_byte_is_a_breach():
     (why,) = broken(LIVED, CLOSED, kept(5 * S, 1), read(AT + S, 0), kept(11 * S, 2), read(12 * S, 0))
     assert "read 0" in why
     (why,) = broken(LIVED, CLOSED, kept(5 * S, 1, offset=9 * SIZE), read(AT + S, 0, offset=9 * SIZE))
-    assert "may be [1]" in why, "beside the range nothing is purged"
+    assert "may be [1]" in why, "outside the range nothing is purged"
 
 
 @pytest.mark.parametrize("seen", [0, 2])
-def test_a_write_across_the_close_ends_before_or_after_it_and_stays_there(seen):
+def test_write_across_the_close_counts_as_before_or_after_consistently(seen):
     across = kept(AT - 50_000, 2, took=100_000)
     assert broken(LIVED, CLOSED, across, read(AT + S, seen), read(AT + 2 * S, seen)) == []
     assert len(broken(LIVED, CLOSED, across, read(AT + S, seen), read(AT + 2 * S, 2 - seen))) == 1
 
 
-def test_a_write_of_unknown_end_may_not_come_back_after_the_close():
+def test_write_of_unknown_outcome_must_not_reappear_after_the_close():
     lost = kept(5 * S, 7, outcome="lost")
     assert broken(LIVED, CLOSED, lost, read(6 * S, 7)) == [] == broken(LIVED, CLOSED, lost, read(AT + S, 0))
     assert len(broken(LIVED, CLOSED, lost, read(AT + S, 7))) == 1
@@ -117,7 +117,7 @@
     assert any(said in why for why in broken(LIVED, records, rec.Left(t=20 * S, client="c")))
 
 
-def test_a_head_that_died_owes_nothing():
+def test_killed_head_needs_no_close():
     assert broken(LIVED, closed(head="h0"), rec.Lived(t=AT - S, member="h1", how="killed")) == []
 
 
@@ -135,6 +135,6 @@
     assert any(said in why for why in broken(LIVED, CLOSED, *records))
 
 
-def test_what_was_long_on_its_way_is_no_write_of_after():
-    late = did(AT + S, "write", sent=False)  # nobody knows when it left its head
+def test_write_sent_before_the_close_and_received_late_is_not_a_new_write():
+    late = did(AT + S, "write", sent=False)  # the time at which its head sent it is unknown
     assert broken(LIVED, CLOSED, late, did(AT + 2 * S, "trim", SIZE)) == []
--- a/tests/closing/test_closing_schedule.py
+++ b/tests/closing/test_closing_schedule.py
@@ -1,4 +1,4 @@
-"""Closes as heads act on them: what stands, what comes next, and what waits for a word."""
+"""Schedules of closes: which are firm, which come next, and which calendars require confirmation."""
 
 import itertools
 
@@ -38,40 +38,40 @@
     return [(one.number, one.at_us) for one in schedule.closes]
 
 
-def test_the_first_closes_leave_time_to_be_announced():
+def test_first_closes_leave_time_for_the_announcement():
     schedule = compute_schedule(Schedule(), plan(500, 900), latest=100, notice_us=NOTICE)
     assert closes(schedule) == [(1, 500), (2, 900)]
 
 
-def test_a_change_one_moment_before_a_close_comes_after_it():
+def test_change_just_before_a_close_takes_effect_after_it():
     before = compute_schedule(Schedule(), plan(500, 900), 100, NOTICE)
     after = compute_schedule(before, plan(700, version=2), 499, NOTICE)
     assert closes(after) == [(1, 500), (2, 700)]
     assert after.closes[0].purges == PURGES
 
 
-def test_what_stands_keeps_what_it_purges():
+def test_firm_close_keeps_its_purges():
     before = compute_schedule(Schedule(), plan(500, 900), 100, NOTICE)
     after = compute_schedule(before, plan(500, 900, version=2, purges=(Purge("other"),)), 450, NOTICE)
     assert [one.purges[0].volume for one in after.closes] == ["m*", "other"]
 
 
 @pytest.mark.parametrize(("late", "expected"), [(Late.PURGE, [(1, 301), (2, 900)]), (Late.SKIP, [(1, 900)])])
-def test_a_close_that_can_not_be_announced_in_time(late, expected):
+def test_close_that_can_not_be_announced_in_time(late, expected):
     assert closes(compute_schedule(Schedule(), plan(250, 900, late=late), 200, NOTICE)) == expected
 
 
-def test_a_zones_law_that_changes_moves_only_what_does_not_stand():
+def test_time_zone_change_moves_only_closes_that_are_not_firm():
     before = compute_schedule(Schedule(), plan(500, 900, 1300), 100, NOTICE)
     moved = plan(500, 860, 1260, zones="b")
     assert needs_update(before, moved, 450) and not needs_update(before, plan(500, 900, 1300), 450)
     assert closes(compute_schedule(before, moved, 450, NOTICE)) == [(1, 500), (2, 860), (3, 1260)]
 
 
-def test_numbers_are_never_given_twice_or_left_out_whatever_changes():
-    """Every way through four changes of the calendar at every moment: what came by stays as it was."""
+def test_numbers_are_unique_and_without_gaps_whatever_changes():
+    """Four changes of the calendar at all combinations of moments: firm closes never change."""
     for moments in itertools.combinations(range(0, 1000, 130), 4):
-        schedule, went = Schedule(), {}
+        schedule, firm = Schedule(), {}
         for version, now in enumerate(moments, start=1):
             fresh = plan(*range(200 + 37 * version, 1500, 210 + 13 * version), version=version)
             schedule = compute_schedule(schedule, fresh, now, NOTICE)
@@ -81,13 +81,13 @@
             assert sorted({one.at_us for one in schedule.closes}) == [one.at_us for one in schedule.closes]
             for one in schedule.closes:
                 if one.at_us <= now + NOTICE:
-                    assert went.setdefault(one.number, one.at_us) == one.at_us
+                    assert firm.setdefault(one.number, one.at_us) == one.at_us
 
 
-def test_what_no_calendar_purged_before():
-    ever = [Purge("m*", 0, 8), Purge("*", 16, 0)]
-    assert uncovered_purges([Purge("m*", 2, 4), Purge("x", 20, 30)], ever) == []
-    assert uncovered_purges([Purge("m*", 0, 9), Purge("n", 0, 8)], ever) == [
+def test_purges_not_covered_by_earlier_calendars():
+    earlier = [Purge("m*", 0, 8), Purge("*", 16, 0)]
+    assert uncovered_purges([Purge("m*", 2, 4), Purge("x", 20, 30)], earlier) == []
+    assert uncovered_purges([Purge("m*", 0, 9), Purge("n", 0, 8)], earlier) == [
         Purge("m*", 0, 9),
         Purge("n", 0, 8),
     ]
@@ -96,8 +96,8 @@
 # -- the record
 
 
-def reader():
-    """Bodies are lists of numbers: where the purge ends, then the closes."""
+def codec():
+    """Return a codec of bodies that are lists of numbers: the end of the purge, then the closes."""
 
     def numbers(body):
         try:
@@ -128,8 +128,8 @@
     return propose(record, THING, base, body, "ann", 1, "why")
 
 
-def test_a_calendar_that_purges_more_than_any_before_waits_for_a_word():
-    read = reader()
+def test_calendar_that_purges_more_than_earlier_ones_waits_for_confirmation():
+    read = codec()
     record = update_calendars(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
     assert (
         record.under_way(THING).standing is Standing.PAUSED and record.in_force(THING + CLOSES_SUFFIX) is None
@@ -141,18 +141,18 @@
         (2, 900),
     ]
     smaller = update_calendars(proposed(record, "4 700", 1), 1, 140, NOTICE, read)
-    assert smaller.in_force(THING).number == 2, "what purges less needs no word"
+    assert smaller.in_force(THING).number == 2, "purging less needs no confirmation"
     larger = update_calendars(proposed(smaller, "8 800", 2), 1, 150, NOTICE, read)
-    assert larger.in_force(THING).number == 3, "nor what one before did"
+    assert larger.in_force(THING).number == 3, "nor does what an earlier calendar purged"
 
 
-def test_a_body_that_is_no_calendar_is_taken_back():
-    record = update_calendars(proposed(Record(), "what", 0), 1, 100, NOTICE, reader())
+def test_invalid_calendar_is_withdrawn():
+    record = update_calendars(proposed(Record(), "what", 0), 1, 100, NOTICE, codec())
     assert record.of(THING)[0].standing is Standing.ABORTED and "what" in record.of(THING)[0].reason
 
 
-def test_a_sweep_goes_on_record_once_and_never_back():
-    read = reader()
+def test_sweep_is_recorded_once_and_never_decreases():
+    read = codec()
     record = update_calendars(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
     record = update_calendars(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
     key = SweepKey(THING, 2, "m")
@@ -161,7 +161,7 @@
     assert update_calendars(swept, 1, 902, NOTICE, read, [key, SweepKey(THING, 1, "m")]) is swept
 
 
-def test_a_head_that_lost_count_purges_by_the_oldest_close_that_is_remembered():
+def test_long_absent_head_purges_by_the_oldest_listed_close():
     from harriertrack.decisions.fleet.closing.schedule import pending_closes
 
     schedule = Schedule(closes=(Close(7, 10, PURGES, "x"), Close(8, 20, PURGES)))
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -1,4 +1,4 @@
-"""The launcher: its machine, what survives a kill at any moment, and a real head that it starts again."""
+"""The launcher: its state machine, recovery from a kill at any moment, real children; plans and reports."""
 
 import os
 import subprocess
@@ -27,82 +27,84 @@
 
 S = 1_000_000
 RULES = LaunchRules(ready_us=10 * S, prove_us=20 * S, drain_us=5 * S, tries=3)
-BAD = (3,)  # versions that end at once
+BAD = (3,)  # versions that exit at once
 
 
 class Machine:
-    """A host with one child; what is on disk survives the launcher."""
+    """A host with one child; the state on disk survives the launcher."""
 
     def __init__(self, bad=BAD, mute=()):
         self.bad, self.mute, self.now = bad, mute, 0
-        self.disk, self.child, self.asked, self.starts, self.want = SavedState(), None, 0, [], None
+        self.disk, self.child, self.end_requested, self.starts, self.wanted = SavedState(), None, 0, [], None
         self.launch()
 
     def launch(self):
-        self.one = LaunchStateMachine(RULES, self.disk)
-        self.one.begin(self.now, 7 if self.child is not None else 0)
+        self.launcher = LaunchStateMachine(RULES, self.disk)
+        self.launcher.begin(self.now, 7 if self.child is not None else 0)
         self.act()
 
     def act(self):
-        for action in self.one.take_actions():
+        for action in self.launcher.take_actions():
             match action:
-                case Save(kept):
-                    self.disk = kept
-                case Start(program, fell, _):
+                case Save(saved):
+                    self.disk = saved
+                case Start(program, rejected, _):
                     assert self.child is None, "never two children"
-                    self.child, self.asked = program.number, 0
-                    self.starts.append((program.number, fell))
-                    self.one.record_start("t")
-                    self.one.record_child(7)
+                    self.child, self.end_requested = program.number, 0
+                    self.starts.append((program.number, rejected))
+                    self.launcher.record_start("t")
+                    self.launcher.record_child(7)
                     self.act()
-                case Terminate(at_once):
-                    self.asked = self.now if not at_once else -1
+                case Terminate(force):
+                    self.end_requested = self.now if not force else -1
                 case Exit():
-                    self.one = None
+                    self.launcher = None
                     return
 
     def run(self, seconds):
         for _ in range(seconds * 2):
             self.now += S // 2
             if self.child is not None:
-                if self.asked or self.child in self.bad:
+                if self.end_requested or self.child in self.bad:
                     self.child = None
-                    self.one.child_ended(self.now, "signal 11 ended it")
+                    self.launcher.child_ended(self.now, "signal 11 ended it")
                 elif self.child not in self.mute:
-                    self.one.child_ready(self.now)
-            if self.one is not None:
-                if self.want is not None and self.one.phase is not Phase.IDLE:
-                    self.one.request_program(self.now, self.want)  # a file says so until another does
-                self.one.advance(self.now)
+                    self.launcher.child_ready(self.now)
+            if self.launcher is not None:
+                if self.wanted is not None and self.launcher.phase is not Phase.IDLE:
+                    self.launcher.request_program(
+                        self.now, self.wanted
+                    )  # the file persists until it is replaced
+                self.launcher.advance(self.now)
                 self.act()
 
 
-def test_a_version_that_ends_again_and_again_gives_way_to_the_last_good_one():
+def test_repeatedly_exiting_version_is_replaced_by_the_last_good_one():
     host = Machine()
     host.run(30)
-    host.want = Program(2)
+    host.wanted = Program(2)
     host.run(30)
     assert (host.child, host.disk.good.number) == (2, 2)
-    host.want = Program(3)
+    host.wanted = Program(3)
     host.run(30)
     assert host.child == 2 and host.disk.fell == 3 and "3 times" in host.disk.why
     assert [number for number, _ in host.starts] == [0, 2, 3, 3, 3, 2] and host.starts[-1] == (2, 3), (
-        "it is told so"
+        "the good version is passed the number of the failed one"
     )
-    host.want = Program(3)
+    host.wanted = Program(3)
     host.run(5)
-    assert host.child == 2, "what fell is not tried again"
+    assert host.child == 2, "a version given up is not tried again"
 
 
-def test_a_version_that_does_not_become_ready_in_time_is_given_up_too():
+def test_version_not_ready_in_time_is_given_up():
     host = Machine(bad=(), mute=(4,))
     host.run(2)
-    host.want = Program(4)
+    host.wanted = Program(4)
     host.run(60)
     assert host.child == 0 and host.disk.fell == 4
 
 
-def test_a_good_one_is_started_for_ever_ever_more_slowly():
+def test_good_version_is_always_restarted_with_growing_delays():
     host = Machine(bad=(0,))
     host.run(200)
     assert 5 < len(host.starts) < 20 and host.disk.fell == 0
@@ -110,24 +112,24 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.integers(1, 25), max_size=8), st.sampled_from([2, 3, 4]))
-def test_wherever_the_launcher_is_killed_it_comes_to_the_same(kills, version):
+def test_launcher_reaches_the_same_state_wherever_it_is_killed(kills, version):
     host = Machine(mute=(4,))
     host.run(3)
-    host.want = Program(version)
+    host.wanted = Program(version)
     for seconds in kills:
-        host.launch()  # another life of it: from the disk, with whatever child there is
+        host.launch()  # another incarnation, from the disk, with any child that runs
         host.run(seconds)
     host.run(150)
     assert host.child == (2 if version == 2 else 0)
     assert host.disk.fell == (0 if version == 2 else version)
 
 
-def test_an_illegal_phase_raises():
+def test_illegal_transition_raises():
     with pytest.raises(IllegalPhase):
         LaunchStateMachine(RULES)._set_phase(0, Phase.RUNNING)
 
 
-def test_what_is_damaged_on_disk_counts_as_not_there(tmp_path):
+def test_damaged_state_file_counts_as_missing(tmp_path):
     files = Files(str(tmp_path))
     files.keep(SavedState(good=Program(5), fell=6, why="w"))
     assert Files(str(tmp_path)).kept() == SavedState(good=Program(5), fell=6, why="w")
@@ -143,7 +145,7 @@
     return str(path)
 
 
-def test_only_programs_below_the_folders_of_the_launcher_are_started(tmp_path):
+def test_only_programs_below_the_allowed_folders_are_started(tmp_path):
     inside = tmp_path / "opt" / "2.0"
     (inside / "bin").mkdir(parents=True)
     (inside / "bin" / "harriertrack").touch()
@@ -154,7 +156,7 @@
             command_of(told, Program(1, folder=folder))
 
 
-def test_a_head_without_a_launcher_takes_no_program_and_one_with_hands_over(tmp_path):
+def test_head_rejects_programs_without_a_launcher_and_hands_over_with_one(tmp_path):
     two = Version("program", 2, 1, '(program "b" (arguments "--x"))', "ann", 1, "w")
     assert ProgramUser(None).take("program", two) == "no launcher started this head"
     of = launched(
@@ -187,7 +189,7 @@
 
 @pytest.fixture
 def host(tmp_path, monkeypatch):
-    """A launcher on a hub of its own whose programs are little scripts."""
+    """A launcher on a hub of its own whose programs are small scripts."""
     from harriertrack.gateway.fleet.rollout.launcher import launcher as module
 
     script = tmp_path / "child.py"
@@ -221,7 +223,7 @@
 
 
 @pytest.mark.real_time
-def test_a_real_child_is_replaced_found_again_and_ended(host):
+def test_real_child_is_replaced_found_again_and_ended(host):
     play, one, folder = host
     files = Files(str(folder / "launch"))
 
@@ -234,12 +236,12 @@
         until(hub, lambda: one.machine.saved.good.number == 4)
         found = Launcher(Hub(), load_launcher(str(folder / "launch.sexp")), lambda *_, **__: None)
         assert found._child is not None and found._child.pid == one.machine.saved.child, (
-            "another life finds it"
+            "another incarnation finds it"
         )
         kept = one.machine.saved
-        nameless = children.find(0, kept.token)
-        assert nameless is not None and nameless.pid == kept.child, "also by its token alone"
-        assert children.find(0, "of nobody") is None and children.find(kept.child, "") is None
+        found_by_token = children.find(0, kept.token)
+        assert found_by_token is not None and found_by_token.pid == kept.child, "also by its token alone"
+        assert children.find(0, "unknown") is None and children.find(kept.child, "") is None
 
     said = play(steps)
     pid = [fields["pid"] for event, fields in said if event == "launch: head starts"][-1]
@@ -247,7 +249,7 @@
         os.kill(pid, 0)
 
 
-def test_the_command_tells_bad_settings(tmp_path):
+def test_command_reports_invalid_settings(tmp_path):
     path = tmp_path / "l.sexp"
     path.write_text('(launch "h" (head "x"))')
     done = subprocess.run(
@@ -267,12 +269,12 @@
     ('(plan (soak 3s))', "unknown setting soak"),
     ('(settings)', "expected .plan"),
 ])  # fmt: skip
-def test_a_plan_that_can_not_be_is_told_with_its_field(text, why):
+def test_invalid_plan_is_reported_with_its_field(text, why):
     with pytest.raises(SettingsError, match=why):
         read_plan(text, "p", DEFAULT_PLAN)
 
 
-def test_a_plan_says_what_differs_from_the_usual():
+def test_plan_overrides_the_default():
     told = read_plan(
         '(plan (away 3) (alone yes) (compares "failed" "slow") (stage "x" (heads 2) (soak 5s)) (stage "y" (share 1)))',
         "p",
@@ -285,7 +287,7 @@
     assert read_plan("(plan)", "p", DEFAULT_PLAN) == DEFAULT_PLAN
 
 
-def test_reports_fit_and_are_read_back():
+def test_reports_fit_into_a_topic_and_round_trip():
     classes = {f"class{number:03}": Tally(10**9 + number, 5, 6, 7, 8, [10**6] * 16) for number in range(40)}
     report = Report(
         "h", 9, {"settings": 3, "program": 4}, classes, 1 << 30, 10**9, {"program": (5, "w" * 500)}, 2
@@ -300,12 +302,14 @@
     for body in encode_volumes(9, list(range(10**9, 10**9 + 400))):
         assert len(body) <= MOST_TOPIC_BODY and heard.take(body) is None
     assert len(heard.volumes) == 400
-    next_life = next(iter(encode_volumes(10, [1] * 151)))
-    assert heard.take(next_life) is None and heard.volumes is None, "of another life nothing is known yet"
+    next_incarnation = next(iter(encode_volumes(10, [1] * 151)))
+    assert heard.take(next_incarnation) is None and heard.volumes is None, (
+        "nothing is known of the new incarnation yet"
+    )
 
 
 @given(st.binary(max_size=60))
-def test_garbage_is_no_report(data):
+def test_arbitrary_bytes_are_rejected_or_decoded(data):
     heard = Heard("h")
     try:
         report = heard.take(data)
--- a/tests/rollout/test_remembering.py
+++ b/tests/rollout/test_remembering.py
@@ -1,4 +1,4 @@
-"""Heads hold how it went before a version: who decides next compares as the one before did."""
+"""Heads store their baseline before a version, so that the next deciding head compares as the first did."""
 
 from dataclasses import replace
 
@@ -49,12 +49,12 @@
     )  # type: ignore[arg-type]
 
 
-def followed(one: Staged):
+def tracked(one: Staged):
     return next(iter(one.conductor.tracked.values()))
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
-def test_a_later_decider_expects_of_each_head_what_the_first_did(thing: str) -> None:
+def test_later_deciding_head_uses_the_same_baselines(thing: str) -> None:
     one, other = fleet(uneven=0.6), fleet(uneven=0.6)
     for each in (one, other):
         each.propose(thing)
@@ -62,23 +62,23 @@
     other.new_decider()
     for each in (one, other):
         each.run(30)
-    mine, its = followed(one).test.baseline, followed(other).test.baseline
+    mine, its = tracked(one).test.baseline, tracked(other).test.baseline
     assert len(its) == len(mine) == 12
     for key, tally in mine.items():
         assert its[key].answers == pytest.approx(tally.answers, rel=0.12), (
-            "but for the settling and lost reports"
+            "except for the settling time and lost reports"
         )
         if tally.refused > 100:
             assert its[key].refused / its[key].answers == pytest.approx(
                 tally.refused / tally.answers, rel=0.2
             )
     assert all(
-        usage.reports > 40 for usage in (head.baseline for head in followed(other).evidence._heads.values())
+        usage.reports > 40 for usage in (head.baseline for head in tracked(other).evidence._heads.values())
     )
 
 
 @pytest.mark.parametrize("second", [62, 70, 85, 100, 120])
-def test_heads_that_differ_much_are_no_bad_version_for_who_takes_over_in_any_step(second: int) -> None:
+def test_differing_heads_do_not_stop_a_good_version_after_a_takeover_in_any_step(second: int) -> None:
     one = fleet(seed=3, uneven=0.8)
     one.propose("settings")
     one.run(second)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
-def test_deciders_that_die_after_each_step_change_nothing_but_the_time_that_it_takes(thing: str) -> None:
+def test_takeover_after_each_step_changes_only_the_duration(thing: str) -> None:
     one, bad = fleet(seed=4), fleet(seed=4, harms={(thing, 1): WORSE})
     for each in (one, bad):
         each.propose(thing)
@@ -103,7 +103,7 @@
     assert bad.record.of(thing)[0].standing is Standing.STOPPED and max(bad.most_new.values()) == 1
 
 
-def test_fewer_than_half_that_tell_are_as_none() -> None:
+def test_baselines_of_fewer_than_half_of_the_heads_are_not_used() -> None:
     one = fleet(seed=5)
     for name in ("head0", "head1", "head2", "head3"):
         one.heads[name].tells = False
@@ -111,11 +111,11 @@
     one.run(65)
     one.new_decider()
     one.run(40)
-    assert followed(one).test.baseline == {}, "older heads: it is compared as if heads were alike"
+    assert tracked(one).test.baseline == {}, "heads of an older program: compared as if all heads were alike"
     assert one.until("settings", 900) in (Standing.IN_FORCE, Standing.PAUSED)
 
 
-def test_one_that_lies_by_ten_does_not_let_a_bad_version_pass() -> None:
+def test_baseline_reported_tenfold_does_not_let_a_bad_version_pass() -> None:
     ends = []
     for seed in range(4):
         one = fleet(seed=seed, harms={("settings", 1): Harm("write", failed=0.02)}, uneven=0.2)
@@ -123,30 +123,30 @@
         one.run(62)
         named = one.record.under_way("settings")
         assert named is not None and len(named.heads) == 1
-        liar = one.heads[named.heads[0]]
-        liar.lies = 10.0
+        faulty = one.heads[named.heads[0]]
+        faulty.lies = 10.0
         one.new_decider()
         one.run(90)
         going = one.record.under_way("settings")
-        assert going is not None and going.stage == 1, "by it alone no stage ends"
-        assert f"as 6 of 6 heads tell it; not {liar.name}, " in one.conductor.status_lines(one.record)[0]
+        assert going is not None and going.stage == 1, "no stage ends by this head alone"
+        assert f"as 6 of 6 heads tell it; not {faulty.name}, " in one.conductor.status_lines(one.record)[0]
         others = tuple(name for name in one.heads if name != one.decider)[:3]
         one.record = writing.step(one.record, one.epoch, "settings", 1, Standing.GOING, 1, "the others show it", 2,
-                                  tuple({liar.name, *others}))  # fmt: skip
+                                  tuple({faulty.name, *others}))  # fmt: skip
         ends.append(one.until("settings", 280))
     assert ends == [Standing.STOPPED] * 4
 
 
-def test_one_that_slept_tells_of_another_time() -> None:
+def test_baseline_of_another_period_is_not_used() -> None:
     one = fleet(seed=6)
     one.propose("settings")
     one.run(20)
-    sleeper = one.heads["head3"]
-    sleeper.asleep = True
+    suspended = one.heads["head3"]
+    suspended.asleep = True
     one.run(60)
-    sleeper.asleep = False
+    suspended.asleep = False
     one.run(1)
-    assert sleeper.before(one.now) is None, "it was stopped when the time of before ended"
+    assert suspended.before(one.now) is None, "it was suspended when the baseline period ended"
 
     tells = {
         f"head{number}": ReportedBaseline(
@@ -162,7 +162,7 @@
     )
 
 
-def test_who_tells_of_far_worse_than_the_others_is_its_own_measure_alone_and_few_answers_are_none() -> None:
+def test_far_worse_baseline_is_an_outlier_unless_it_has_few_answers() -> None:
     def told(**rates: int) -> dict[str, ReportedBaseline]:
         return {
             name: ReportedBaseline(0, Baseline("s", 1, 0, {"read": Tally(10_000 - bad, 0, bad, 0)}))
@@ -171,11 +171,11 @@
 
     assert set(accept_baselines(told(a=100, b=120, c=90, d=1000), "abcd", 0.01).outliers) == {"d"}
     assert not accept_baselines(told(a=100, b=120, c=90, d=5), "abcd", 0.01).outliers, (
-        "that is not in its favour"
+        "a better baseline does not favour the version"
     )
     assert not accept_baselines(told(a=100, b=120, c=90, d=300), "abcd", 0.01).outliers
     assert not accept_baselines(told(a=100, b=1000), "ab", 0.01).outliers, (
-        "of two nobody can say which is odd"
+        "of two heads it can't be said which is the outlier"
     )
     few = {
         name: ReportedBaseline(0, Baseline("s", 1, 0, {"read": Tally(10 - bad, 0, bad, 0)}))
@@ -191,7 +191,7 @@
     assert set(accept_baselines(slow, "abcd", 0.01).outliers) == {"d"}
 
 
-def test_a_head_holds_the_time_between_proposed_and_named_and_nothing_else() -> None:
+def test_baseline_covers_exactly_the_time_from_proposal_to_first_named_head() -> None:
     record, counts = Record(), {"read": Tally()}
     one = BaselineRecorder(0)
 
@@ -210,11 +210,11 @@
     assert told is not None and (told.number, told.ago_us, told.classes["read"].timely) == (1, 10 * S, 300)
     assert told.usage == Usage(5 << 20, 3000, 300, 30)
     assert not second(61, writing.step(named, 1, "settings", 1, Standing.IN_FORCE, 1, "all", 1))
-    assert one.current(61 * S) is None, "it is over"
-    assert not BaselineRecorder(0).update(6 * S, named, counts), "it was not there before"
+    assert one.current(61 * S) is None, "the version is no longer in progress"
+    assert not BaselineRecorder(0).update(6 * S, named, counts), "it did not observe the baseline period"
 
 
-def test_who_waits_for_another_version_has_no_time_before_yet() -> None:
+def test_baseline_does_not_begin_while_another_version_goes_first() -> None:
     both = writing.propose(
         writing.propose(Record(), "program", 0, "b", "ann", 1, "w"), "settings", 0, "b", "ann", 1, "w"
     )
@@ -232,10 +232,10 @@
     assert one.current(23 * S).classes["read"].timely == 8  # type: ignore[union-attr]
 
 
-# -- as bytes, and on disk
+# -- encoding, and storage on disk
 
 
-def test_what_is_told_fits_and_comes_back_as_it_was() -> None:
+def test_baseline_report_fits_and_round_trips() -> None:
     many = {f"class-{number}": Tally(number, 1, 2, 3, 4, [number] * 16) for number in range(40)}
     before = Baseline("scorer/near", 7, 5 * S, many, Usage(1 << 30, 99, 0, 12))
     data = encode_before(3, before)
@@ -243,7 +243,7 @@
     back = Heard("a").take(data)
     assert isinstance(back, Baseline) and (back.thing, back.number, back.ago_us) == ("scorer/near", 7, 5 * S)
     assert set(back.classes) == {f"class-{number}" for number in range(40 - len(back.classes), 40)}, (
-        "the busiest"
+        "the busiest classes"
     )
     assert all(back.classes[name] == many[name] for name in back.classes)
     for bad in (data[:-1], b"", b"\x93\x02\x01\x01"):
@@ -251,7 +251,7 @@
             Heard("a").take(bad)
 
 
-def test_it_outlives_a_restart_and_damage_is_nothing_kept(tmp_path) -> None:
+def test_stored_baseline_survives_a_restart_and_damage_counts_as_none(tmp_path) -> None:
     notes: list[str] = []
     kept = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
     before = Baseline("program", 2, 0, {"read": Tally(9, 1)}, Usage(1, 2, 10, 3))
@@ -263,36 +263,36 @@
     one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
     proposed = writing.propose(Record(), "program", 0, "b", "ann", 1, "w")
     one.update(5 * S, Record(), {})
-    assert one.current(5 * S) is not None, "the record is not read yet"
+    assert one.current(5 * S) is not None, "the record has not been received yet"
     one.update(5 * S, proposed, {})
-    assert one.current(5 * S) is None, "nothing of that is under way"
+    assert one.current(5 * S) is None, "that version is not in progress"
     going = replace(proposed.versions[0], number=2, standing=Standing.GOING, heads=("a",))
     one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
     assert not one.update(6 * S, Record(revision=2, versions=(going,)), {})
     assert one.current(10 * S).ago_us == 35 * S  # type: ignore[union-attr]
     one.restore(5 * S, again.read(10 * S))  # type: ignore[arg-type]
-    assert one.current(10 * S).ago_us == 35 * S, "a clock that went back: what is kept is of no use"  # type: ignore[union-attr]
+    assert one.current(10 * S).ago_us == 35 * S, "the clock went back: the stored baseline is not usable"  # type: ignore[union-attr]
     (tmp_path / "before").write_bytes(b"x" * 40)
     assert again.read(1030 * S) is None and notes == ["rollout: what was kept of before is of no use"]
 
 
-# -- ends that somebody wished
+# -- requested exits
 
 
-def test_ends_that_operators_asked_for_are_no_crashes() -> None:
+def test_requested_exits_are_not_crashes() -> None:
     evidence = Evidence("settings", 1, 0)
     for at, life in ((0, 1), (60, 2), (120, 3), (180, 4)):
         evidence.add_report(at * S, Report("a", life, {"settings": 1}, {}), "z0", stopped={1, 3})
     assert evidence.crash_counts() == (1, 0)
 
 
-def test_who_said_goodbye_ended_as_somebody_wished_and_who_was_found_dead_did_not() -> None:
-    def word(started: int, instance: int, state: State) -> Member:
+def test_member_that_left_exited_on_request_and_a_dead_one_did_not() -> None:
+    def member(started: int, instance: int, state: State) -> Member:
         return Member("a", started, instance, 0, state, "127.0.0.1", 1, "", "z0", "")
 
     view = View()
-    for record in (word(1, 11, State.ALIVE), word(1, 11, State.LEFT), word(2, 22, State.ALIVE), word(2, 22, State.DEAD),
-                   word(3, 33, State.ALIVE)):  # fmt: skip
+    for record in (member(1, 11, State.ALIVE), member(1, 11, State.LEFT), member(2, 22, State.ALIVE), member(2, 22, State.DEAD),
+                   member(3, 33, State.ALIVE)):  # fmt: skip
         view.take(0, record)
     assert asked(view.find("a")) == {11}
     assert asked(view.find("b")) == frozenset()
@@ -310,19 +310,19 @@
   (step decided (thing "program") (within 200s)) (step rest (for 2s)))"""
 
 
-def test_heads_that_came_back_with_the_program_tell_who_decides_next_what_they_did_before_it(
+def test_restarted_heads_report_their_baseline_to_the_next_deciding_head(
     monkeypatch,
 ) -> None:
-    found, weigh = [], controller.accept_baselines
+    found, accept = [], controller.accept_baselines
 
-    def weighed(*told: object) -> AcceptedBaselines:
-        found.append(weigh(*told))  # type: ignore[arg-type]
+    def accept_and_record(*told: object) -> AcceptedBaselines:
+        found.append(accept(*told))  # type: ignore[arg-type]
         return found[-1]
 
-    monkeypatch.setattr(controller, "accept_baselines", weighed)
+    monkeypatch.setattr(controller, "accept_baselines", accept_and_record)
     recorder = rec.Recorder()
     simulate(scenario.parse(read_text(DAY, "day"), "day"), 4, 1, recorder)
     assert rollout.check(recorder.records) == []
     deciders = {one.by for one in recorder.records if isinstance(one, rec.RolloutStep)}
-    assert len(deciders) == 2, "who decides restarts last, and another one ends it"
+    assert len(deciders) == 2, "the deciding head restarts last, and its successor completes the rollout"
     assert {head for head, _ in found[-1].counts} == {"head0", "head1", "head2", "head3"}
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts over heads that only answer: stages, stops, what is told apart, and deciders that die."""
+"""Rollouts over simulated heads: stages, stops, what is not held against a version, and takeovers."""
 
 from dataclasses import replace
 
@@ -27,20 +27,20 @@
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
-def test_a_good_version_comes_to_all_in_stages(thing: str) -> None:
+def test_good_version_reaches_all_heads_in_stages(thing: str) -> None:
     one = fleet()
     one.propose(thing)
     assert one.until(thing, 1200) is Standing.IN_FORCE
-    assert [one.most_new[1, stage] for stage in (1, 2)] == [1, 3], "of two in a zone one is left"
+    assert [one.most_new[1, stage] for stage in (1, 2)] == [1, 3], "one of two heads in a zone is left out"
     assert one.most_away == (1 if thing == "program" else 0)
     last = [version.heads[-1] for _, version in one.history if version.stage == 3 and version.heads]
-    assert last[-1] == one.decider or thing == "program", "who decides is the last of its stage"
+    assert last[-1] == one.decider or thing == "program", "the deciding head is the last of its stage"
 
 
 @pytest.mark.parametrize("harm", [
     Harm("write", failed=0.05), Harm("read", refused=0.06), Harm("read", slower=2), Harm("list", late=0.2),
 ])  # fmt: skip
-def test_a_version_that_is_worse_in_one_class_is_stopped_at_the_first_head(harm: Harm) -> None:
+def test_version_worse_in_one_class_is_stopped_at_the_first_head(harm: Harm) -> None:
     one = fleet(harms={("settings", 1): harm})
     one.propose("settings")
     assert one.until("settings", 600) is Standing.STOPPED
@@ -54,26 +54,26 @@
     one.propose("settings", although="mended beside it")
 
 
-def test_where_nothing_went_badly_before_little_is_enough_to_stop_a_version_and_to_pass_one() -> None:
+def test_flawless_baseline_needs_few_answers_to_stop_or_pass_a_version() -> None:
     flawless = {"read": Habit(0.65, 0, 0, 0), "write": Habit(0.35, 0, 0, 0)}
     bad = Staged(6, 1, QUICK, rate=50.0, classes=flawless, harms={("settings", 1): Harm("write", failed=0.3)})
     good = Staged(6, 1, QUICK, rate=50.0, classes=flawless)
     for one in (bad, good):
         one.propose("settings")
     assert bad.until("settings", 100) is Standing.STOPPED, (
-        "before, the figure stayed as unsure as if nothing were known"
+        "a rate raised to the minimum used to stay as uncertain as without any data"
     )
     assert good.until("settings", 180) is Standing.IN_FORCE
 
 
-def test_a_head_that_falls_back_stops_the_version() -> None:
+def test_head_that_falls_back_stops_the_version() -> None:
     one = fleet(harms={("program", 1): Harm(falls=True)})
     one.propose("program")
     assert one.until("program", 300) is Standing.STOPPED
     assert "not ready in time" in one.record.of("program")[0].reason
 
 
-def test_what_strikes_the_whole_fleet_stops_nothing_and_lets_nothing_go_on() -> None:
+def test_fleet_wide_degradation_neither_stops_nor_advances_a_version() -> None:
     one = fleet()
     one.propose("settings")
     one.run(62)
@@ -84,20 +84,20 @@
     assert "worse than before" in one.conductor.status_lines(one.record)[0]
 
 
-def test_the_load_of_those_that_are_away_is_not_held_against_the_version() -> None:
+def test_load_of_heads_that_are_away_does_not_count_against_the_version() -> None:
     one = fleet()
 
-    def burdened(fleet: Staged) -> None:
+    def add_load(fleet: Staged) -> None:
         gone = {volume for head in fleet.heads.values() if head.becomes for volume in head.volumes}
         for head in fleet.heads.values():
             head.clump = 6.0 if head.volumes & gone else 1.0
 
-    one.changed = burdened
+    one.changed = add_load
     one.propose("program")
     assert one.until("program", 1500) is Standing.IN_FORCE
 
 
-def test_a_zone_lost_in_which_only_new_heads_are_is_no_bad_version() -> None:
+def test_lost_zone_with_all_new_heads_does_not_stop_the_version() -> None:
     one = fleet(heads=9)
     one.propose("settings")
     one.run(61)
@@ -107,7 +107,9 @@
         head.cut = True
     one.run(60)
     going = one.record.under_way("settings")
-    assert going is not None and going.stage == 1 and going.heads == (new,), "none is counted, none is added"
+    assert going is not None and going.stage == 1 and going.heads == (new,), (
+        "the absent head counts neither way and none is added"
+    )
     for head in lost:
         head.cut, head.life, head.classes = False, head.life + 1, {}
     assert one.until("settings", 800) is Standing.IN_FORCE
@@ -115,9 +117,7 @@
 
 @pytest.mark.parametrize("every", [7, 180])
 @pytest.mark.parametrize("harm", [None, Harm("write", failed=0.1)])
-def test_deciders_that_die_in_any_step_leave_all_that_matters_in_the_record(
-    every: int, harm: Harm | None
-) -> None:
+def test_rollout_continues_from_the_record_after_takeovers_in_any_step(every: int, harm: Harm | None) -> None:
     one = fleet(seed=every, harms={("settings", 1): harm} if harm else {})
     one.propose("settings")
     ends = one.until(
@@ -126,9 +126,7 @@
         lambda second: one.new_decider() if second % every == every - 1 else None,
     )
     if every == 7:
-        assert ends is Standing.PROPOSED and not one.history, (
-            "none is there for long enough to see what was before"
-        )
+        assert ends is Standing.PROPOSED and not one.history, "no deciding head lasts for the baseline period"
     elif harm is None:
         assert ends is (Standing.IN_FORCE if every > 60 else Standing.PROPOSED)
         assert one.most_new.get((1, 1), 0) <= 1 and one.most_new.get((1, 2), 0) <= 3
@@ -136,7 +134,7 @@
         assert ends in (Standing.STOPPED, Standing.PROPOSED) and max(one.most_new.values()) <= 3
 
 
-def test_not_enough_for_too_long_pauses_and_never_proceeds() -> None:
+def test_insufficient_evidence_for_too_long_pauses_the_rollout() -> None:
     one = Staged(4, 2, QUICK, rate=0.2)
     one.propose("settings")
     one.run(520)
@@ -152,7 +150,7 @@
     assert not any(head.runs.get("settings") for head in one.heads.values())
 
 
-def test_who_resumes_before_the_decider_looks_again_waits_the_whole_patience_anew() -> None:
+def test_resume_between_two_checks_restarts_the_patience() -> None:
     one = Staged(4, 2, QUICK, rate=0.2)
     one.propose("settings")
     resumed: list[int] = []
@@ -168,7 +166,7 @@
     assert len(resumed) == 3 and resumed[1] - resumed[0] > 400
 
 
-def test_of_two_at_once_the_second_waits_and_a_calendar_is_left_to_closes() -> None:
+def test_second_version_waits_and_calendars_are_not_staged() -> None:
     one = fleet()
     one.propose("settings")
     one.propose("program")
@@ -187,7 +185,7 @@
     assert not any({"settings", "program"} <= set(some) for some in both)
 
 
-def test_who_joins_or_wakes_in_mid_stage_runs_what_the_record_says() -> None:
+def test_head_that_joins_or_resumes_mid_stage_follows_the_record() -> None:
     one = fleet()
     late, asleep = one.heads["head5"], one.heads["head2"]
     late.dead = True
@@ -197,21 +195,21 @@
     one.run(30)
     late.dead = False
     assert one.until("settings", 900) is Standing.IN_FORCE, (
-        "an eighth may be missing of none; a stage of 7 is whole"
+        "an unreachable head that is not named holds no stage up"
     )
     asleep.cut = False
     one.run(5)
     assert all(head.runs.get("settings") == 1 for head in one.heads.values())
 
 
-# -- who is chosen
+# -- selection of heads
 
 
 def members(*heads: HeadState) -> dict[str, HeadState]:
     return {one.name: one for one in heads}
 
 
-def test_never_two_zones_and_never_all_that_serve_a_volume_are_away() -> None:
+def test_heads_away_are_of_one_zone_and_leave_each_volume_served() -> None:
     plan = Plan((Stage("all", share=1.0),), away=4)
     some = members(
         HeadState("a", "z0", volumes=frozenset({1})), HeadState("b", "z0", volumes=frozenset({1, 2})),
@@ -219,13 +217,15 @@
         HeadState("e", "z0", volumes=None), HeadState("f", "z0", volumes=frozenset({9})),
     )  # fmt: skip
     assert select_next_away("abcdef", [], plan, some) == ["a", "c"], (
-        "b leaves 1 bare, d is elsewhere, e is not known, f alone"
+        "b would leave volume 1 unserved, d is in another zone, e's volumes are unknown, f serves one alone"
+    )
+    assert select_next_away("abcdef", ["d"], plan, some) == [], (
+        "while d is away no head of another zone leaves"
     )
-    assert select_next_away("abcdef", ["d"], plan, some) == [], "d is away: no other zone's head goes"
     assert "f" in select_next_away("abcdef", [], Plan(plan.stages, away=4, alone=True), some)
 
 
-def test_every_decider_draws_the_same_heads_and_a_named_one_that_is_not_heard_keeps_its_place() -> None:
+def test_selection_is_deterministic_and_counts_absent_named_heads() -> None:
     some = members(*(HeadState(f"h{number}", f"z{number % 3}") for number in range(30)))
     first = select_for_stage((Stage("t", share=0.1),), 0, some, (), "s", "h0")
     assert len(first) == 3 and {some[name].zone for name in first} == {"z0", "z1", "z2"}
@@ -233,7 +233,7 @@
     gone = {name: one for name, one in some.items() if name != first[0]}
     assert select_for_stage((Stage("t", share=0.1),), 0, gone, first, "s", "h0") == []
     assert "h0" not in select_for_stage((Stage("t", share=0.9),), 0, some, (), "s", "h0"), (
-        "who decides is last"
+        "the deciding head is last"
     )
     assert select_for_stage((Stage("z", share=1.0, zones=("z1",)),), 0, some, (), "s", "")[:1] != []
     assert {
@@ -242,12 +242,14 @@
     } == {"z1"}
 
 
-def test_a_level_is_raised_by_all_who_vote_and_never_falls() -> None:
+def test_feature_level_is_raised_by_all_voters_and_never_falls() -> None:
     one = fleet()
     assert feature_levels.next_level(one.record, {"a": 2, "b": 3}, ["a", "b"]) == 2
-    assert feature_levels.next_level(one.record, {"a": 2}, ["a", "b"]) == 0, "b may wake up with what it had"
+    assert feature_levels.next_level(one.record, {"a": 2}, ["a", "b"]) == 0, (
+        "b may resume with the program that it had"
+    )
     one.propose("program")
-    assert feature_levels.next_level(one.record, {"a": 2}, ["a"]) == 0, "while a program is under way"
+    assert feature_levels.next_level(one.record, {"a": 2}, ["a"]) == 0, "not while a program is in progress"
     raised = writing.raise_level(one.record, 1, 2)
     assert feature_levels.next_level(raised, {"a": 1}, ["a"]) == 2
     assert "level 1" in feature_levels.level_conflict(raised, 1) and not feature_levels.level_conflict(
@@ -255,14 +257,14 @@
     )
 
 
-def test_bounds_are_those_of_the_plan() -> None:
+def test_bounds_come_from_the_plan() -> None:
     lax = Plan(QUICK.stages, before_us=60 * S, bounds=Bounds(times=20.0, more=0.3))
     one = Staged(8, 1, lax, rate=100.0, harms={("settings", 1): Harm("write", failed=0.02)})
     one.propose("settings")
     assert one.until("settings", 900) is Standing.IN_FORCE
 
 
-def test_the_last_stage_ends_without_any_request_and_a_plan_that_is_none_is_taken_back() -> None:
+def test_last_stage_needs_no_requests_and_an_invalid_plan_is_withdrawn() -> None:
     idle = Plan((Stage("all", share=1.0, soak_us=5 * S, least=0),), before_us=S)
     one = Staged(4, 1, idle, rate=0.0)
     one.propose("settings")
@@ -277,7 +279,7 @@
     assert "no such thing" in one.record.of("settings")[-1].reason
 
 
-def test_a_step_is_not_written_over_what_an_operator_said_meanwhile() -> None:
+def test_step_does_not_overwrite_an_operators_change() -> None:
     one = fleet()
     one.propose("settings")
     one.run(62)
@@ -292,7 +294,7 @@
     assert one.record.under_way("settings").heads == before.heads  # type: ignore[union-attr]
 
 
-def test_heads_that_use_more_memory_than_the_others_stop_a_version() -> None:
+def test_excess_memory_stops_a_version() -> None:
     evidence = Evidence("settings", 1, 0)
     for second in range(40):
         if second == 20:
@@ -306,7 +308,7 @@
     assert not excess_usage(evidence, replace(QUICK, bounds=Bounds(memory=3.0)))
 
 
-def test_ends_of_several_heads_of_a_zone_at_once_are_one() -> None:
+def test_simultaneous_exits_in_one_zone_count_once() -> None:
     evidence = Evidence("settings", 1, 0)
     for life, at in ((1, 0), (2, 10), (3, 100)):
         for head in ("a", "b", "c"):
--- a/tests/rollout/test_rollout_rules.py
+++ b/tests/rollout/test_rollout_rules.py
@@ -1,4 +1,4 @@
-"""The checker of rollouts finds what is wrong, and nothing where nothing is; days play."""
+"""The checker of rollouts finds seeded breaches and none in a correct rollout; simulated days pass it."""
 
 import msgspec
 import pytest
@@ -43,8 +43,8 @@
     )  # fmt: skip
 
 
-def whole():
-    """A rollout as it should be."""
+def correct_rollout():
+    """Return the records of a correct rollout."""
     found = [rec.RolloutEnd(t=0, thing="program", version=1), facts()]
     found += [rec.Lived(t=0, member=name, how="started") for name in HEADS]
     named = []
@@ -56,12 +56,14 @@
     return [*found, step(100, "in force", 3, [])]
 
 
-def broken(*more, drop=lambda _one: False):
-    return {breach.rule for breach in rollout.check([*(one for one in whole() if not drop(one)), *more])}
+def broken_rules(*more, drop=lambda _one: False):
+    return {
+        breach.rule for breach in rollout.check([*(one for one in correct_rollout() if not drop(one)), *more])
+    }
 
 
-def test_a_rollout_as_it_should_be_breaks_nothing():
-    assert broken() == set()
+def test_correct_rollout_breaks_no_rule():
+    assert broken_rules() == set()
     assert rollout.check([rec.Lived(t=0, member="head0", how="started")]) == []
 
 
@@ -84,16 +86,16 @@
     (6, [rec.Lived(t=101 * S, member="head3", how="started")]),
 ])  # fmt: skip
 def test_each_seeded_fault_is_found(rule, fault):
-    assert rule in broken(*fault)
+    assert rule in broken_rules(*fault)
 
 
-def test_a_stage_that_ends_without_its_head_having_taken_is_found():
-    assert 4 in broken(
+def test_stage_that_ends_before_its_head_changed_is_found():
+    assert 4 in broken_rules(
         drop=lambda one: isinstance(one, rec.HandedOver) and not one.away and one.head == "head0"
     )
 
 
-def test_what_is_rehearsed_is_read():
+def test_rehearsal_is_parsed():
     assert rehearsal_of("refuse:read:0.5").part == 0.5 and rehearsal_of("crash:1.5").crash_us == 1_500_000
     assert rehearsal_of("mute").mute
     for text in ("", "refuse:read", "refuse:read:2", "crash:x", "crash:1:2"):
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize("name", ["roll-crashing", "roll-settings"])
-def test_a_day_of_rollouts_plays_in_simulated_time(name):
+def test_rollout_day_in_simulated_time(name):
     day = msgspec.structs.replace(scenario.load(name), rate=10.0)
     recorder = rec.Recorder()
     simulate(day, 5, 3, recorder)
--- a/tests/rollout/test_scorers.py
+++ b/tests/rollout/test_scorers.py
@@ -1,4 +1,4 @@
-"""A new scorer comes by a rollout: one that loses its vote at its first head is stopped."""
+"""Rollout of a new scorer: one that loses its vote at its first head is stopped."""
 
 from harriertrack.config.sexp import read_text
 from harriertrack.lab.fleet import scenario
@@ -18,7 +18,7 @@
   (step decided (thing "scorer/broken-nan") (within 40s)) (step rest (for 2s)))"""
 
 
-def test_a_scorer_that_loses_its_vote_at_its_first_head_is_stopped() -> None:
+def test_scorer_that_loses_its_vote_at_the_first_head_is_stopped() -> None:
     day = scenario.parse(read_text(DAY, "day"), "day")
     recorder = rec.Recorder()
     simulate(day, 3, 1, recorder)
