--- a/harriertrack/decisions/fleet/closing/clocks.py
+++ b/harriertrack/decisions/fleet/closing/clocks.py
@@ -25,7 +25,7 @@
 
     def __post_init__(self) -> None:
         if self.low > self.high:
-            raise ValueError(f"an interval from {self.low} to {self.high}")
+            raise ValueError(f"interval is reversed: from {self.low} to {self.high}")
 
     def plus(self, other: Interval) -> Interval:
         """Return the interval of the sum of two."""
--- a/harriertrack/decisions/fleet/closing/time_estimate.py
+++ b/harriertrack/decisions/fleet/closing/time_estimate.py
@@ -16,7 +16,7 @@
     majority_interval,
 )
 
-STAMPS_BYTES = 24  # of an answer, beside the name
+STAMPS_BYTES = 24  # of an answer, without the name
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertrack/decisions/fleet/rollout/controller.py
+++ b/harriertrack/decisions/fleet/rollout/controller.py
@@ -241,7 +241,7 @@
             return ""
         mine, others = tracked.evidence.crash_counts()
         if plan.bounds.crashes and mine - others >= plan.bounds.crashes:
-            return f"{mine} heads with it ended unasked, {others} without"
+            return f"{mine} unrequested exits with it, {others} without"
         excess = excess_usage(tracked.evidence, plan)
         # A single measurement may be momentary: the excess has to last from one check to the next.
         found, tracked.excess = (excess if tracked.excess else ""), excess
@@ -265,7 +265,7 @@
         return ""
     reporting = len({head for head, _ in tracked.test.baseline})
     outliers = "".join(f"; not {head}, {why}" for head, why in sorted(tracked.test.outliers.items()))
-    return f" (before as {reporting} of {tracked.weighed_heads} heads tell it{outliers})"
+    return f" (baseline of {reporting} of {tracked.weighed_heads} heads{outliers})"
 
 
 def _withdraw(version: Version, why: str) -> Step | None:
--- a/harriertrack/decisions/fleet/rollout/launch_state.py
+++ b/harriertrack/decisions/fleet/rollout/launch_state.py
@@ -1,8 +1,8 @@
 """State machine of a head's launcher: which program version runs, and which one replaces one that fails.
 
 One child process at a time. A version on trial becomes *good* once it has served for a while; until then, if
-it does not become ready in time or repeatedly exits unasked, the last good version is started in its place,
-and the version is not tried again. All of this works from what is on disk, so also when no other head can be
+it does not become ready in time or repeatedly exits on its own, the last good version is started instead, and
+the version is not tried again. All of this works from what is on disk, so also when no other head can be
 reached, and after the launcher itself was killed in between. A good version that exits is always restarted,
 with growing delays.
 
--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -215,7 +215,7 @@
             return f"{missing} of {len(named)} heads do not report that they run it: {examples}"
         left = max(self.running_since[name] for name in running) + stage.soak_us - now
         if left > 0:
-            return f"soaks {left / 1e6:.0f} s more"
+            return f"soak: {left / 1e6:.0f} s left"
         return "" if finding.verdict is Verdict.NOT_WORSE else f"{finding.verdict.value}: {finding.why}"
 
     # -- back
--- a/tests/closing/test_closing_cli.py
+++ b/tests/closing/test_closing_cli.py
@@ -11,17 +11,17 @@
 from harriertrack.membership.fleet.telling import ClosingTold, Document, FenceTold
 
 FENCE = FenceTold("calendar/tokyo", 3, "open", "2026-12-02 15:30:00 Asia/Tokyo", 1_796_193_000_000_000, 17, 4)
-TOLD = ClosingTold(True, False, (1_796_190_000_000_000, 1_796_190_000_020_000), False, 5, 6, [FENCE])
+STATUS = ClosingTold(True, False, (1_796_190_000_000_000, 1_796_190_000_020_000), False, 5, 6, [FENCE])
 
 
-def run_closes(monkeypatch, told, *options):
-    document = Document("f", "h1", "alive", "0", 1, 0, 0, {}, [], closing=told)
+def run_closes(monkeypatch, status, *options):
+    document = Document("f", "h1", "alive", "0", 1, 0, 0, {}, [], closing=status)
     monkeypatch.setattr(closing, "document_of", lambda _place: (b"", document))
     return CliRunner().invoke(closing.closes, ["--at", "127.0.0.1:1", *options])
 
 
 def test_closes_are_shown_with_what_they_would_purge(monkeypatch):
-    result = run_closes(monkeypatch, TOLD, "--dry-run")
+    result = run_closes(monkeypatch, STATUS, "--dry-run")
     assert result.exit_code == 0
     for text in (
         "17 extents",
@@ -31,7 +31,7 @@
         "5 extents to trim",
     ):
         assert text in result.output
-    assert "17 extents" not in run_closes(monkeypatch, TOLD).output
+    assert "17 extents" not in run_closes(monkeypatch, STATUS).output
 
 
 def test_blind_head_is_reported(monkeypatch):
@@ -44,7 +44,7 @@
 
 
 def test_json_output_and_a_head_without_closes(monkeypatch):
-    assert msgspec.json.decode(run_closes(monkeypatch, TOLD, "--json").output, type=ClosingTold) == TOLD
+    assert msgspec.json.decode(run_closes(monkeypatch, STATUS, "--json").output, type=ClosingTold) == STATUS
     assert run_closes(monkeypatch, None).exit_code == 2
 
 
--- a/tests/closing/test_closing_copies.py
+++ b/tests/closing/test_closing_copies.py
@@ -68,8 +68,8 @@
 
 
 def test_overlap_of_a_write_with_a_close():
-    gone = {0, 1}.__contains__
-    assert [crossed(one, gone) for one in (range(2), range(1, 3), range(2, 4), range(0))] == [
+    is_purged = {0, 1}.__contains__
+    assert [crossed(one, is_purged) for one in (range(2), range(1, 3), range(2, 4), range(0))] == [
         Crossed.WHOLE, Crossed.PART, Crossed.NOT, Crossed.NOT]  # fmt: skip
 
 
--- a/tests/closing/test_closing_core.py
+++ b/tests/closing/test_closing_core.py
@@ -253,8 +253,8 @@
 
 def test_waiting_for_a_close_ends_with_the_patience_the_client_or_the_head(rig):
     rig.core.closings.hint = 300_000
-    gone, stopped, expired = (ask_patiently(rig, Kind.READ) for _ in range(3))
-    rig.core.client_gone(gone)
+    departed, stopped, expired = (ask_patiently(rig, Kind.READ) for _ in range(3))
+    rig.core.client_gone(departed)
     rig.run(19_000_000)
     assert stopped.outcome is expired.outcome is None
     rig.run(1_100_000)
@@ -262,7 +262,9 @@
     late = ask_patiently(rig, Kind.READ)
     rig.core.close("shutting down")
     rig.flush()
-    assert late.outcome is Outcome.REFUSED and gone not in rig.port.answers and rig.core.open_requests == 0
+    assert (
+        late.outcome is Outcome.REFUSED and departed not in rig.port.answers and rig.core.open_requests == 0
+    )
 
 
 def test_cancelled_trim_is_not_sent_under_a_later_epoch():
--- a/tests/closing/test_closing_rules.py
+++ b/tests/closing/test_closing_rules.py
@@ -14,13 +14,13 @@
 DUE = rec.CloseDue(t=S, calendar="calendar/x", at=AT, bound_us=BOUND, volumes=["v"], end=8 * SIZE)
 
 
-def kept(t, value, is_write=True, outcome="served", offset=0, took=10_000):
+def client_write(t, value, is_write=True, outcome="served", offset=0, took=10_000):
     return rec.Kept(t=t, ended=t + took, client="c", head="h0", volume="v", offset=offset, is_write=is_write,
                     outcome=outcome, value=value)  # fmt: skip
 
 
-def read(t, value, **more):
-    return kept(t, value, is_write=False, **more)
+def client_read(t, value, **more):
+    return client_write(t, value, is_write=False, **more)
 
 
 _NUMBER = iter(range(1, 10**9))
@@ -62,36 +62,51 @@
 
 def test_compliant_day():
     assert broken(
-        LIVED, CLOSED, kept(5 * S, 1), read(6 * S, 1), read(AT, 0, outcome="refused"), read(AT + S, 0), kept(11 * S, 2),
-        read(12 * S, 2), did(5 * S, "write"), did(AT + S, "trim", SIZE), did(AT + 2 * S, "write"), did(AT + 3 * S, "read"),
+        LIVED, CLOSED, client_write(5 * S, 1), client_read(6 * S, 1), client_read(AT, 0, outcome="refused"), client_read(AT + S, 0), client_write(11 * S, 2),
+        client_read(12 * S, 2), did(5 * S, "write"), did(AT + S, "trim", SIZE), did(AT + 2 * S, "write"), did(AT + 3 * S, "read"),
     ) == []  # fmt: skip
 
 
 def test_old_byte_is_a_breach_only_after_the_bound():
-    assert broken(LIVED, CLOSED, kept(5 * S, 1), read(AT + BOUND - 20_000, 1)) == []
-    (why,) = broken(LIVED, CLOSED, kept(5 * S, 1), read(AT + BOUND, 1))
+    assert broken(LIVED, CLOSED, client_write(5 * S, 1), client_read(AT + BOUND - 20_000, 1)) == []
+    (why,) = broken(LIVED, CLOSED, client_write(5 * S, 1), client_read(AT + BOUND, 1))
     assert "read 1" in why
 
 
 def test_lost_new_byte_is_a_breach():
-    (why,) = broken(LIVED, CLOSED, kept(5 * S, 1), read(AT + S, 0), kept(11 * S, 2), read(12 * S, 0))
+    (why,) = broken(
+        LIVED,
+        CLOSED,
+        client_write(5 * S, 1),
+        client_read(AT + S, 0),
+        client_write(11 * S, 2),
+        client_read(12 * S, 0),
+    )
     assert "read 0" in why
-    (why,) = broken(LIVED, CLOSED, kept(5 * S, 1, offset=9 * SIZE), read(AT + S, 0, offset=9 * SIZE))
+    (why,) = broken(
+        LIVED, CLOSED, client_write(5 * S, 1, offset=9 * SIZE), client_read(AT + S, 0, offset=9 * SIZE)
+    )
     assert "may be [1]" in why, "outside the range nothing is purged"
 
 
 @pytest.mark.parametrize("seen", [0, 2])
 def test_write_across_the_close_counts_as_before_or_after_consistently(seen):
-    across = kept(AT - 50_000, 2, took=100_000)
-    assert broken(LIVED, CLOSED, across, read(AT + S, seen), read(AT + 2 * S, seen)) == []
-    assert len(broken(LIVED, CLOSED, across, read(AT + S, seen), read(AT + 2 * S, 2 - seen))) == 1
+    across = client_write(AT - 50_000, 2, took=100_000)
+    assert broken(LIVED, CLOSED, across, client_read(AT + S, seen), client_read(AT + 2 * S, seen)) == []
+    assert (
+        len(broken(LIVED, CLOSED, across, client_read(AT + S, seen), client_read(AT + 2 * S, 2 - seen))) == 1
+    )
 
 
 def test_write_of_unknown_outcome_must_not_reappear_after_the_close():
-    lost = kept(5 * S, 7, outcome="lost")
-    assert broken(LIVED, CLOSED, lost, read(6 * S, 7)) == [] == broken(LIVED, CLOSED, lost, read(AT + S, 0))
-    assert len(broken(LIVED, CLOSED, lost, read(AT + S, 7))) == 1
-    assert broken(LIVED, CLOSED, kept(5 * S, 7, outcome="refused"), read(6 * S, 0)) == []
+    lost = client_write(5 * S, 7, outcome="lost")
+    assert (
+        broken(LIVED, CLOSED, lost, client_read(6 * S, 7))
+        == []
+        == broken(LIVED, CLOSED, lost, client_read(AT + S, 0))
+    )
+    assert len(broken(LIVED, CLOSED, lost, client_read(AT + S, 7))) == 1
+    assert broken(LIVED, CLOSED, client_write(5 * S, 7, outcome="refused"), client_read(6 * S, 0)) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/closing/test_closing_schedule.py
+++ b/tests/closing/test_closing_schedule.py
@@ -105,10 +105,10 @@
         except ValueError as error:
             raise InvalidCalendar(str(error)) from error
 
-    kept = {}
+    schedules = {}
 
     def written(schedule):
-        kept[str(schedule)] = schedule
+        schedules[str(schedule)] = schedule
         return str(schedule)
 
     return CalendarCodec(
@@ -116,7 +116,7 @@
             *numbers(body)[1:], version=version, purges=(Purge("m", 0, numbers(body)[0]),)
         ),
         lambda body: (Purge("m", 0, numbers(body)[0]),),
-        kept.__getitem__,
+        schedules.__getitem__,
         written,
     )
 
--- a/tests/rollout/test_remembering.py
+++ b/tests/rollout/test_baselines.py
@@ -129,7 +129,7 @@
         one.run(90)
         going = one.record.under_way("settings")
         assert going is not None and going.stage == 1, "no stage ends by this head alone"
-        assert f"as 6 of 6 heads tell it; not {faulty.name}, " in one.conductor.status_lines(one.record)[0]
+        assert f"baseline of 6 of 6 heads; not {faulty.name}, " in one.conductor.status_lines(one.record)[0]
         others = tuple(name for name in one.heads if name != one.decider)[:3]
         one.record = writing.step(one.record, one.epoch, "settings", 1, Standing.GOING, 1, "the others show it", 2,
                                   tuple({faulty.name, *others}))  # fmt: skip
@@ -148,33 +148,34 @@
     one.run(1)
     assert suspended.before(one.now) is None, "it was suspended when the baseline period ended"
 
-    tells = {
+    reported = {
         f"head{number}": ReportedBaseline(
             100 * S, Baseline("settings", 1, 0, {"read": Tally(1000, 10, 10, 1)})
         )
         for number in range(5)
     }
     week = ReportedBaseline(-600_000 * S, Baseline("settings", 1, 0, {"read": Tally(10, 900, 10, 1)}))
-    found = accept_baselines({**tells, "late": week}, {*tells, "late"}, 0.01)
-    assert {head for head, _ in found.counts} == set(tells) and not found.outliers
+    found = accept_baselines({**reported, "late": week}, {*reported, "late"}, 0.01)
+    assert {head for head, _ in found.counts} == set(reported) and not found.outliers
     assert (
-        accept_baselines({"late": week, "head0": tells["head0"]}, ["a", "late", "head0"], 0.01).counts == {}
+        accept_baselines({"late": week, "head0": reported["head0"]}, ["a", "late", "head0"], 0.01).counts
+        == {}
     )
 
 
 def test_far_worse_baseline_is_an_outlier_unless_it_has_few_answers() -> None:
-    def told(**rates: int) -> dict[str, ReportedBaseline]:
+    def baselines(**rates: int) -> dict[str, ReportedBaseline]:
         return {
             name: ReportedBaseline(0, Baseline("s", 1, 0, {"read": Tally(10_000 - bad, 0, bad, 0)}))
             for name, bad in rates.items()
         }
 
-    assert set(accept_baselines(told(a=100, b=120, c=90, d=1000), "abcd", 0.01).outliers) == {"d"}
-    assert not accept_baselines(told(a=100, b=120, c=90, d=5), "abcd", 0.01).outliers, (
+    assert set(accept_baselines(baselines(a=100, b=120, c=90, d=1000), "abcd", 0.01).outliers) == {"d"}
+    assert not accept_baselines(baselines(a=100, b=120, c=90, d=5), "abcd", 0.01).outliers, (
         "a better baseline does not favour the version"
     )
-    assert not accept_baselines(told(a=100, b=120, c=90, d=300), "abcd", 0.01).outliers
-    assert not accept_baselines(told(a=100, b=1000), "ab", 0.01).outliers, (
+    assert not accept_baselines(baselines(a=100, b=120, c=90, d=300), "abcd", 0.01).outliers
+    assert not accept_baselines(baselines(a=100, b=1000), "ab", 0.01).outliers, (
         "of two heads it can't be said which is the outlier"
     )
     few = {
@@ -182,7 +183,7 @@
         for name, bad in (("a", 0), ("b", 0), ("c", 3))
     }
     assert not accept_baselines(few, "abc", 0.01).outliers
-    slow = told(a=100, b=120, c=90, d=100)
+    slow = baselines(a=100, b=120, c=90, d=100)
     for name, one in slow.items():
         one.baseline.classes["read"].latency_counts[:] = (
             [0, 0, 9000, 0, 900 if name == "d" else 0] if name != "d" else [0, 0, 900, 0, 9000]
@@ -206,9 +207,13 @@
         assert not second(at, proposed)
     named = writing.step(proposed, 1, "settings", 1, Standing.GOING, 1, "stage one", 1, ("a",))
     assert second(50, named) and not second(51, named)
-    told = one.current(60 * S)
-    assert told is not None and (told.number, told.ago_us, told.classes["read"].timely) == (1, 10 * S, 300)
-    assert told.usage == Usage(5 << 20, 3000, 300, 30)
+    baseline = one.current(60 * S)
+    assert baseline is not None and (baseline.number, baseline.ago_us, baseline.classes["read"].timely) == (
+        1,
+        10 * S,
+        300,
+    )
+    assert baseline.usage == Usage(5 << 20, 3000, 300, 30)
     assert not second(61, writing.step(named, 1, "settings", 1, Standing.IN_FORCE, 1, "all", 1))
     assert one.current(61 * S) is None, "the version is no longer in progress"
     assert not BaselineRecorder(0).update(6 * S, named, counts), "it did not observe the baseline period"
@@ -253,10 +258,10 @@
 
 def test_stored_baseline_survives_a_restart_and_damage_counts_as_none(tmp_path) -> None:
     notes: list[str] = []
-    kept = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
+    store = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
     before = Baseline("program", 2, 0, {"read": Tally(9, 1)}, Usage(1, 2, 10, 3))
-    assert kept.read(5) is None and not notes
-    kept.write(1000 * S, before)
+    assert store.read(5) is None and not notes
+    store.write(1000 * S, before)
     again = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
     assert again.read(1030 * S) == replace(before, ago_us=30 * S)
     one = BaselineRecorder(0)
@@ -281,8 +286,8 @@
 
 def test_requested_exits_are_not_crashes() -> None:
     evidence = Evidence("settings", 1, 0)
-    for at, life in ((0, 1), (60, 2), (120, 3), (180, 4)):
-        evidence.add_report(at * S, Report("a", life, {"settings": 1}, {}), "z0", stopped={1, 3})
+    for at, incarnation in ((0, 1), (60, 2), (120, 3), (180, 4)):
+        evidence.add_report(at * S, Report("a", incarnation, {"settings": 1}, {}), "z0", stopped={1, 3})
     assert evidence.crash_counts() == (1, 0)
 
 
@@ -315,8 +320,8 @@
 ) -> None:
     found, accept = [], controller.accept_baselines
 
-    def accept_and_record(*told: object) -> AcceptedBaselines:
-        found.append(accept(*told))  # type: ignore[arg-type]
+    def accept_and_record(*reported: object) -> AcceptedBaselines:
+        found.append(accept(*reported))  # type: ignore[arg-type]
         return found[-1]
 
     monkeypatch.setattr(controller, "accept_baselines", accept_and_record)
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -149,11 +149,14 @@
     inside = tmp_path / "opt" / "2.0"
     (inside / "bin").mkdir(parents=True)
     (inside / "bin" / "harriertrack").touch()
-    told = load_launcher(launcher_file(tmp_path, f'(folders "{tmp_path}/opt")'))
-    assert command_of(told, Program(1, folder=str(inside)))[1:] == ["head", f"{tmp_path}/head.sexp"]
+    launch_settings = load_launcher(launcher_file(tmp_path, f'(folders "{tmp_path}/opt")'))
+    assert command_of(launch_settings, Program(1, folder=str(inside)))[1:] == [
+        "head",
+        f"{tmp_path}/head.sexp",
+    ]
     for folder, why in ((f"{tmp_path}/opt/../other", "not below"), (f"{tmp_path}/opt/1.0", "is not there")):
         with pytest.raises(Unfit, match=why):
-            command_of(told, Program(1, folder=folder))
+            command_of(launch_settings, Program(1, folder=folder))
 
 
 def test_head_rejects_programs_without_a_launcher_and_hands_over_with_one(tmp_path):
@@ -195,10 +198,10 @@
     script = tmp_path / "child.py"
     script.write_text(CHILD.format(root=os.getcwd()))
     monkeypatch.setattr(module, "OWN", (sys.executable, str(script)))
-    told = load_launcher(launcher_file(tmp_path, "(prove 300ms) (tries 2) (drain 2s)"))
-    said = []
+    launch_settings = load_launcher(launcher_file(tmp_path, "(prove 300ms) (tries 2) (drain 2s)"))
+    events = []
     hub = Hub()
-    one = Launcher(hub, told, lambda event, **fields: said.append((event, fields)))
+    one = Launcher(hub, launch_settings, lambda event, **fields: events.append((event, fields)))
 
     def play(steps):
         def main():
@@ -210,7 +213,7 @@
                     hub.sleep(20_000)
 
         hub.run(main)
-        return said
+        return events
 
     return play, one, tmp_path
 
@@ -243,8 +246,8 @@
         assert found_by_token is not None and found_by_token.pid == kept.child, "also by its token alone"
         assert children.find(0, "unknown") is None and children.find(kept.child, "") is None
 
-    said = play(steps)
-    pid = [fields["pid"] for event, fields in said if event == "launch: head starts"][-1]
+    events = play(steps)
+    pid = [fields["pid"] for event, fields in events if event == "launch: head starts"][-1]
     with pytest.raises(ProcessLookupError):
         os.kill(pid, 0)
 
@@ -275,14 +278,14 @@
 
 
 def test_plan_overrides_the_default():
-    told = read_plan(
+    plan = read_plan(
         '(plan (away 3) (alone yes) (compares "failed" "slow") (stage "x" (heads 2) (soak 5s)) (stage "y" (share 1)))',
         "p",
         DEFAULT_PLAN,
     )
-    assert (told.away, told.alone, told.measures) == (3, True, (Measure.FAILED, Measure.SLOW))
+    assert (plan.away, plan.alone, plan.measures) == (3, True, (Measure.FAILED, Measure.SLOW))
     assert (
-        told.stages[0].heads == 2 and told.stages[0].soak_us == 5 * S and told.bounds == DEFAULT_PLAN.bounds
+        plan.stages[0].heads == 2 and plan.stages[0].soak_us == 5 * S and plan.bounds == DEFAULT_PLAN.bounds
     )
     assert read_plan("(plan)", "p", DEFAULT_PLAN) == DEFAULT_PLAN
 
@@ -294,25 +297,25 @@
     )
     data = encode_counts(report)
     assert len(data) <= MOST_TOPIC_BODY
-    heard = Heard("h")
-    read = heard.take(data)
+    received = Heard("h")
+    read = received.take(data)
     assert read.versions == report.versions and set(read.classes) < set(classes) and len(read.classes) >= 5
     assert all(read.classes[name] == classes[name] for name in read.classes)
-    assert heard.volumes is None
+    assert received.volumes is None
     for body in encode_volumes(9, list(range(10**9, 10**9 + 400))):
-        assert len(body) <= MOST_TOPIC_BODY and heard.take(body) is None
-    assert len(heard.volumes) == 400
+        assert len(body) <= MOST_TOPIC_BODY and received.take(body) is None
+    assert len(received.volumes) == 400
     next_incarnation = next(iter(encode_volumes(10, [1] * 151)))
-    assert heard.take(next_incarnation) is None and heard.volumes is None, (
+    assert received.take(next_incarnation) is None and received.volumes is None, (
         "nothing is known of the new incarnation yet"
     )
 
 
 @given(st.binary(max_size=60))
 def test_arbitrary_bytes_are_rejected_or_decoded(data):
-    heard = Heard("h")
+    received = Heard("h")
     try:
-        report = heard.take(data)
+        report = received.take(data)
     except MalformedReport:
         report = None
     assert report is None or report.head == "h"
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -51,7 +51,7 @@
     assert harm.class_name in stopped.reason or "zone" in stopped.reason
     with pytest.raises(writing.Refused, match="say why it is tried again"):
         one.propose("settings")
-    one.propose("settings", although="mended beside it")
+    one.propose("settings", although="repaired separately")
 
 
 def test_flawless_baseline_needs_few_answers_to_stop_or_pass_a_version() -> None:
@@ -88,9 +88,9 @@
     one = fleet()
 
     def add_load(fleet: Staged) -> None:
-        gone = {volume for head in fleet.heads.values() if head.becomes for volume in head.volumes}
+        away_volumes = {volume for head in fleet.heads.values() if head.becomes for volume in head.volumes}
         for head in fleet.heads.values():
-            head.clump = 6.0 if head.volumes & gone else 1.0
+            head.clump = 6.0 if head.volumes & away_volumes else 1.0
 
     one.changed = add_load
     one.propose("program")
@@ -230,8 +230,8 @@
     first = select_for_stage((Stage("t", share=0.1),), 0, some, (), "s", "h0")
     assert len(first) == 3 and {some[name].zone for name in first} == {"z0", "z1", "z2"}
     assert select_for_stage((Stage("t", share=0.1),), 0, dict(reversed(some.items())), (), "s", "h0") == first
-    gone = {name: one for name, one in some.items() if name != first[0]}
-    assert select_for_stage((Stage("t", share=0.1),), 0, gone, first, "s", "h0") == []
+    others = {name: one for name, one in some.items() if name != first[0]}
+    assert select_for_stage((Stage("t", share=0.1),), 0, others, first, "s", "h0") == []
     assert "h0" not in select_for_stage((Stage("t", share=0.9),), 0, some, (), "s", "h0"), (
         "the deciding head is last"
     )
@@ -310,7 +310,7 @@
 
 def test_simultaneous_exits_in_one_zone_count_once() -> None:
     evidence = Evidence("settings", 1, 0)
-    for life, at in ((1, 0), (2, 10), (3, 100)):
+    for incarnation, at in ((1, 0), (2, 10), (3, 100)):
         for head in ("a", "b", "c"):
-            evidence.add_report(at * S, Report(head, life, {"settings": 1}, {}), "z0")
+            evidence.add_report(at * S, Report(head, incarnation, {"settings": 1}, {}), "z0")
     assert evidence.crash_counts() == (2, 0)
