--- a/harriertrack/decisions/fleet/closing/calendars.py
+++ b/harriertrack/decisions/fleet/closing/calendars.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
+from harriertrack.decisions.fleet.changes.operations import propose, set_state
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.changes.writing import propose, step
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.closing.schedule import (
     Plan,
     Purge,
@@ -59,8 +59,8 @@
 
 
 def _earlier_purges(record: Record, calendar: str, codec: CalendarCodec) -> list[Purge]:
-    applied = (Standing.IN_FORCE, Standing.REPLACED)
-    bodies = [one.body for one in record.of(calendar) if one.standing in applied]
+    applied = (VersionState.IN_FORCE, VersionState.REPLACED)
+    bodies = [one.body for one in record.versions_of(calendar) if one.standing in applied]
     return [purge for body in bodies for purge in codec.read_purges(body)]
 
 
@@ -68,29 +68,29 @@
     """Return the record with the next step of a proposed calendar, or as it is if there is none."""
     thing, number = going.thing, going.number
 
-    def move(before: Record, standing: Standing, why: str) -> Record:
-        return step(before, epoch, thing, number, standing, at_ms, why)
+    def move(before: Record, standing: VersionState, why: str) -> Record:
+        return set_state(before, epoch, thing, number, standing, at_ms, why)
 
     match going.standing:
-        case Standing.PROPOSED:
+        case VersionState.PROPOSED:
             try:
                 purges = codec.read_purges(going.body)
             except InvalidCalendar as error:
-                return move(record, Standing.ABORTED, str(error))
+                return move(record, VersionState.ABORTED, str(error))
             uncovered = uncovered_purges(purges, _earlier_purges(record, thing, codec))
             if not uncovered:
-                return move(record, Standing.IN_FORCE, "valid calendar")
+                return move(record, VersionState.IN_FORCE, "valid calendar")
             first = uncovered[0]
             until = str(first.end) if first.end else "the end"
             why = (
                 f"would purge {first.volume} from {first.start} to {until}, "
                 "which no earlier calendar did: resume to confirm"
             )
-            return move(move(record, Standing.GOING, why), Standing.PAUSED, why)
-        case Standing.GOING:
-            return move(record, Standing.IN_FORCE, going.reason or "resumed")
-        case Standing.BACK:
-            return move(record, Standing.ABORTED, going.reason)
+            return move(move(record, VersionState.ADVANCING, why), VersionState.PAUSED, why)
+        case VersionState.ADVANCING:
+            return move(record, VersionState.IN_FORCE, going.reason or "resumed")
+        case VersionState.REVERTING:
+            return move(record, VersionState.ABORTED, going.reason)
     return record
 
 
@@ -103,7 +103,7 @@
     """
     at_ms = latest // 1000
     for thing in calendar_names(record):
-        going = record.under_way(thing)
+        going = record.in_progress(thing)
         if going is not None:
             record = _process_version(record, epoch, going, at_ms, codec)
         current = record.in_force(thing)
@@ -136,6 +136,6 @@
         return record
     why = f"closes of version {plan.version} by time zones {plan.zones}"
     record = propose(record, thing, base, body, "who decides", at_ms, why)
-    going = record.under_way(thing)
+    going = record.in_progress(thing)
     assert going is not None
-    return step(record, epoch, thing, going.number, Standing.IN_FORCE, at_ms, why)
+    return set_state(record, epoch, thing, going.number, VersionState.IN_FORCE, at_ms, why)
--- a/harriertrack/decisions/fleet/rollout/baseline.py
+++ b/harriertrack/decisions/fleet/rollout/baseline.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from harriertrack.decisions.fleet.changes.record import Record, Version
-from harriertrack.decisions.fleet.changes.standing import RUN, UNDER_WAY, Standing
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, IN_PROGRESS, VersionState
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Usage
 from harriertrack.decisions.fleet.rollout.rollout import blocking_version, is_staged
@@ -35,9 +35,9 @@
 def baseline_version(record: Record) -> Version | None:
     """Return the version whose baseline is being measured, or was while the version is in progress."""
     for version in record.versions:
-        if version.standing not in UNDER_WAY or not is_staged(version.thing):
+        if version.standing not in IN_PROGRESS or not is_staged(version.thing):
             continue
-        if version.standing in RUN or blocking_version(record, version.thing) is None:
+        if version.standing in ACTIVE or blocking_version(record, version.thing) is None:
             return version
     return None
 
@@ -79,7 +79,7 @@
         key = version.thing, version.number
         if key != self._version:
             self._version, self._start_counts, self._saved = key, None, None
-        if version.standing is Standing.PROPOSED:
+        if version.standing is VersionState.PROPOSED:
             if suspended:
                 self._start_counts = None
             if self._start_counts is None and now >= self._started_at + SETTLE_US:
--- a/harriertrack/decisions/fleet/rollout/controller.py
+++ b/harriertrack/decisions/fleet/rollout/controller.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from harriertrack.decisions.fleet.changes.record import Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import RUN, UNDER_WAY, Standing
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, IN_PROGRESS, VersionState
 from harriertrack.decisions.fleet.rollout.baseline import Baseline
 from harriertrack.decisions.fleet.rollout.baseline_filter import ReportedBaseline, accept_baselines
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report
@@ -142,7 +142,7 @@
     def next_steps(self, now: int, record: Record, known: Mapping[str, HeadLocation], me: str) -> list[Step]:
         """Return the steps to write now, for all versions in progress."""
         in_progress = {(one.thing, one.number): one for one in record.versions
-                       if one.standing in UNDER_WAY and is_staged(one.thing)}  # fmt: skip
+                       if one.standing in IN_PROGRESS and is_staged(one.thing)}  # fmt: skip
         for over in self.tracked.keys() - in_progress.keys():
             del self.tracked[over]
         steps = []
@@ -162,21 +162,21 @@
         if tracked is None:
             plan = self.plan_of(version)
             tracked = TrackedRollout(Rollout(*key, plan), Evidence(*key, plan.settle_us))
-            if version.standing is not Standing.PROPOSED:
+            if version.standing is not VersionState.PROPOSED:
                 tracked.taken_over = True  # an earlier deciding head observed the baseline period
                 tracked.evidence.end_baseline()
             self.tracked[key] = tracked
         members = self.head_states(now, known, version)
         plan = tracked.rollout.plan
-        if version.standing is Standing.PROPOSED and blocking_version(record, version.thing) is not None:
+        if version.standing is VersionState.PROPOSED and blocking_version(record, version.thing) is not None:
             tracked.evidence = Evidence(*key, plan.settle_us)  # not a baseline while another thing changes
-        if version.standing in RUN:
+        if version.standing in ACTIVE:
             self._exclude_disturbed(now, version, tracked, members)
             self._evaluate(now, version, tracked, members)
         step = tracked.rollout.next_step(
             now, record, members, me, tracked.finding, self._check_usage(tracked, plan)
         )
-        if step is not None and version.standing is Standing.PROPOSED:
+        if step is not None and version.standing is VersionState.PROPOSED:
             tracked.evidence.end_baseline()
         return step
 
@@ -271,9 +271,9 @@
 def _withdraw(version: Version, why: str) -> Step | None:
     """Return the step that takes back a version that can't be rolled out."""
     match version.standing:
-        case Standing.PROPOSED:
-            return Step(version, Standing.ABORTED, why, version.stage, ())
-        case Standing.BACK:
-            return Step(version, Standing.ABORTED, version.reason, version.stage, ())
+        case VersionState.PROPOSED:
+            return Step(version, VersionState.ABORTED, why, version.stage, ())
+        case VersionState.REVERTING:
+            return Step(version, VersionState.ABORTED, version.reason, version.stage, ())
         case _:
-            return Step(version, Standing.BACK, why, version.stage, version.heads)
+            return Step(version, VersionState.REVERTING, why, version.stage, version.heads)
--- a/harriertrack/decisions/fleet/rollout/feature_levels.py
+++ b/harriertrack/decisions/fleet/rollout/feature_levels.py
@@ -20,7 +20,7 @@
     `understood`: the level that each head reported, `voters`: all heads that are present or may return. An
     unreachable head votes too: it may resume with the program that it had.
     """
-    going = any(record.under_way(thing) is not None for thing in record.things()
+    going = any(record.in_progress(thing) is not None for thing in record.things()
                 if kind_of(thing) is Kind.PROGRAM)  # fmt: skip
     if going or not voters or any(name not in understood for name in voters):
         return record.level
--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -16,9 +16,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.fleet.changes import writing
+from harriertrack.decisions.fleet.changes import operations
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
-from harriertrack.decisions.fleet.changes.standing import RUN, Standing
+from harriertrack.decisions.fleet.changes.version_state import ACTIVE, VersionState
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage, interrupts_service
 from harriertrack.decisions.fleet.rollout.selection import (
     HeadState,
@@ -37,21 +37,23 @@
     """A change to write, and the version as it was when that was decided."""
 
     version: Version
-    standing: Standing
+    standing: VersionState
     reason: str
     stage: int
     heads: tuple[str, ...]
 
     def apply(self, record: Record, epoch: int, at_ms: int) -> Record:
-        """Return the record with this step. Raises what `writing.step` raises.
+        """Return the record with this step. Raises what `operations.set_state` raises.
 
         If an operator or another head changed the version first, the step is refused.
         """
         now = record.find(self.version.thing, self.version.number)
         if now != self.version:
-            raise writing.Refused(f"{self.version.thing}: version {self.version.number} has moved on")
-        return writing.step(record, epoch, self.version.thing, self.version.number, self.standing, at_ms,
-                            self.reason, self.stage, self.heads)  # fmt: skip
+            raise operations.ChangeRefused(
+                f"{self.version.thing}: version {self.version.number} has moved on"
+            )
+        return operations.set_state(record, epoch, self.version.thing, self.version.number, self.standing,
+                                    at_ms, self.reason, self.stage, self.heads)  # fmt: skip
 
 
 def is_staged(thing: str) -> bool:
@@ -62,10 +64,10 @@
 def blocking_version(record: Record, thing: str) -> Version | None:
     """Return the version of another thing that goes first: one at a time, in the order of proposal."""
     others = [one for one in record.versions if is_staged(one.thing)]
-    running = next((one for one in others if one.standing in RUN), None)
+    running = next((one for one in others if one.standing in ACTIVE), None)
     if running is not None:
         return running if running.thing != thing else None
-    first = next((one for one in others if one.standing is Standing.PROPOSED), None)
+    first = next((one for one in others if one.standing is VersionState.PROPOSED), None)
     return first if first is not None and first.thing != thing else None
 
 
@@ -81,7 +83,7 @@
     )  # when each head first reported that it runs it
     first_seen_at: int = -1  # when this deciding head first processed it
     changed_at: int = -1  # ... and last found that its state had changed
-    last_state: tuple[Standing, int, int, int] | None = None
+    last_state: tuple[VersionState, int, int, int] | None = None
     waiting_for: str = ""  # condition for the next step
 
     @property
@@ -97,15 +99,15 @@
         to be stopped regardless of the finding.
         """
         version = record.find(self.thing, self.number)
-        if version is None or version.standing not in (Standing.PROPOSED, *RUN):
+        if version is None or version.standing not in (VersionState.PROPOSED, *ACTIVE):
             return None
         self._observe(now, version, members)
         match version.standing:
-            case Standing.PROPOSED:
+            case VersionState.PROPOSED:
                 return self._begin(now, record, version, members, me)
-            case Standing.BACK:
+            case VersionState.REVERTING:
                 return self._continue_rollback(version, members)
-            case Standing.PAUSED:
+            case VersionState.PAUSED:
                 return self._begin_rollback(version, members, finding, defect)
             case _:
                 rollback = self._begin_rollback(version, members, finding, defect)
@@ -152,7 +154,7 @@
             )
             return None
         reason = f"stage {self.plan.stages[stage - 1].name}"
-        return Step(version, Standing.GOING, reason, stage, (*named, *chosen))
+        return Step(version, VersionState.ADVANCING, reason, stage, (*named, *chosen))
 
     def away_heads(self, named: Iterable[str], members: Mapping[str, HeadState]) -> set[str]:
         """Return the heads that are or may be away for this version.
@@ -187,13 +189,13 @@
                 return step
             if not select_for_stage(plan.stages, at, members, named, self.seed, me):
                 reason = f"stage {plan.stages[at].name}: no more heads than before"
-                return Step(version, Standing.GOING, reason, at + 1, named)
+                return Step(version, VersionState.ADVANCING, reason, at + 1, named)
         all_named = all(name in named for name, head in members.items() if head.present)
         incomparable = finding.verdict is Verdict.FLEET_WORSE and all_named
         if incomparable or now - self.changed_at > plan.patience_us:
             return Step(
                 version,
-                Standing.PAUSED,
+                VersionState.PAUSED,
                 f"{INSUFFICIENT_PREFIX}{self.waiting_for.removeprefix(INSUFFICIENT_PREFIX)}",
                 at,
                 named,
@@ -201,7 +203,7 @@
         return None
 
     def _put_in_force(self, version: Version) -> Step:
-        return Step(version, Standing.IN_FORCE, "all reporting heads run it", version.stage, ())
+        return Step(version, VersionState.IN_FORCE, "all reporting heads run it", version.stage, ())
 
     def _unmet_condition(self, now: int, stage: Stage, named: tuple[str, ...],
                          members: Mapping[str, HeadState], finding: Finding) -> str:  # fmt: skip
@@ -232,7 +234,7 @@
             defect = finding.why
         if not defect:
             return None
-        return Step(version, Standing.BACK, STOPPED_PREFIX + defect, version.stage, version.heads)
+        return Step(version, VersionState.REVERTING, STOPPED_PREFIX + defect, version.stage, version.heads)
 
     def _continue_rollback(self, version: Version, members: Mapping[str, HeadState]) -> Step | None:
         """Return the step that lets more heads go back; absent heads first, as they can't be made to wait."""
@@ -248,11 +250,11 @@
         released = {*absent, *returned, *others}
         if released:
             remaining = tuple(name for name in named if name not in released)
-            return Step(version, Standing.BACK, version.reason, version.stage, remaining)
+            return Step(version, VersionState.REVERTING, version.reason, version.stage, remaining)
         if not named and not any(
             head.present and head.running_version == self.number for head in members.values()
         ):
-            final = Standing.STOPPED if version.reason.startswith(STOPPED_PREFIX) else Standing.ABORTED
+            final = VersionState.STOPPED if version.reason.startswith(STOPPED_PREFIX) else VersionState.ABORTED
             return Step(version, final, version.reason, version.stage, ())
         self.waiting_for = "heads that go back are away" if named else "heads still report that they run it"
         return None
--- a/harriertrack/service/storage_nodes.py
+++ b/harriertrack/service/storage_nodes.py
@@ -11,7 +11,7 @@
 
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.connection_pool import ConnectionPool, ConnectionState
-from harriertrack.decisions.life import AttemptState
+from harriertrack.decisions.lifecycle import AttemptState
 from harriertrack.decisions.requests import Attempt, Core
 from harriertrack.membership.nodes import Member
 from harriertrack.protocol.platform.exchange import Answer, Exchange, Spoilt
@@ -80,15 +80,15 @@
             if connection.fit:
                 break
             connection.close()
-        if connection is None and not self.pool.room:
+        if connection is None and not self.pool.has_capacity:
             self.counts.no_room += 1
             # Not sent, for want of this head's own descriptors: that says nothing of the node.
-            self.hub.at_end_of_round(lambda: self.core.ended(now, attempt, api.Result.MOOT))
+            self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
             return
         if connection is None:
             self.counts.dialled += 1
             connection = NodeConnection(self, entry.node, member.address)
-            victim = self.pool.dials(connection, entry.node)
+            victim = self.pool.add_dialing(connection, entry.node)
             if victim is not None:
                 victim.close()
             self._connection_of[attempt] = connection
@@ -96,7 +96,7 @@
             self._scope.spawn(entry.node, connection.run)
         else:
             self._connection_of[attempt] = connection
-            self.pool.step(connection, ConnectionState.BUSY, now)
+            self.pool.transition(connection, ConnectionState.BUSY, now)
             connection.start(attempt)
 
     def call_off(self, attempt: Attempt) -> None:
@@ -110,9 +110,9 @@
         self._connection_of.pop(attempt, None)
         self.counts.ends[result] = self.counts.ends.get(result, 0) + 1
         if answer is not None and result is api.Result.OK:
-            self.core.ended(at, attempt, result, answer.body, beside_of(answer))
+            self.core.attempt_ended(at, attempt, result, answer.body, beside_of(answer))
         else:
-            self.core.ended(at, attempt, result)
+            self.core.attempt_ended(at, attempt, result)
 
     def spoilt(self, node: str, why: str) -> None:
         """An answer could not be read: say so now and then."""
@@ -122,14 +122,14 @@
 
     def gone(self, node: str) -> None:
         """A node is gone from the list: nothing more goes over its idle connections."""
-        for connection in self.pool.idle_of(node):
+        for connection in self.pool.idle_connections(node):
             connection.close()
 
     def watch(self) -> None:
         """Close connections that have idled for long, for ever (a task)."""
         while True:
             self.hub.sleep(LOOK_US)
-            for connection in self.pool.overdue(self.hub.now()):
+            for connection in self.pool.expired(self.hub.now()):
                 connection.close()
 
 
@@ -158,10 +158,10 @@
         assert self._stream is not None
         owner = self._owner
         self._attempt = attempt
-        call = attempt.part.request.token
+        call = attempt.part.request.requester
         assert isinstance(call, Call)
         asked = call.asked
-        left = max(1, (attempt.until - owner.hub.now()) // 1000)
+        left = max(1, (attempt.times_out_at - owner.hub.now()) // 1000)
         headers = [
             (b"Host", b"api.internal"), (b"X-Trace-Id", asked.trace), (b"X-Expires-In-Ms", b"%d" % left),
         ]  # fmt: skip
@@ -176,13 +176,13 @@
             return
         self._open = True
         self._stream.write(self._exchange.request)
-        self._stream.push(lambda: owner.core.sent(attempt, owner.hub.now()))
+        self._stream.push(lambda: owner.core.attempt_sent(attempt, owner.hub.now()))
 
     def _keep(self, attempt: Attempt) -> None:
         """Let an attempt go that may not begin: nothing was sent, and the connection can carry another."""
         self._attempt = self._exchange = None
         now = self._owner.hub.now()
-        self._owner.pool.step(self, ConnectionState.IDLE, now)
+        self._owner.pool.transition(self, ConnectionState.IDLE, now)
         self._owner.hub.at_end_of_round(lambda: self._owner.ended(attempt, api.Result.MOOT, now))
 
     def run(self) -> None:
@@ -211,14 +211,14 @@
         if self._attempt is not None and not self._may_begin(now, self._attempt):
             self._lost(api.Result.MOOT)
         if self._attempt is None:
-            owner.pool.step(self, ConnectionState.IDLE, now)
+            owner.pool.transition(self, ConnectionState.IDLE, now)
         else:
-            owner.pool.step(self, ConnectionState.BUSY, now)
+            owner.pool.transition(self, ConnectionState.BUSY, now)
             self.start(self._attempt)
 
     def _may_begin(self, now: int, attempt: Attempt) -> bool:
         """Whether an attempt may still be sent; its client may have gone while the connection came up."""
-        call = attempt.part.request.token
+        call = attempt.part.request.requester
         assert isinstance(call, Call)
         if call.client_left(now):
             call.session.leave()
@@ -244,7 +244,7 @@
         if not answer.reusable:
             owner.counts.surplus += 1
             return False
-        owner.pool.step(self, ConnectionState.IDLE, owner.hub.now())
+        owner.pool.transition(self, ConnectionState.IDLE, owner.hub.now())
         return True
 
     def _lost(self, result: api.Result) -> None:
@@ -266,6 +266,6 @@
         a cut between them is over.
         """
         self._closed = True
-        self._owner.pool.gone(self)
+        self._owner.pool.remove(self)
         if self._stream is not None:
             self._stream.abort() if self._open else self._stream.close()
--- a/tests/closing/test_closing_schedule.py
+++ b/tests/closing/test_closing_schedule.py
@@ -5,8 +5,8 @@
 import pytest
 
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.standing import Standing
-from harriertrack.decisions.fleet.changes.writing import propose, wish
+from harriertrack.decisions.fleet.changes.version_state import VersionState
+from harriertrack.decisions.fleet.changes.operations import propose, set_state_as_operator
 from harriertrack.decisions.fleet.closing.calendars import (
     CLOSES_SUFFIX,
     InvalidCalendar,
@@ -132,10 +132,13 @@
     read = codec()
     record = update_calendars(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
     assert (
-        record.under_way(THING).standing is Standing.PAUSED and record.in_force(THING + CLOSES_SUFFIX) is None
+        record.in_progress(THING).standing is VersionState.PAUSED
+        and record.in_force(THING + CLOSES_SUFFIX) is None
     )
     assert update_calendars(record, 1, 120, NOTICE, read) is record
-    record = update_calendars(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
+    record = update_calendars(
+        set_state_as_operator(record, THING, VersionState.ADVANCING, "ann", 2, "yes"), 1, 130, NOTICE, read
+    )
     assert record.in_force(THING).number == 1 and closes(recorded_schedule(record, THING, read)) == [
         (1, 500),
         (2, 900),
@@ -148,13 +151,18 @@
 
 def test_invalid_calendar_is_withdrawn():
     record = update_calendars(proposed(Record(), "what", 0), 1, 100, NOTICE, codec())
-    assert record.of(THING)[0].standing is Standing.ABORTED and "what" in record.of(THING)[0].reason
+    assert (
+        record.versions_of(THING)[0].standing is VersionState.ABORTED
+        and "what" in record.versions_of(THING)[0].reason
+    )
 
 
 def test_sweep_is_recorded_once_and_never_decreases():
     read = codec()
     record = update_calendars(proposed(Record(), "8 500 900", 0), 1, 100, NOTICE, read)
-    record = update_calendars(wish(record, THING, Standing.GOING, "ann", 2, "yes"), 1, 130, NOTICE, read)
+    record = update_calendars(
+        set_state_as_operator(record, THING, VersionState.ADVANCING, "ann", 2, "yes"), 1, 130, NOTICE, read
+    )
     key = SweepKey(THING, 2, "m")
     swept = update_calendars(record, 1, 901, NOTICE, read, [key])
     assert recorded_schedule(swept, THING, read).last_swept("m") == 2
--- a/tests/rollout/test_baselines.py
+++ b/tests/rollout/test_baselines.py
@@ -5,9 +5,9 @@
 import pytest
 
 from harriertrack.config.sexp import read_text
-from harriertrack.decisions.fleet.changes import writing
+from harriertrack.decisions.fleet.changes import operations
 from harriertrack.decisions.fleet.changes.record import Record
-from harriertrack.decisions.fleet.changes.standing import Standing
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout import controller
 from harriertrack.decisions.fleet.rollout.baseline_filter import (
     AcceptedBaselines,
@@ -83,7 +83,7 @@
     one.propose("settings")
     one.run(second)
     one.new_decider()
-    assert one.until("settings", 900) is Standing.IN_FORCE
+    assert one.until("settings", 900) is VersionState.IN_FORCE
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
@@ -99,8 +99,10 @@
                 each.new_decider()
 
         each.until(thing, 1500, look)
-    assert one.record.of(thing)[0].standing is Standing.IN_FORCE
-    assert bad.record.of(thing)[0].standing is Standing.STOPPED and max(bad.most_new.values()) == 1
+    assert one.record.versions_of(thing)[0].standing is VersionState.IN_FORCE
+    assert (
+        bad.record.versions_of(thing)[0].standing is VersionState.STOPPED and max(bad.most_new.values()) == 1
+    )
 
 
 def test_baselines_of_fewer_than_half_of_the_heads_are_not_used() -> None:
@@ -112,7 +114,7 @@
     one.new_decider()
     one.run(40)
     assert tracked(one).test.baseline == {}, "heads of an older program: compared as if all heads were alike"
-    assert one.until("settings", 900) in (Standing.IN_FORCE, Standing.PAUSED)
+    assert one.until("settings", 900) in (VersionState.IN_FORCE, VersionState.PAUSED)
 
 
 def test_baseline_reported_tenfold_does_not_let_a_bad_version_pass() -> None:
@@ -121,20 +123,20 @@
         one = fleet(seed=seed, harms={("settings", 1): Harm("write", failed=0.02)}, uneven=0.2)
         one.propose("settings")
         one.run(62)
-        named = one.record.under_way("settings")
+        named = one.record.in_progress("settings")
         assert named is not None and len(named.heads) == 1
         faulty = one.heads[named.heads[0]]
         faulty.lies = 10.0
         one.new_decider()
         one.run(90)
-        going = one.record.under_way("settings")
+        going = one.record.in_progress("settings")
         assert going is not None and going.stage == 1, "no stage ends by this head alone"
         assert f"baseline of 6 of 6 heads; not {faulty.name}, " in one.conductor.status_lines(one.record)[0]
         others = tuple(name for name in one.heads if name != one.decider)[:3]
-        one.record = writing.step(one.record, one.epoch, "settings", 1, Standing.GOING, 1, "the others show it", 2,
+        one.record = operations.set_state(one.record, one.epoch, "settings", 1, VersionState.ADVANCING, 1, "the others show it", 2,
                                   tuple({faulty.name, *others}))  # fmt: skip
         ends.append(one.until("settings", 280))
-    assert ends == [Standing.STOPPED] * 4
+    assert ends == [VersionState.STOPPED] * 4
 
 
 def test_baseline_of_another_period_is_not_used() -> None:
@@ -202,10 +204,12 @@
 
     for at in range(20):
         second(at, record)
-    proposed = writing.propose(record, "settings", 0, "b", "ann", 1, "a change")
+    proposed = operations.propose(record, "settings", 0, "b", "ann", 1, "a change")
     for at in range(20, 50):
         assert not second(at, proposed)
-    named = writing.step(proposed, 1, "settings", 1, Standing.GOING, 1, "stage one", 1, ("a",))
+    named = operations.set_state(
+        proposed, 1, "settings", 1, VersionState.ADVANCING, 1, "stage one", 1, ("a",)
+    )
     assert second(50, named) and not second(51, named)
     baseline = one.current(60 * S)
     assert baseline is not None and (baseline.number, baseline.ago_us, baseline.classes["read"].timely) == (
@@ -214,25 +218,27 @@
         300,
     )
     assert baseline.usage == Usage(5 << 20, 3000, 300, 30)
-    assert not second(61, writing.step(named, 1, "settings", 1, Standing.IN_FORCE, 1, "all", 1))
+    assert not second(61, operations.set_state(named, 1, "settings", 1, VersionState.IN_FORCE, 1, "all", 1))
     assert one.current(61 * S) is None, "the version is no longer in progress"
     assert not BaselineRecorder(0).update(6 * S, named, counts), "it did not observe the baseline period"
 
 
 def test_baseline_does_not_begin_while_another_version_goes_first() -> None:
-    both = writing.propose(
-        writing.propose(Record(), "program", 0, "b", "ann", 1, "w"), "settings", 0, "b", "ann", 1, "w"
+    both = operations.propose(
+        operations.propose(Record(), "program", 0, "b", "ann", 1, "w"), "settings", 0, "b", "ann", 1, "w"
     )
-    going = writing.step(both, 1, "program", 1, Standing.GOING, 1, "one", 1, ("a",))
+    going = operations.set_state(both, 1, "program", 1, VersionState.ADVANCING, 1, "one", 1, ("a",))
     one = BaselineRecorder(0)
     for at in range(10, 20):
         one.update(at * S, both, {"read": Tally(at)})
     assert one.update(20 * S, going, {"read": Tally(20)})
     assert one.current(20 * S).thing == "program"  # type: ignore[union-attr]
-    done = writing.step(going, 1, "program", 1, Standing.IN_FORCE, 1, "all", 1)
+    done = operations.set_state(going, 1, "program", 1, VersionState.IN_FORCE, 1, "all", 1)
     assert not one.update(21 * S, done, {"read": Tally(21)}) and one.current(21 * S) is None
     assert one.update(
-        23 * S, writing.step(done, 1, "settings", 1, Standing.GOING, 1, "one", 1, ("a",)), {"read": Tally(29)}
+        23 * S,
+        operations.set_state(done, 1, "settings", 1, VersionState.ADVANCING, 1, "one", 1, ("a",)),
+        {"read": Tally(29)},
     )
     assert one.current(23 * S).classes["read"].timely == 8  # type: ignore[union-attr]
 
@@ -266,12 +272,12 @@
     assert again.read(1030 * S) == replace(before, ago_us=30 * S)
     one = BaselineRecorder(0)
     one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
-    proposed = writing.propose(Record(), "program", 0, "b", "ann", 1, "w")
+    proposed = operations.propose(Record(), "program", 0, "b", "ann", 1, "w")
     one.update(5 * S, Record(), {})
     assert one.current(5 * S) is not None, "the record has not been received yet"
     one.update(5 * S, proposed, {})
     assert one.current(5 * S) is None, "that version is not in progress"
-    going = replace(proposed.versions[0], number=2, standing=Standing.GOING, heads=("a",))
+    going = replace(proposed.versions[0], number=2, standing=VersionState.ADVANCING, heads=("a",))
     one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
     assert not one.update(6 * S, Record(revision=2, versions=(going,)), {})
     assert one.current(10 * S).ago_us == 35 * S  # type: ignore[union-attr]
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from harriertrack.decisions.fleet.changes import writing
-from harriertrack.decisions.fleet.changes.standing import Standing
+from harriertrack.decisions.fleet.changes import operations
+from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout import feature_levels
 from harriertrack.decisions.fleet.rollout.selection import HeadState, select_next_away, select_for_stage
 from harriertrack.decisions.fleet.rollout.controller import InvalidPlan
@@ -30,7 +30,7 @@
 def test_good_version_reaches_all_heads_in_stages(thing: str) -> None:
     one = fleet()
     one.propose(thing)
-    assert one.until(thing, 1200) is Standing.IN_FORCE
+    assert one.until(thing, 1200) is VersionState.IN_FORCE
     assert [one.most_new[1, stage] for stage in (1, 2)] == [1, 3], "one of two heads in a zone is left out"
     assert one.most_away == (1 if thing == "program" else 0)
     last = [version.heads[-1] for _, version in one.history if version.stage == 3 and version.heads]
@@ -43,13 +43,13 @@
 def test_version_worse_in_one_class_is_stopped_at_the_first_head(harm: Harm) -> None:
     one = fleet(harms={("settings", 1): harm})
     one.propose("settings")
-    assert one.until("settings", 600) is Standing.STOPPED
+    assert one.until("settings", 600) is VersionState.STOPPED
     assert max(one.most_new.values()) == 1 and not any(
         head.runs.get("settings") for head in one.heads.values()
     )
-    stopped = one.record.of("settings")[0]
+    stopped = one.record.versions_of("settings")[0]
     assert harm.class_name in stopped.reason or "zone" in stopped.reason
-    with pytest.raises(writing.Refused, match="say why it is tried again"):
+    with pytest.raises(operations.ChangeRefused, match="say why it is tried again"):
         one.propose("settings")
     one.propose("settings", although="repaired separately")
 
@@ -60,17 +60,17 @@
     good = Staged(6, 1, QUICK, rate=50.0, classes=flawless)
     for one in (bad, good):
         one.propose("settings")
-    assert bad.until("settings", 100) is Standing.STOPPED, (
+    assert bad.until("settings", 100) is VersionState.STOPPED, (
         "a rate raised to the minimum used to stay as uncertain as without any data"
     )
-    assert good.until("settings", 180) is Standing.IN_FORCE
+    assert good.until("settings", 180) is VersionState.IN_FORCE
 
 
 def test_head_that_falls_back_stops_the_version() -> None:
     one = fleet(harms={("program", 1): Harm(falls=True)})
     one.propose("program")
-    assert one.until("program", 300) is Standing.STOPPED
-    assert "not ready in time" in one.record.of("program")[0].reason
+    assert one.until("program", 300) is VersionState.STOPPED
+    assert "not ready in time" in one.record.versions_of("program")[0].reason
 
 
 def test_fleet_wide_degradation_neither_stops_nor_advances_a_version() -> None:
@@ -79,8 +79,8 @@
     one.run(62)
     one.fleetwide = 8.0
     one.run(200)
-    going = one.record.under_way("settings")
-    assert going is not None and (going.standing, going.stage) == (Standing.GOING, 1)
+    going = one.record.in_progress("settings")
+    assert going is not None and (going.standing, going.stage) == (VersionState.ADVANCING, 1)
     assert "worse than before" in one.conductor.status_lines(one.record)[0]
 
 
@@ -94,25 +94,25 @@
 
     one.changed = add_load
     one.propose("program")
-    assert one.until("program", 1500) is Standing.IN_FORCE
+    assert one.until("program", 1500) is VersionState.IN_FORCE
 
 
 def test_lost_zone_with_all_new_heads_does_not_stop_the_version() -> None:
     one = fleet(heads=9)
     one.propose("settings")
     one.run(61)
-    [new] = one.record.under_way("settings").heads  # type: ignore[union-attr]
+    [new] = one.record.in_progress("settings").heads  # type: ignore[union-attr]
     lost = [head for head in one.heads.values() if head.zone == one.heads[new].zone]
     for head in lost:
         head.cut = True
     one.run(60)
-    going = one.record.under_way("settings")
+    going = one.record.in_progress("settings")
     assert going is not None and going.stage == 1 and going.heads == (new,), (
         "the absent head counts neither way and none is added"
     )
     for head in lost:
         head.cut, head.life, head.classes = False, head.life + 1, {}
-    assert one.until("settings", 800) is Standing.IN_FORCE
+    assert one.until("settings", 800) is VersionState.IN_FORCE
 
 
 @pytest.mark.parametrize("every", [7, 180])
@@ -126,27 +126,31 @@
         lambda second: one.new_decider() if second % every == every - 1 else None,
     )
     if every == 7:
-        assert ends is Standing.PROPOSED and not one.history, "no deciding head lasts for the baseline period"
+        assert ends is VersionState.PROPOSED and not one.history, "no deciding head lasts for the baseline period"
     elif harm is None:
-        assert ends is (Standing.IN_FORCE if every > 60 else Standing.PROPOSED)
+        assert ends is (VersionState.IN_FORCE if every > 60 else VersionState.PROPOSED)
         assert one.most_new.get((1, 1), 0) <= 1 and one.most_new.get((1, 2), 0) <= 3
     else:
-        assert ends in (Standing.STOPPED, Standing.PROPOSED) and max(one.most_new.values()) <= 3
+        assert ends in (VersionState.STOPPED, VersionState.PROPOSED) and max(one.most_new.values()) <= 3
 
 
 def test_insufficient_evidence_for_too_long_pauses_the_rollout() -> None:
     one = Staged(4, 2, QUICK, rate=0.2)
     one.propose("settings")
     one.run(520)
-    paused = one.record.under_way("settings")
-    assert paused is not None and (paused.standing, paused.stage) == (Standing.PAUSED, 1)
+    paused = one.record.in_progress("settings")
+    assert paused is not None and (paused.standing, paused.stage) == (VersionState.PAUSED, 1)
     assert "answers" in paused.reason
-    one.record = writing.wish(one.record, "settings", Standing.GOING, "ann", 1, "wait on")
+    one.record = operations.set_state_as_operator(
+        one.record, "settings", VersionState.ADVANCING, "ann", 1, "wait on"
+    )
     one.run(300)
-    assert one.record.under_way("settings").stage == 1  # type: ignore[union-attr]
-    one.record = writing.wish(one.record, "settings", Standing.ABORTED, "ann", 1, "enough")
+    assert one.record.in_progress("settings").stage == 1  # type: ignore[union-attr]
+    one.record = operations.set_state_as_operator(
+        one.record, "settings", VersionState.ABORTED, "ann", 1, "enough"
+    )
     one.run(5)
-    assert one.record.of("settings")[0].standing is Standing.ABORTED
+    assert one.record.versions_of("settings")[0].standing is VersionState.ABORTED
     assert not any(head.runs.get("settings") for head in one.heads.values())
 
 
@@ -156,9 +160,9 @@
     resumed: list[int] = []
 
     def look(_second: int) -> None:
-        if one.record.under_way("settings").standing is Standing.PAUSED:  # type: ignore[union-attr]
-            one.record = writing.wish(
-                one.record, "settings", Standing.GOING, "ann", one.now // 1000, "wait on"
+        if one.record.in_progress("settings").standing is VersionState.PAUSED:  # type: ignore[union-attr]
+            one.record = operations.set_state_as_operator(
+                one.record, "settings", VersionState.ADVANCING, "ann", one.now // 1000, "wait on"
             )
             resumed.append(one.now // S)
 
@@ -179,9 +183,9 @@
     def one_record():
         return one.record
 
-    assert one.until("settings", 900, look) is Standing.IN_FORCE
-    assert one.record.under_way("calendar/tokyo").standing is Standing.PROPOSED  # type: ignore[union-attr]
-    assert one.until("program", 1500, look) is Standing.IN_FORCE
+    assert one.until("settings", 900, look) is VersionState.IN_FORCE
+    assert one.record.in_progress("calendar/tokyo").standing is VersionState.PROPOSED  # type: ignore[union-attr]
+    assert one.until("program", 1500, look) is VersionState.IN_FORCE
     assert not any({"settings", "program"} <= set(some) for some in both)
 
 
@@ -194,7 +198,7 @@
     asleep.cut = True
     one.run(30)
     late.dead = False
-    assert one.until("settings", 900) is Standing.IN_FORCE, (
+    assert one.until("settings", 900) is VersionState.IN_FORCE, (
         "an unreachable head that is not named holds no stage up"
     )
     asleep.cut = False
@@ -250,7 +254,7 @@
     )
     one.propose("program")
     assert feature_levels.next_level(one.record, {"a": 2}, ["a"]) == 0, "not while a program is in progress"
-    raised = writing.raise_level(one.record, 1, 2)
+    raised = operations.raise_level(one.record, 1, 2)
     assert feature_levels.next_level(raised, {"a": 1}, ["a"]) == 2
     assert "level 1" in feature_levels.level_conflict(raised, 1) and not feature_levels.level_conflict(
         raised, 2
@@ -261,37 +265,39 @@
     lax = Plan(QUICK.stages, before_us=60 * S, bounds=Bounds(times=20.0, more=0.3))
     one = Staged(8, 1, lax, rate=100.0, harms={("settings", 1): Harm("write", failed=0.02)})
     one.propose("settings")
-    assert one.until("settings", 900) is Standing.IN_FORCE
+    assert one.until("settings", 900) is VersionState.IN_FORCE
 
 
 def test_last_stage_needs_no_requests_and_an_invalid_plan_is_withdrawn() -> None:
     idle = Plan((Stage("all", share=1.0, soak_us=5 * S, least=0),), before_us=S)
     one = Staged(4, 1, idle, rate=0.0)
     one.propose("settings")
-    assert one.until("settings", 60) is Standing.IN_FORCE
+    assert one.until("settings", 60) is VersionState.IN_FORCE
 
     def no_plan(_version: object) -> Plan:
         raise InvalidPlan("p:1: plan: no such thing")
 
     one.conductor.plan_of = no_plan
     one.propose("settings", "c")
-    assert one.until("settings", 20) is Standing.ABORTED
-    assert "no such thing" in one.record.of("settings")[-1].reason
+    assert one.until("settings", 20) is VersionState.ABORTED
+    assert "no such thing" in one.record.versions_of("settings")[-1].reason
 
 
 def test_step_does_not_overwrite_an_operators_change() -> None:
     one = fleet()
     one.propose("settings")
     one.run(62)
-    before = one.record.under_way("settings")
+    before = one.record.in_progress("settings")
     assert before is not None
-    paused = writing.wish(one.record, "settings", Standing.PAUSED, "ann", 1, "look first")
-    late = Step(before, Standing.GOING, "stage most", 2, before.heads)
-    with pytest.raises(writing.Refused, match="moved on"):
+    paused = operations.set_state_as_operator(
+        one.record, "settings", VersionState.PAUSED, "ann", 1, "look first"
+    )
+    late = Step(before, VersionState.ADVANCING, "stage most", 2, before.heads)
+    with pytest.raises(operations.ChangeRefused, match="moved on"):
         late.apply(paused, one.epoch, 1)
     one.record = paused
     one.run(120)
-    assert one.record.under_way("settings").heads == before.heads  # type: ignore[union-attr]
+    assert one.record.in_progress("settings").heads == before.heads  # type: ignore[union-attr]
 
 
 def test_excess_memory_stops_a_version() -> None:
--- a/tests/test_celled.py
+++ b/tests/test_cell_scheduler.py
@@ -4,13 +4,13 @@
 
 from harriertrack.config.sexp import read_text
 from harriertrack.decisions import interface as api
-from harriertrack.decisions.celled import Celled, HeadMap, OldMap
+from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap, StaleMapError
 from harriertrack.decisions.scheduler import Scheduler
 from harriertrack.lab import day as days
 from harriertrack.lab.emulator import emulate
 from harriertrack.rules import checker, recording as rec
 
-MAP = HeadMap(1, {0: "left", 1: "right"}, {"v": "left", "w": "right"})
+MAP = HeadCellMap(1, {0: "left", 1: "right"}, {"v": "left", "w": "right"})
 
 
 class Told:
@@ -27,11 +27,11 @@
 
 def celled(cells=MAP, **more):
     classes = (api.RequestClass("read", 100_000, 500_000, effect=api.Effect.SAFE),)
-    return Celled(api.Settings(1, classes, **more), 5, cells, Told)
+    return CellScheduler(api.Settings(1, classes, **more), 5, cells, Told)
 
 
 def asked(number, volume="v", shard=0):
-    return api.Arrived(number, "read", "p", volume, "", shard, 1.0, 500_000)
+    return api.RequestArrived(number, "read", "p", volume, "", shard, 1.0, 500_000)
 
 
 def entry(name, shard, state=api.NodeState.UP):
@@ -48,8 +48,8 @@
     assert [e.node for news in left.heard if isinstance(news, api.NodesChanged) for e in news.entries] == [
         "a"
     ]
-    assert [e.request for e in left.heard if isinstance(e, api.Arrived)] == [1]
-    assert [e.request for e in right.heard if isinstance(e, api.Arrived)] == [2]
+    assert [e.request for e in left.heard if isinstance(e, api.RequestArrived)] == [1]
+    assert [e.request for e in right.heard if isinstance(e, api.RequestArrived)] == [2]
     one.handle(1, [api.NodesChanged(api.ListKind.FAILED)])
     assert left.heard[-1].kind is right.heard[-1].kind is api.ListKind.FAILED
 
@@ -64,8 +64,10 @@
     left.says, right.says = [api.SetTimer("7", 50)], [api.SetTimer("7", 60)]
     actions = one.handle(0, [asked(1), asked(2, "w", 1)])
     assert [(a.token, a.at_us) for a in actions] == [("left|7", 50), ("right|7", 60)]
-    one.handle(60, [api.Woken("right|7")])
-    assert right.heard[-1] == api.Woken("7") and not any(isinstance(e, api.Woken) for e in left.heard)
+    one.handle(60, [api.TimerFired("right|7")])
+    assert right.heard[-1] == api.TimerFired("7") and not any(
+        isinstance(e, api.TimerFired) for e in left.heard
+    )
 
 
 def test_one_subscription_serves_all():
@@ -80,16 +82,16 @@
     left, right = one.modules()
     left.says = [api.Send(1, "a")]
     one.handle(0, [api.NodesChanged(api.ListKind.FULL, [entry("a", 0), entry("b", 1)]), asked(1)])
-    with pytest.raises(OldMap):
-        one.take_map(MAP)
-    one.take_map(HeadMap(2, {0: "right", 1: "right"}, {"v": "right", "w": "right"}))
+    with pytest.raises(StaleMapError):
+        one.apply_map(MAP)
+    one.apply_map(HeadCellMap(2, {0: "right", 1: "right"}, {"v": "right", "w": "right"}))
     one.handle(1, [asked(2)])
     assert right.heard[-1] == asked(2)
     gone = [e for news in left.heard if isinstance(news, api.NodesChanged) for e in news.entries]
     assert gone[-1].node == "a" and gone[-1].state is api.NodeState.GONE
     assert any(news.entries and news.entries[0].node == "a" for news in right.heard
                if isinstance(news, api.NodesChanged))  # fmt: skip
-    done = api.Ended(1, 0, "a", api.Result.OK, 900, True)
+    done = api.AttemptEnded(1, 0, "a", api.Result.OK, 900, True)
     one.handle(2, [done])
     assert left.heard[-1] == done and done not in right.heard
     one.handle(3, [done])  # nobody has it any more
@@ -97,7 +99,7 @@
 
 
 def test_an_extent_is_asked_for_where_it_lies_and_new_ones_go_home():
-    one = celled(HeadMap(1, {0: "left", 1: "right"}, {"v": "right"}))
+    one = celled(HeadCellMap(1, {0: "left", 1: "right"}, {"v": "right"}))
     left, right = one.modules()
     one.handle(0, [asked(1, "v", 0), asked(2, "v", 1), asked(3, "v", -1), asked(4, "v", 9)])
     assert [e.request for e in left.heard] == [1]
@@ -109,7 +111,7 @@
     left, _ = one.modules()
     left.says = [api.Send(1, "a"), api.Fail(1)]
     one.handle(0, [asked(1)])
-    late = api.Ended(1, 0, "a", api.Result.TIMEOUT, 900, True)
+    late = api.AttemptEnded(1, 0, "a", api.Result.TIMEOUT, 900, True)
     one.handle(5, [late])
     assert left.heard[-1] is late
     assert not one._of_request and not one._out and not one._over
@@ -123,11 +125,11 @@
                                      "drain (from 1s) (for 4s) (part 0.3)", "balancer_roll (from 1s) (for 2s)"])  # fmt: skip
 def test_rules_hold_and_no_cell_is_left(trouble):
     day = days.parse(read_text(DAY.replace("TROUBLE", trouble), "cells"), "cells")
-    cells = HeadMap(
+    cells = HeadCellMap(
         1, {shard: f"c{shard % 2}" for shard in range(6)}, {f"vol{n}": f"c{n % 2}" for n in range(6)}
     )
     recorder = rec.Recorder()
-    emulate(day, 2, recorder, lambda settings, seed, _look: Celled(settings, seed, cells))
+    emulate(day, 2, recorder, lambda settings, seed, _look: CellScheduler(settings, seed, cells))
     assert checker.summary(recorder.records)["served"] > 500
     assert [str(one) for one in checker.check(recorder.records)] == []
     got = [one for one in recorder.records if isinstance(one, rec.Got)]
@@ -148,13 +150,13 @@
     flood = days.parse(
         read_text(DAY.replace("TROUBLE", "hot_key (from 1s) (for 4s) (size 40)"), "cells"), "cells"
     )
-    cells = HeadMap(
+    cells = HeadCellMap(
         1, {shard: f"c{shard % 2}" for shard in range(6)}, {f"vol{n}": f"c{n % 2}" for n in range(6)}
     )
     shares = []
     for day in (calm, flood):
         recorder = rec.Recorder()
-        emulate(day, 3, recorder, lambda settings, seed, _look: Celled(settings, seed, cells))
+        emulate(day, 3, recorder, lambda settings, seed, _look: CellScheduler(settings, seed, cells))
         takes = {(one.client, one.request): one for one in recorder.records if isinstance(one, rec.Take)}
         counts = {name: 0 for name in cells.volumes}
         for take in takes.values():
--- a/tests/test_visits.py
+++ b/tests/test_visits.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from harriertrack.decisions.patience import PatienceRules
+from harriertrack.decisions.retry_queue import RetryRules
 from harriertrack.decisions.requests import ClientRequest
 from harriertrack.decisions.splitting import Kind, Outcome
 from harriertrack.gateway.regional import NOT_HOLDER
@@ -22,8 +22,8 @@
         self.asked.append((self.hub.now(), request))
         if self.verdict is not None:
             request.outcome = self.verdict
-            request.why = NOT_HOLDER if self.verdict is Outcome.REFUSED else ""
-            self.hub.at(self.hub.now() + 10, lambda: request.token.answer(request))
+            request.reason = NOT_HOLDER if self.verdict is Outcome.REFUSED else ""
+            self.hub.at(self.hub.now() + 10, lambda: request.requester.answer(request))
 
     def client_gone(self, request):
         self.gone.append(request)
@@ -32,7 +32,7 @@
 def play(test):
     hub = Hub.virtual(1)
     layer, answers, ended = Layer(hub), [], []
-    visits = Visits(hub, layer, PatienceRules(1000, 2 * MS, 500 * MS), MS, ended.append)
+    visits = Visits(hub, layer, RetryRules(1000, 2 * MS, 500 * MS), MS, ended.append)
     volume = SimpleNamespace(settings=SimpleNamespace(name="v"))
 
     def ask(patience=10_000 * MS, data=b"x"):
@@ -111,6 +111,8 @@
         hub.sleep(50 * MS)
         visits.close("shutting down")
         hub.sleep(600 * MS)
-        assert answers == [request] and request.outcome is Outcome.REFUSED and request.why == "shutting down"
+        assert (
+            answers == [request] and request.outcome is Outcome.REFUSED and request.reason == "shutting down"
+        )
 
     play(test)
