--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -6,9 +6,9 @@
 then starts again, so none is ever shortened. No wall clock is used. Pure.
 
     PROPOSED   heads are observed as they are; another rollout has to finish first
-    GOING      more heads of the stage are named; when all run the version: the soak; then the next stage
+    ADVANCING  more heads of the stage are named; when all run it: the soak; then the next stage
     PAUSED     no more heads are named; a rollback may still begin
-    BACK       heads are removed from the named ones, at a pace of its own, until none reports the version
+    REVERTING  heads are removed from the named ones, at a pace of its own, until none reports the version
 """
 
 from __future__ import annotations
@@ -254,7 +254,9 @@
         if not named and not any(
             head.present and head.running_version == self.number for head in members.values()
         ):
-            final = VersionState.STOPPED if version.reason.startswith(STOPPED_PREFIX) else VersionState.ABORTED
+            final = (
+                VersionState.STOPPED if version.reason.startswith(STOPPED_PREFIX) else VersionState.ABORTED
+            )
             return Step(version, final, version.reason, version.stage, ())
         self.waiting_for = "heads that go back are away" if named else "heads still report that they run it"
         return None
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -126,7 +126,9 @@
         lambda second: one.new_decider() if second % every == every - 1 else None,
     )
     if every == 7:
-        assert ends is VersionState.PROPOSED and not one.history, "no deciding head lasts for the baseline period"
+        assert ends is VersionState.PROPOSED and not one.history, (
+            "no deciding head lasts for the baseline period"
+        )
     elif harm is None:
         assert ends is (VersionState.IN_FORCE if every > 60 else VersionState.PROPOSED)
         assert one.most_new.get((1, 1), 0) <= 1 and one.most_new.get((1, 2), 0) <= 3
