--- a/harriertrack/wirehost.py
+++ b/harriertrack/wirehost.py
@@ -127,9 +127,9 @@
                 self.pools[int(index)] = [self.read_row(rows) for _ in range(int(count))]
             elif word == "directory_update":
                 form, _serial, index = rest.split(" ")
-                kind = FORMS[form]
-                entries = [] if kind is api.ListKind.FAILED else self.pools[int(index)]
-                self.add(api.NodesChanged(kind, entries))
+                list_kind = FORMS[form]
+                entries = [] if list_kind is api.ListKind.FAILED else self.pools[int(index)]
+                self.add(api.NodesChanged(list_kind, entries))
             elif word == "init":
                 seed, conf = rest.split(" ", 1)
                 self.instances[self.current] = Scheduler(parse_settings(json.loads(conf)), int(seed))
