--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -414,8 +414,8 @@
         "a close fires in doubt",
         "closing",
         f"{CLOSING}.fences:Fence.closes_to_purge",
-        "min(reading.low, sure_until)",
-        "min(reading.high, sure_until)",
+        "min(reading.low, confirmed_until)",
+        "min(reading.high, confirmed_until)",
     ),
     Fault(
         "a head that nobody tells goes on",
@@ -522,15 +522,15 @@
     Fault(
         "a bad version is tried for ever",
         "launch-bad",
-        f"{LAUNCHING}._failed",
-        "kept.tries + 1 >= self.rules.tries",
+        f"{LAUNCHING}._handle_failure",
+        "saved.tries + 1 >= self.rules.tries",
         "False",
     ),
     Fault(
         "what fell is tried anew",
         "launch-bad",
         f"{LAUNCHING}.request_program",
-        " or program.number == kept.fell != 0",
+        " or program.number == saved.fell != 0",
         "",
     ),
     Fault(
@@ -579,8 +579,8 @@
         "a close that may have come purges",
         "close-write",
         f"{CLOSING}.fences:Fence.closes_to_purge",
-        "min(reading.low, sure_until)",
-        "min(reading.high, sure_until)",
+        "min(reading.low, confirmed_until)",
+        "min(reading.high, confirmed_until)",
     ),
     Fault(
         "a close purges nothing", "close-write", f"{CLOSES}._covers", "return touched and", "return False and"
@@ -602,8 +602,8 @@
     Fault(
         "a stage ends unheard",
         "rollout-decider",
-        f"{ROLLOUT}._unripe",
-        "if missing > int(self.plan.missing * len(named)) or not heard:",
+        f"{ROLLOUT}._unmet_condition",
+        "if missing > int(self.plan.missing * len(named)) or not running:",
         "if not named:",
     ),
     Fault(
@@ -616,7 +616,7 @@
     Fault(
         "the first stage is the last",
         "rollout-decider",
-        f"{ROLLOUT}._go",
+        f"{ROLLOUT}._advance",
         "if at == len(plan.stages):",
         "if at >= 1:",
     ),
@@ -630,8 +630,8 @@
     Fault(
         "a head that does not take it stops nothing",
         "rollout-falls",
-        f"{ROLLOUT}._worse",
-        "if len(fell) >= self.plan.bounds.falls:",
+        f"{ROLLOUT}._begin_rollback",
+        "if len(rejecting) >= self.plan.bounds.falls:",
         "if False:",
     ),
     Fault(
@@ -670,7 +670,7 @@
         "who has not come back is not away",
         "rollout",
         f"{ROLLOUT}.away_heads",
-        "elif (name in named) != (one.running_version == self.number):",
+        "elif (name in named) != (head.running_version == self.number):",
         "elif False:",
         2,
     ),
