--- a/harriertrack/gateway/background.py
+++ b/harriertrack/gateway/background.py
@@ -1,4 +1,4 @@
-"""Requests of the head's own, beside those of its clients: what copies, compares and moves extents."""
+"""Background requests of the head itself, which copy, compare and move extents."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class Waiter:
-    """Who waits for such a request, or for an extent to be held."""
+    """Waits for the answer to a background request, or for an extent to be held."""
 
     def __init__(self, hub: Hub) -> None:
         self._ended = Event(hub)
 
     def answer(self, request: ClientRequest) -> None:
-        """Take the core's answer."""
+        """Handle the core's answer."""
         self._ended.set()
 
     def held(self) -> None:
-        """The extent is held."""
+        """Handle that the extent is held."""
         self._ended.set()
 
     def wait(self) -> None:
-        """Let the current task wait for it."""
+        """Block the current task until then."""
         self._ended.wait()
 
 
 def run_request(hub: Hub, core: Core, volume: str, kind: Kind, start: int, length: int, data: bytes = b"",
        moving: bool = False, at_shard: int = -1) -> ClientRequest:  # fmt: skip
-    """Do a background request and wait for its end, which its class's deadline bounds."""
+    """Run a background request and wait for its end, which is bounded by the deadline of its class."""
     waiter = Waiter(hub)
     request = ClientRequest(core.volumes[volume], kind, start, length, data, 0, waiter,
                             background=True, moving=moving, trim_shard=at_shard)  # fmt: skip
--- a/harriertrack/gateway/client.py
+++ b/harriertrack/gateway/client.py
@@ -1,4 +1,4 @@
-"""An NBD client on the hub: for the other region's head, for days, tests, and the command line."""
+"""An NBD client on the hub: for links between regions' heads, lab days, tests, and the command line."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class NbdClientError(Exception):
-    """The server does not do what was asked; the text says what."""
+    """The server refused an option; the text says why."""
 
 
 class NbdClient:
-    """One connection. `call` waits for the reply; `start` hands it to a callback."""
+    """One connection. `call` waits for the reply; `start` passes it to a callback."""
 
     def __init__(self, hub: Hub, network: Network, name: str = "client",
                  contexts: Sequence[str] = (BASE_ALLOCATION,)) -> None:  # fmt: skip
@@ -29,8 +29,8 @@
         self.size = 0
         self.flags = TransmissionFlags(0)
         self.block_sizes = (1, 4096, 0)
-        self.read_at = 0  # when the bytes that ended the present reply were read
-        self.violation = ""  # what the server did that the protocol forbids
+        self.read_at = 0  # when the last bytes of the current reply were read
+        self.violation = ""  # how the server violated the protocol
         self.on_lost: Callable[[], None] | None = None
 
     @property
@@ -44,7 +44,7 @@
         return list(self._nbd.contexts.values())
 
     def open(self, address: tuple[str, int], deadline: int | None = None) -> None:
-        """Connect and take the greeting. Raises OSError, DeadlineExceeded, ProtocolViolation."""
+        """Connect and read the greeting. Raises OSError, DeadlineExceeded, ProtocolViolation."""
         self._stream = self._network.connect(address, deadline, self._name)
         self._await(deadline)
 
@@ -61,12 +61,12 @@
         structured: bool = True,
         contexts: Sequence[str] | None = None,
     ) -> None:
-        """Use an export; from then on replies are taken by a task of `scope`. Raises NbdClientError."""
+        """Select an export; from then on a task of `scope` reads replies. Raises NbdClientError."""
         if structured:
             self._nbd.ask_structured()
-            asked = self._contexts if contexts is None else contexts
-            if not self._option(deadline, must=False).error and asked:
-                self._nbd.ask_contexts(export, asked)
+            requested = self._contexts if contexts is None else contexts
+            if not self._option(deadline, must=False).error and requested:
+                self._nbd.ask_contexts(export, requested)
                 self._option(deadline, must=False)
         self._nbd.ask_go(export)
         done = self._option(deadline)
@@ -108,7 +108,7 @@
             pass
         except ProtocolViolation as error:
             self.violation = str(error)
-        finally:  # also when the task is cancelled: the server must hear of it
+        finally:  # also when the task is cancelled, so that the server sees the connection close
             self._stream.close()
         lost, self._callbacks = self._callbacks, {}
         for callback in lost.values():
@@ -145,16 +145,16 @@
     ) -> Reply:
         """Send a request and wait for its reply. Raises ConnectionError if the connection is lost."""
 
-        def ask(then: Callable[[Reply | None], None]) -> None:
+        def send(then: Callable[[Reply | None], None]) -> None:
             self.start(command, offset, length, data, then, flags)
 
-        reply = answer_of(self._hub, ask, deadline)
+        reply = answer_of(self._hub, send, deadline)
         if reply is None:
             raise ConnectionError("the connection was lost")
         return reply
 
     def close(self) -> None:
-        """Say goodbye and close."""
+        """Disconnect in order and close."""
         if self._stream is not None:
             if self._nbd.state is ClientState.TRANSMISSION:
                 self._nbd.disconnect()
--- a/harriertrack/gateway/front.py
+++ b/harriertrack/gateway/front.py
@@ -1,8 +1,8 @@
 """The NBD front: clients' connections, each request of which becomes a `ClientRequest` of the core.
 
-A front decides nothing: it parses, refuses what passes a connection's bound, and writes the core's
-answers. Refused and failed are told apart by the error: ENOMEM (not done, trying again is
-harmless, with the hint in the message) and EIO (nothing is promised).
+A front makes no scheduling decisions: it parses requests, refuses those over a connection's limit, and
+writes the core's answers. The error distinguishes refused from failed: ENOMEM (not done, a retry is safe,
+the hint is in the message) and EIO (the effect is unknown).
 """
 
 from __future__ import annotations
@@ -49,9 +49,9 @@
 REFUSED, FAILED = Errno.ENOMEM, Errno.EIO
 
 
-def error_of_rejection(one: Rejection) -> tuple[Errno, str]:
-    """Return the error and its text for a request that was not taken."""
-    return Errno.ESHUTDOWN if one.closing else REFUSED, one.why
+def error_of_rejection(rejection: Rejection) -> tuple[Errno, str]:
+    """Return the error and its text for a request that was not admitted."""
+    return Errno.ESHUTDOWN if rejection.closing else REFUSED, rejection.why
 
 
 def error_of(request: ClientRequest) -> tuple[Errno, str]:
@@ -65,21 +65,21 @@
 
 
 class VolumeExports:
-    """The volumes as exports."""
+    """The volumes as NBD exports."""
 
     def __init__(self, settings: HeadSettings) -> None:
-        offered = TransmissionFlags.HAS_FLAGS | TransmissionFlags.SEND_FLUSH | TransmissionFlags.SEND_FUA
-        offered |= (
+        supported = TransmissionFlags.HAS_FLAGS | TransmissionFlags.SEND_FLUSH | TransmissionFlags.SEND_FUA
+        supported |= (
             TransmissionFlags.SEND_TRIM | TransmissionFlags.SEND_WRITE_ZEROES | TransmissionFlags.SEND_DF
         )
-        offered |= TransmissionFlags.CAN_MULTI_CONN
+        supported |= TransmissionFlags.CAN_MULTI_CONN
         if any(Kind.CACHE in one.kinds for one in settings.classes):
-            offered |= TransmissionFlags.SEND_CACHE
-        self._spread = {volume.name for volume in settings.volumes if volume.regions is not None}
+            supported |= TransmissionFlags.SEND_CACHE
+        self._regional_volumes = {volume.name for volume in settings.volumes if volume.regions is not None}
         self._exports = {
             volume.name: ExportInfo(
                 volume.name, volume.size_bytes,
-                offered | TransmissionFlags.READ_ONLY if volume.read_only else offered,
+                supported | TransmissionFlags.READ_ONLY if volume.read_only else supported,
                 f"volume {volume.name}, plan {volume.plan}",
             )
             for volume in settings.volumes
@@ -90,32 +90,32 @@
         return self._exports
 
     def find(self, name: str) -> ExportInfo | None:
-        """Return an export; "" is the only volume, where there is one."""
+        """Return an export; "" names the only volume, if there is just one."""
         if not name and len(self._exports) == 1:
             return next(iter(self._exports.values()))
         return self._exports.get(name)
 
     def contexts(self, export: str, query: str) -> Iterable[str]:
-        """Return the context of those who hear hints, or of the other region's head.
+        """Return the context that a query names: for clients with hints, or for the other region's head.
 
-        The latter only if the volume is of two regions.
+        The latter only if the volume spans two regions.
         """
         if query == HINTS_CONTEXT:
             return (query,)
         known = any(identity_of(query, prefix) for prefix in (RELAY_CONTEXT, COPY_CONTEXT))
-        return (query,) if known and export in self._spread else ()
+        return (query,) if known and export in self._regional_volumes else ()
 
 
 @dataclass(slots=True, eq=False)
 class DigestRequester:
-    """Takes the answer to the read behind a DIGEST."""
+    """Receives the answer to the read that a DIGEST command needs."""
 
     session: Session
     cookie: int
 
     def answer(self, request: ClientRequest) -> None:
-        """Take the one final answer."""
-        self.session.digested(self.cookie, request)
+        """Handle the final answer."""
+        self.session.answer_digest(self.cookie, request)
 
 
 class Session:
@@ -124,11 +124,11 @@
     def __init__(self, front: NbdFront, stream: Stream) -> None:
         self._front, self._stream = front.reception, stream
         self._nbd = ServerConnection(front.exports)
-        self._open: dict[ClientRequest, int] = {}  # requests without their answer, and their cookies
-        self._fewer = Waiters(front.reception.hub)
+        self._open: dict[ClientRequest, int] = {}  # unanswered requests and their cookies
+        self._answered = Waiters(front.reception.hub)
         self.volume = ""
         self.origin, self._epoch, self._generation = Origin.CLIENT, 0, 0
-        self.chosen = self.counted = False  # it has a volume; it counts among its cell's connections
+        self.chosen = self.counted = False  # it has a volume; it counts towards its cell's connections
         self.supports_hints, self.multipath, self.max_patience_us = False, False, 0
 
     def run(self) -> None:
@@ -143,11 +143,11 @@
                 if not data:
                     break
                 events = self._nbd.receive(data)
-                self._push()  # error replies, which no event tells of
+                self._push()  # error replies, which come without an event
                 for event in events:
                     match event:
                         case Request(command=Command.TICK | Command.CAUGHT | Command.DIGEST):
-                            self._peer_news(event)
+                            self._peer_command(event)
                         case Request():
                             self._request(event)
                         case Opened():
@@ -166,10 +166,10 @@
                             return
                 if self._nbd.state is ServerState.CLOSED:
                     break
-                # A client that does not read its answers is not read from either.
+                # Stop reading from a client that does not read its answers.
                 self._stream.drain()
-                if rest := front.shares.read_pause_us(self.volume, front.hub.now()):
-                    front.hub.sleep(rest)
+                if pause := front.shares.read_pause_us(self.volume, front.hub.now()):
+                    front.hub.sleep(pause)
         except (ProtocolViolation, DeadlineExceeded) as error:
             front.note("client closed", peer=self._stream.peer, why=str(error) or "too slow a handshake")
         except OSError as error:
@@ -185,13 +185,13 @@
             self._stream.write(data)
 
     def _finish_open(self) -> None:
-        """After DISC: what is in flight is answered before the connection closes (spec: NBD_CMD_DISC)."""
+        """After DISC, answer requests in flight before the connection closes (spec: NBD_CMD_DISC)."""
         while self._open:
-            self._fewer.wait()
+            self._answered.wait()
         self._stream.drain()
 
     def _identify(self, contexts: Iterable[str]) -> bool:
-        """Tell a client from the other region's head; return False for a holder that is none any more."""
+        """Identify a client or the other region's head; return False for a holder that lost its lease."""
         for context in contexts:
             if context == HINTS_CONTEXT:
                 self.supports_hints = True
@@ -205,10 +205,10 @@
                 )
         return True
 
-    def _peer_news(self, event: Request) -> None:
+    def _peer_command(self, event: Request) -> None:
         regional, report = self._front.regional, None
         if regional is None or self.origin is not Origin.RELAY:
-            self._turn_away(event, Errno.EINVAL, "only the other region's head may say so")
+            self._reject(event, Errno.EINVAL, "only the other region's head may send this command")
             return
         if event.command is Command.DIGEST:
             self._digest(event)
@@ -221,13 +221,13 @@
         self._push()
 
     def _digest(self, event: Request) -> None:
-        """Read a range as for a client, but answer with its digest."""
+        """Read a range as for a client, but reply with its digest."""
         volume = self._front.core.volumes[self.volume]
         export = self._nbd.export
         if not event.length or export is None or event.offset + event.length > export.size:
-            self._turn_away(event, Errno.EINVAL, "not a range of the volume")
+            self._reject(event, Errno.EINVAL, "not a range of the volume")
             return
-        asker = DigestRequester(self, event.cookie)
+        requester = DigestRequester(self, event.cookie)
         self._front.submit(
             ClientRequest(
                 volume,
@@ -236,7 +236,7 @@
                 event.length,
                 b"",
                 0,
-                asker,
+                requester,
                 origin=self.origin,
                 tick=event.token,
                 reader=self,
@@ -244,7 +244,7 @@
             )
         )
 
-    def digested(self, cookie: int, request: ClientRequest) -> None:
+    def answer_digest(self, cookie: int, request: ClientRequest) -> None:
         """Answer a DIGEST."""
         if request.outcome is Outcome.SERVED:
             digest = digest_of(request)
@@ -260,11 +260,11 @@
             and self.origin is Origin.RELAY
             and front.regional is not None
         ):
-            told = front.regional.missing(self.volume, event.offset, event.length, self._generation)
-            if told is None:
-                self._turn_away(event, REFUSED, CLOSED)
+            extents = front.regional.missing(self.volume, event.offset, event.length, self._generation)
+            if extents is None:
+                self._reject(event, REFUSED, CLOSED)
                 return
-            self._nbd.reply_block_status(event.cookie, told, RELAY_CONTEXT)
+            self._nbd.reply_block_status(event.cookie, extents, RELAY_CONTEXT)
             self._push()
             return
         if event.command is Command.BLOCK_STATUS:
@@ -273,36 +273,36 @@
             return
         volume = front.core.volumes[self.volume]
         kind = KINDS[event.command]
-        pulled = self.origin is Origin.RELAY and kind is Kind.READ and event.flags & CommandFlags.DF
+        catch_up_read = self.origin is Origin.RELAY and kind is Kind.READ and event.flags & CommandFlags.DF
         request = ClientRequest(
             volume, kind, event.offset, event.length, event.data, event.flags, self,
-            origin=self.origin, epoch=self._epoch, tick=event.token, reader=self if pulled else None,
+            origin=self.origin, epoch=self._epoch, tick=event.token, reader=self if catch_up_read else None,
             generation=self._generation, arrived_at=self._stream.came_at,
         )  # fmt: skip
         if not self.supports_hints:
-            self._stream.drain()  # what waits is taken only as fast as its client takes answers
-        if turned_away := front.wait_for_admission(self, request, self._stream, len(self._open)):
-            self._turn_away(event, *error_of_rejection(turned_away))
+            self._stream.drain()  # accept waiting requests only as fast as the client reads answers
+        if rejection := front.wait_for_admission(self, request, self._stream, len(self._open)):
+            self._reject(event, *error_of_rejection(rejection))
             return
         self._open[request] = event.cookie
         front.submit(request)
 
-    def _turn_away(self, event: Request, error: Errno, why: str) -> None:
+    def _reject(self, event: Request, error: Errno, why: str) -> None:
         self._nbd.reply_error(event.cookie, error, why)
         self._push()
 
     def _status(self, event: Request) -> Iterable[tuple[int, int]]:
-        """Return what is allocated: extents that were never written are holes."""
+        """Return the allocation status; extents that were never written are holes."""
         core, hole = self._front.core, int(ExtentFlags.HOLE | ExtentFlags.ZERO)
         volume = core.volumes[self.volume]
         pieces = split_at_extents(event.offset, event.length, self._front.settings.extent_bytes)
-        told = merge_runs(
+        runs = merge_runs(
             (length, hole if core.shard_of(volume, at) is None else 0) for at, _, length in pieces
         )
-        return islice(told, 1) if event.flags & CommandFlags.REQ_ONE else told
+        return islice(runs, 1) if event.flags & CommandFlags.REQ_ONE else runs
 
     def answer(self, request: ClientRequest) -> None:
-        """Give a request its one final answer."""
+        """Write the final answer to a request."""
         cookie = self._open.pop(request)
         match request.outcome:
             case Outcome.SERVED if request.kind is Kind.READ:
@@ -313,7 +313,7 @@
             case _:
                 self._nbd.reply_error(cookie, *error_of(request))
         self._push()
-        self._fewer.notify()
+        self._answered.notify()
 
 
 class NbdFront:
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -40,8 +40,8 @@
     from harriertrack.runtime.datagrams import DatagramNetwork
     from harriertrack.storage.changes import ChangesCache
 
-MAP_US = 500_000  # how often the file of the cells' map is looked at
-STOP_US = 10_000_000  # the longest that a head waits for its open requests when it is asked to stop
+MAP_US = 500_000  # how often the file of the cell map is checked
+STOP_US = 10_000_000  # the longest that a stopping head waits for its open requests
 
 
 def log_nothing(_event: str, **_fields: object) -> None:
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Wiring:
-    """What a head is made of; the laboratory exchanges what lies outside it, or the module for a baseline."""
+    """A head's replaceable components: the lab replaces its surroundings, or the module by a baseline."""
 
     links: Callable[[HeadParts], Links] = Links
     listing: Callable[[HeadParts], Listing] = Listing
     module: Callable[[api.Settings, int], Scheduler | CellScheduler] = Scheduler
-    datagrams: DatagramNetwork | None = None  # of its fleet; None: sockets
+    datagrams: DatagramNetwork | None = None  # for the fleet's messages; None: sockets
     changes_cache: ChangesCache | None = None  # its copy of the record of changes; None: a file
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
-    scorers: tuple[object, ...] = ()  # plugins beside the installed ones
-    handover: Handover | None = None  # what started it, and starts other versions; None: nothing does
-    usage: Usage | None = None  # what its process uses; None: it can't be told from others'
+    scorers: tuple[object, ...] = ()  # plugins in addition to the installed ones
+    handover: Handover | None = None  # to the launcher that runs this head and can start other versions
+    usage: Usage | None = None  # resources that its process uses; None: its process runs other heads too
 
 
 class Head:
-    """One head on a hub; `run` is its task. Raises SettingsError for a map of cells that can't be."""
+    """One head on a hub; `run` is its task. Raises SettingsError for an invalid cell map."""
 
     def __init__(self, hub: Hub, network: Network, settings: HeadSettings,
                  note: Callable[..., None] = log_nothing, extents: ExtentMap | None = None,
@@ -74,11 +74,11 @@
         self._network, self._note, self._name = network, note, name
         self._extents, self._log, self._wiring = extents, log, wiring
         self._alarm = Alarm(hub, self._flush)
-        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._look)
+        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._check_standstill)
         self._stopping = Event(hub)
         self.ready = Event(hub)
-        self.trace: Callable[[Attempt], None] | None = None  # hears of every send, for rigs that stamp them
-        self._counting: AnswerCounter | None = None  # of its answers, where versions come in stages
+        self.trace: Callable[[Attempt], None] | None = None  # called for each send, for test harnesses
+        self._answer_counter: AnswerCounter | None = None  # for rollouts of versions in stages
         self.address = self.nvme_address = settings.listen
         self.core: Core
         self.reception: Reception
@@ -86,12 +86,12 @@
         self.module: Scheduler | CellScheduler
         self.fleet: Fleet | None = None
         self.regional: Regional | None = None
-        self._portions: BudgetShares | None = None
+        self._budget_shares: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
         self._cells = head_map(settings.cell_map, settings.volumes) if settings.cell_map else None
         self.scored: Scored | None = None
         if settings.fleet is not None and settings.fleet.scoring is not None:
-            from harriertrack.gateway.fleet.scoring.carrier import scored_of  # other heads do not load it
+            from harriertrack.gateway.fleet.scoring.carrier import scored_of  # loaded only where it is used
 
             self.scored = scored_of(settings, settings.fleet.scoring, note, wiring.scorers)
         self.nodes = NodeList()
@@ -107,16 +107,16 @@
             self._log = MissedLog(str(Path(settings.state_dir) / "missed"))
         try:
             with hub.scope(self._name) as scope:
-                parts = self._decide(scope, extents)
-                self._reach_nodes(parts)
-                self._serve(scope, listeners)
+                parts = self._make_core(scope, extents)
+                self._start_node_side(parts)
+                self._start_fronts(scope, listeners)
                 if settings.fleet is not None:
-                    self._join(parts, settings.fleet, extents)
+                    self._join_fleet(parts, settings.fleet, extents)
                 self.core.begin_standstill_checks(hub.now())
                 self._heartbeat.start()
                 self.ready.set()
                 self._stopping.wait()
-                self._take_no_more(listeners)
+                self._shut_down(listeners)
                 scope.cancel()
         finally:
             for listener in listeners:
@@ -128,7 +128,7 @@
                 self._log.close()
 
     def _listen(self) -> list[Listener]:
-        """Return the listeners of the fronts: NBD, and NVMe where it is set. Raises OSError."""
+        """Return the listeners of the fronts: NBD, and NVMe if configured. Raises OSError."""
         listeners, settings = [self._network.listen(self.settings.listen)], self.settings
         self.address = listeners[0].address
         if settings.nvme is not None:
@@ -140,73 +140,74 @@
             self.nvme_address = listeners[1].address
         return listeners
 
-    def _decide(self, scope: Scope, extents: ExtentMap) -> HeadParts:
-        """Make the module, what observes it for the fleet, and the core; return what all parts know."""
+    def _make_core(self, scope: Scope, extents: ExtentMap) -> HeadParts:
+        """Create the decision module, its observers for the fleet, and the core; return the shared parts."""
         hub, settings, fleet = self.hub, self.settings, self.settings.fleet
         seed = settings.seed or hub.random.getrandbits(63)
         if fleet is not None and fleet.budgets is not None:
-            from harriertrack.gateway.fleet.budgets import portions_of  # other heads do not load it
+            from harriertrack.gateway.fleet.budgets import portions_of  # loaded only where it is used
 
-            self._portions = portions_of(settings, hub)
-        self.module = self._module(self._told(settings), seed)
-        decides: DecisionModule = self.module
-        if self._portions is not None and fleet is not None and fleet.zones is not None:
+            self._budget_shares = portions_of(settings, hub)
+        self.module = self._make_module(self._module_settings(settings), seed)
+        module: DecisionModule = self.module
+        if self._budget_shares is not None and fleet is not None and fleet.zones is not None:
             from harriertrack.decisions.fleet.zones.evidence import Evidence
             from harriertrack.gateway.fleet.observing import Observed
 
             self._evidence = Evidence({plan.name for plan in settings.plans if plan.reserve})
-            decides = Observed(self.module, self._evidence)
+            module = Observed(self.module, self._evidence)
         if self.scored is not None:
             from harriertrack.gateway.fleet.observing import Observed
 
-            decides = Observed(decides, self.scored.sights)
-        self._counting = self._counts()
-        self.core = Core(request_rules(settings), decides, settings.volumes, self, self.nodes, extents)
+            module = Observed(module, self.scored.sights)
+        self._answer_counter = self._make_answer_counter()
+        self.core = Core(request_rules(settings), module, settings.volumes, self, self.nodes, extents)
         return HeadParts(hub, self._network, scope, settings, self.core, self.nodes, self.head_id, self._note,
-                         self._name, self._portions, self._wiring.wall, self._counting)  # fmt: skip
+                         self._name, self._budget_shares, self._wiring.wall,
+                         self._answer_counter)  # fmt: skip
 
-    def _reach_nodes(self, parts: HeadParts) -> None:
-        """Start what lies between the core and the nodes: links, list, the other region, moves."""
+    def _start_node_side(self, parts: HeadParts) -> None:
+        """Start the parts between the core and the nodes: links, node list, the other region, moves."""
         hub, settings, scope = self.hub, self.settings, parts.scope
         self._links = self._wiring.links(parts)
         self._listing = self._wiring.listing(parts)
         if any(volume.regions for volume in settings.volumes):
             assert self._log is not None
             self.regional = Regional(hub, self._network, scope, settings, self.core, self._links, self._log,
-                                     self._note, self._name, self._portions)  # fmt: skip
+                                     self._note, self._name, self._budget_shares)  # fmt: skip
         self.mover = Mover(hub, scope, self.core, settings, self._note, self._may_move)
         if isinstance(self.module, CellScheduler):
             self.mover.follow(self.module.map)
             if settings.cell_map:
                 scope.spawn("cell map", self._watch_map)
 
-    def _serve(self, scope: Scope, listeners: list[Listener]) -> None:
+    def _start_fronts(self, scope: Scope, listeners: list[Listener]) -> None:
         """Start the fronts."""
         settings = self.settings
         cells = self.module.map.volumes if isinstance(self.module, CellScheduler) else None
         self.reception = Reception(self.hub, settings, self.core, scope, self._note, self.regional, cells)
         scope.spawn("front", NbdFront(self.reception).serve, listeners[0])
         if settings.nvme is not None:
-            from harriertrack.gateway import nvme  # other heads do not load it
+            from harriertrack.gateway import nvme  # loaded only where it is used
 
             nvme.start(self.reception, listeners[1], settings.nvme)
         if cells is not None:
             scope.spawn("shares", self.reception.monitor_load)
 
-    def _join(self, parts: HeadParts, settings: FleetSettings, extents: ExtentMap) -> None:
-        """Take part in the fleet."""
-        from harriertrack.gateway.fleet.beside import Beside  # other heads do not even load it
+    def _join_fleet(self, parts: HeadParts, settings: FleetSettings, extents: ExtentMap) -> None:
+        """Join the fleet."""
+        from harriertrack.gateway.fleet.beside import Beside  # loaded only where it is used
         from harriertrack.gateway.fleet.carrier import Fleet
 
-        made = self._wiring
+        wiring = self._wiring
         beside = Beside(self._listing, extents, self._links.epochs, self.regional, self.apply_settings,
-                        self._links.shed, self._evidence, self.scored, made.datagrams, made.changes_cache,
-                        made.handover, made.usage)  # fmt: skip
+                        self._links.shed, self._evidence, self.scored, wiring.datagrams, wiring.changes_cache,
+                        wiring.handover, wiring.usage)  # fmt: skip
         self.fleet = Fleet(parts, settings, beside)
         self.fleet.start()
 
-    def _take_no_more(self, listeners: list[Listener]) -> None:
-        """Say goodbye, close the fronts, and wait for what is open."""
+    def _shut_down(self, listeners: list[Listener]) -> None:
+        """Announce the departure, close the fronts, and wait for open requests."""
         if self.fleet is not None:
             self.fleet.leave()
         self.reception.close()
@@ -216,49 +217,53 @@
         if self.fleet is not None:
             self.fleet.wait_left()
 
-    def _counts(self) -> AnswerCounter | None:
+    def _make_answer_counter(self) -> AnswerCounter | None:
         fleet = self.settings.fleet
         if fleet is None or fleet.changes is None or fleet.changes.rollout is None:
             return None
         from harriertrack.decisions.fleet.rollout.answer_counts import (
-            AnswerCounter,  # heads without do not load it
+            AnswerCounter,  # loaded only where it is used
         )
 
         return AnswerCounter({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
 
-    def _told(self, settings: HeadSettings) -> api.Settings:
-        """Return what the decision module is told."""
-        told = module_settings(settings)
-        if self._portions is not None and self._portions.divides_attempts:
-            told = replace(told, budget_free=0.0)  # those are drawn from what the fleet divides
-        return told
+    def _module_settings(self, settings: HeadSettings) -> api.Settings:
+        """Return the settings of the decision module."""
+        module = module_settings(settings)
+        if self._budget_shares is not None and self._budget_shares.divides_attempts:
+            module = replace(module, budget_free=0.0)  # these attempts come from the fleet-wide budget
+        return module
 
-    def _module(self, told: api.Settings, seed: int) -> Scheduler | CellScheduler:
-        """Make the decision module, or where there is a map one for each cell."""
-        portions = self._portions
+    def _make_module(self, settings: api.Settings, seed: int) -> Scheduler | CellScheduler:
+        """Create the decision module, or one for each cell if there is a cell map."""
+        shares = self._budget_shares
         weights = self.scored.shared.factors if self.scored is not None else None
         if self._cells is not None:
-            return CellScheduler(told, seed, self._cells, partial(Scheduler, weights=weights), portions)
-        if portions is None and weights is None:
-            return self._wiring.module(told, seed)
-        return Scheduler(told, seed, None, portions, weights)
+            return CellScheduler(settings, seed, self._cells, partial(Scheduler, weights=weights), shares)
+        if shares is None and weights is None:
+            return self._wiring.module(settings, seed)
+        return Scheduler(settings, seed, None, shares, weights)
 
     def apply_settings(self, settings: HeadSettings) -> None:
-        """Go by other settings from now on; the caller has checked that a running head can take them.
+        """Apply new settings; the caller has checked that a running head can apply them.
 
-        What came before is decided as things were, and what is open keeps its time.
+        Events before this are decided under the old settings, and open requests keep their deadlines.
         """
         now, before, self.settings = self.hub.now(), self.settings, settings
         self.core.flush(now)
-        told = self._told(settings)
-        if self._portions is not None and settings.fleet is not None and settings.fleet.budgets is not None:
+        for_module = self._module_settings(settings)
+        if (
+            self._budget_shares is not None
+            and settings.fleet is not None
+            and settings.fleet.budgets is not None
+        ):
             from harriertrack.gateway.fleet.budgets import divided_of
 
             plans, others = (
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
-            self._portions.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
-        self.core.apply_settings(now, request_rules(settings), told)
+            self._budget_shares.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
+        self.core.apply_settings(now, request_rules(settings), for_module)
         self._links.settings = settings
         self.mover.apply_settings(settings)
         if self.regional is not None:
@@ -268,18 +273,18 @@
             self.fleet.retell(settings.fleet)
 
     def _may_move(self, volume: str) -> bool:
-        # Without a lease's epoch, its own or the holder's, nobody else's newer work would be noticed.
+        # Without the epoch of a lease, its own or the holder's, another head's newer work goes undetected.
         return self.regional is None or self.regional.acts_on(volume)
 
     def apply_cell_map(self, cells: HeadCellMap) -> None:
-        """Follow a newer map of cells. Raises StaleMapError for one that is not newer."""
+        """Apply a newer cell map. Raises StaleMapError for one that is not newer."""
         assert isinstance(self.module, CellScheduler), "a head without cells has no map"
         self.module.apply_map(cells)
         self.reception.shares.update_cells(cells.volumes)
         self.mover.follow(cells)
 
     def _watch_map(self) -> None:
-        """Read the map again when its file changes; one that can't be is noted, and the one in hand stays."""
+        """Reload the map when its file changes; an invalid one is logged, and the current one stays."""
         path, known = self.settings.cell_map, ""
         while True:
             self.hub.sleep(MAP_US)
@@ -290,14 +295,14 @@
                 known = text
                 self.apply_cell_map(head_map(path, self.settings.volumes))
             except StaleMapError:
-                pass  # the one in hand, or an older one put back
+                pass  # the current map, or an older one that was restored
             except (OSError, SettingsError) as error:
                 self._note("cell map not taken", why=str(error))
             else:
                 self._note("cell map taken", version=self.module.map.version)  # type: ignore[union-attr]
 
     def stop(self) -> None:
-        """Take no more, answer what is open, and end."""
+        """Admit no more requests, answer open ones, and end."""
         self._stopping.set()
 
     def _drain(self, deadline: int) -> None:
@@ -309,10 +314,10 @@
         except DeadlineExceeded:
             self._note("stopped with open requests", open=self.core.open_requests)
 
-    # -- what the core asks for
+    # -- calls from the core
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt, unless the process stood still since it was decided."""
+        """Start an attempt, unless the process was suspended since it was decided."""
         now = self.hub.now()
         if self.core.needs_list_refresh(now):
             self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
@@ -322,22 +327,22 @@
         self._links.send(attempt)
 
     def call_off(self, attempt: Attempt) -> None:
-        """Pass a cancel on."""
+        """Cancel an attempt at its node."""
         self._links.call_off(attempt)
 
     def answer(self, request: ClientRequest) -> None:
-        """Hand a final answer to whoever asked."""
+        """Deliver a final answer to the requester."""
         self.reception.release(request)
-        if self._counting is not None:
-            self._counting.count_answer(self.hub.now(), request)
+        if self._answer_counter is not None:
+            self._answer_counter.count_answer(self.hub.now(), request)
         request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
-        """Follow the node list, or stop."""
+        """Start or stop following the node list."""
         self._listing.subscribe(on)
 
     def ask_list(self) -> None:
-        """Ask for the node list now."""
+        """Request the node list now."""
         self._listing.request_now()
 
     def wake_at(self, when: int) -> None:
@@ -349,10 +354,10 @@
         self._alarm.soon()
 
     def note(self, text: str) -> None:
-        """Log a line of the module."""
+        """Log a message of the module."""
         self._note("module", text=text)
 
-    def _look(self) -> None:
+    def _check_standstill(self) -> None:
         self.core.check_standstill(self.hub.now())
 
     def _flush(self) -> None:
--- a/harriertrack/gateway/links.py
+++ b/harriertrack/gateway/links.py
@@ -1,8 +1,8 @@
 """Links to storage nodes: one NBD connection for each node and volume, opened when it is needed.
 
-A node's export has the name and the size of the volume, and an extent lies there at its own offset: an
-ordinary NBD server with such exports is a usable node. A link that breaks resets the attempts whose bytes it
-took; attempts that still waited for it to open are known not to have run.
+A node's export has the name and the size of the volume, and each extent is at its own offset, so an ordinary
+NBD server with such exports is a usable node. A broken link resets the attempts that were sent over it;
+attempts that still waited for it to open are known not to have run.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
     Kind.CACHE: Command.CACHE,
 }
 
-PORTION_US = 10_000  # a head's part may grow while a link waits
+SHARE_POLL_US = 10_000  # between checks of a waiting link: the head's share of connections may grow
 
 
 class LinkError(Exception):
-    """The node speaks no NBD that this head can use."""
+    """The node does not support the NBD features that this head needs."""
 
 
 class BaseLink:
-    """One way to one node for one volume: does what its `LinkLifecycle` decides over any carrier."""
+    """One link to one node for one volume: does what its `LinkLifecycle` decides, over any transport."""
 
     def __init__(self, links: Links, node: str, volume: str, epoch: int) -> None:
         self.node, self.volume, self.epoch = node, volume, epoch
-        self.counted = False  # it is one of those that the fleet may have open at a time
+        self.counted = False  # it counts towards the fleet-wide limit of open connections
         self._links, self._hub = links, links.hub
         self.lifecycle = LinkLifecycle(links.settings.limits.orphans)
 
@@ -51,7 +51,7 @@
             self._request(cookie, attempt)
 
     def _send_waiting(self) -> None:
-        """The link is open: send what waited for it, as far as that may still begin."""
+        """Once the link is open, send the attempts that waited for it and may still start."""
         core, now = self._links.core, self._hub.now()
         for cookie, attempt in self.lifecycle.complete_handshake():
             if core.may_begin(now, attempt):
@@ -60,7 +60,7 @@
                 core.attempt_ended(now, self.lifecycle.match_reply(cookie), api.Result.MOOT)
 
     def call_off(self, attempt: Attempt) -> None:
-        """Forget an attempt that waits for the link, or tell the node where it understands that."""
+        """Drop an attempt that waits for the link, or cancel it at a node that supports cancels."""
         cookie = cookie_of(attempt.part.number, attempt.number)
         if self.lifecycle.call_off(cookie):
             self._cancel(cookie)
@@ -68,27 +68,27 @@
             self.retire()
 
     def retire(self) -> None:
-        """Take no more attempts; close once nobody waits for an answer."""
+        """Accept no more attempts; close once no answer is awaited."""
         self._links.forget(self)
         self.lifecycle.retired = True
-        self._look_again()
+        self._close_or_check_again()
 
-    def _look_again(self) -> None:
+    def _close_or_check_again(self) -> None:
         if not self.lifecycle.closed:
             self._close_if_spent()
         if not self.lifecycle.closed:  # links are not notified when a client leaves, so check again
-            self._hub.at(self._hub.now() + self._links.settings.limits.idle_us, self._look_again)
+            self._hub.at(self._hub.now() + self._links.settings.limits.idle_us, self._close_or_check_again)
 
     def _request(self, cookie: int, attempt: Attempt) -> None:
         """Send an attempt's request."""
         raise NotImplementedError
 
     def _cancel(self, cookie: int) -> None:
-        """Tell the node that nobody waits for a request any more."""
+        """Tell the node that the answer to a request is no longer awaited."""
         raise NotImplementedError
 
     def _close_if_spent(self) -> None:
-        """Close if it was replaced and nobody waits for an answer."""
+        """Close if the link was replaced and no answer is awaited."""
         raise NotImplementedError
 
 
@@ -127,12 +127,12 @@
                 self._stream.write(data)
 
     def run(self) -> None:
-        """Dial, shake hands, and take replies until the link breaks (the link's task)."""
+        """Connect, shake hands, and read replies until the link breaks (the link's task)."""
         try:
             self._dial()
             self._send_waiting()
             self._close_if_spent()
-            self._rest()
+            self._start_idle_timer()
             while self._stream is not None and (data := self._stream.read()):
                 self.lifecycle.note_received(self._hub.now())
                 for event in self._nbd.receive(data):
@@ -202,22 +202,24 @@
         self._links.core.attempt_ended(self._hub.now(), attempt, result, reply.data, reply.report)
         self._close_if_spent()
         if not self.lifecycle.busy:
-            self._rest()
+            self._start_idle_timer()
 
-    def _rest(self) -> None:
-        """Close the link once it was idle for the stated time."""
+    def _start_idle_timer(self) -> None:
+        """Close the link after the configured idle time."""
         if self._idle is None:
             self._idle_since = self._hub.now()
-            self._idle = self._hub.at(self._idle_since + self._links.settings.limits.idle_us, self._tired)
+            self._idle = self._hub.at(
+                self._idle_since + self._links.settings.limits.idle_us, self._idle_expired
+            )
         self._idle_since = self._hub.now()
 
-    def _tired(self) -> None:
+    def _idle_expired(self) -> None:
         self._idle = None
         if self.lifecycle.busy:
             return
         until = self._idle_since + self._links.settings.limits.idle_us
         if self._hub.now() < until:
-            self._idle = self._hub.at(until, self._tired)
+            self._idle = self._hub.at(until, self._idle_expired)
         elif self._stream is not None:
             self._links.forget(self)
             self._nbd.disconnect()
@@ -232,14 +234,14 @@
         self.hub, self.network, self.settings = head.hub, head.network, head.settings
         self.core, self.nodes, self.head_id, self.name = head.core, head.nodes, head.head_id, head.name
         self.sizes = {volume.name: volume.size_bytes for volume in head.settings.volumes}
-        self._scope, self._note, self._portions = head.scope, head.note, head.budget_shares
+        self._scope, self._note, self._budget_shares = head.scope, head.note, head.budget_shares
         self._links: dict[tuple[str, str], BaseLink] = {}
-        self._shed: list[BaseLink] = []  # told to close
+        self._shed: list[BaseLink] = []  # retired to return connections to the fleet
         self.epochs = Epochs()
 
-    def flags(self, asked: int, kind: Kind) -> int:
-        """Return which of a client's flags a node is told: FUA and NO_HOLE; DF is between client and head."""
-        return asked & (0b11 if kind is Kind.ZERO else 0b01)
+    def flags(self, requested: int, kind: Kind) -> int:
+        """Return the client's flags that apply to a node: FUA and NO_HOLE; DF is between client and head."""
+        return requested & (0b11 if kind is Kind.ZERO else 0b01)
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt over its node's link for its volume, opening one if there is none."""
@@ -253,45 +255,45 @@
         link.send(attempt)
 
     def open(self, node: str, volume: str, epoch: int) -> BaseLink:
-        """Begin to open a link."""
+        """Start to open a link."""
         member = self.nodes.find(node)
-        assert member is not None  # the core has found it in the same list
+        assert member is not None  # the core found the node in the same list
         link = Link(self, node, member.address, volume, epoch)
         self._scope.spawn(f"link {node} {volume}", link.run)
         return link
 
     def await_connection(self, link: BaseLink, deadline: int) -> None:
-        """Wait for a connection of those that the fleet divides, if it does. Raises LinkError."""
-        portions, node, now = self._portions, link.node, self.hub.now
-        if portions is None:
+        """Wait for one of the connections that the fleet divides, if it does. Raises LinkError."""
+        shares, node, now = self._budget_shares, link.node, self.hub.now
+        if shares is None:
             return
-        portions.add_link_waiters(now(), node, 1)
+        shares.add_link_waiters(now(), node, 1)
         try:
-            while not portions.acquire_link(now(), node):
+            while not shares.acquire_link(now(), node):
                 self._sleep(deadline)
         finally:
-            portions.add_link_waiters(now(), node, -1)
+            shares.add_link_waiters(now(), node, -1)
         link.counted, again = True, False
-        while portions.connection_wait(now(), node, again):
+        while shares.connection_wait(now(), node, again):
             self._sleep(deadline)
             again = True
 
     def _sleep(self, deadline: int) -> None:
         if self.hub.now() >= deadline:
-            raise LinkError("no connection is to be had of what the fleet may open")
-        self.hub.sleep(PORTION_US)
+            raise LinkError("the fleet's limit of open connections leaves none for this link")
+        self.hub.sleep(SHARE_POLL_US)
 
     def shed(self, node: str, number: int) -> None:
-        """Close some links to a node, each after what it still carries."""
-        self._shed = [link for link in self._shed if link.counted]  # the others are closed
+        """Close `number` links to a node, each once its open attempts are done."""
+        self._shed = [link for link in self._shed if link.counted]  # links not counted any more are closed
         number -= sum(link.node == node for link in self._shed)
-        mine = [link for link in self._links.values() if link.node == node and link.counted]
-        for link in mine[: max(0, number)]:
+        candidates = [link for link in self._links.values() if link.node == node and link.counted]
+        for link in candidates[: max(0, number)]:
             self._shed.append(link)
             link.retire()
 
     def call_off(self, attempt: Attempt) -> None:
-        """Pass a cancel on."""
+        """Pass a cancel on to the attempt's link."""
         link = self._links.get((attempt.member.entry.node, attempt.volume))
         if link is not None:
             link.call_off(attempt)
@@ -302,11 +304,11 @@
             del self._links[link.node, link.volume]
 
     def link_closed(self, link: BaseLink, why: str) -> None:
-        """A link is gone."""
+        """Clean up after a closed link."""
         self.forget(link)
-        if link.counted and self._portions is not None:
+        if link.counted and self._budget_shares is not None:
             link.counted = False
-            self._portions.release_link(self.hub.now(), link.node)
+            self._budget_shares.release_link(self.hub.now(), link.node)
         self._note("link closed", node=link.node, volume=link.volume, why=why)
 
     def __len__(self) -> int:
--- a/harriertrack/gateway/list_call.py
+++ b/harriertrack/gateway/list_call.py
@@ -1,4 +1,4 @@
-"""One call to the source of the node list: a task of its own, so that a late one hinders none after it."""
+"""One call to the source of the node list, in a task of its own, so that a late one does not block others."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class ListCall:
-    """A call under way; `ended` is set once it was answered, has failed or was given up."""
+    """An open call; `ended` is set once it was answered or failed."""
 
     def __init__(self, hub: Hub, source: ConsulSettings, index: int) -> None:
         self._source, self._index = source, index
-        self._wait_us = source.wait_us if index else 0  # how long it may wait for something new
+        self._wait_us = source.wait_us if index else 0  # how long the server may wait for a change
         self.began = hub.now()
         self.overdue_at = self.began + self._wait_us + source.timeout_us
         self.ended = Event(hub)
-        self.members: list[Member] = []  # of its answer ...
-        self.next_index = 0  # ... which is of this version
-        self.failure = ""  # why there is no answer that can be used
+        self.members: list[Member] = []  # in the answer
+        self.next_index = 0  # the answer's version, to wait for a newer one
+        self.failure = ""  # why there is no usable answer
         self._task: Task | None = None
 
     def start(self, scope: Scope, network: Network, name: str, agent: str,
               then: Callable[[ListCall], None]) -> None:  # fmt: skip
-        """Make the call; call `then` once it has ended by itself."""
+        """Make the call; run `then` once it was answered or failed, but not after `give_up`."""
         self._task = scope.spawn("node list call", self._run, network, name, agent, then)
 
     def give_up(self) -> None:
@@ -38,13 +38,13 @@
 
     def _run(self, network: Network, name: str, agent: str, then: Callable[[ListCall], None]) -> None:
         try:
-            self._ask(network, name, agent)
+            self._fetch(network, name, agent)
         except (OSError, HttpError, consul.ListAnswerError) as error:
             self.failure = str(error) or type(error).__name__
         then(self)
         self.ended.set()
 
-    def _ask(self, network: Network, name: str, agent: str) -> None:
+    def _fetch(self, network: Network, name: str, agent: str) -> None:
         address = self._source.address
         stream = network.connect(address, None, name)
         try:
--- a/harriertrack/gateway/listing.py
+++ b/harriertrack/gateway/listing.py
@@ -1,6 +1,6 @@
-"""Following the node list: from a file, or over HTTP.
+"""Follows the node list: from a file, or over HTTP.
 
-Each failure is told to the module, which asks again.
+Each failure is reported to the decision module, which subscribes again.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
 from harriertrack.membership.nodes import Member
 from harriertrack.runtime.hub import DeadlineExceeded, Task
 
-PORTION_US = 100_000  # a head's part may grow while it waits
+SHARE_POLL_US = 100_000  # between checks of a waiting head: its share of list calls may grow
 
 
 def member_of(node: NodeSettings) -> Member:
-    """Return a node of a file as one of a list."""
+    """Return a node of a file as a member of the list."""
     entry = NodeEntry(node.name, node.shard, node.state, node.zone, node.started_us, node.kind)
     return Member(entry, node.address)
 
 
 class ListCallFailed(Exception):
-    """A call to the list's source has brought nothing."""
+    """A call to the source of the list failed."""
 
 
 class Listing:
-    """Follows the list while the module wants it."""
+    """Follows the list while the module is subscribed."""
 
     def __init__(self, head: HeadParts) -> None:
         self._hub, self._network, self._settings = head.hub, head.network, head.settings.node_list
         self._core, self._scope, self._note, self._name = head.core, head.scope, head.note, head.name
         self._task: Task | None = None
-        self._nodes, self._head_id, self._portions = head.nodes, head.head_id, head.budget_shares
+        self._nodes, self._head_id, self._budget_shares = head.nodes, head.head_id, head.budget_shares
         self._index = 0
         self._open: OpenCalls[ListCall] = OpenCalls()
         self._current: ListCall | None = None  # the call that is waited for
-        self._latest: list[Member] = []  # as the source told
-        self.overlay: Callable[[NodeEntry], NodeEntry] | None = None  # what the module is told in its place
+        self._latest: list[Member] = []  # as the source sent it
+        self.overlay: Callable[[NodeEntry], NodeEntry] | None = None  # changes entries for the module
         self.on_source_update: Callable[[list[NodeEntry]], None] = lambda _entries: None
-        # A start comes as wall-clock time. The difference is fixed once: a step of the wall clock must not
+        # Start times come as wall-clock time. The offset is computed once: a step of the wall clock must not
         # make known nodes look newly started.
         self._wall_ahead = head.hub.clock.wall() - head.hub.now()
 
     def subscribe(self, on: bool) -> None:
-        """Follow from now on, or stop."""
+        """Start or stop following the list."""
         if self._task is not None and not self._task.done:
             if on:
                 return
@@ -60,7 +60,7 @@
             self._task = self._scope.spawn("node list", self._run)
 
     def request_now(self) -> None:
-        """Ask for the whole list, whatever call is under way: it may wait for news, or be silent."""
+        """Request the complete list, whatever call is open: it may wait for changes, or get no answer."""
         if self._task is not None:
             self._task.cancel()
         self._index = 0
@@ -76,17 +76,17 @@
             self._note("node list failed", why=str(error) or type(error).__name__)
             self._core.list_failed()
 
-    def _told(self, members: list[Member]) -> None:
+    def _list_received(self, members: list[Member]) -> None:
         self._latest = [member.localised(self._wall_ahead) for member in members]
         self.on_source_update([member.entry for member in self._latest])
-        self._tell()
+        self._publish()
 
     def republish(self) -> None:
-        """Tell the core the latest list as the overlay shows it now, if one came."""
+        """Pass the latest list to the core again, with the current overlay, if a list was received."""
         if self._latest:
-            self._tell()
+            self._publish()
 
-    def _tell(self) -> None:
+    def _publish(self) -> None:
         shown = self._latest
         if self.overlay is not None:
             shown = [Member(self.overlay(one.entry), one.address) for one in shown]
@@ -95,28 +95,30 @@
     def _watch(self, path: str) -> None:
         known: list[Member] | None = None
         while True:
-            # A small file, read whole: its time stamp may stand still across two quick changes.
-            asked_at = self._hub.now()
+            # The file is small and read in full: its time stamp may not differ between two quick changes.
+            requested_at = self._hub.now()
             try:
                 members = [member_of(node) for node in load_nodes(path)]
                 if members != known:
-                    self._told(members)
+                    self._list_received(members)
                     known = members
             finally:
-                self._core.list_call_ended(asked_at, answered=True)
+                self._core.list_call_ended(requested_at, answered=True)
             self._hub.sleep(self._settings.poll_us)
 
     def _await_call(self) -> None:
-        """Wait until this head has a call of those that its fleet divides, if it does."""
+        """Wait until this head's share of the fleet's list calls allows one, if the fleet divides them."""
         again = False
-        while self._portions is not None and (us := self._portions.list_call_wait(self._hub.now(), again)):
-            self._hub.sleep(min(us, PORTION_US))
+        while self._budget_shares is not None and (
+            us := self._budget_shares.list_call_wait(self._hub.now(), again)
+        ):
+            self._hub.sleep(min(us, SHARE_POLL_US))
             again = True
 
     def _follow(self, source: ConsulSettings) -> None:
         """Make one call after another until one fails or is overdue.
 
-        One that is overdue stays open: its turn may come yet, and a call made anew begins at the queue's end.
+        An overdue call stays open: it may still be answered, and a new call would start at the queue's end.
         """
         while True:
             call = self._begin(source)
@@ -127,10 +129,10 @@
             if call.failure:
                 raise ListCallFailed(call.failure)
             if not self._index:
-                self._hub.sleep(source.timeout_us)  # a server without indexes would be asked without a pause
+                self._hub.sleep(source.timeout_us)  # pause: a server without indexes answers at once
 
     def _begin(self, source: ConsulSettings) -> ListCall:
-        index, self._index = self._index, 0  # after a failure the whole list is asked for again
+        index, self._index = self._index, 0  # after a failure the complete list is requested
         self._await_call()
         call = self._current = ListCall(self._hub, source, index)
         for surplus in self._open.add(call):
@@ -140,14 +142,14 @@
         return call
 
     def _ended(self, call: ListCall) -> None:
-        """Take what a call has brought, also one that was overdue; follow on from it if nothing does."""
+        """Apply the result of a call, even an overdue one; resume following from it if no other call does."""
         if call.failure:
             self._open.remove(call)
         else:
             for older in self._open.complete(call):
                 older.give_up()
             self._index = call.next_index
-            self._told(call.members)
+            self._list_received(call.members)
         self._core.list_call_ended(call.began, not call.failure)
         if call is not self._current and not call.failure:
             self.subscribe(True)
--- a/harriertrack/gateway/mover.py
+++ b/harriertrack/gateway/mover.py
@@ -1,4 +1,4 @@
-"""Carries moves out: holds, reads and writes extents as `decisions/moving.py` says, through the core."""
+"""Moves extents between cells as `decisions/moving.py` decides: holds, reads and writes them via the core."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from harriertrack.gateway import background
 from harriertrack.runtime.hub import Hub, Scope
 
-WAIT_US = 50_000  # between two looks whether this head may act on a volume of two regions
+WAIT_US = 50_000  # between checks whether this head may act on a volume of two regions
 
 
 class Mover:
@@ -29,12 +29,12 @@
         self.moves: dict[str, Move] = {}
 
     def apply_settings(self, settings: HeadSettings) -> None:
-        """Go by other deadlines of writes; the longest that was in use counts for moves to come."""
+        """Apply new deadlines of writes; later moves settle for the longest that was ever in use."""
         writes = (one.deadline_us for one in settings.classes if Kind.WRITE in one.kinds)
         self._settle_us = max(self._settle_us, *writes)
 
     def follow(self, cells: HeadCellMap) -> None:
-        """Begin what a map asks for; moves of the map before end after the extent they are at."""
+        """Start the moves that a map requires; moves of the previous map end after their current extent."""
         self._version = cells.version
         for name, volume in self._core.volumes.items():
             home = cells.volumes.get(name, "")
@@ -45,9 +45,8 @@
                 continue
             left = misplaced_extents(home, self._core.placements.placed(name), cells.shards)
             before = self.moves.get(name)
-            if (
-                before is not None and before.extent_in_progress >= 0
-            ):  # that one lands where its write was sent
+            # The extent in progress ends up where its write was sent, perhaps outside the new cell.
+            if before is not None and before.extent_in_progress >= 0:
                 left = sorted({*left, before.extent_in_progress})
             move = self.moves[name] = Move(name, left, self._settle_us, self._hub.now(), previous=before)
             if left:
@@ -70,44 +69,44 @@
                 continue
             shard = self._core.placements.shard_of(move.volume, extent)
             if shard is None or cells.shards.get(shard) == cells.volumes[move.volume]:
-                move.finish_extent(self._hub.now(), Outcome.SERVED)  # it is there, by the move before
+                move.finish_extent(self._hub.now(), Outcome.SERVED)  # moved by the previous move
             else:
                 move.finish_extent(self._hub.now(), self._move(move.volume, extent))
         if move.state is MoveState.STOPPED or move.moved:
             self._note(f"move {move.state}", volume=move.volume, extents=move.moved, why=move.stop_reason)
         if move.state is MoveState.DONE:
-            self._forget(move, cells)
+            self._trim_leftovers(move, cells)
 
-    def _forget(self, move: Move, cells: HeadCellMap) -> None:
-        """Trim what the volume left behind, by this move or by one that a kill kept from it."""
-        places, volume = self._core.placements, move.volume
-        forgetting = move.leftover_trims(places.left(volume), dict(places.placed(volume)))
-        count = len(forgetting.remaining)
-        while self._version == cells.version and (left := forgetting.next_trim()) is not None:
+    def _trim_leftovers(self, move: Move, cells: HeadCellMap) -> None:
+        """Trim the extents left at old shards, by this move or by an earlier one that a kill interrupted."""
+        placements, volume = self._core.placements, move.volume
+        trims = move.leftover_trims(placements.left(volume), dict(placements.placed(volume)))
+        count = len(trims.remaining)
+        while self._version == cells.version and (left := trims.next_trim()) is not None:
             extent, shard = left
             start = extent * self._extent_bytes
             length = min(self._extent_bytes, self._sizes[volume] - start)
             done = self._do(volume, Kind.TRIM, start, length, at_shard=shard)
             assert done.outcome is not None
             if done.outcome is Outcome.SERVED:
-                places.forgot(volume, extent, shard)
-            self._hub.sleep_until(forgetting.finish_trim(self._hub.now(), done.outcome))
+                placements.forgot(volume, extent, shard)
+            self._hub.sleep_until(trims.finish_trim(self._hub.now(), done.outcome))
         if count:
-            gone = count - forgetting.given_up - len(forgetting.remaining)
-            self._note("left behind trimmed", volume=volume, extents=gone, given_up=forgetting.given_up)
+            trimmed = count - trims.given_up - len(trims.remaining)
+            self._note("left behind trimmed", volume=volume, extents=trimmed, given_up=trims.given_up)
 
     def _move(self, volume: str, extent: int) -> Outcome:
-        """Move one extent; return what came of it."""
-        held = background.Waiter(self._hub)
-        self._core.hold_extent(volume, extent, held)
-        held.wait()
+        """Move one extent; return the outcome."""
+        waiter = background.Waiter(self._hub)
+        self._core.hold_extent(volume, extent, waiter)
+        waiter.wait()
         start = extent * self._extent_bytes
         length = min(self._extent_bytes, self._sizes[volume] - start)
         read = self._do(volume, Kind.READ, start, length)
         if read.outcome is not Outcome.SERVED:
             self._core.release_extent(volume, extent)
             return Outcome.REFUSED  # nothing was changed anywhere
-        done = self._do(volume, Kind.WRITE, start, length, read.bytes_read())  # its end frees the extent
+        done = self._do(volume, Kind.WRITE, start, length, read.bytes_read())  # its end releases the extent
         assert done.outcome is not None
         return done.outcome
 
--- a/harriertrack/gateway/parts.py
+++ b/harriertrack/gateway/parts.py
@@ -1,4 +1,4 @@
-"""What the parts of a head know of it."""
+"""The context that the parts of a head share."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadParts:
-    """One head: where it runs, what it was told, and what it logs by."""
+    """One head's environment, settings, core and log."""
 
     hub: Hub
     network: Network
@@ -30,6 +30,6 @@
     head_id: int
     note: Callable[..., None]
     name: str
-    budget_shares: BudgetShares | None = None  # of what its fleet divides; None: it divides nothing
+    budget_shares: BudgetShares | None = None  # of the fleet-wide budgets; None: the fleet divides none
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
-    answer_counter: AnswerCounter | None = None  # of its answers, for rollouts; None: nobody asks
+    answer_counter: AnswerCounter | None = None  # counts its answers, for rollouts; None: not needed
--- a/harriertrack/gateway/peer.py
+++ b/harriertrack/gateway/peer.py
@@ -1,8 +1,8 @@
-"""The link to the other region's head: heartbeats with ticks, and requests that name the newest tick.
+"""Links to the other region's head: heartbeats with ticks, and requests that carry the newest tick.
 
-One NBD connection a volume and purpose (`relay`: clients' requests to the holder; `copy`: the holder's writes
-to the copy), opened when needed. A call ends with a reply, or with None when the connection is lost or its
-time is up; then nothing is known of its effect.
+One NBD connection per volume and purpose (`relay`: clients' requests to the holder; `copy`: the holder's
+writes to the copy), opened when needed. A call ends with a reply, or with None when the connection is lost or
+its deadline passes; then its effect is unknown.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
         self.open()
 
     def open(self) -> None:
-        """Open the connection, if it is not, ahead of the first call."""
+        """Open the connection if it is not open, ahead of the first call."""
         if self._client is None and not self._dialing and not self.closed:
             self._dialing = True
             self._scope.spawn(f"peer {self._volume}", self._dial)
@@ -89,7 +89,7 @@
             client.open(self._settings.peer, deadline)
             client.go(self._scope, self._volume, deadline, contexts=(self._context,))
             if not client.contexts:
-                raise NbdClientError("the other head does not know this context")
+                raise NbdClientError("the other head does not support this context")
         except (OSError, DeadlineExceeded, ProtocolViolation, NbdClientError):
             client.abort()
         except Cancelled:
@@ -109,14 +109,14 @@
     def drop(self) -> None:
         """Break the connection.
 
-        What it carried is not waited for, and what is still on its way finds nobody.
+        Its open calls end without a reply, and what is still in transit is lost.
         """
         if self._client is not None:
             client, self._client = self._client, None
             client.abort()
 
     def close(self) -> None:
-        """Use it no more."""
+        """Drop the connection for good."""
         self.closed = True
         self.drop()
 
@@ -130,23 +130,23 @@
         self._hub, self._network, self._scope, self._settings = hub, network, scope, settings
         self._head_id, self._name = head_id, name
         self._relays: dict[str, PeerLink] = {}
-        self._pulls: dict[str, tuple[int, PeerLink]] = {}
+        self._catch_up_links: dict[str, tuple[int, PeerLink]] = {}
         self._copies: dict[str, tuple[tuple[int, int], PeerLink]] = {}
-        self.token = 0  # the newest tick that the other head told us
+        self.token = 0  # the newest tick received from the other head
 
     def relay(self, volume: str, generation: int = 0) -> PeerLink:
-        """Return the link that passes requests on a volume to its holder.
+        """Return the link that relays requests on a volume to its holder.
 
-        What asks for the copy says of which generation its bytes are, if any were purged: over a link of its
-        own, so that clients' requests know nothing of it.
+        Requests of the catch-up state the generation of the copy's bytes, if any were purged. They use a link
+        of their own, so that clients' requests carry no generation.
         """
         if generation:
-            known = self._pulls.get(volume)
+            known = self._catch_up_links.get(volume)
             if known is None or known[0] != generation:
                 if known is not None:
                     known[1].close()
                 context = context_of(self._head_id, 0, RELAY_CONTEXT, generation)
-                known = self._pulls[volume] = (generation, self._link(volume, context))
+                known = self._catch_up_links[volume] = (generation, self._link(volume, context))
             return known[1]
         link = self._relays.get(volume)
         if link is None:
@@ -154,14 +154,14 @@
         return link
 
     def copy(self, volume: str, epoch: int, generation: int = 0) -> PeerLink:
-        """Return the link that carries a holder's writes to the copy; each epoch and generation has one."""
-        known, mine = self._copies.get(volume), (epoch, generation)
-        if known is not None and known[0] == mine:
+        """Return the link for a holder's writes to the copy; each epoch and generation has its own."""
+        known, wanted = self._copies.get(volume), (epoch, generation)
+        if known is not None and known[0] == wanted:
             return known[1]
         if known is not None:
             known[1].close()
         link = self._link(volume, context_of(self._head_id, epoch, COPY_CONTEXT, generation))
-        self._copies[volume] = (mine, link)
+        self._copies[volume] = (wanted, link)
         return link
 
     def _link(self, volume: str, context: str) -> PeerLink:
--- a/harriertrack/gateway/reception.py
+++ b/harriertrack/gateway/reception.py
@@ -1,8 +1,7 @@
-"""What all fronts of a head share: who is let in, which requests are taken, and what becomes of those whose
-client leaves.
+"""Shared by all fronts of a head: connection limits, admission of requests, cleanup when a client leaves.
 
-A front is codec and mapping; it asks here before it takes a request, and hears of the answer through the
-request's token.
+A front only decodes and maps requests. It checks with the reception before it accepts a request, and receives
+the answer through the request's `requester`.
 """
 
 from __future__ import annotations
@@ -22,30 +21,30 @@
 from harriertrack.runtime.hub import Hub, Scope, Timer, Waiters
 from harriertrack.runtime.streams import Listener, Stream, StreamClosed
 
-TICK_US = 100_000  # how often the shares hear how busy the loop is
+LOAD_CHECK_US = 100_000  # how often the load of the event loop is reported to the shares
 
 
 class AdmissionClient(Protocol):
-    """Who asks over one connection."""
+    """The traits of a connection that decide how its requests are admitted."""
 
     @property
     def supports_hints(self) -> bool:
-        """Whether it comes again by itself after a refusal, when that says so."""
+        """Whether the client retries by itself after a refusal, when the retry hint says so."""
 
-    multipath: bool  # it knows other ways to a volume of two regions
-    max_patience_us: int  # how long it may be kept waiting; 0: whatever its volume allows
+    multipath: bool  # the client has other paths to a volume of two regions
+    max_patience_us: int  # the longest that a request may wait; 0: as long as its volume allows
 
     def __hash__(self) -> int:
-        """Tell connections apart."""
+        """Hash by identity, so that connections are distinct keys."""
 
 
 class FrontSession(AdmissionClient, Protocol):
-    """A client's connection, whatever it speaks."""
+    """A client's connection, in whatever protocol."""
 
     origin: Origin
-    volume: str  # "" until it has chosen one, or if it uses several
+    volume: str  # "" until the client has chosen one, or if it uses several
     chosen: bool
-    counted: bool  # among its cell's connections
+    counted: bool  # it counts towards its cell's share of the connections
 
     def run(self) -> None:
         """Serve the connection until it ends (its task)."""
@@ -53,20 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A request that is not taken: nothing was done, and unless the head stops trying again is harmless."""
+    """Why a request was not admitted: nothing was done, and unless the head is stopping a retry is safe."""
 
     why: str
     closing: bool = False
 
 
 CLOSING = Rejection("shutting down", closing=True)
-GONE = Rejection("the client left")
-TOO_MUCH = Rejection("refused: not done; too much is open")
+CLIENT_LEFT = Rejection("the client left")
+OVERLOADED = Rejection("refused: not done; too much is open")
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest(WaitingRequest[AdmissionClient]):
-    """A request at the door, and who is told how it goes on: None (it was taken), or why it is not."""
+    """A request waiting for admission; `then` gets None once it is admitted, or why it is rejected."""
 
     request: ClientRequest
     then: Callable[[Rejection | None], None]
@@ -74,32 +73,33 @@
 
 
 class Reception:
-    """One head's."""
+    """Admits the connections and requests of one head's clients."""
 
     def __init__(self, hub: Hub, settings: HeadSettings, core: Core, scope: Scope, note: Callable[..., None],
                  regional: Regional | None, cells: Mapping[str, str] | None) -> None:  # fmt: skip
         self.hub, self.settings, self.core, self.note = hub, settings, core, note
-        self.regional, self.visits = regional, None
+        self.regional, self.regional_retries = regional, None
         if regional is not None:
-            self.visits = RegionalRetries(hub, regional, core.rules.patience, settings.tick_us, self.release)
+            self.regional_retries = RegionalRetries(
+                hub, regional, core.rules.patience, settings.tick_us, self.release
+            )
         self.sessions = 0
-        self._choosing = 0  # of these, so many have not chosen their volume
+        self._choosing = 0  # how many sessions have not chosen their volume yet
         cells = cells or {volume.name: "" for volume in settings.volumes}
         self._divided = len(set(cells.values())) > 1
         self.shares = Shares(self._share_limits(), cells)
-        self.door: Admission[AdmissionClient] = Admission(self._door_bounds(), self.shares)
-        self._counted: dict[
-            ClientRequest, tuple[AdmissionClient, int]
-        ] = {}  # clients' requests, and their bytes
-        self._knocks: dict[QueuedRequest, None] = {}
+        self.admission: Admission[AdmissionClient] = Admission(self._connection_bounds(), self.shares)
+        # Clients' admitted requests, their connections and their bytes.
+        self._counted: dict[ClientRequest, tuple[AdmissionClient, int]] = {}
+        self._queued: dict[QueuedRequest, None] = {}
         self.closing = False
         self.scope = scope
 
     # -- bounds
 
     @property
-    def _may_choose(self) -> int:
-        # Who has not chosen yet is of no cell: cells' parts are safe from them.
+    def _choosing_limit(self) -> int:
+        # Connections without a volume belong to no cell and must not use up the cells' shares.
         connections = self.settings.limits.connections
         return max(1, connections // 4) if self._divided else connections
 
@@ -107,19 +107,19 @@
         limits = self.settings.limits
         connections = limits.connections
         if self._divided:
-            connections = max(1, connections - self._may_choose)
+            connections = max(1, connections - self._choosing_limit)
         return ShareLimits(connections, limits.held, limits.held_bytes, limits.borrow)
 
-    def _door_bounds(self) -> ConnectionBounds:
+    def _connection_bounds(self) -> ConnectionBounds:
         return ConnectionBounds(self.settings.limits.in_flight, self.settings.limits.in_flight_bytes)
 
     def apply_settings(self, settings: HeadSettings) -> None:
-        """Go by other bounds from now on; who is in stays, and nobody new comes in before there is room."""
+        """Apply new limits; open sessions and requests stay, new ones wait until they fit in the limits."""
         self.settings = settings
-        self.shares.limits, self.door.bounds = self._share_limits(), self._door_bounds()
-        if self.visits is not None:
-            self.visits.set_rules(self.hub.now(), self.core.rules.patience)
-        self._let_in()
+        self.shares.limits, self.admission.bounds = self._share_limits(), self._connection_bounds()
+        if self.regional_retries is not None:
+            self.regional_retries.set_rules(self.hub.now(), self.core.rules.patience)
+        self._admit_queued()
 
     # -- connections
 
@@ -130,176 +130,178 @@
                 stream = listener.accept()
             except StreamClosed:
                 return
-            if self.sessions >= self.settings.limits.connections or self._choosing >= self._may_choose:
+            if self.sessions >= self.settings.limits.connections or self._choosing >= self._choosing_limit:
                 self.note("client turned away", peer=stream.peer, why="too many connections")
                 stream.close()
                 continue
             self.sessions += 1
             self._choosing += 1
-            guest = make(stream)
-            task = self.scope.spawn(f"client {stream.peer}", guest.run)
-            task.on_done.append(partial(self._left, guest))
+            session = make(stream)
+            task = self.scope.spawn(f"client {stream.peer}", session.run)
+            task.on_done.append(partial(self._session_ended, session))
 
-    def _left(self, guest: FrontSession, _task: object) -> None:
+    def _session_ended(self, session: FrontSession, _task: object) -> None:
         self.sessions -= 1
-        self._choosing -= not guest.chosen
-        if guest.counted:
-            self.shares.disconnect(guest.volume)
+        self._choosing -= not session.chosen
+        if session.counted:
+            self.shares.disconnect(session.volume)
 
-    def register_volume(self, guest: FrontSession) -> bool:
-        """A connection has chosen its volume; False: its cell has no room for it."""
+    def register_volume(self, session: FrontSession) -> bool:
+        """Record the volume that a connection chose; False if its cell's share of connections is used up."""
         self._choosing -= 1
-        guest.chosen = True
-        # The other head's connections are few, and what they carry is bounded there.
-        guest.counted = guest.origin is Origin.CLIENT and self.shares.try_connect(guest.volume)
-        return guest.counted or guest.origin is not Origin.CLIENT
+        session.chosen = True
+        # The other region's head opens few connections, and limits their requests itself.
+        session.counted = session.origin is Origin.CLIENT and self.shares.try_connect(session.volume)
+        return session.counted or session.origin is not Origin.CLIENT
 
     def monitor_load(self) -> None:
-        """Tell the shares how busy the loop is (a task)."""
+        """Report the load of the event loop to the shares (a task)."""
         hub = self.hub
         while True:
-            began, idle = hub.now(), hub.idle_us
-            hub.sleep(TICK_US)
+            started_at, idle = hub.now(), hub.idle_us
+            hub.sleep(LOAD_CHECK_US)
             now = hub.now()
-            self.shares.update_load(now, max(0.0, 1 - (hub.idle_us - idle) / max(1, now - began)))
-            self._let_in()
+            self.shares.update_load(now, max(0.0, 1 - (hub.idle_us - idle) / max(1, now - started_at)))
+            self._admit_queued()
 
     # -- requests
 
     def try_admit(
-        self, guest: AdmissionClient, request: ClientRequest, open_requests: int
+        self, session: AdmissionClient, request: ClientRequest, open_requests: int
     ) -> Rejection | None:
-        """Return why a request is not taken; None: it is to be taken now.
+        """Admit a request now (None), or return why it is rejected.
 
-        `open_requests` is how many its connection has open.
+        `open_requests` is how many requests its connection has open.
         """
         if self.closing:
             return CLOSING
         limits = self.settings.limits
-        if request.origin is not Origin.CLIENT:  # the other head's work is bounded there
-            return TOO_MUCH if open_requests >= limits.in_flight or self.core.at_capacity() else None
+        if request.origin is not Origin.CLIENT:  # admission of these is the other region's head's task
+            return OVERLOADED if open_requests >= limits.in_flight or self.core.at_capacity() else None
         size = len(request.data)
         why = "too much is open" if self.core.at_capacity() else ""
-        if why := why or self.door.try_admit(self.hub.now(), guest, request.volume.settings.name, size):
+        if why := why or self.admission.try_admit(
+            self.hub.now(), session, request.volume.settings.name, size
+        ):
             return Rejection(f"refused: not done; {why}")
-        self._counted[request] = guest, size
+        self._counted[request] = session, size
         return None
 
-    def admit_or_queue(self, guest: AdmissionClient, request: ClientRequest, open_requests: int,
-               then: Callable[[Rejection | None], None]) -> QueuedRequest | None:  # fmt: skip
-        """Say by `then` whether a request is taken: at once, or for a client that waits when there is room.
+    def admit_or_queue(self, session: AdmissionClient, request: ClientRequest, open_requests: int,
+                       then: Callable[[Rejection | None], None]) -> QueuedRequest | None:  # fmt: skip
+        """Call `then` with the decision on a request: at once, or once capacity is free if it may wait.
 
-        Its connection is not read from until then. Returns what waits at the door, or None.
+        Its connection is not read from until then. Returns the queued request, or None if it was decided.
         """
         settings = request.volume.settings
-        # Where there is another path (ANA) a host is told so at once, and goes there by itself.
-        elsewhere = guest.multipath and self.regional is not None and settings.name in self.regional.volumes
+        # Where there is another path (ANA), a host gets the refusal at once and switches to it by itself.
+        elsewhere = session.multipath and self.regional is not None and settings.name in self.regional.volumes
         if (
             request.origin is Origin.CLIENT
-            and waits_in_head(settings.waiting, guest.supports_hints)
+            and waits_in_head(settings.waiting, session.supports_hints)
             and not elsewhere
         ):
-            request.patience_us = min(settings.patience_us, guest.max_patience_us or settings.patience_us)
+            request.patience_us = min(settings.patience_us, session.max_patience_us or settings.patience_us)
         now, full = self.hub.now(), self.core.at_capacity()
         if not request.patience_us or self.closing:
-            then(self.try_admit(guest, request, open_requests))
+            then(self.try_admit(session, request, open_requests))
             return None
-        knock = QueuedRequest(guest, settings.name, len(request.data), request, then)
-        if self.door.admit_or_queue(now, knock, full):
-            self._counted[request] = guest, knock.size
+        queued = QueuedRequest(session, settings.name, len(request.data), request, then)
+        if self.admission.admit_or_queue(now, queued, full):
+            self._counted[request] = session, queued.size
             then(None)
             return None
-        # The last moment at which "not done" is still an honest answer.
+        # The latest time at which "not done" can still reach the client before its deadline.
         last = (request.arrived_at or now) + request.patience_us - ANSWER_TICKS * self.settings.tick_us
-        knock.timer = self.hub.at(last, partial(self.reject_queued, knock, TOO_MUCH))
-        self._knocks[knock] = None
-        return knock
+        queued.timer = self.hub.at(last, partial(self.reject_queued, queued, OVERLOADED))
+        self._queued[queued] = None
+        return queued
 
-    def wait_for_admission(self, guest: FrontSession, request: ClientRequest, stream: Stream,
-              open_requests: int) -> Rejection | None:  # fmt: skip
-        """Bring a request through the door; meanwhile its connection is not read from.
+    def wait_for_admission(self, session: FrontSession, request: ClientRequest, stream: Stream,
+                           open_requests: int) -> Rejection | None:  # fmt: skip
+        """Wait until a request is admitted or rejected; meanwhile its connection is not read from.
 
-        Returns None (it is to be taken now), or why it is not. Raises StreamClosed if its client leaves.
+        Returns None (admitted), or why it was rejected. Raises StreamClosed if its client leaves.
         """
-        answers: list[Rejection | None] = []
-        told = Waiters(self.hub)
+        decisions: list[Rejection | None] = []
+        decided = Waiters(self.hub)
 
-        def then(away: Rejection | None) -> None:
-            answers.append(away)
-            told.notify()
+        def then(rejection: Rejection | None) -> None:
+            decisions.append(rejection)
+            decided.notify()
 
-        knock = self.admit_or_queue(guest, request, open_requests, then)
-        if knock is not None:
-            # Nobody reads here, and yet a client that leaves takes its requests along.
-            stream.watch_end(lambda: self.reject_queued(knock, GONE))
+        queued = self.admit_or_queue(session, request, open_requests, then)
+        if queued is not None:
+            # The stream is not read meanwhile: watch its end, to drop the request of a client that left.
+            stream.watch_end(lambda: self.reject_queued(queued, CLIENT_LEFT))
             try:
-                while not answers:
-                    told.wait()
+                while not decisions:
+                    decided.wait()
             except BaseException:
-                self.reject_queued(knock, GONE)
-                self.release(request)  # it may have been let in just now
+                self.reject_queued(queued, CLIENT_LEFT)
+                self.release(request)  # it may have just been admitted
                 raise
             finally:
                 stream.watch_end(None)
-        if answers[0] is GONE:
+        if decisions[0] is CLIENT_LEFT:
             raise StreamClosed("the client left")
-        return answers[0]
-
-    def reject_queued(self, knock: QueuedRequest, why: Rejection) -> None:
-        """A request that waits at the door is not taken any more."""
-        if knock in self._knocks:
-            self.door.discard(knock)
-            self._answer_knock(knock, why)
-
-    def _answer_knock(self, knock: QueuedRequest, away: Rejection | None) -> None:
-        del self._knocks[knock]
-        assert knock.timer is not None
-        knock.timer.cancel()
-        knock.then(away)
-
-    def _let_in(self) -> None:
-        if not self._knocks:
+        return decisions[0]
+
+    def reject_queued(self, queued: QueuedRequest, why: Rejection) -> None:
+        """Reject a request that waits for admission, if it still does."""
+        if queued in self._queued:
+            self.admission.discard(queued)
+            self._decide_queued(queued, why)
+
+    def _decide_queued(self, queued: QueuedRequest, rejection: Rejection | None) -> None:
+        del self._queued[queued]
+        assert queued.timer is not None
+        queued.timer.cancel()
+        queued.then(rejection)
+
+    def _admit_queued(self) -> None:
+        if not self._queued:
             return
-        room = self.settings.limits.held - self.core.open_parts
-        for entrant in self.door.admit_waiting(self.hub.now(), room):
-            assert isinstance(entrant, QueuedRequest)
-            self._counted[entrant.request] = entrant.connection, entrant.size
-            self._answer_knock(entrant, None)
+        free = self.settings.limits.held - self.core.open_parts
+        for queued in self.admission.admit_waiting(self.hub.now(), free):
+            assert isinstance(queued, QueuedRequest)
+            self._counted[queued.request] = queued.connection, queued.size
+            self._decide_queued(queued, None)
 
     def close(self) -> None:
-        """Take no more, and keep nothing waiting that was not sent."""
+        """Admit no more requests, and refuse those that wait and were not sent."""
         self.closing = True
-        for knock in list(self._knocks):
-            self.reject_queued(knock, CLOSING)
+        for queued in list(self._queued):
+            self.reject_queued(queued, CLOSING)
         self.core.stop_waiting(CLOSING.why)
-        if self.visits is not None:
-            self.visits.close(CLOSING.why)
+        if self.regional_retries is not None:
+            self.regional_retries.close(CLOSING.why)
 
     def submit(self, request: ClientRequest) -> None:
-        """Hand a request to the core, or to the layer of volumes of two regions."""
+        """Pass a request to the core, or to the layer for volumes of two regions."""
         if self.regional is not None and request.volume.settings.name in self.regional.volumes:
-            if self.visits is not None and request.patience_us:
-                self.visits.submit(request)
+            if self.regional_retries is not None and request.patience_us:
+                self.regional_retries.submit(request)
             else:
                 self.regional.submit(request)
         else:
             self.core.accept(self.hub.now(), request)
 
     def release(self, request: ClientRequest) -> None:
-        """A request has its answer, or nobody waits for it any more: its room is free again."""
+        """Free the capacity of a request that was answered, or whose client left."""
         counted = self._counted.pop(request, None)
         if counted is not None:
-            guest, size = counted
-            self.door.release(guest, request.volume.settings.name, size)
-            if self._knocks:
-                self.hub.at_end_of_round(self._let_in)
+            session, size = counted
+            self.admission.release(session, request.volume.settings.name, size)
+            if self._queued:
+                self.hub.at_end_of_round(self._admit_queued)
 
     def client_left(self, request: ClientRequest) -> None:
-        """The request's client left."""
+        """Drop a request whose client left."""
         self.release(request)
         if self.regional is not None and request.volume.settings.name in self.regional.volumes:
-            if self.visits is not None and request.patience_us:
-                self.visits.client_left(request)
+            if self.regional_retries is not None and request.patience_us:
+                self.regional_retries.client_left(request)
             else:
                 self.regional.client_left(request)
         else:
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -1,12 +1,12 @@
 """Volumes of two regions: the layer between a head's fronts and its core.
 
 The holder of a volume's lease does clients' requests through its core, and copies each write to the other
-region's head, which does it through its own core. Requests that come to the other head are passed on to the
-holder. Choices are made in `decisions/regions.py` and `decisions/ranges.py`; who may act, in
-`membership/leases.py`.
+region's head, which does it through its own core. Requests that reach the other head are relayed to the
+holder. `decisions/regions.py` and `decisions/ranges.py` make the decisions; `membership/leases.py` determines
+who may act.
 
-Requests that touch the same bytes go one after another, and a write keeps its bytes until both regions agree
-on them: so both apply writes in one order, and nobody reads what a dark region could take back.
+Requests that touch the same bytes run one after another, and a write locks its bytes until both regions agree
+on them. So both apply writes in one order, and no client reads data that a failed region could revert.
 """
 
 from __future__ import annotations
@@ -47,16 +47,16 @@
 if TYPE_CHECKING:
     from harriertrack.decisions.fleet.budget_shares import BudgetShares
 
-RETRY_US = 20_000  # between two tries to copy a write, or to pass a request on
-CATCH_UP_US = 200_000  # between two looks at what this region misses
-WISH_TURNS = 4  # operators' wishes are read with every so manyth look at the witness
-HAND_OVER_US = 1_000_000  # the longest that a hand-over waits for requests under way
+RETRY_US = 20_000  # between attempts to copy a write, or to relay a request
+CATCH_UP_US = 200_000  # between checks for extents that this region misses
+WISH_TURNS = 4  # operators' requested regions are read at every fourth check of the witness
+HAND_OVER_US = 1_000_000  # the longest that a hand-over waits for requests in progress
 CLOSED = "refused: not done; a close has come"
 NOT_HOLDER = "refused: not done; this head does not hold the volume"
 STALE = "refused: not done; too old"
-ASKED_AT_ONCE = 1 << 30  # bytes of a volume asked about in one BLOCK_STATUS
-FADES = 0.9  # of a volume's requests, with each look at the witness, in the order of who may change regions
-LOOK_NOW = 1  # the length of a TICK that says: the volume is free, look at the witness
+STATUS_BYTES = 1 << 30  # bytes of a volume covered by one BLOCK_STATUS
+ACTIVITY_DECAY = 0.9  # factor on a volume's recent requests at each witness check; they order region changes
+CHECK_NOW = 1  # the length of a TICK that reports a released volume: check the witness now
 
 
 class Regional:
@@ -76,7 +76,7 @@
         portions: BudgetShares | None = None,
     ) -> None:
         assert settings.region is not None
-        self._portions = portions  # of how many volumes change regions at a time; None: as each may
+        self._budget_shares = portions  # limits how many volumes change regions at a time; None: no limit
         self.reserves = {plan.name: plan.reserve for plan in settings.plans}
         self._hub, self._scope, self._core, self._links, self._log = hub, scope, core, links, log
         self._note, self._tick = note, settings.tick_us
@@ -101,30 +101,30 @@
                 copies = Copies(view, catch_up)
                 self.volumes[volume.name] = RegionalVolume(volume, spread, view, catch_up, copies)
         self._number = 0
-        self.open = 0  # clients' requests without an answer
-        self.generations: Generations | None = None  # of heads whose fleet has calendars
-        self._under_way: dict[ClientRequest, Work] = {}  # in the core, by the client's request
-        self._look = Waiters(hub)
+        self.open = 0  # requests without an answer
+        self.generations: Generations | None = None  # set if the head's fleet has calendars
+        self._in_core: dict[ClientRequest, Work] = {}  # by the client's request
+        self._check_requested = Waiters(hub)
         first = next(iter(self.volumes))
         self._heartbeat = PeerLink(
             hub, network, scope, region, first, context_of(links.head_id, 0, RELAY_CONTEXT), name
         )
         scope.spawn("witness", self._follow_witness)
-        scope.spawn("heartbeat", self._beat)
+        scope.spawn("heartbeat", self._send_heartbeats)
         for one in self.volumes.values():
             scope.spawn(f"catch up {one.name}", self._catch_up, one)
 
     # -- requests
 
     def submit(self, request: ClientRequest) -> None:
-        """Take a request on a volume of two regions, from a client or from the other head."""
+        """Accept a request on a volume of two regions, from a client or from the other head."""
         now = self._hub.now()
         volume = self.volumes[request.volume.settings.name]
         deadline = self._core.deadline_of(request.arrived_at or now, request.kind, request.length)
         request.deadline = min(deadline, request.deadline or deadline)
         volume.recent_requests += 1
         if request.origin is Origin.RELAY:
-            # Its client waits since before it was passed on: nothing may be done for it after its time.
+            # Its client has waited since before the relay: nothing may be done for it after its deadline.
             request.deadline -= self.expiry.age(request.tick, now)
         self.open += 1
         if request.origin is not Origin.CLIENT and not self.expiry.fresh(request.tick, now):
@@ -134,19 +134,19 @@
             self._refuse(request, CLOSED)
             return
         if request.origin is Origin.COPY:
-            self._take_copy(volume, request)
+            self._accept_copy(volume, request)
             return
         epoch = self._epoch(volume, now)
         route = volume.view.route(epoch, now)
         if route is Route.HERE:
             self._begin(Work(self, volume, request, epoch))
         elif route is Route.OTHER and request.origin is Origin.CLIENT:
-            self._pass_on(volume, request)
-        else:  # what was passed on is not passed on again
+            self._relay(volume, request)
+        else:  # a relayed request is not relayed again
             self._refuse(request, NOT_HOLDER)
 
     def acts_on(self, volume: str) -> bool:
-        """Whether this head knows under which epoch it works on a volume, as holder or with the copy."""
+        """Whether this head has an epoch under which it works on a volume, as holder or with the copy."""
         return volume not in self.volumes or self._links.epochs.has_lease(volume)
 
     def route(self, volume: str, now: int) -> Route:
@@ -155,20 +155,20 @@
         return one.view.route(self._epoch(one, now), now)
 
     def _epoch(self, volume: RegionalVolume, now: int) -> int:
-        """Return what new requests are done under; 0 if not here, or not any more."""
+        """Return the epoch for new requests; 0 if the volume is not held here or is being handed over."""
         return 0 if volume.handing_over else self.holding.epoch(volume.name, now)
 
     def client_left(self, request: ClientRequest) -> None:
-        """The client left. Where it may have changed the volume, both regions are made to agree again."""
+        """Drop a request whose client left; where it may have changed the volume, make both regions agree."""
         if request.outcome is None:
             request.outcome = Outcome.FAILED
             self.open -= 1
             self.volumes[request.volume.settings.name].relayed.pop(request, None)
-            work = self._under_way.pop(request, None)
+            work = self._in_core.pop(request, None)
             if work is not None and work.inner is not None:
                 self._core.client_left(work.inner)
-                touched = any(part.may_have_effect for part in work.inner.parts)
-                if touched and request.kind in MODIFYING_KINDS and not work.copy:
+                may_have_effect = any(part.may_have_effect for part in work.inner.parts)
+                if may_have_effect and request.kind in MODIFYING_KINDS and not work.copy:
                     self._after_unknown(work)
                 else:
                     self._release(work)
@@ -194,17 +194,17 @@
         )
 
     def _may_act(self, work: Work) -> bool:
-        """Whether the lease (or, of a copy, the holder's epoch) still stands."""
+        """Whether the lease (for a copy, the holder's epoch) is still valid."""
         name = work.volume.name
         if work.copy:
             return self.fence.admits(name, work.epoch) and work.volume.copy_session is work.request.requester
         return self.holding.epoch(name, self._hub.now()) == work.epoch
 
     def _start(self, work: Work) -> None:
-        """The bytes are ours: do the request in this region."""
+        """Do a request in this region, once it has its range lock."""
         request, volume = work.request, work.volume
         if request.outcome is None:
-            self._under_way[request] = work
+            self._in_core[request] = work
         if request.outcome is not None or not self._may_act(work):
             self._refuse(request, NOT_HOLDER)
             self._release(work)
@@ -212,7 +212,7 @@
         if request.kind in MODIFYING_KINDS and not work.copy:
             volume.works[work.number] = work
             self._log.begin_write(volume.name, work.extents)
-        if request.reader is not None:  # not a client's read, which says nothing of the other region's copy
+        if request.reader is not None:  # not a client's read, which does not affect the other region's copy
             volume.catch_up.note_read(work.extents, request.reader)
         self._links.epochs.record_lease(volume.name, work.epoch)
         self._do(work, request.kind, request.data)
@@ -227,9 +227,9 @@
         self._core.accept(self._hub.now(), work.inner)
 
     def core_answered(self, work: Work, inner: ClientRequest) -> None:
-        """This region did its part, or did not."""
+        """Continue with a request after this region's core answered it."""
         request, outcome, alive = work.request, inner.outcome, self._may_act(work)
-        self._under_way.pop(request, None)
+        self._in_core.pop(request, None)
         assert outcome is not None
         if inner.kind is Kind.READ and request.kind in MODIFYING_KINDS:
             self._read_back(work, inner)
@@ -249,23 +249,19 @@
         elif not alive:
             self._answer(request, Outcome.FAILED)
             self._release(work)
-        elif (
-            work.close_overlap is not CloseOverlap.NONE
-        ):  # it ran before the close: what of it is left is not known
+        elif work.close_overlap is not CloseOverlap.NONE:
+            # It ran before the close: how much of it is left is unknown.
             self._answer(request, Outcome.FAILED)
             self._after_unknown(work)
         elif request.kind in MODIFYING_KINDS and not inner.parts:
-            # There was nothing to trim or zero: the other region holds no more there than this one.
+            # There was nothing to trim or zero: the other region has no data there either.
             self._answer(request, outcome)
             self._release(work)
         else:
             self._held(work)
 
     def _after_unknown(self, work: Work) -> None:
-        """A write may or may not have run here.
-
-        Read back what is there, so that both regions hold the same.
-        """
+        """Read back a range after a write that may or may not have run here, so that both regions agree."""
         if (
             work.request.kind is Kind.FLUSH
             or not self._may_act(work)
@@ -283,26 +279,23 @@
         self._held(work)
 
     def _held(self, work: Work) -> None:
-        """The home holds the write.
-
-        Answer now or after the copy, as the mode and the witness's record say.
-        """
+        """Answer a write that is done here: now or after the copy, by the mode and the witness's record."""
         copies, extents = work.volume.copies, work.extents
         if work.request.kind is Kind.FLUSH:
             extents = range(0)
-        found = copies.add_write(self._hub.now(), work.number, extents)
-        if found is not WriteAction.COPY_FIRST:
+        action = copies.add_write(self._hub.now(), work.number, extents)
+        if action is not WriteAction.COPY_FIRST:
             self._answer(work.request, Outcome.SERVED)
-        if found is WriteAction.ACKNOWLEDGE:
+        if action is WriteAction.ACKNOWLEDGE:
             self._release(work)
         else:
             work.volume.works[work.number] = work
             self._copy(work)
 
     def _expire(self, work: Work) -> None:
-        """The client's time is up. What is under way goes on, but nobody waits for it any more."""
-        touched = work.inner is not None and work.request.kind in MODIFYING_KINDS
-        self._answer(work.request, Outcome.FAILED if touched else Outcome.REFUSED)
+        """Answer a request at its deadline; operations in progress continue without a client."""
+        started = work.inner is not None and work.request.kind in MODIFYING_KINDS
+        self._answer(work.request, Outcome.FAILED if started else Outcome.REFUSED)
 
     def _release(self, work: Work) -> None:
         if work.timer is not None:
@@ -317,7 +310,7 @@
     # -- copies, at the holder
 
     def _copy(self, work: Work) -> None:
-        """Take a copy's turn: send it, now or again, or end it."""
+        """Do a copy's next action: send or resend it, or finish it."""
         volume, request, now = work.volume, work.request, self._hub.now()
         match volume.copies.next_action(now, work.number, self._may_act(work), self._unsettled_us(volume)):
             case CopyAction.ENDED | CopyAction.WAIT:
@@ -341,7 +334,7 @@
                 self._copy_ends(work, Outcome.SERVED)
                 return
             if reply is None:
-                link.drop()  # what it still carries must not arrive after what comes later
+                link.drop()  # requests in transit must not arrive after later ones
             self._hub.at(self._hub.now() + RETRY_US, lambda: self._copy(work))
 
         flags, until = request.flags & 0b01, volume.copies.due_at(work.number)
@@ -354,7 +347,7 @@
         self._release(work)
 
     def _copies_late(self, volume: RegionalVolume) -> None:
-        """Mode HOME: the other region is behind for longer than stated."""
+        """Mode HOME: handle copies that are behind for longer than configured."""
         work = volume.works[next(iter(volume.copies))]
         match volume.copies.handle_late(self._hub.now(), work.number):
             case CopyAction.NOTED_MISSED:
@@ -363,14 +356,14 @@
                 self._scope.spawn(f"drop copy of {volume.name}", self._drop, volume, work.epoch)
 
     def _drop(self, volume: RegionalVolume, epoch: int) -> None:
-        """Have the witness record that the other region is out of sync.
+        """Record at the witness that the other region is out of sync.
 
-        Until then nothing is acknowledged.
+        Until then no write is acknowledged.
         """
         self._note("copy lost", volume=volume.name, region=volume.view.other)
         alone = frozenset((volume.view.here,))
         while self.holding.epoch(volume.name, self._hub.now()) == epoch:
-            # On disk before the witness hears, so that a kill between the two loses nothing.
+            # On disk before the record at the witness, so that a kill between the two loses nothing.
             volume.copies.note_all_missed()
             if self._record(volume, alone):
                 break
@@ -381,13 +374,13 @@
         self._note("copy dropped" if alive else "lease lost while the copy was dropped", volume=volume.name)
 
     def _record(self, volume: RegionalVolume, in_sync: frozenset[str]) -> bool:
-        """Write the witness's record while holding the lock; return whether it stands."""
+        """Write the witness's record while holding the lock; return whether it was written."""
         standing = Standing(volume.regions.home, tuple(sorted(in_sync)))
         try:
             index = self._witness.acquire_lock(volume.name, self.session.id, standing, volume.index)
             if not index:
-                # Changed meanwhile, perhaps by a call of ours whose answer was lost: look again before the
-                # next try.
+                # Changed meanwhile, perhaps by an earlier call whose answer was lost: read the lock again
+                # before the next attempt.
                 lock = self._witness.lock(volume.name)
                 if lock is None or lock.session != self.session.id:
                     self.holding.gave(volume.name)
@@ -403,7 +396,7 @@
     # -- copies, at the other head
 
     def copy_opened(self, volume: str, epoch: int, generation: int, session: object) -> bool:
-        """The holder opened a connection for copies; older ones are not listened to from now on."""
+        """Accept the holder's new connection for copies and ignore older ones; return whether it is valid."""
         if volume not in self.volumes or not self.fence.admits(volume, epoch):
             return False
         if self.generations is not None and not self.generations.admits(volume, generation):
@@ -411,7 +404,7 @@
         self.volumes[volume].copy_session = session
         return True
 
-    def _take_copy(self, volume: RegionalVolume, request: ClientRequest) -> None:
+    def _accept_copy(self, volume: RegionalVolume, request: ClientRequest) -> None:
         work = Work(self, volume, request, request.epoch, copy=True)
         if not self._may_act(work):
             self._refuse(request, NOT_HOLDER)
@@ -419,9 +412,9 @@
         end = request.offset + request.length
         work.range_lock = volume.locks.acquire(request.offset, end, True, lambda: self._start(work))
 
-    # -- requests passed on to the holder
+    # -- requests relayed to the holder
 
-    def _pass_on(self, volume: RegionalVolume, request: ClientRequest) -> None:
+    def _relay(self, volume: RegionalVolume, request: ClientRequest) -> None:
         until = request.deadline - self._tick
         changes, token = request.kind in MODIFYING_KINDS, self._peer.token
 
@@ -457,71 +450,71 @@
     # -- closes
 
     def _generation(self, volume: str) -> int:
-        """Return of which generation a volume's bytes are here."""
+        """Return the generation of a volume's bytes in this region."""
         return 0 if self.generations is None else self.generations.generation(volume)
 
     def _unsettled_us(self, volume: RegionalVolume) -> int:
-        """Return for how long the two heads may stand on different sides of a close."""
+        """Return for how long the two heads may be on different sides of a close."""
         return 0 if self.generations is None else self.generations.unsettled_us(volume.name)
 
     def same_generation(self, volume: str, theirs: int) -> bool:
-        """Whether the other head, which catches up, has stepped over the same closes."""
+        """Whether the other head, which is catching up, has applied the same closes."""
         return theirs == self._generation(volume)
 
     def closed(self, covers: Callable[[str, int, int], bool]) -> None:
-        """A close of what `covers` (volume, offset, length) names is on disk: all of before goes with it.
+        """Drop work from before a close, now on disk, of the ranges that `covers` (volume, offset, length).
 
-        Called after the core gave up its part, and once what is begun now is of the next generation.
+        Called after the core dropped its own requests, once new ones belong to the next generation.
         """
         size = self.extent_bytes
         for volume in self.volumes.values():
             name = volume.name
 
-            def gone(extent: int, name: str = name) -> bool:
+            def is_purged(extent: int, name: str = name) -> bool:
                 return covers(name, extent * size, size)
 
             if not covers(name, 0, volume.settings.size_bytes):
                 continue
-            volume.copy_session = None  # of the generation before; the holder comes anew
-            volume.catch_up.note_purged(gone)
+            volume.copy_session = None  # of the previous generation; the holder connects again
+            volume.catch_up.note_purged(is_purged)
             for request in list(volume.relayed):
                 if request.kind is Kind.READ and covers(name, request.offset, request.length):
                     self._refuse(request, CLOSED)
-            if epoch := self.holding.epoch(name, self._hub.now()):  # what is written next finds it open
+            if epoch := self.holding.epoch(name, self._hub.now()):  # in time for the next write
                 self._peer.copy(name, epoch, self._generation(name)).open()
             for work in list(volume.works.values()):
-                if (how := close_overlap(work.extents, gone)) is not CloseOverlap.NONE:
-                    self._crossed(work, how)
+                if (overlap := close_overlap(work.extents, is_purged)) is not CloseOverlap.NONE:
+                    self._crossed(work, overlap)
 
-    def _crossed(self, work: Work, how: CloseOverlap) -> None:
-        """A close purged what a write under way had written, or a part of that."""
+    def _crossed(self, work: Work, overlap: CloseOverlap) -> None:
+        """Handle a write in progress of which a close purged all or a part."""
         volume, copies = work.volume, work.volume.copies
-        work.close_overlap = how if work.close_overlap is not CloseOverlap.FULL else work.close_overlap
+        work.close_overlap = overlap if work.close_overlap is not CloseOverlap.FULL else work.close_overlap
         if work.number not in copies:
-            return  # the core has it; it hears of its end
+            return  # still in the core, whose answer will handle it
         copies.finish(work.number)
         del volume.works[work.number]
-        self._number += 1  # what was sent under the one before is answered to nobody
+        self._number += 1  # replies to copies under the previous number are ignored
         work.number = self._number
         volume.works[work.number] = work
         self._answer(work.request, Outcome.FAILED)
         self._after_unknown(work)
 
-    # -- the other head's news
+    # -- messages of the other head
 
-    def tick(self, look: bool) -> float:
-        """Answer a heartbeat with the present tick; `look` says that a volume became free."""
-        if look:
-            self._look.notify()
+    def tick(self, check: bool) -> float:
+        """Answer a heartbeat with the current tick; `check` reports that a volume was released."""
+        if check:
+            self._check_requested.notify()
         return float(self.expiry.tick(self._hub.now()))
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         while True:
             self._send_tick(0)
             self._hub.sleep(self.region.tick_us)
 
     def _send_tick(self, length: int) -> None:
-        asked_at = self._hub.now()
+        sent_at = self._hub.now()
 
         def then(reply: Reply | None) -> None:
             if reply is None:
@@ -529,16 +522,15 @@
             elif not reply.error and reply.report is not None and reply.report.load:
                 self._peer.token = int(reply.report.load[0])
                 for volume in self.volumes.values():
-                    volume.view.note_contact(asked_at)
+                    volume.view.note_contact(sent_at)
 
-        until = asked_at + self.region.fresh_us
+        until = sent_at + self.region.fresh_us
         self._heartbeat.call(Command.TICK, 0, length, b"", 0, self._peer.token, until, then)
 
     def missing(self, volume: str, offset: int, length: int, generation: int) -> list[tuple[int, int]] | None:
-        """Tell the other head which extents it misses, as (length, flag); None if it is on the other side of
-        a close.
+        """Return which extents the other head misses, as (length, flag); None if it is across a close.
 
-        From now on it gets new writes again.
+        From now on it receives new writes again.
         """
         one = self.volumes[volume]
         if not self.same_generation(volume, generation):
@@ -549,9 +541,9 @@
         return list(merge_runs((piece, int(one.catch_up.status_of(extent))) for extent, _, piece in pieces))
 
     def caught(self, volume: str, offset: int, length: int, generation: int, reader: object) -> None:
-        """The other head holds an extent as it last read it over the same connection, `reader`.
+        """Record that the other head stored an extent as it last read it over the same connection, `reader`.
 
-        With length 0, it misses nothing.
+        Length 0 reports that it misses nothing.
         """
         catch_up = self.volumes[volume].catch_up
         if not self.same_generation(volume, generation):
@@ -564,75 +556,76 @@
     # -- the witness
 
     def _follow_witness(self) -> None:
-        turn = 0
+        round_number = 0
         while True:
             try:
                 self._keep_session()
                 for volume in self._by_rank():
-                    volume.recent_requests *= FADES
-                    if turn % WISH_TURNS == 0:
+                    volume.recent_requests *= ACTIVITY_DECAY
+                    if round_number % WISH_TURNS == 0:
                         volume.wish = self._witness.wish(volume.name)
-                    self._look_at(volume)
+                    self._check_lock(volume)
             except FAILURES as error:
                 self._note("witness failed", why=str(error) or type(error).__name__)
             now = self._hub.now()
             if self.session.id and not self.session.valid(now):
-                self._lost_session()
-            turn += 1
+                self._lose_session()
+            round_number += 1
             with suppress(DeadlineExceeded):
-                self._look.wait(now + self.region.ttl_us // 6)
-                turn = 0  # a volume was handed over: see whose it is wished to be
+                self._check_requested.wait(now + self.region.ttl_us // 6)
+                round_number = 0  # a volume was handed over: read the requested regions
 
     def _by_rank(self) -> list[RegionalVolume]:
-        """Return the volumes in the order in which they may change regions: reservations, then activity."""
+        """Return the volumes in the order in which they may change regions: by reservation, then activity."""
         volumes = list(self.volumes.values())
-        if self._portions is not None:
+        if self._budget_shares is not None:
             volumes.sort(key=lambda one: (-self.reserves.get(one.settings.plan, 0.0), -one.recent_requests))
         return volumes
 
-    def _its_turn(self, volume: RegionalVolume) -> bool:
-        """Whether a volume may change regions now, of all that the fleet's heads have to move."""
-        if self._portions is None:
+    def _may_change_region(self, volume: RegionalVolume) -> bool:
+        """Whether the fleet's limit allows a volume to change regions now."""
+        if self._budget_shares is None:
             return True
-        return not self._portions.takeover_wait(self._hub.now())
+        return not self._budget_shares.takeover_wait(self._hub.now())
 
-    def _lost_session(self) -> None:
+    def _lose_session(self) -> None:
         self._note("lease over", region=self.region.name)
         self.session.lose()
 
     def _keep_session(self) -> None:
-        asked_at = self._hub.now()
-        if self.session.valid(asked_at):
+        sent_at = self._hub.now()
+        if self.session.valid(sent_at):
             if self._witness.renew_session(self.session.id):
-                self.session.granted(self.session.id, asked_at)
+                self.session.granted(self.session.id, sent_at)
                 return
-            self._lost_session()
+            self._lose_session()
         elif self.session.id:
-            self._lost_session()
-        asked_at = self._hub.now()
-        self.session.granted(self._witness.create_session(self.region.ttl_us), asked_at)
+            self._lose_session()
+        sent_at = self._hub.now()
+        self.session.granted(self._witness.create_session(self.region.ttl_us), sent_at)
 
-    def _look_at(self, volume: RegionalVolume) -> None:
-        """Read a volume's key, and take, keep, or hand over the volume as that says."""
+    def _check_lock(self, volume: RegionalVolume) -> None:
+        """Read a volume's key, and acquire, maintain, or hand over the volume accordingly."""
         lock, now = self._witness.lock(volume.name), self._hub.now()
         view, mine = volume.view, self.session.id
         if lock is not None:
             volume.index = lock.index
             if lock.session != mine:
                 self.holding.gave(volume.name)
-                if self.generations is not None:  # trims after closes wait for no copy to bring its epoch
+                # Trims after a close must not wait until a copy brings the epoch.
+                if self.generations is not None:
                     self._links.epochs.record_lease(volume.name, lock.epoch)
         acts = bool(self.holding.epoch(volume.name, now))
         match lock_action(view, lock, mine, acts, volume.wish, now), lock:
             case LockAction.CREATE, _:
                 self._acquire(volume, Standing(view.home, tuple(sorted((view.here, view.other)))), 0)
             case LockAction.ACQUIRE, Lock():
-                if view.home == view.here or self._its_turn(volume):
+                if view.home == view.here or self._may_change_region(volume):
                     self._acquire(volume, lock.standing, lock.index)
             case LockAction.ACTIVATE, Lock():
-                self._took(volume, lock)
+                self._activate(volume, lock)
             case LockAction.MAINTAIN, _:
-                self._tend(volume, now)
+                self._maintain(volume, now)
 
     def _acquire(self, volume: RegionalVolume, standing: Standing, index: int) -> None:
         if not self._witness.acquire_lock(volume.name, self.session.id, standing, index):
@@ -640,9 +633,9 @@
         lock = self._witness.lock(volume.name)
         if lock is not None and lock.session == self.session.id:
             volume.index = lock.index
-            self._took(volume, lock)
+            self._activate(volume, lock)
 
-    def _took(self, volume: RegionalVolume, lock: Lock) -> None:
+    def _activate(self, volume: RegionalVolume, lock: Lock) -> None:
         view, in_sync = volume.view, frozenset(lock.standing.in_sync)
         opened = self._log.opened(volume.name)
         match acquired_action(view, in_sync, bool(opened)):
@@ -663,19 +656,19 @@
         self.holding.took(volume.name, lock.epoch)
         self._note("volume held", volume=volume.name, epoch=lock.epoch, in_sync=sorted(in_sync))
 
-    def _tend(self, volume: RegionalVolume, now: int) -> None:
-        """What the holder looks after: bounds, the other region's return, handing over."""
+    def _maintain(self, volume: RegionalVolume, now: int) -> None:
+        """Do the holder's duties: limits of the copy, the other region's return, handing over."""
         match holder_duty(volume.view, volume.catch_up.complete, len(volume.copies), volume.wish, now):
             case HolderDuty.DROP_OTHER:
                 self._copies_late(volume)
             case HolderDuty.ADD_OTHER:
                 self._join(volume)
             case HolderDuty.HAND_OVER:
-                if self._its_turn(volume):
+                if self._may_change_region(volume):
                     self._hand_over(volume)
 
     def _join(self, volume: RegionalVolume) -> None:
-        """The other region misses nothing: from now on writes wait for it again, and the witness may know."""
+        """Record the other region as in sync: it misses nothing, so writes wait for its copy again."""
         view = volume.view
         both = frozenset((view.here, view.other))
         view.set_in_sync(both, self._hub.now())
@@ -683,12 +676,12 @@
             self._log.forget_open(volume.name)
             self._note("in sync", volume=volume.name)
         else:
-            # It may or may not stand: only a record that says otherwise lets writes go on alone.
+            # It may or may not be recorded: only a record to the contrary lets writes continue alone.
             volume.copies.dropping = True
             self._drop(volume, self.holding.epoch(volume.name, self._hub.now()))
 
     def _hand_over(self, volume: RegionalVolume) -> None:
-        """Give the volume to the other region: finish what is under way, then let the lock go."""
+        """Hand the volume over to the other region: finish open requests, then release the lock."""
         volume.handing_over = True
         until = self._hub.now() + HAND_OVER_US
         while len(volume.locks) and self._hub.now() < until:
@@ -700,57 +693,57 @@
             self.holding.gave(volume.name)
             if self._witness.release_lock(volume.name, self.session.id, standing, volume.index):
                 self._note("volume handed over", volume=volume.name, region=view.other)
-                self._send_tick(LOOK_NOW)
+                self._send_tick(CHECK_NOW)
         volume.handing_over = False
 
     # -- catching up, at the other head
 
     def _catch_up(self, volume: RegionalVolume) -> None:
-        """Get what this region misses from the holder, extent by extent (a task of each volume)."""
+        """Copy what this region misses from the holder, extent by extent (a task of each volume)."""
         while True:
             self._hub.sleep(CATCH_UP_US)
             now, view = self._hub.now(), volume.view
             if self.holding.epoch(volume.name, now) or view.here in view.in_sync or not view.reachable(now):
                 continue
-            told = self._ask_missed(volume)
-            if told is None:
+            status = self._request_missed(volume)
+            if status is None:
                 continue
-            missed, doubtful = told
-            # What this region wrote alone, or was writing when it was stopped, may differ from the holder's
-            # too.
+            missed, doubtful = status
+            # Extents that this region wrote alone, or was writing when it stopped, may also differ from the
+            # holder's.
             own = self._log.missed(volume.name)
             if WHOLE in own:
                 doubtful.update(range(-(-volume.settings.size_bytes // self.extent_bytes)))
             missed |= (own | self._log.opened(volume.name)) - {WHOLE}
             compared = (self._pull(volume, extent, True) for extent in sorted(doubtful - missed))
             if all(self._pull(volume, extent, False) for extent in sorted(missed)) and all(compared):
-                if self._ask_peer(volume, Command.CAUGHT, 0, 0) is not None:
+                if self._request_peer(volume, Command.CAUGHT, 0, 0) is not None:
                     self._log.forget_open(volume.name)
                     self._log.copied(volume.name, own)
 
-    def _ask_peer(self, volume: RegionalVolume, command: Command, offset: int, length: int,
+    def _request_peer(self, volume: RegionalVolume, command: Command, offset: int, length: int,
                   flags: int = 0) -> Reply | None:  # fmt: skip
-        """Ask the holder and wait; None if it did not, or would not."""
+        """Send a request to the holder and wait for its reply; None if it fails or there is no reply."""
         link = self._peer.relay(volume.name, self._generation(volume.name))
         token = self._peer.token
         until = self._hub.now() + 4 * self.region.fresh_us
 
-        def ask(then: Callable[[Reply | None], None]) -> None:
+        def send(then: Callable[[Reply | None], None]) -> None:
             link.call(command, offset, length, b"", flags, token, until, then)
 
-        reply = answer_of(self._hub, ask)
+        reply = answer_of(self._hub, send)
         return None if reply is None or reply.error else reply
 
-    def _ask_missed(self, volume: RegionalVolume) -> tuple[set[int], set[int]] | None:
-        """Ask the holder which extents this region misses, and which it may miss.
+    def _request_missed(self, volume: RegionalVolume) -> tuple[set[int], set[int]] | None:
+        """Request from the holder which extents this region misses, and which it may miss.
 
-        None if it did not tell of all.
+        None if the holder did not answer for the whole volume.
         """
         missed: set[int] = set()
         doubtful: set[int] = set()
-        for start in range(0, volume.settings.size_bytes, ASKED_AT_ONCE):
-            length = min(ASKED_AT_ONCE, volume.settings.size_bytes - start)
-            reply = self._ask_peer(volume, Command.BLOCK_STATUS, start, length)
+        for start in range(0, volume.settings.size_bytes, STATUS_BYTES):
+            length = min(STATUS_BYTES, volume.settings.size_bytes - start)
+            reply = self._request_peer(volume, Command.BLOCK_STATUS, start, length)
             if reply is None:
                 return None
             at = start
@@ -762,10 +755,9 @@
         return missed, doubtful
 
     def _pull(self, volume: RegionalVolume, extent: int, compare: bool) -> bool:
-        """Read one extent at the holder and write it here, unless it is equal by checksum where that is
-        asked.
+        """Read one extent at the holder and write it here; with `compare`, only if the checksums differ.
 
-        The holder's new writes to it wait meanwhile. Return whether this region holds the extent now.
+        The holder's new writes to it wait meanwhile. Return whether this region has the extent now.
         """
         start = extent * self.extent_bytes
         length = min(self.extent_bytes, volume.settings.size_bytes - start)
@@ -775,32 +767,35 @@
             granted.wait()
             generation = self._generation(volume.name)
             if not (compare and self._equal(volume, start, length)):
-                reply = self._ask_peer(volume, Command.READ, start, length, CommandFlags.DF)
+                reply = self._request_peer(volume, Command.READ, start, length, CommandFlags.DF)
                 if reply is None or generation != self._generation(volume.name):
                     return False
                 self._links.epochs.record_lease(volume.name, self.fence.highest(volume.name))
-                if self._own(volume, Kind.WRITE, start, length, reply.data).outcome is not Outcome.SERVED:
+                if (
+                    self._run_here(volume, Kind.WRITE, start, length, reply.data).outcome
+                    is not Outcome.SERVED
+                ):
                     return False
-            return self._ask_peer(volume, Command.CAUGHT, start, length) is not None
+            return self._request_peer(volume, Command.CAUGHT, start, length) is not None
         finally:
             volume.locks.release(ticket)
 
     def _equal(self, volume: RegionalVolume, start: int, length: int) -> bool:
         """Whether both regions hold the same bytes, by checksum."""
-        theirs = self._ask_peer(volume, Command.DIGEST, start, length)
+        theirs = self._request_peer(volume, Command.DIGEST, start, length)
         if theirs is None or theirs.report is None or len(theirs.report.load) != 2:
             return False
-        ours = self._own(volume, Kind.READ, start, length)
+        ours = self._run_here(volume, Kind.READ, start, length)
         high, low = map(int, theirs.report.load)
         return ours.outcome is Outcome.SERVED and digest_of(ours) == high << 32 | low
 
-    def _own(
+    def _run_here(
         self, volume: RegionalVolume, kind: Kind, start: int, length: int, data: bytes = b""
     ) -> ClientRequest:
-        """Do a background request in this region and wait for its end."""
+        """Run a background request in this region and wait for its end."""
         return background.run_request(self._hub, self._core, volume.name, kind, start, length, data)
 
 
 def digest_of(request: ClientRequest) -> int:
-    """Return the checksum of what a served read brought."""
+    """Return the checksum of a served read's data."""
     return xxhash.xxh3_64_intdigest(request.bytes_read())
--- a/harriertrack/gateway/regional_volume.py
+++ b/harriertrack/gateway/regional_volume.py
@@ -1,4 +1,4 @@
-"""What a head knows of each volume of two regions, and of each request on one that is under way."""
+"""A head's state of each volume of two regions, and of each open request on one."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """A client's request at the holder, or a copy at the other head, until nothing of it is open any more."""
+    """A client's request at the holder, or a copy at the other head, until all its operations are done."""
 
     layer: Regional
     volume: RegionalVolume
     request: ClientRequest
     epoch: int
-    copy: bool = False  # it is the holder's write, done here
+    copy: bool = False  # a copy of the holder's write, done in this region
     number: int = 0
     range_lock: RangeLock | None = None
     timer: Timer | None = None
     inner: ClientRequest | None = None
-    close_overlap: CloseOverlap = CloseOverlap.NONE  # a close that came since it was begun in this region
-    data: bytes | None = None  # what was read back after a write whose effect is not known
+    close_overlap: CloseOverlap = CloseOverlap.NONE  # with a close that took effect after it started here
+    data: bytes | None = None  # read back after a write whose effect is unknown
 
     def answer(self, inner: ClientRequest) -> None:
-        """Take the core's answer."""
+        """Handle the core's answer."""
         self.layer.core_answered(self, inner)
 
     @property
     def extents(self) -> range:
-        """Return the extents that it touches."""
+        """Return the extents that the request touches."""
         size = self.layer.extent_bytes
         last = max(self.request.offset, self.request.offset + self.request.length - 1)
         return range(self.request.offset // size, last // size + 1)
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, eq=False)
 class RegionalVolume:
-    """One volume of two regions, as this head sees it."""
+    """One volume of two regions, with this head's view of it."""
 
     settings: VolumeSettings
     regions: VolumeRegionSettings
@@ -55,12 +55,12 @@
     catch_up: CatchUp
     copies: Copies
     locks: RangeLocks = field(default_factory=RangeLocks)
-    works: dict[int, Work] = field(default_factory=dict)  # clients' changes begun here and not over
-    relayed: dict[ClientRequest, None] = field(default_factory=dict)  # on to the holder, without an answer
+    works: dict[int, Work] = field(default_factory=dict)  # clients' changes started here and not finished
+    relayed: dict[ClientRequest, None] = field(default_factory=dict)  # sent to the holder, not answered yet
     handing_over: bool = False
-    copy_session: object = None  # the newest connection of the holder; older ones are not listened to
-    wish: str = ""
-    recent_requests: float = 0.0  # requests, the older the less
+    copy_session: object = None  # the holder's newest connection; older ones are ignored
+    wish: str = ""  # the region that operators requested
+    recent_requests: float = 0.0  # an exponentially decaying count
     index: int = 0  # of the volume's key at the witness, as last read or written
 
     @property
--- a/harriertrack/gateway/witness.py
+++ b/harriertrack/gateway/witness.py
@@ -1,6 +1,6 @@
 """Calls to the witness, one connection each.
 
-Every call has a deadline and may fail; nothing is inferred from that.
+Every call has a deadline and may fail; a failure does not tell whether the call had an effect.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class WitnessClient:
-    """What a head asks the witness."""
+    """Reads and writes sessions, locks and keys at the witness."""
 
     def __init__(
         self, hub: Hub, network: Network, address: tuple[str, int], timeout_us: int, name: str
@@ -36,19 +36,19 @@
             stream.close()
         return call.status, call.body
 
-    def _must(self, method: str, target: str, body: bytes = b"") -> bytes:
+    def _call_checked(self, method: str, target: str, body: bytes = b"") -> bytes:
         status, answer = self._call(method, target, body)
         if status != 200:
             raise WitnessError(f"{method} {target}: status {status}")
         return answer
 
     def create_session(self, ttl_us: int) -> str:
-        """Ask for a session; return its id."""
-        asked = leases.session_request(ttl_us, self._name)
-        return leases.session_id(self._must("PUT", f"{leases.SESSION_PATH}/create", asked))
+        """Create a session; return its id."""
+        body = leases.session_request(ttl_us, self._name)
+        return leases.session_id(self._call_checked("PUT", f"{leases.SESSION_PATH}/create", body))
 
     def renew_session(self, session: str) -> bool:
-        """Renew a session; return False if the witness does not know it any more."""
+        """Renew a session; return False if it no longer exists at the witness."""
         status, _ = self._call("PUT", f"{leases.SESSION_PATH}/renew/{session}")
         if status not in (200, 404):
             raise WitnessError(f"renew: status {status}")
@@ -80,11 +80,11 @@
         return self._transact(leases.key_request(path, verb, session, value, index))
 
     def replace(self, path: str, value: bytes, index: int) -> int:
-        """Set a key that nobody locks if it is as read; return its new index, 0 if it is not."""
+        """Set an unlocked key if it is as read; return its new index, 0 if it is not."""
         return self._transact(leases.write_request(path, value, index))
 
-    def _transact(self, asked: bytes) -> int:
-        status, body = self._call("PUT", "/v1/txn", asked)
+    def _transact(self, transaction: bytes) -> int:
+        status, body = self._call("PUT", "/v1/txn", transaction)
         if status == 409:
             return 0
         if status != 200:
@@ -92,26 +92,25 @@
         return leases.changed_index(body)
 
     def acquire_lock(self, volume: str, session: str, standing: Standing, index: int) -> int:
-        """Take a volume's lock, or change its record while holding it, if its key is as it was read at
-        `index`.
+        """Acquire a volume's lock, or change its record while holding it, if its key is as read at `index`.
 
         Return the key's new index; 0 if it was changed meanwhile, or another session holds it.
         """
         return self._change("lock", volume, session, standing, index)
 
     def release_lock(self, volume: str, session: str, standing: Standing, index: int) -> int:
-        """Give a volume's lock back, under the same condition; return the key's new index, or 0."""
+        """Release a volume's lock, under the same condition; return the key's new index, or 0."""
         return self._change("unlock", volume, session, standing, index)
 
     def wish(self, volume: str) -> str:
-        """Return the region that operators wish a volume to be in; "" for none."""
+        """Return the region that operators requested for a volume; "" for none."""
         status, body = self._call("GET", f"{leases.WISH_PREFIX}{volume}?raw")
         return body.decode("utf-8", "replace") if status == 200 else ""
 
     def set_wish(self, volume: str, region: str) -> None:
-        """Wish a volume into a region; "" takes the wish back."""
+        """Request a region for a volume; "" withdraws the request."""
         self.put(f"{leases.WISH_PREFIX}{volume}", region.encode())
 
     def put(self, path: str, value: bytes) -> None:
-        """Write a key that nobody locks."""
-        self._must("PUT", path, value)
+        """Write a key that is not locked."""
+        self._call_checked("PUT", path, value)
--- a/harriertrack/lab/emulator.py
+++ b/harriertrack/lab/emulator.py
@@ -319,7 +319,7 @@
             if self._seen.get(entry.node) != news:
                 self._seen[entry.node] = news
                 self._service.record(self._head_id, entry)
-        self._told(members)
+        self._list_received(members)
 
     def _localised(self, member: Member) -> Member:
         return member  # the emulator has one clock
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -226,7 +226,7 @@
     """The other region is catching up and has read an extent from the home when both step over the close."""
     miss_a_write(rig)
     rig.split(False)
-    real, read = rig.head("b").regional._ask_peer, []
+    real, read = rig.head("b").regional._request_peer, []
 
     def ask(volume, command, *what):
         reply = real(volume, command, *what)
@@ -236,7 +236,7 @@
                 rig.close(region, 100)
         return reply
 
-    rig.head("b").regional._ask_peer = ask
+    rig.head("b").regional._request_peer = ask
     rig.wait_until(lambda: len(rig.in_sync()) == 2)
     assert read == [OLD] and rig.both() == [bytes(4096)] * 2
 
--- a/tests/test_fleet_regions.py
+++ b/tests/test_fleet_regions.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(("rule", "name", "instead"), [
-    (1, "_its_turn", lambda self, volume: True),
+    (1, "_may_change_region", lambda self, volume: True),
     (2, "_by_rank", lambda self: sorted(self.volumes.values(), key=lambda one: self.reserves[one.settings.plan])),
 ])  # fmt: skip
 def test_heads_that_rush_or_take_them_in_another_order_are_found(monkeypatch, rule, name, instead):
--- a/tests/test_nvme_front.py
+++ b/tests/test_nvme_front.py
@@ -342,9 +342,9 @@
             queue.start(io_sqe(Io.WRITE, DISK, at, 1), bytes(512), lambda ended: None)
         site.hub.sleep(1_000_000)
         reception = site.head.reception
-        assert len(reception.door) == 1 and site.head.core.open_requests == 8
+        assert len(reception.admission) == 1 and site.head.core.open_requests == 8
         one.property_set(Property.CC, 0)
         site.hub.sleep(10_000)
-        assert site.head.core.open_requests == 0 and not len(reception.door) and not reception._counted
+        assert site.head.core.open_requests == 0 and not len(reception.admission) and not reception._counted
 
     play(test, nvme=NVME, limits=LimitSettings(in_flight=8))
--- a/tests/test_regional_retries.py
+++ b/tests/test_regional_retries.py
@@ -1,4 +1,4 @@
-"""Requests that wait in front of the layer of two regions: one life, one answer, each asking anew."""
+"""Requests that wait in front of the regional layer: one final answer each, and a new attempt for each retry."""
 
 from types import SimpleNamespace
 
@@ -13,58 +13,58 @@
 
 
 class Layer:
-    """Refuses or serves what it is asked, a little later; or keeps it."""
+    """Refuses or serves requests after a short delay, or leaves them unanswered."""
 
     def __init__(self, hub):
-        self.hub, self.verdict, self.asked, self.gone = hub, Outcome.REFUSED, [], []
+        self.hub, self.verdict, self.attempts, self.left = hub, Outcome.REFUSED, [], []
 
     def submit(self, request):
-        self.asked.append((self.hub.now(), request))
+        self.attempts.append((self.hub.now(), request))
         if self.verdict is not None:
             request.outcome = self.verdict
             request.reason = NOT_HOLDER if self.verdict is Outcome.REFUSED else ""
             self.hub.at(self.hub.now() + 10, lambda: request.requester.answer(request))
 
     def client_left(self, request):
-        self.gone.append(request)
+        self.left.append(request)
 
 
 def play(test):
     hub = Hub.virtual(1)
     layer, answers, ended = Layer(hub), [], []
-    visits = RegionalRetries(hub, layer, RetryRules(1000, 2 * MS, 500 * MS), MS, ended.append)
+    retries = RegionalRetries(hub, layer, RetryRules(1000, 2 * MS, 500 * MS), MS, ended.append)
     volume = SimpleNamespace(settings=SimpleNamespace(name="v"))
 
-    def ask(patience=10_000 * MS, data=b"x"):
+    def submit(patience=10_000 * MS, data=b"x"):
         token = SimpleNamespace(answer=answers.append)
         request = ClientRequest(volume, Kind.WRITE, 0, len(data), data, 0, token, patience_us=patience)
-        visits.submit(request)
+        retries.submit(request)
         return request
 
-    hub.run(lambda: test(hub, layer, visits, ask, answers))
-    assert ended == answers or layer.gone
+    hub.run(lambda: test(hub, layer, retries, submit, answers))
+    assert ended == answers or layer.left
 
 
-def test_what_is_refused_is_asked_anew_and_answered_once():
-    def test(hub, layer, visits, ask, answers):
-        request = ask()
+def test_refused_request_is_retried_and_answered_once():
+    def test(hub, layer, retries, submit, answers):
+        request = submit()
         hub.sleep(3_000 * MS)
-        assert not answers and 8 < len(layer.asked) < 20  # the lane's rests grow up to half a second
-        assert len({id(inner) for _, inner in layer.asked}) == len(layer.asked)
-        assert all(inner.data == b"x" and inner.deadline == request.deadline for _, inner in layer.asked)
+        assert not answers and 8 < len(layer.attempts) < 20  # the queue's delays grow up to half a second
+        assert len({id(inner) for _, inner in layer.attempts}) == len(layer.attempts)
+        assert all(inner.data == b"x" and inner.deadline == request.deadline for _, inner in layer.attempts)
         layer.verdict = Outcome.SERVED
         hub.sleep(600 * MS)
-        assert answers == [request] and request.outcome is Outcome.SERVED and not len(visits)
+        assert answers == [request] and request.outcome is Outcome.SERVED and not len(retries)
 
     play(test)
 
 
-def test_only_the_oldest_is_asked_and_the_others_follow_it():
-    def test(hub, layer, visits, ask, answers):
-        requests = [ask(data=bytes([number])) for number in range(50)]
+def test_only_the_oldest_is_retried_until_it_is_served():
+    def test(hub, layer, retries, submit, answers):
+        requests = [submit(data=bytes([number])) for number in range(50)]
         hub.sleep(3_000 * MS)
-        # All came before the first refusal; from then on the first alone is asked for.
-        assert {inner.data for _, inner in layer.asked[50:]} == {b"\0"} and len(layer.asked) < 70
+        # All were submitted before the first refusal; from then on only the first is retried.
+        assert {inner.data for _, inner in layer.attempts[50:]} == {b"\0"} and len(layer.attempts) < 70
         layer.verdict = Outcome.SERVED
         hub.sleep(1_000 * MS)
         assert answers == requests
@@ -72,44 +72,44 @@
     play(test)
 
 
-def test_a_failure_is_final_and_the_last_moment_is_a_refusal():
-    def test(hub, layer, visits, ask, answers):
-        late = ask(patience=1_000 * MS)
+def test_failure_is_final_and_expiry_is_a_refusal():
+    def test(hub, layer, retries, submit, answers):
+        expired = submit(patience=1_000 * MS)
         hub.sleep(999 * MS)
-        assert answers == [late] and late.outcome is Outcome.REFUSED
+        assert answers == [expired] and expired.outcome is Outcome.REFUSED
         layer.verdict = Outcome.FAILED
-        failed = ask()
+        failed = submit()
         hub.sleep(20 * MS)
         assert answers[1:] == [failed] and failed.outcome is Outcome.FAILED
-        asked = len(layer.asked)
+        attempts = len(layer.attempts)
         hub.sleep(2_000 * MS)
-        assert len(layer.asked) == asked
+        assert len(layer.attempts) == attempts
 
     play(test)
 
 
-def test_a_client_that_leaves_is_not_asked_for_again():
-    def test(hub, layer, visits, ask, answers):
+def test_request_of_a_client_that_left_is_not_retried():
+    def test(hub, layer, retries, submit, answers):
         layer.verdict = None
-        out = ask()
-        visits.client_left(out)
-        assert layer.gone == [layer.asked[0][1]] and not len(visits)
+        unanswered = submit()
+        retries.client_left(unanswered)
+        assert layer.left == [layer.attempts[0][1]] and not len(retries)
         layer.verdict = Outcome.REFUSED
-        waits = ask()
+        waiting = submit()
         hub.sleep(50 * MS)
-        visits.client_left(waits)
-        asked = len(layer.asked)
+        retries.client_left(waiting)
+        attempts = len(layer.attempts)
         hub.sleep(2_000 * MS)
-        assert len(layer.asked) == asked and not answers
+        assert len(layer.attempts) == attempts and not answers
 
     play(test)
 
 
-def test_a_head_that_stops_refuses_what_waits():
-    def test(hub, layer, visits, ask, answers):
-        request = ask()
+def test_stopping_head_refuses_waiting_requests():
+    def test(hub, layer, retries, submit, answers):
+        request = submit()
         hub.sleep(50 * MS)
-        visits.close("shutting down")
+        retries.close("shutting down")
         hub.sleep(600 * MS)
         assert (
             answers == [request] and request.outcome is Outcome.REFUSED and request.reason == "shutting down"
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -487,7 +487,7 @@
     from harriertrack.gateway.regional import Regional
 
     made, held = {}, []
-    real, took = Regional.__init__, Regional._took
+    real, took = Regional.__init__, Regional._activate
 
     def begin(self, *arguments, **more):
         real(self, *arguments, **more)
@@ -500,7 +500,7 @@
             held.append((self._hub.now(), self.region.name, volume.name, volume.view.home))
 
     monkeypatch.setattr(Regional, "__init__", begin)
-    monkeypatch.setattr(Regional, "_took", taking)
+    monkeypatch.setattr(Regional, "_activate", taking)
     records = play("two-regions-dark")
     assert broken(records) == set(), "the rules of the lease still hold"
     over = [one for one in held if one[1] == "b" and one[3] == "a"]
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -408,10 +408,10 @@
             client.start(Command.WRITE, number * 4096, 0, b"a" * 4096, lambda reply: None)
         site.hub.sleep(3_000 * MS)
         reception = site.head.reception
-        assert site.head.core.open_requests == 128 and len(reception.door) == 1
+        assert site.head.core.open_requests == 128 and len(reception.admission) == 1
         client.abort()
         site.hub.sleep(5 * MS)
-        assert site.head.core.open_requests == 0 and len(reception.door) == 0 and reception.sessions == 0
+        assert site.head.core.open_requests == 0 and len(reception.admission) == 0 and reception.sessions == 0
         assert not reception._counted and not site.head.core.waiting_parts
         got = sum(type(one).__name__ == "Got" for one in site.recorder.records)
         for shelf in site.shelves:
