--- a/harriertrack/decisions/open_calls.py
+++ b/harriertrack/decisions/open_calls.py
@@ -1,23 +1,23 @@
-"""Which calls to a source stay open beside the one that is waited for, and which are given up.
+"""Which calls to a source stay open beside the current one, and which are abandoned.
 
-A source that serves its callers in turn answers a call that waits for its turn, and never one that is given
-up and made anew at the end of the queue. So a call that is overdue stays open beside the next one. No I/O, no
-clock.
+A source that serves its callers in order eventually answers a call that waits in its queue, but never one
+that is abandoned and made again at the end of the queue. So an overdue call stays open beside the next one.
+No I/O, no clock.
 """
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-# Each open call holds a descriptor. A configuration with the fewest descriptors spares twelve besides those
-# of clients and nodes; logs, signals, the listener and Python itself take the others.
+# Each open call holds a file descriptor. The tightest descriptor limit leaves twelve besides those of clients
+# and nodes; logs, signals, the listener and Python itself use the others.
 MAX_OPEN_CALLS = 4
 
 OpenCall = TypeVar("OpenCall")
 
 
 class OpenCalls(Generic[OpenCall]):
-    """The calls under way, in the order in which they began."""
+    """The calls in progress, in the order in which they began."""
 
     def __init__(self) -> None:
         self._calls: list[OpenCall] = []
@@ -26,14 +26,14 @@
         return len(self._calls)
 
     def add(self, call: OpenCall) -> list[OpenCall]:
-        """Take a call that begins now; return those to give up for it."""
+        """Add a call that begins now; return those to abandon for it."""
         self._calls.append(call)
         surplus = self._calls[:-MAX_OPEN_CALLS]
         del self._calls[:-MAX_OPEN_CALLS]
         return surplus
 
     def complete(self, call: OpenCall) -> list[OpenCall]:
-        """A call has its answer; return those to give up: what began before it can tell nothing newer."""
+        """Remove an answered call; return those to abandon: calls that began earlier bring nothing newer."""
         if call not in self._calls:
             return []
         position = self._calls.index(call)
@@ -42,11 +42,11 @@
         return older
 
     def remove(self, call: OpenCall) -> None:
-        """A call has failed."""
+        """Remove a failed call."""
         if call in self._calls:
             self._calls.remove(call)
 
     def clear(self) -> list[OpenCall]:
-        """The source is not asked any more; return the calls to give up."""
+        """Remove all calls, as the source is no longer used; return the calls to abandon."""
         calls, self._calls = self._calls, []
         return calls
--- a/harriertrack/decisions/standstill.py
+++ b/harriertrack/decisions/standstill.py
@@ -1,93 +1,94 @@
-"""Whether this process stood still, and what waits until the node list has been asked for again.
+"""Detection of process standstills, and what is held back until the node list has been requested again.
 
-A process that is stopped, or whose machine pauses, hears nothing meanwhile: a node may have drained, and that
-may count already. On waking its sockets and timers come in no particular order, or it goes on in the middle
-of a decision. So it looks at the clock at fixed times and before each sending; where a look comes too late,
-what it would send waits until a call for the list that began after that look has ended. No I/O, no clock.
+A process that is stopped, or whose machine pauses, receives nothing meanwhile: a node may have begun to
+drain, and that may already count as announced. When it resumes, its sockets and timers fire in no particular
+order, or it continues in the middle of a decision. So it checks the clock at fixed intervals and before each
+send; if a check comes too late, sends are held back until a call for the list that began after that check has
+ended. No I/O, no clock.
 """
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-CHECK_PERIOD_US = 50_000  # how often a head that has nothing to do looks
-# A head may be held up for 0.15 s, and each time limit has room for that. A longer gap is a standstill unless
-# it is within the half of a drain's grace that is kept free: a drain of its first moment is acted on in time.
+CHECK_PERIOD_US = 50_000  # how often an idle head checks the clock
+# A head may be delayed by 0.15 s, and each time limit allows for that. A longer gap is a standstill unless it
+# is within the half of the drain grace that is kept free: then a drain at its start is still handled in time.
 STANDSTILL_US = 150_000 + CHECK_PERIOD_US
-# A call that is not answered by then is late for discovery itself: the list in hand is all there is.
+# If a call is not answered by then, discovery itself is too late: the list in hand is all there is.
 MAX_HOLD_US = 1_200_000
 
 Held = TypeVar("Held")
 
 
 class Standstill(Generic[Held]):
-    """The looks at the clock, and what is held."""
+    """The clock checks, and the items that are held back."""
 
     def __init__(self) -> None:
-        self._looked_at: int | None = None  # None: nobody looks regularly
-        self._asked_at: int | None = None  # since when an answer is awaited
-        # The last look before a standstill, until an answer has told what came since.
+        self._checked_at: int | None = None  # None: regular checks have not begun
+        self._held_since: int | None = None  # since when an answer is awaited; None: none is
+        # The last check before a standstill, until an answer has shown what changed since.
         self.paused_since: int | None = None
-        self._awaited_from = 0  # when the last standstill was found
+        self._detected_at = 0  # when the last standstill was detected
         self._held: dict[Held, None] = {}
 
     def begin(self, now: int) -> None:
-        """Look regularly from now on."""
-        self._looked_at = now
+        """Start regular checks."""
+        self._checked_at = now
 
     def check(self, now: int, grace_us: int) -> bool:
-        """Take note that the process runs; return whether it stood still: then the list must be asked for.
+        """Record that the process runs; return whether it stood still, so that the list must be requested.
 
-        `grace_us`: how long after the news of a drain its node may still be sent to.
+        `grace_us`: how long after a drain was announced its node may still receive requests.
         """
-        if self._looked_at is None:
+        if self._checked_at is None:
             return False
-        gap_us = now - self._looked_at
-        self._looked_at = max(now, self._looked_at)
+        gap_us = now - self._checked_at
+        self._checked_at = max(now, self._checked_at)
         if gap_us <= max(STANDSTILL_US, grace_us // 2):
             return False
         if self.paused_since is None:
             self.paused_since = now - gap_us
-        self._asked_at = self._awaited_from = now
+        self._held_since = self._detected_at = now
         return True
 
-    def record_call(self, began: int, answered: bool) -> None:
-        """A call for the list that began then was answered, or failed at its source."""
-        if began < self._awaited_from:
+    def record_call(self, started_at: int, answered: bool) -> None:
+        """Record that a call for the list was answered, or failed at its source."""
+        if started_at < self._detected_at:
             return
-        self._asked_at = None
+        self._held_since = None
         if answered:
             self.paused_since = None
 
     def held_until(self) -> int | None:
-        """Return when the list is waited for no longer; None if it is not waited for."""
-        return None if self._asked_at is None else self._asked_at + MAX_HOLD_US
+        """Return when waiting for the list ends at the latest; None if nothing waits for it."""
+        return None if self._held_since is None else self._held_since + MAX_HOLD_US
 
     def holds(self, now: int) -> bool:
-        """Return whether what would be sent has to wait."""
+        """Return whether sends have to wait."""
         until = self.held_until()
         return until is not None and now < until
 
-    def hold(self, one: Held) -> None:
-        """Let one wait."""
-        self._held[one] = None
+    def hold(self, item: Held) -> None:
+        """Hold an item back."""
+        self._held[item] = None
 
-    def is_held(self, one: Held) -> bool:
-        """Return whether one waits."""
-        return one in self._held
+    def is_held(self, item: Held) -> bool:
+        """Return whether an item is held back."""
+        return item in self._held
 
-    def drop(self, one: Held) -> bool:
-        """Forget one that is not to be sent any more; return whether it was held."""
-        if one not in self._held:
+    def drop(self, item: Held) -> bool:
+        """Drop an item that is no longer to be sent; return whether it was held."""
+        if item not in self._held:
             return False
-        del self._held[one]
+        del self._held[item]
         return True
 
     def release(self, now: int) -> list[Held]:
-        """Return what waited and may be sent now, in order, as far as the list in hand allows that."""
+        """Return the items that may be sent now, in order, as far as the list in hand allows it."""
         if self.holds(now):
             return []
-        self._asked_at = None
+        self._held_since = None
         held = list(self._held)
         self._held.clear()
         return held
