--- a/harriertrack/decisions/__init__.py
+++ b/harriertrack/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""What to do. Pure: no socket, file, clock, thread or logging; time and seed are handed in.
+"""Decisions: pure logic without sockets, files, clocks, threads or logging; time and seed are passed in.
 
-`Scheduler` is the decision module of one head. Feed it the events of `interface` and carry out the actions
+`Scheduler` is the decision module of one head. Pass it the events of `interface`, and execute the actions
 that it returns, in order.
 """
 
--- a/harriertrack/decisions/client_connections.py
+++ b/harriertrack/decisions/client_connections.py
@@ -20,8 +20,7 @@
 
 from harriertrack.decisions.life import IllegalStep
 
-# Clients send as soon as they are connected: one that has not sent by now is evicted first if slots are short
-# ...
+# Clients send as soon as they are connected: one that has not by now is evicted first if slots are short ...
 FIRST_BYTE_US = 200_000
 NEW_US = 800_000  # ... and in any case after this.
 READ_US = 1_800_000  # the most for reading a request; both together are below the 3 s owed to clients
--- a/harriertrack/decisions/node_snapshots.py
+++ b/harriertrack/decisions/node_snapshots.py
@@ -1,4 +1,4 @@
-"""What a decision module holds of each node just now, for the laboratory's reports: a look, no touch."""
+"""Read-only snapshots of the nodes as a decision module sees them, for the laboratory's reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSnapshot:
-    """One node as one head sees it; `window` is requests, `held` units, `out` requests."""
+    """One node as seen by one head; `window` in requests, `held` in units, `out` in requests."""
 
     window: float
     held: float
@@ -20,11 +20,11 @@
 
 
 def snapshot_nodes(module: Scheduler | CellScheduler | Baseline) -> dict[str, NodeSnapshot]:
-    """Return each node's picture; a baseline keeps none but what is out."""
+    """Return a snapshot of each node; a baseline only has the requests in flight."""
     if isinstance(module, Baseline):
         return {name: NodeSnapshot(0.0, 0.0, out, False) for name, out in module._outstanding.items()}
     if isinstance(module, CellScheduler):
-        return {name: seen for one in module.modules() for name, seen in snapshot_nodes(one).items()}
+        return {name: node for one in module.modules() for name, node in snapshot_nodes(one).items()}
     return {
         name: NodeSnapshot(node.window, node.held_units, len(node.out), bool(node.silent_at))
         for name, node in module._nodes.items()
--- a/harriertrack/decisions/shares.py
+++ b/harriertrack/decisions/shares.py
@@ -1,14 +1,14 @@
-"""What cells share in a head, and what one may take of it: connections, open requests, bytes, processor.
+"""Resources of a head that its cells share, and each cell's limits: connections, requests, bytes, processor.
 
-Nodes, windows, limits and budgets are a cell's own (`decisions/cell_scheduler.py`); a head is not. Of what is
-given back late (connections, open requests, the bytes of open writes) each cell has its even part, and all
-together a common pool on top, which is empty unless the settings say `borrow`: a cell can never be kept from
-its own part. The processor is given back at once, so it is divided only while it is short: then each cell's
-requests are bounded by its even part of what the head was seen to get through, and what it asks beyond that
-is turned away before the core hears of it. Turning away costs too: a cell whose refusals alone use its part
-up is not read from for a while.
+Nodes, windows, limits and budgets belong to one cell (`decisions/cell_scheduler.py`); a head does not. Of the
+resources that are returned late (connections, open requests, the bytes of open writes) each cell has an equal
+share, and all cells have a common pool on top, which is empty unless the settings say `borrow`: a cell can
+always use its own share. Processor time is returned at once, so it is divided only while it is short: then
+each cell's requests are limited to its equal share of the measured throughput of the head, and requests
+beyond that are refused before they reach the core. Refusals cost time too: a cell whose refusals alone use up
+its share is not read from for a while.
 
-Pure: the time and the loop's busy time are handed in. Times in microseconds.
+Pure: the time and the loop's load are passed in. Times in microseconds.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 from harriertrack.decisions.bucket import Bucket
 
-REFUSAL_COST = 0.3  # what turning a request away costs, as a part of taking one
-TIGHT, LOOSE = 0.8, 0.6  # parts of the time that the loop is busy: where dividing begins, and where it ends
-TARGET_LOAD = 0.75  # how busy cells together may make the loop while it is divided
-SEEN = 0.2  # below this the loop's cost of a request is not told from its own
-GAIN = 0.3  # of a new reading of what the head gets through in a second
-BURST_US = 100_000  # a cell may use so much of its part at once
+REFUSAL_COST = 0.3  # cost of refusing a request, as a fraction of accepting one
+OVERLOAD_BEGINS, OVERLOAD_ENDS = 0.8, 0.6  # loads of the loop at which dividing the processor begins and ends
+TARGET_LOAD = 0.75  # load of the loop that all cells together may cause while the processor is divided
+MIN_LOAD = 0.2  # below this the cost of requests can't be told from the loop's own
+RATE_GAIN = 0.3  # weight of a new measurement of the throughput
+BURST_US = 100_000  # a cell may use this much of its share at once
 READ_PAUSE_US = 100_000  # how long a cell is not read from
 
 
 @dataclass(frozen=True, slots=True)
 class ShareLimits:
-    """What a head has to divide, and the part of it that goes into the common pool."""
+    """The amounts that a head divides, and the fraction of them that goes into the common pool."""
 
     connections: int
     held: int  # open requests
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class ShareUsage:
-    """What a cell, or a volume of one, has of a head at a time."""
+    """What a cell, or one of its volumes, uses of a head."""
 
     connections: int = 0
     held: int = 0
     held_bytes: int = 0
 
     def add(self, other: ShareUsage) -> None:
-        """Count another one's too."""
+        """Add another usage to this one."""
         self.connections += other.connections
         self.held += other.held
         self.held_bytes += other.held_bytes
@@ -55,75 +55,75 @@
 
 @dataclass(slots=True)
 class _Cell:
-    """A cell, as one head sees it."""
+    """The state of a cell in one head."""
 
     used: ShareUsage = field(default_factory=ShareUsage)
-    spent: float = 0.0  # requests since the last tick, those turned away at their part
+    spent: float = 0.0  # requests since the last tick, with refused ones at their cost
     allowed: Bucket = field(default_factory=lambda: Bucket(0))
 
 
 class Shares:
-    """The shares of one head; where there are no cells, all volumes are of one."""
+    """The shares of one head; without cells, all volumes belong to one."""
 
     def __init__(self, limits: ShareLimits, cells: Mapping[str, str]) -> None:
         """Begin with nothing in use; `cells` is each volume's cell."""
         self.limits = limits
         self.overloaded = False
-        self.rate = 0.0  # requests that the loop would get through in a second of nothing else; 0: unseen
-        self.refused: dict[str, int] = {}  # by cell, for those who look at it
-        self._of: dict[str, str] = {}
+        self.rate = 0.0  # requests a second that the loop could handle at full load; 0: not measured yet
+        self.refused: dict[str, int] = {}  # refusals by cell, for inspection
+        self._cell_of: dict[str, str] = {}
         self._by_volume: dict[str, ShareUsage] = {}
         self._cells: dict[str, _Cell] = {}
         self._ticked_at: int | None = None
         self.update_cells(cells)
 
     def update_cells(self, cells: Mapping[str, str]) -> None:
-        """Take a newer map: what a volume has in use counts for its new cell from now on."""
-        self._of = dict(cells)
-        self._neighbours = Counter(self._of.values())  # volumes of each cell
+        """Apply a newer map: what a volume uses counts for its new cell from now on."""
+        self._cell_of = dict(cells)
+        self._volume_counts = Counter(self._cell_of.values())  # volumes of each cell
         known, self._cells = self._cells, {}
-        for name in sorted(set(self._of.values())):
+        for name in sorted(set(self._cell_of.values())):
             cell = self._cells[name] = known.get(name, _Cell())
             cell.used = ShareUsage()
         for volume, used in self._by_volume.items():
-            if volume in self._of:
-                self._cells[self._of[volume]].used.add(used)
+            if volume in self._cell_of:
+                self._cells[self._cell_of[volume]].used.add(used)
 
     def _count(self, volume: str, **more: int) -> None:
         change = ShareUsage(**more)
         self._by_volume.setdefault(volume, ShareUsage()).add(change)
-        if volume in self._of:
-            self._cells[self._of[volume]].used.add(change)
+        if volume in self._cell_of:
+            self._cells[self._cell_of[volume]].used.add(change)
 
-    def _fits(self, what: str, whole: int, volume: str, more: int) -> bool:
-        """Whether a volume's cell may have so much more: within its part, or in the pool beyond that."""
-        if volume not in self._of:
+    def _fits(self, resource: str, total: int, volume: str, more: int) -> bool:
+        """Whether a volume's cell may use `more`: within its own share, or beyond that from the pool."""
+        if volume not in self._cell_of:
             return True
-        pool = int(self.limits.borrow * whole)
-        part = (whole - pool) // len(self._cells)
-        mine = getattr(self._cells[self._of[volume]].used, what)
-        if mine + more <= part or not mine:  # one request always fits, however large
+        pool = int(self.limits.borrow * total)
+        share = (total - pool) // len(self._cells)
+        used = getattr(self._cells[self._cell_of[volume]].used, resource)
+        if used + more <= share or not used:  # one request always fits, however large
             return True
-        beyond = sum(max(0, getattr(cell.used, what) - part) for cell in self._cells.values())
-        return beyond + mine + more - max(mine, part) <= pool
+        beyond = sum(max(0, getattr(cell.used, resource) - share) for cell in self._cells.values())
+        return beyond + used + more - max(used, share) <= pool
 
     # -- connections
 
     def try_connect(self, volume: str) -> bool:
-        """Count a connection to a volume; return False if its cell has no room for it."""
+        """Count a connection to a volume; return False if its cell has no capacity for it."""
         if not self._fits("connections", self.limits.connections, volume, 1):
             return False
         self._count(volume, connections=1)
         return True
 
     def disconnect(self, volume: str) -> None:
-        """A counted connection ended."""
+        """Uncount a connection that has ended."""
         self._count(volume, connections=-1)
 
     # -- requests
 
     def refusal_reason(self, volume: str, size: int, now: int) -> str:
-        """Return why there is no room for a request that brings `size` bytes; "" if there is."""
+        """Return why a request with `size` bytes can't be accepted; "" if it can."""
         if not self._fits("held", self.limits.held, volume, 1):
             return "its cell has too much open here"
         if not self._fits("held_bytes", self.limits.held_bytes, volume, size):
@@ -133,77 +133,80 @@
         return ""
 
     def leaves_equal_room(self, volume: str, size: int) -> bool:
-        """Whether a volume leaves as much room as it has itself, so that another one finds some at once.
+        """Whether a volume leaves as much free capacity as it uses, so that another one can start at once.
 
         One flooding volume gets half, two get a third each (dynamic thresholds, Choudhury and Hahne 1998).
-        For who can wait for room; who can't may use all that there is.
+        For requests that can wait for capacity; others may use all that there is.
         """
         limits = self.limits
-        return self._spares("held", limits.held, volume, 1) and (
-            self._spares("held_bytes", limits.held_bytes, volume, size)
+        return self._leaves_equal("held", limits.held, volume, 1) and (
+            self._leaves_equal("held_bytes", limits.held_bytes, volume, size)
         )
 
-    def _spares(self, what: str, whole: int, volume: str, more: int) -> bool:
-        cell = self._of.get(volume)
-        if cell is None or self._neighbours[cell] < 2:
+    def _leaves_equal(self, resource: str, total: int, volume: str, more: int) -> bool:
+        cell = self._cell_of.get(volume)
+        if cell is None or self._volume_counts[cell] < 2:
             return True
-        mine = getattr(self._by_volume.get(volume) or ShareUsage(), what)
-        part = (whole - int(self.limits.borrow * whole)) // len(self._cells)
-        room = part - getattr(self._cells[cell].used, what)
-        return not mine or mine + more <= max(room, 0)
+        used = getattr(self._by_volume.get(volume) or ShareUsage(), resource)
+        share = (total - int(self.limits.borrow * total)) // len(self._cells)
+        free = share - getattr(self._cells[cell].used, resource)
+        return not used or used + more <= max(free, 0)
 
     def admit(self, volume: str, size: int, now: int) -> str:
-        """Count a request that brings `size` bytes; return "", or why there is no room for it."""
-        why = self.refusal_reason(volume, size, now)
-        self._spend(volume, now, REFUSAL_COST if why else 1.0)
-        if why:
-            cell = self._of[volume]
+        """Count a request with `size` bytes; return "", or the reason why it is refused."""
+        reason = self.refusal_reason(volume, size, now)
+        self._spend(volume, now, REFUSAL_COST if reason else 1.0)
+        if reason:
+            cell = self._cell_of[volume]
             self.refused[cell] = self.refused.get(cell, 0) + 1
         else:
             self._count(volume, held=1, held_bytes=size)
-        return why
+        return reason
 
     def release(self, volume: str, size: int) -> None:
-        """A counted request has its answer, or nobody waits for it any more."""
+        """Uncount a request that has its answer, or whose client no longer waits for one."""
         self._count(volume, held=-1, held_bytes=-size)
 
     # -- processor
 
     def _rationed(self, volume: str) -> Bucket | None:
-        """Return what is left of a volume's cell's part of the processor, while that is divided."""
-        if not self.overloaded or len(self._cells) < 2 or volume not in self._of:
+        """Return what is left of the processor share of a volume's cell, while the processor is divided."""
+        if not self.overloaded or len(self._cells) < 2 or volume not in self._cell_of:
             return None
-        return self._cells[self._of[volume]].allowed
+        return self._cells[self._cell_of[volume]].allowed
 
     def _spend(self, volume: str, now: int, cost: float) -> None:
-        if volume in self._of:
-            self._cells[self._of[volume]].spent += cost
+        if volume in self._cell_of:
+            self._cells[self._cell_of[volume]].spent += cost
         if (left := self._rationed(volume)) is not None:
             left.now(now)
             left.level -= cost
 
     def read_pause_us(self, volume: str, now: int) -> int:
-        """Return how long a volume's connections are not to be read from; 0: not at all."""
+        """Return how long a volume's connections are not to be read from; 0 if they may be read."""
         left = self._rationed(volume)
         return READ_PAUSE_US if left is not None and left.now(now) < -left.most else 0
 
     def update_load(self, now: int, busy: float) -> None:
-        """Hear which part of the time since the last tick the loop was busy."""
+        """Update the shares with the fraction of the time since the last tick that the loop was busy."""
         since, self._ticked_at = self._ticked_at, now
         done = sum(cell.spent for cell in self._cells.values())
         for cell in self._cells.values():
             cell.spent = 0.0
         if since is None or now <= since:
             return
-        if busy >= SEEN and done:
-            seen = done * 1e6 / (now - since) / busy
-            self.rate += (GAIN if self.rate else 1.0) * (seen - self.rate)
-        was, self.overloaded = self.overloaded, busy >= TIGHT or (self.overloaded and busy >= LOOSE)
+        if busy >= MIN_LOAD and done:
+            measured = done * 1e6 / (now - since) / busy
+            self.rate += (RATE_GAIN if self.rate else 1.0) * (measured - self.rate)
+        before, self.overloaded = (
+            self.overloaded,
+            busy >= OVERLOAD_BEGINS or (self.overloaded and busy >= OVERLOAD_ENDS),
+        )
         if not self.overloaded or not self._cells:
             return
-        each = TARGET_LOAD * self.rate / len(self._cells)
+        rate = TARGET_LOAD * self.rate / len(self._cells)
         for cell in self._cells.values():
             cell.allowed.now(now)
-            cell.allowed.rate, cell.allowed.most = each, each * BURST_US / 1e6
-            if not was:
+            cell.allowed.rate, cell.allowed.most = rate, rate * BURST_US / 1e6
+            if not before:
                 cell.allowed.level = cell.allowed.most
--- a/tests/test_cell_scheduler.py
+++ b/tests/test_cell_scheduler.py
@@ -112,7 +112,7 @@
     late = api.Ended(1, 0, "a", api.Result.TIMEOUT, 900, True)
     one.handle(5, [late])
     assert left.heard[-1] is late
-    assert not one._of_request and not one._out and not one._over
+    assert not one._of_request and not one._in_flight and not one._finished
 
 
 DAY = """(day "cells" (length 6s) (heads 3) (nodes 6) (volumes 6) (shared 0) (rate 200)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -104,12 +104,12 @@
     good = fleet(load=0.65)
     base = plan(good, CellMap(0), 20, workers=1).cells
     text = broken(good, base, tenants=crowded)
-    assert "a load of" in text and "reserves of" in text and "12 tenants, and 9 are the most" in text
-    assert "racks, and 2 are needed" in broken(
+    assert "exceeds 0.7 of" in text and "reserves of" in text and "12 tenants; at most 9 may" in text
+    assert "racks, but 2 are needed" in broken(
         good, base, racks={rack.name: "cell0" for rack in good.racks[:7]}
     )
     assert "does not exist" in broken(good, base, tenants={"t0": "cell9"})
-    assert "not of this fleet" in broken(good, base, tenants={"stranger": "cell0"})
+    assert "not part of this fleet" in broken(good, base, tenants={"stranger": "cell0"})
     assert "is in no cell" in " ".join(find_violations(good, CellMap(1)))
     assert cells.outcome is Outcome.IMPOSSIBLE  # every tenant is large there, and there are two cells
     large = fleet(tenants=3, large=0.01)
