--- a/harriertrack/decisions/fleet/scoring/__init__.py
+++ b/harriertrack/decisions/fleet/scoring/__init__.py
@@ -1,1 +1,1 @@
-"""Scores of storage nodes: what a head sees, who judges it, and how heads share and join their weights."""
+"""Scoring of storage nodes: what a head observes, its scorers, and how heads share and aggregate weights."""
--- a/harriertrack/decisions/fleet/scoring/aggregation.py
+++ b/harriertrack/decisions/fleet/scoring/aggregation.py
@@ -1,11 +1,11 @@
-"""Joining what heads think of a node, so that a fifth of them can't move it beyond what the others say.
+"""Aggregation of the heads' opinions of a node, so that a fifth of them can't distort the result.
 
-Each head that may vote has between a half and one vote, by how much it saw and how long ago; one that has no
-opinion has half a vote for an even share. The weighted median of these is the joined weight. If at most a
-fifth of the voters are wrong, lie or are cut off, theirs is at most 0.2 of 0.2 + 0.8 / 2 votes, a third; so
-the median lies between the lower and the upper quartile, by votes, of what all the others say. Where the
-others lie within x of each other it is moved by no more than x (Huber, "Robust Statistics", 1981: the median
-breaks down at a half; votes that differ by a factor of two at most bring that to a third). Pure.
+Each head that may vote has between a half and one vote, by the amount and age of its evidence; one without an
+opinion has half a vote for an equal share. The aggregated weight is the weighted median. If at most a fifth
+of the voters are wrong, faulty or cut off, they have at most 0.2 of 0.2 + 0.8 / 2 votes, a third; so the
+median lies between the lower and the upper quartile, by votes, of all other opinions. If those lie within x
+of each other, the faulty ones move it by no more than x (Huber, "Robust Statistics", 1981: the median breaks
+down at a half; votes that differ by a factor of at most two bring that to a third). Pure.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from harriertrack.decisions.fleet.scoring.rules import ScoringRules
 from harriertrack.decisions.fleet.scoring.weights import clamp
 
-LEAST_VOTE = 0.5
-LEAST_EVIDENCE = 0.25  # of an opinion that counts: one answer of two half-lives ago
-MAX_FAULTY_SHARE = 0.2  # the part of the voters for which the bound holds
+MIN_VOTE = 0.5
+MIN_EVIDENCE = 0.25  # of an opinion that counts: one answer from two half-lives ago
+MAX_FAULTY_SHARE = 0.2  # the fraction of faulty voters up to which the bound holds
 
 
 @dataclass(frozen=True, slots=True)
 class Opinion:
-    """What one head thinks of one node."""
+    """One head's opinion of one node: its weight as a power of two, and the evidence for it."""
 
     log: float
     evidence: float
@@ -31,37 +31,37 @@
 
 
 def vote_weight(opinion: Opinion, rules: ScoringRules) -> float:
-    """Return how much an opinion counts: 0 (too little seen, or too long ago) or from a half to 1."""
-    if opinion.evidence < LEAST_EVIDENCE or not 0 <= opinion.age_us < rules.stale_us:
+    """Return how much an opinion counts: 0 (too little evidence, or too old) or from a half to 1."""
+    if opinion.evidence < MIN_EVIDENCE or not 0 <= opinion.age_us < rules.stale_us:
         return 0.0
-    seen = min(1.0, opinion.evidence / rules.full)
-    return LEAST_VOTE + (1 - LEAST_VOTE) * seen * (1 - opinion.age_us / rules.stale_us)
+    strength = min(1.0, opinion.evidence / rules.full)
+    return MIN_VOTE + (1 - MIN_VOTE) * strength * (1 - opinion.age_us / rules.stale_us)
 
 
 def weighted_median(votes: Iterable[tuple[float, float]]) -> float:
-    """Return the value at which half of the weight lies on either side: pairs of value and weight above 0."""
+    """Return the value with half of the weight on either side, of pairs of value and positive weight."""
     ordered = sorted(votes)
     half, before = sum(weight for _, weight in ordered) / 2, 0.0
-    for at, (value, weight) in enumerate(ordered):
+    for index, (value, weight) in enumerate(ordered):
         before += weight
         if before > half + 1e-9:
             return value
-        if before > half - 1e-9 and at + 1 < len(ordered):
-            return (value + ordered[at + 1][0]) / 2
+        if before > half - 1e-9 and index + 1 < len(ordered):
+            return (value + ordered[index + 1][0]) / 2
     return 0.0
 
 
 def aggregate(opinions: Iterable[Opinion], voters: int, rules: ScoringRules) -> float:
-    """Return the joined weight of a node, of `voters` heads that may vote on it.
+    """Return the aggregated weight of a node, from `voters` heads that may vote on it.
 
-    Evidence is pooled before it is judged: what each saw may be next to nothing, as of a slow node that all
-    avoid, where all of them together know it well.
+    Whether there is enough evidence is decided on its sum: each head may have almost none, as of a slow node
+    that all avoid, while all of them together have enough.
     """
-    voting = [(one, vote) for one in opinions if (vote := vote_weight(one, rules)) > 0]
-    if sum(min(one.evidence, rules.full) for one, _ in voting) < rules.evidence:
+    voting = [(opinion, vote) for opinion in opinions if (vote := vote_weight(opinion, rules)) > 0]
+    if sum(min(opinion.evidence, rules.full) for opinion, _ in voting) < rules.evidence:
         return 0.0
-    counted = [(clamp(one.log), vote) for one, vote in voting]
-    even = max(0, voters - len(counted))
-    if even:
-        counted.append((0.0, even * LEAST_VOTE))
+    counted = [(clamp(opinion.log), vote) for opinion, vote in voting]
+    abstaining = max(0, voters - len(counted))
+    if abstaining:
+        counted.append((0.0, abstaining * MIN_VOTE))
     return weighted_median(counted)
--- a/harriertrack/decisions/fleet/scoring/score_validation.py
+++ b/harriertrack/decisions/fleet/scoring/score_validation.py
@@ -1,4 +1,4 @@
-"""Looking at what a scorer answers: whether it can be taken, and if not, what is wrong with it."""
+"""Validation of a scorer's answer: whether it can be used, and if not, what is wrong with it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ScorerFault(Enum):
-    """What a scorer can do wrong."""
+    """The faults of a scorer."""
 
     RAISED = "raised"
     FORM = "gave no scores by node"
@@ -24,23 +24,23 @@
 
 
 class InvalidScores(Exception):
-    """An answer that can't be taken."""
+    """Raised for an answer that can't be used."""
 
     def __init__(self, fault: ScorerFault, detail: str) -> None:
         super().__init__(f"{fault.value}: {detail}")
         self.fault, self.detail = fault, detail
 
 
-def validate_scores(picture: Snapshot, answer: object) -> dict[str, float]:
-    """Return a scorer's answer as a value of its own. Raises InvalidScores.
+def validate_scores(snapshot: Snapshot, answer: object) -> dict[str, float]:
+    """Return a scorer's answer as a plain dictionary. Raises InvalidScores.
 
-    Only what can be compared at once is kept: nothing of a scorer's own making outlives this call.
+    Only strings and floats are kept: no object of the scorer's own types outlives this call.
     """
     if not isinstance(answer, Mapping):
         raise InvalidScores(ScorerFault.FORM, type(answer).__name__)
-    if len(answer) > len(picture.nodes):
-        raise InvalidScores(ScorerFault.TOO_MUCH, f"{len(answer)} scores for {len(picture.nodes)} nodes")
-    names, scores = picture.names, {}
+    if len(answer) > len(snapshot.nodes):
+        raise InvalidScores(ScorerFault.TOO_MUCH, f"{len(answer)} scores for {len(snapshot.nodes)} nodes")
+    names, scores = snapshot.names, {}
     try:
         items = list(answer.items())
     except Exception as error:
--- a/harriertrack/decisions/fleet/scoring/scorer_guard.py
+++ b/harriertrack/decisions/fleet/scoring/scorer_guard.py
@@ -1,8 +1,8 @@
-"""Whether a scorer has a vote: it loses it for a time when it does wrong, twice as long after each relapse.
+"""Whether a scorer is used: it is suspended for a time after a fault, for twice as long after each relapse.
 
-The carrier asks the scorer the pictures that `questions` names, away from requests, and hands in what came
-and how long it took. One that keeps state is found by asking it a picture that it was asked before: at once,
-and now and then one from long ago. What a scorer said before it lost its vote is forgotten. Pure.
+The carrier runs the scorer on the snapshots that `next_queries` returns, outside the request path, and passes
+in the answers and how long they took. A scorer with state is detected by repeating a snapshot: the same one
+at once, and an old one now and then. Scores from before a suspension are discarded. Pure.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from harriertrack.decisions.fleet.scoring.score_validation import InvalidScores, ScorerFault, validate_scores
 from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
-ASKED_AGAIN = 4  # each so many pictures the kept one is asked, too
-KEPT = 16  # ... and another is kept after so many of these
+REPEAT_EVERY = 4  # the reference snapshot is repeated once in this many rounds
+REPEATS_PER_REFERENCE = 16  # ... and replaced after this many repeats
 
 
 class ScorerState(Enum):
-    """What holds of a scorer."""
+    """State of a scorer."""
 
     ACTIVE = "has"
-    PENDING = "asked"  # an answer is awaited; what it said last holds meanwhile
-    SUSPENDED = "lost"  # for a time
-    HUNG = "hung"  # ... and its last call has not even ended
+    PENDING = "asked"  # an answer is awaited; its latest scores remain in use
+    SUSPENDED = "lost"  # its scores do not count for a time
+    HUNG = "hung"  # suspended, and its last call has not ended yet
 
 
 STEPS: dict[ScorerState, frozenset[ScorerState]] = {
@@ -37,100 +37,101 @@
 
 
 class IllegalScorerStep(Exception):
-    """A scorer's vote can't go from where it stands to there."""
+    """Raised for a state transition that is not allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScorerAnswer:
-    """What came of one question: the answer, or what it raised."""
+    """The result of one query: the scores, or the exception that the scorer raised."""
 
-    picture: Snapshot
+    snapshot: Snapshot
     scores: object = None
     raised: str = ""
     took_us: int = 0
 
 
 class ScorerGuard:
-    """One scorer's vote."""
+    """The state machine of one scorer."""
 
     def __init__(self, rules: ScoringRules) -> None:
         self.state = ScorerState.ACTIVE
         self.scores: dict[str, float] = {}
-        self.suspended_until = 0  # when it has its vote back
-        self.reason = ""  # it lost it last
+        self.suspended_until = 0  # when its suspension ends
+        self.reason = ""  # of its last suspension
         self.fault: ScorerFault | None = None
-        self.suspensions = 0  # how often, of late
+        self.suspensions = 0  # number of recent suspensions
         self._rules = rules
-        self._waited = self._lost_at = 0
+        self._waited = self._suspended_at = 0
         self._rounds = 0
-        self._kept: tuple[Snapshot, dict[str, float]] | None = None
+        self._reference: tuple[Snapshot, dict[str, float]] | None = None
 
-    def _go(self, vote: ScorerState) -> None:
-        if vote not in STEPS[self.state]:
-            raise IllegalScorerStep(f"from {self.state.value} to {vote.value}")
-        self.state = vote
+    def _transition(self, state: ScorerState) -> None:
+        if state not in STEPS[self.state]:
+            raise IllegalScorerStep(f"from {self.state.value} to {state.value}")
+        self.state = state
 
-    def next_queries(self, now: int, picture: Snapshot) -> tuple[Snapshot, ...]:
-        """Return what the scorer is to be asked now; nothing while it has no vote or owes an answer."""
+    def next_queries(self, now: int, snapshot: Snapshot) -> tuple[Snapshot, ...]:
+        """Return the snapshots to score now; none while the scorer is suspended or an answer is awaited."""
         if self.state is ScorerState.PENDING:
-            self._waited += 1  # looks, not time: a head that stood still did not give it any
+            self._waited += 1  # in rounds, not time: a head that stood still gave it no time
             if self._waited >= self._rules.hung_looks:
-                self._lose(now, ScorerState.HUNG, ScorerFault.SLOW, "its call has not ended")
+                self._suspend(now, ScorerState.HUNG, ScorerFault.SLOW, "its call has not ended")
         if self.state is ScorerState.SUSPENDED and now >= self.suspended_until:
-            self._go(ScorerState.ACTIVE)
-        if self.state is not ScorerState.ACTIVE or not picture.nodes:
+            self._transition(ScorerState.ACTIVE)
+        if self.state is not ScorerState.ACTIVE or not snapshot.nodes:
             return ()
-        self._go(ScorerState.PENDING)
+        self._transition(ScorerState.PENDING)
         self._waited = 0
         self._rounds += 1
-        asked = [picture, picture]
-        if self._kept is not None and self._rounds % ASKED_AGAIN == 0:
-            asked.append(self._kept[0])
-        return tuple(asked)
+        queries = [snapshot, snapshot]
+        if self._reference is not None and self._rounds % REPEAT_EVERY == 0:
+            queries.append(self._reference[0])
+        return tuple(queries)
 
     def handle_answers(self, now: int, answers: Sequence[ScorerAnswer]) -> bool:
-        """Hear what came of all questions of one round; return whether there are scores now."""
+        """Handle the answers to all queries of one round; return whether there are new scores."""
         if self.state is ScorerState.HUNG:
-            self._go(ScorerState.SUSPENDED)
+            self._transition(ScorerState.SUSPENDED)
             return False
         if self.state is not ScorerState.PENDING:
-            raise IllegalScorerStep(f"nothing was asked, it {self.state.value}")
+            raise IllegalScorerStep(f"an answer without a query in state {self.state.value!r}")
         try:
-            first = self._judged(answers)
+            scores = self._validate(answers)
         except InvalidScores as bad:
-            self._lose(now, ScorerState.SUSPENDED, bad.fault, bad.detail)
+            self._suspend(now, ScorerState.SUSPENDED, bad.fault, bad.detail)
             return False
-        self._go(ScorerState.ACTIVE)
-        if self._kept is None or self._rounds % (ASKED_AGAIN * KEPT) == 0:
-            self._kept = answers[0].picture, first
-        self.scores = first
-        if self.suspensions and now - self._lost_at > self._rules.forgive_us:
+        self._transition(ScorerState.ACTIVE)
+        if self._reference is None or self._rounds % (REPEAT_EVERY * REPEATS_PER_REFERENCE) == 0:
+            self._reference = answers[0].snapshot, scores
+        self.scores = scores
+        if self.suspensions and now - self._suspended_at > self._rules.forgive_us:
             self.suspensions = 0
         return True
 
-    def _judged(self, answers: Sequence[ScorerAnswer]) -> dict[str, float]:
-        known = [self._kept] if self._kept is not None else []
+    def _validate(self, answers: Sequence[ScorerAnswer]) -> dict[str, float]:
+        known = [self._reference] if self._reference is not None else []
         for one in answers:
             if one.raised:
                 raise InvalidScores(ScorerFault.RAISED, one.raised)
             if one.took_us > self._rules.slow_us:
                 raise InvalidScores(
-                    ScorerFault.SLOW, f"{one.took_us / 1e3:.0f} ms, {self._rules.slow_us / 1e3:g} may be"
+                    ScorerFault.SLOW,
+                    f"{one.took_us / 1e3:.0f} ms, at most {self._rules.slow_us / 1e3:g} are allowed",
                 )
-            scores = validate_scores(one.picture, one.scores)
-            for picture, before in known:
-                if picture == one.picture and before != scores:
+            scores = validate_scores(one.snapshot, one.scores)
+            for snapshot, before in known:
+                if snapshot == one.snapshot and before != scores:
                     raise InvalidScores(ScorerFault.STATE, _difference(before, scores))
-            known.append((one.picture, scores))
-        return validate_scores(answers[0].picture, answers[0].scores)
+            known.append((one.snapshot, scores))
+        return validate_scores(answers[0].snapshot, answers[0].scores)
 
-    def _lose(self, now: int, vote: ScorerState, fault: ScorerFault, detail: str) -> None:
-        self._go(vote)
+    def _suspend(self, now: int, state: ScorerState, fault: ScorerFault, detail: str) -> None:
+        self._transition(state)
         rules = self._rules
         span = min(rules.most_suspend_us, rules.suspend_us * 2 ** min(self.suspensions, 20))
-        self.suspensions, self._lost_at, self.suspended_until = self.suspensions + 1, now, now + span
+        self.suspensions, self._suspended_at, self.suspended_until = self.suspensions + 1, now, now + span
         self.fault, self.reason = fault, f"{fault.value}: {detail}"
-        self.scores, self._kept = {}, None
+        self.scores, self._reference = {}, None
 
 
 def _difference(before: dict[str, float], after: dict[str, float]) -> str:
--- a/harriertrack/decisions/fleet/scoring/scorers/__init__.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/__init__.py
@@ -1,1 +1,1 @@
-"""Scorers: what they are, and the three that come with the program."""
+"""Scorers: their interface, and the three that are built in."""
--- a/harriertrack/decisions/fleet/scoring/scorers/base.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/base.py
@@ -1,7 +1,7 @@
-"""What a scorer is: a name, a version, parameters, and a number for each node of a picture.
+"""The interface of scorers: a name, a version, parameters, and a score for each node of a snapshot.
 
-A score says how much of the work a node should get beside others: one of twice the score gets up to twice as
-much. Nodes of which a scorer has no opinion get an even share, so a scorer need not know all.
+A score is the share of the load that a node should get relative to others: a node with twice the score gets
+up to twice as much. Nodes without a score get an equal share, so a scorer need not score all of them.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 
 class BadParameters(ValueError):
-    """Parameters that a scorer does not take; the text names the parameter."""
+    """Raised for invalid parameters of a scorer; the message names the parameter."""
 
 
 class Scorer(Protocol):
-    """What a head asks for scores. An equal picture must always get equal scores."""
+    """Scores nodes. Equal snapshots must always get equal scores."""
 
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
-        """Return a score above 0 for each node of the picture that there is an opinion on."""
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
+        """Return a score above 0 for each node of the snapshot on which the scorer has an opinion."""
 
 
 @dataclass(frozen=True, slots=True)
 class Parameter:
-    """One parameter of a kind of scorer: its least and most, and what holds if it is not given."""
+    """One parameter of a kind of scorer: its default, minimum and maximum."""
 
     name: str
     usual: float
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScorerKind:
-    """A kind of scorer, as a plugin offers it; `make` takes all parameters by name."""
+    """A kind of scorer, as provided by a plugin; `make` accepts all parameters by name."""
 
     name: str
     version: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Namespace:
-    """Whose weights can be joined: of one scorer, one version and the same parameters."""
+    """Heads can aggregate weights of the same namespace: one scorer, version and set of parameters."""
 
     scorer: str
     version: int
@@ -58,19 +58,19 @@
 
     @property
     def number(self) -> int:
-        """Return the 32 bits by which heads name it to each other."""
-        said = "\0".join(
+        """Return the 32 bits that identify it between heads."""
+        identity = "\0".join(
             [self.scorer, str(self.version), *(f"{name}={value!r}" for name, value in self.parameters)]
         )
-        return int.from_bytes(hashlib.blake2b(said.encode(), digest_size=4).digest(), "big")
+        return int.from_bytes(hashlib.blake2b(identity.encode(), digest_size=4).digest(), "big")
 
     def __str__(self) -> str:
-        told = "".join(f" {name}={value:g}" for name, value in self.parameters)
-        return f"{self.scorer} {self.version}{told}"
+        parameters = "".join(f" {name}={value:g}" for name, value in self.parameters)
+        return f"{self.scorer} {self.version}{parameters}"
 
 
 def check_parameters(known: tuple[Parameter, ...], given: Mapping[str, float]) -> dict[str, float]:
-    """Return all parameters of a scorer with what was given in place. Raises BadParameters."""
+    """Return all parameters of a scorer, with defaults where none is given. Raises BadParameters."""
     names = {one.name for one in known}
     for name in given:
         if name not in names:
--- a/harriertrack/decisions/fleet/scoring/scorers/cost.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/cost.py
@@ -1,4 +1,4 @@
-"""Cost by zone: what leaves the head's own zone costs more, and is worth it where it is so much faster."""
+"""Cost by zone: requests to other zones cost more, and go there if a node is that much faster."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 PARAMETERS = (
-    Parameter("abroad", 2.0, 1.0, 16.0),  # what a request to another zone costs, in those at home
-    Parameter("lateness", 0.5, 0.0, 4.0),  # power of the latency beside the cost
+    Parameter("abroad", 2.0, 1.0, 16.0),  # cost of a request to another zone, relative to the own zone
+    Parameter("lateness", 0.5, 0.0, 4.0),  # exponent of the latency relative to the cost
 )
 
 
 class CostByZone:
-    """The scorer."""
+    """Scores nodes by zone and latency."""
 
     def __init__(self, abroad: float, lateness: float) -> None:
         self._abroad, self._lateness = abroad, lateness
 
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
         """Score by zone and latency."""
         return {
-            one.node: (1e5 / one.latency_us) ** self._lateness
-            / (1 if one.zone == picture.zone else self._abroad)
-            for one in picture.nodes
-            if one.latency_us > 0
+            node.node: (1e5 / node.latency_us) ** self._lateness
+            / (1 if node.zone == snapshot.zone else self._abroad)
+            for node in snapshot.nodes
+            if node.latency_us > 0
         }
 
 
--- a/harriertrack/decisions/fleet/scoring/scorers/fill.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/fill.py
@@ -1,4 +1,4 @@
-"""Fill-aware: nodes that have time left get more, those that turn work away less."""
+"""Fill-aware: nodes with spare capacity get more, those that reject requests less."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 PARAMETERS = (
-    Parameter("floor", 0.1, 0.01, 1.0),  # least time left that is reckoned with: nobody gets nothing
-    Parameter("refused", 2.0, 0.0, 100.0),  # how much what is turned away weighs
+    Parameter("floor", 0.1, 0.01, 1.0),  # minimum of the spare capacity: no node gets nothing
+    Parameter("refused", 2.0, 0.0, 100.0),  # weight of the rejected fraction
 )
 
 
 class FillAware:
-    """The scorer."""
+    """Scores nodes by their spare capacity."""
 
     def __init__(self, floor: float, refused: float) -> None:
         self._floor, self._refused = floor, refused
 
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
-        """Score by the time that nodes have left."""
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
+        """Score by spare capacity."""
         return {
-            one.node: max(self._floor, 1 - one.fill) / (1 + self._refused * one.refused)
-            for one in picture.nodes
-            if one.age_us >= 0
+            node.node: max(self._floor, 1 - node.fill) / (1 + self._refused * node.refused)
+            for node in snapshot.nodes
+            if node.age_us >= 0
         }
 
 
--- a/harriertrack/decisions/fleet/scoring/scorers/latency.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/latency.py
@@ -8,23 +8,23 @@
 from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 
 PARAMETERS = (
-    Parameter("power", 1.0, 0.1, 4.0),  # of the latency
-    Parameter("lost", 4.0, 0.0, 100.0),  # latencies that a lost answer counts as
+    Parameter("power", 1.0, 0.1, 4.0),  # exponent of the latency
+    Parameter("lost", 4.0, 0.0, 100.0),  # weight of the fraction of lost answers
 )
 
 
 class LeastLatency:
-    """The scorer."""
+    """Scores nodes by latency."""
 
     def __init__(self, power: float, lost: float) -> None:
         self._power, self._lost = power, lost
 
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
-        """Score by latency, raised by what gets lost."""
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
+        """Score by latency, increased by the fraction of lost answers."""
         return {
-            one.node: (1e5 / (one.latency_us * (1 + self._lost * one.lost))) ** self._power
-            for one in picture.nodes
-            if one.latency_us > 0
+            node.node: (1e5 / (node.latency_us * (1 + self._lost * node.lost))) ** self._power
+            for node in snapshot.nodes
+            if node.latency_us > 0
         }
 
 
--- a/harriertrack/decisions/fleet/scoring/shared_weights.py
+++ b/harriertrack/decisions/fleet/scoring/shared_weights.py
@@ -1,8 +1,9 @@
-"""One head's part in sharing weights: scorers' answers in, pages in and out, one weight for each node out.
+"""The weights of one head, shared with others: scores and pages in, pages and one weight for each node out.
 
-Each scorer is a namespace of its own; where a head runs several their joined weights are averaged (as powers
-of two, so that a scorer that has no opinion counts as an even share). `ScorerWeights` is the state of one
-scorer, `SharedWeights` of them all; the module asks `WeightFactors`. Pure: time is handed in.
+Each scorer has a namespace of its own; if a head runs several, their aggregated weights are averaged (as
+powers of two, so that a scorer without an opinion counts as an equal share). `ScorerWeights` is the state of
+one scorer, `SharedWeights` of all of them; the decision module reads `WeightFactors`. Pure: time is passed
+in.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 
 
 class WeightFactors:
-    """What the module asks (interface.Weights)."""
+    """The weights as the decision module reads them (interface.Weights)."""
 
     def __init__(self) -> None:
         self.logs: dict[str, float] = {}
 
     def factor(self, node: str) -> float:
-        """Return by how much more than an even share a node is to get: 1/4 to 4, 1 if nothing is known."""
+        """Return a node's load relative to an equal share: 1/4 to 4, and 1 if nothing is known."""
         log = self.logs.get(node)
         return 1.0 if log is None else weight_factor(log)
 
 
 class ScorerWeights:
-    """One scorer at one head."""
+    """The weights of one scorer at one head."""
 
     def __init__(self, namespace: Namespace, rules: ScoringRules) -> None:
         self.namespace, self._rules = namespace, rules
@@ -50,53 +51,53 @@
         self.aggregated: dict[str, float] = {}
         self.voters = 0
 
-    def form_opinions(self, picture: Snapshot) -> None:
-        """Form this head's own opinion of the scores that its scorer gave last."""
+    def form_opinions(self, snapshot: Snapshot) -> None:
+        """Form this head's own opinions from the latest scores of its scorer."""
         logs = normalise(self.guard.scores)
         self.own = {
             sight.node: Opinion(logs[sight.node], sight.evidence, sight.age_us)
-            for sight in picture.nodes
+            for sight in snapshot.nodes
             if sight.node in logs and sight.age_us >= 0
         }
 
-    def aggregate(self, now: int, me: str, names: frozenset[str], picture: Snapshot, turn: int) -> None:
-        """Join it with what was heard of those who may vote: who speaks in this turn or did in the last."""
-        most = self._rules.reporters
-        may = select_publishers(names, turn, most) | select_publishers(names, turn - 1, most)
+    def aggregate(self, now: int, head: str, names: frozenset[str], snapshot: Snapshot, turn: int) -> None:
+        """Aggregate them with those of the heads that may vote: publishers of this turn or the last one."""
+        limit = self._rules.reporters
+        publishers = select_publishers(names, turn, limit) | select_publishers(names, turn - 1, limit)
         self.peers.prune(names, now - self._rules.stale_us)
-        heard = self.peers.opinions(now, may - {me})
-        # Where a few speak for many, those of two turns may be heard at a time.
-        self.voters = max(min(len(names), most), len(self.peers.heads() & may) + 1)
-        nodes = {sight.node: node_number(sight.node) for sight in picture.nodes}
+        received = self.peers.opinions(now, publishers - {head})
+        # If only some of the heads publish, pages from the publishers of two turns may be present at a time.
+        self.voters = max(min(len(names), limit), len(self.peers.heads() & publishers) + 1)
+        nodes = {sight.node: node_number(sight.node) for sight in snapshot.nodes}
         self.aggregated = {}
         for name, number in nodes.items():
             own = [self.own[name]] if name in self.own else []
-            self.aggregated[name] = aggregate([*own, *heard.get(number, [])], self.voters, self._rules)
+            self.aggregated[name] = aggregate([*own, *received.get(number, [])], self.voters, self._rules)
 
 
 @dataclass(frozen=True, slots=True)
 class HeadContext:
-    """What a head knows as it looks: who is there, and which of them run a scorer."""
+    """The inputs of an update: this head, the time, its snapshot, and the heads that are present."""
 
-    me: str
+    head: str
     wall_us: int
-    picture: Snapshot
-    there: frozenset[str]
-    run: Callable[[Namespace], frozenset[str]]  # those of `there` that run it
+    snapshot: Snapshot
+    present: frozenset[str]
+    runners: Callable[[Namespace], frozenset[str]]  # the present heads that run a scorer
 
 
 class SharedWeights:
-    """All scorers of one head, and the weights that come of them."""
+    """All scorers of one head, and the resulting weights."""
 
     def __init__(self, rules: ScoringRules, alone: bool = False) -> None:
-        self.rules, self.alone = rules, alone  # alone: nothing is shared, only its own opinion counts
-        self.by_scorer: dict[str, ScorerWeights] = {}  # by scorer's name
+        self.rules, self.alone = rules, alone  # alone: nothing is shared, only the head's own opinions count
+        self.by_scorer: dict[str, ScorerWeights] = {}  # by name of the scorer
         self.factors = WeightFactors()
         self._damped: dict[str, DampedWeight] = {}
         self.desired: dict[str, float] = {}
 
     def set_scorers(self, namespaces: Mapping[str, Namespace]) -> None:
-        """Run these scorers from now on. One of another version or other parameters begins anew."""
+        """Use these scorers from now on. One with another version or other parameters starts from scratch."""
         for name in [name for name in self.by_scorer if name not in namespaces]:
             del self.by_scorer[name]
         for name, namespace in namespaces.items():
@@ -104,7 +105,7 @@
                 self.by_scorer[name] = ScorerWeights(namespace, self.rules)
 
     def receive(self, now: int, head: str, page: Page) -> bool:
-        """Take a head's page; return whether a scorer of this head has that namespace."""
+        """Store a page of a head; return whether a scorer of this head has its namespace."""
         for one in self.by_scorer.values():
             if one.namespace.number == page.namespace:
                 one.peers.receive(now, head, page)
@@ -112,27 +113,29 @@
         return False
 
     def forget(self, head: str) -> None:
-        """Forget what a head said: it is another life of itself by now."""
+        """Forget the pages of a head, which has a new incarnation."""
         for one in self.by_scorer.values():
             one.peers.forget(head)
 
-    def update(self, now: int, moment: HeadContext) -> list[Page]:
-        """Join what is thought, and move the weights; return the pages that are to be said."""
+    def update(self, now: int, context: HeadContext) -> list[Page]:
+        """Aggregate the opinions and move the weights; return the pages to publish."""
         pages: list[Page] = []
-        turn = moment.wall_us // self.rules.turn_us
+        turn = context.wall_us // self.rules.turn_us
         for one in self.by_scorer.values():
-            one.form_opinions(moment.picture)
-            names = frozenset({moment.me}) if self.alone else moment.run(one.namespace) | {moment.me}
-            one.aggregate(now, moment.me, names, moment.picture, turn)
-            if len(names) > 1 and moment.me in select_publishers(names, turn, self.rules.reporters):
-                voices = min(len(names), self.rules.reporters)
-                if (page := one.publisher.next_page(now, one.own, voices)) is not None:
+            one.form_opinions(context.snapshot)
+            names = (
+                frozenset({context.head}) if self.alone else context.runners(one.namespace) | {context.head}
+            )
+            one.aggregate(now, context.head, names, context.snapshot, turn)
+            if len(names) > 1 and context.head in select_publishers(names, turn, self.rules.reporters):
+                publishers = min(len(names), self.rules.reporters)
+                if (page := one.publisher.next_page(now, one.own, publishers)) is not None:
                     pages.append(page)
-        self._move(now, moment.picture)
+        self._move(now, context.snapshot)
         return pages
 
-    def _move(self, now: int, picture: Snapshot) -> None:
-        nodes = {sight.node: sight for sight in picture.nodes}
+    def _move(self, now: int, snapshot: Snapshot) -> None:
+        nodes = {sight.node: sight for sight in snapshot.nodes}
         for name in [name for name in self._damped if name not in nodes]:
             del self._damped[name]
         count = max(1, len(self.by_scorer))
@@ -145,6 +148,6 @@
         self.factors.logs = {name: one.log for name, one in self._damped.items()}
 
     def gain_of(self, node: str) -> float:
-        """Return how far a node's weight is damped: 1 not at all."""
+        """Return the damping gain of a node's weight: 1 is undamped."""
         damped = self._damped.get(node)
         return damped.gain if damped is not None else 1.0
--- a/harriertrack/decisions/fleet/scoring/snapshot.py
+++ b/harriertrack/decisions/fleet/scoring/snapshot.py
@@ -1,4 +1,4 @@
-"""What a head sees of each storage node, as a value that a scorer is handed and can't change."""
+"""What a head observed of each storage node, as an immutable value for scorers."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeObservation:
-    """One node, of late."""
+    """Recent observations of one node."""
 
     node: str
     zone: str = ""
-    served: float = 0.0  # requests a second that it served this head
-    latency_us: float = 0.0  # mean time of these; 0: none yet
-    refused: float = 0.0  # share of what this head sent that it turned away, 0 to 1
-    lost: float = 0.0  # share that got no answer, 0 to 1
-    fill: float = 0.0  # share of its time that is taken, as its latency tells, 0 to 1
-    cold: bool = False  # new, just started, or back after a silence
-    evidence: float = 0.0  # answers that this is drawn from, the older the less
-    age_us: int = -1  # since the latest of them; -1: none ever
+    served: float = 0.0  # requests a second that it served for this head
+    latency_us: float = 0.0  # their mean latency; 0: none yet
+    refused: float = 0.0  # fraction of this head's requests that it rejected, 0 to 1
+    lost: float = 0.0  # fraction without an answer, 0 to 1
+    fill: float = 0.0  # utilisation, estimated from its latency, 0 to 1
+    cold: bool = False  # new, just started, or answering again after a silence
+    evidence: float = 0.0  # number of answers behind this, weighted less with age
+    age_us: int = -1  # since the latest answer; -1: none ever
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All nodes that are in use, by name."""
+    """All nodes in use, ordered by name."""
 
     zone: str = ""  # of the head itself
     nodes: tuple[NodeObservation, ...] = ()
 
     @property
     def names(self) -> frozenset[str]:
-        """Return which nodes there are."""
+        """Return the names of the nodes."""
         return frozenset(one.node for one in self.nodes)
 
     def find(self, node: str) -> NodeObservation | None:
-        """Return what is seen of a node."""
+        """Return the observations of a node; None if it is not in use."""
         return next((one for one in self.nodes if one.node == node), None)
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -235,7 +235,7 @@
             """Return life, page and serial of what a counts of b's."""
             found = []
             for one in a.shared.by_scorer.values():
-                for number, (_, page) in one.peers._heard.get("b", {}).items():
+                for number, (_, page) in one.peers._received.get("b", {}).items():
                     found.append((_life_of(page.entries), number, page.serial))
             return tuple(sorted(found))
 
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -464,8 +464,8 @@
         "a head that stood still has a windfall",
         "weights-hung",
         f"{SCORING}.damping:DampedWeight.move",
-        "min(us, 2 * rules.look_us)",
-        "us",
+        "min(elapsed_us, 2 * rules.look_us)",
+        "elapsed_us",
     ),
     Fault(
         "another version's scorer is asked on",
@@ -477,15 +477,15 @@
     Fault(
         "who lost its vote is heard",
         "weights-hung",
-        f"{SCORING}.scorer_guard:ScorerGuard._lose",
-        "self.scores, self._kept = {}, None",
+        f"{SCORING}.scorer_guard:ScorerGuard._suspend",
+        "self.scores, self._reference = {}, None",
         "pass",
     ),
     Fault(
         "an answer that hung counts",
         "weights-hung",
         f"{SCORING}.scorer_guard:ScorerGuard.handle_answers",
-        "self._go(ScorerState.SUSPENDED)\n        return False",
+        "self._transition(ScorerState.SUSPENDED)\n        return False",
         "self.state = ScorerState.PENDING",
     ),
     Fault(
@@ -683,13 +683,13 @@
     Fault(
         "a relapse costs no more",
         "weights",
-        f"{SCORING}.scorer_guard:ScorerGuard._lose",
+        f"{SCORING}.scorer_guard:ScorerGuard._suspend",
         "2 ** min(self.suspensions, 20)",
         "1",
         2,
     ),
     Fault(
-        "a cold node is a favourite", "weights", f"{SCORING}.damping:weight_ceiling", "sight.cold or ", "", 2
+        "a cold node is a favourite", "weights", f"{SCORING}.damping:weight_ceiling", "node.cold or ", "", 2
     ),
     Fault(
         "who has no vote is asked",
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -182,7 +182,9 @@
         from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerGuard
 
         day = short("score-broken-plugin", 12)
-        monkeypatch.setattr(ScorerGuard, "_lose", lambda self, *_: setattr(self, "state", ScorerState.ACTIVE))
+        monkeypatch.setattr(
+            ScorerGuard, "_suspend", lambda self, *_: setattr(self, "state", ScorerState.ACTIVE)
+        )
     else:
         monkeypatch.setattr("harriertrack.membership.fleet.topics.Topics.pass_time",
                             lambda self, _now: setattr(self, "_spare", 1e9))  # fmt: skip
