--- a/tests/endings/test_crowded_discovery.py
+++ b/tests/endings/test_crowded_discovery.py
@@ -1,17 +1,11 @@
-"""Heads that restart while discovery is crowded go on sending to nodes that are gone.
-
-Symptom: heads of a large fleet sent hundreds of requests to nodes 2.09 s and more after these counted as gone, where
-2 s are allowed (rule `drain`). All else was answered, and most heads did nothing wrong.
-
-Sequence: discovery is down for some seconds, most heads are killed and start again at once, and a release changes
-the list each 0.35 s. Discovery serves its callers in turn, and a turn comes after about 2 s. Nodes end; 6 s later
-that counts as told. They start again under their names, the starved heads find them answering, and send.
-
-Cause: a call for the list was given up after 1.2 s, before its turn, and made anew at the end of the queue. Heads
-whose watch was open had 1.2 s beyond the wait of 2.5 s, and were answered; the others never.
-
-What settled it: on the heads that sent wrongly `discovery failed why=overdue in_a_row=3 took_us=1200550 version=2`,
-over and over with the same version, while every answer to the other heads came 1.9 to 2.0 s after its call.
+"""Heads that restart while discovery is overloaded must not send to removed nodes.
+
+Discovery serves its callers in order, and after an outage with many restarted heads an answer takes about 2 s. Calls
+were abandoned after 1.2 s and made again at the end of the queue, so some heads were never answered (`discovery
+failed why=overdue in_a_row=3 took_us=1200550 version=2` with the same version each time, while other heads had their
+answers 1.9 to 2.0 s after the call). Nodes that ended counted as removed after 6 s and started again under their
+names; these heads sent hundreds of requests to them 2.09 s and more after that, where rule `drain` allows 2 s. Heads
+with an open watch had 1.2 s beyond its wait of 2.5 s, and were answered.
 """
 
 import copy
@@ -36,11 +30,11 @@
 
 HEADS = 3
 GRACE_US = 200 * MS
-TURN_US = 1_700 * MS  # a call's turn comes so long after it: the patience of a call was 1.2 s
+TURN_US = 1_700 * MS  # delay until discovery answers a call; calls used to be abandoned after 1.2 s
 
 
 class Fleet:
-    """Head processes with one node and one source of the list; clients ask every head all the time."""
+    """Head processes with one node and one source of the list; clients send requests to every head."""
 
     def __init__(self, tmp_path, hub, scope):
         self.hub, self.scope, self.sites = hub, scope, []
@@ -57,8 +51,8 @@
             site.given["discovery"] = first.given["discovery"]
             site.given["settings"]["safety"]["drainGraceUs"] = GRACE_US
 
-    def ask_all_the_time(self, site):
-        """Send a request each 50 ms for ever, each over a connection of its own (a task)."""
+    def send_requests(self, site):
+        """Send a request every 50 ms, each over a connection of its own (a task)."""
         while True:
             self.number += 1
             try:
@@ -71,7 +65,7 @@
             self.hub.sleep(50 * MS)
 
     def restart(self):
-        """Kill all heads at once, and start them at once."""
+        """Kill all heads at once, and start them again at once."""
         for site in self.sites:
             site.send(signal.SIGKILL)
         for site in self.sites:
@@ -90,7 +84,7 @@
                 site.start()
             for site in fleet.sites:
                 site.until(site.ready)
-                scope.spawn("asks", fleet.ask_all_the_time, site)
+                scope.spawn("requests", fleet.send_requests, site)
             act(fleet)
             scope.cancel()
 
@@ -98,14 +92,14 @@
 
 
 @pytest.mark.real_time
-def test_heads_that_restart_while_discovery_is_crowded_send_nothing_to_a_node_that_is_gone(tmp_path):
+def test_heads_that_restart_while_discovery_is_overloaded_send_nothing_to_a_removed_node(tmp_path):
     def act(fleet):
         fleet.discovery.queue = Queue(fleet.hub, service_us=10 * MS, others_us=TURN_US)
         fleet.restart()
         for site in fleet.sites:
             site.until(site.ready)
-        asked_before = len(fleet.node.got)
-        fleet.sites[0].until(lambda: len(fleet.node.got) > asked_before)
+        received_before = len(fleet.node.got)
+        fleet.sites[0].until(lambda: len(fleet.node.got) > received_before)
         fleet.discovery.set("s0", fleet.node.address, 0, "terminated")
         over = fleet.hub.now() + ANNOUNCED_AFTER_US + GRACE_US + SLACK_US
         fleet.sites[0].until(lambda: fleet.hub.now() > over + 500 * MS)
@@ -116,8 +110,8 @@
 
 
 @pytest.mark.parametrize("turn_us", [500 * MS, 1_300 * MS, 1_700 * MS, 2_300 * MS, 3 * S, 4_500 * MS])
-def test_however_late_a_call_has_its_turn_its_answer_is_taken(tmp_path, turn_us):
-    """In simulated time; the node drains while the head has been crowded out for a while, and as it starts."""
+def test_a_late_answer_is_applied_however_late_it_is(tmp_path, turn_us):
+    """In simulated time: the node drains after the head has waited for a while, and as it starts."""
 
     def act(site):
         kept_the_rule(site, drain(site) + ANNOUNCED_AFTER_US)
@@ -134,7 +128,7 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_a_call_that_is_never_answered_hinders_none_that_comes_after_it(tmp_path, lost):
+def test_a_call_that_is_never_answered_does_not_block_later_calls(tmp_path, lost):
     def act(site):
         site.discovery.queue = Queue(site.hub, others_us=1_300 * MS)
         site.discovery.reset()
@@ -148,8 +142,8 @@
     played(site_of(tmp_path, drainGraceUs=0), act)
 
 
-def test_a_late_answer_that_is_older_than_the_list_in_hand_is_not_taken(tmp_path):
-    """The first call's answer is held back while the calls after it are answered, with a newer version."""
+def test_a_late_answer_older_than_the_list_in_hand_is_ignored(tmp_path):
+    """The answer to the first call is delayed while later calls are answered with a newer version."""
 
     def act(site):
         held = []
@@ -166,12 +160,14 @@
         site.discovery.set("s0", site.shelfs[0].address, 0)
         site.hub.sleep(8 * S)
         assert held and site.head.nodes.find("s1") is None
-        assert all("since" in target for _, target in site.discovery.calls)  # nothing was asked for again
+        assert all(
+            "since" in target for _, target in site.discovery.calls
+        )  # no full list was requested again
 
     played(site_of(tmp_path), act)
 
 
-def test_a_crowded_source_that_counts_its_versions_anew_is_asked_for_the_whole_list(tmp_path):
+def test_an_overloaded_source_that_restarts_its_versions_is_asked_for_the_full_list(tmp_path):
     def act(site):
         site.discovery.version = 500
         site.discovery.set("s0", site.shelfs[0].address, 0)
@@ -186,8 +182,8 @@
     played(site_of(tmp_path), act)
 
 
-def test_what_is_heard_only_after_it_counts_begins_no_new_grace(tmp_path):
-    """The first answer of a head that started takes 8 s; a node that drained as it started counts after 6 s."""
+def test_a_change_received_after_it_counts_begins_no_new_grace(tmp_path):
+    """The first answer after a start takes 8 s; a node that drained at the start counts after 6 s."""
     site = site_of(tmp_path, drainGraceUs=2 * S)
     site.discovery.queue = Queue(site.hub, others_us=8 * S)
     drained_at = []
@@ -195,7 +191,7 @@
     played(site, lambda site: kept_the_rule(site, drained_at[0] + ANNOUNCED_AFTER_US))
 
 
-def test_what_a_new_source_tells_after_it_counts_begins_no_new_grace(tmp_path):
+def test_a_change_from_a_new_source_received_after_it_counts_begins_no_new_grace(tmp_path):
     """Its first answer takes 5.5 s, and a node that drained before counts 4 s after the new configuration."""
 
     def act(site):
@@ -216,23 +212,22 @@
     played(site_of(tmp_path, drainGraceUs=2 * S), act)
 
 
-def test_the_watch_goes_on_from_a_late_answer(tmp_path):
-    """A new caller would wait for its turn again: the call after a late answer is one that waits, over the same
-    connection."""
+def test_the_watch_continues_from_a_late_answer(tmp_path):
+    """A new call would queue again: after a late answer the watch call follows over the same connection."""
 
     def act(site):
         site.discovery.queue = Queue(site.hub, others_us=1_700 * MS)
         site.discovery.reset()
-        asked = len(site.discovery.calls)
+        before = len(site.discovery.calls)
         site.hub.sleep(3 * S)
-        (called_at, first), (next_at, following) = site.discovery.calls[asked:]
+        (called_at, first), (next_at, following) = site.discovery.calls[before:]
         assert "timeout_ms=0" in first and "timeout_ms=2500" in following
         assert 1_700 * MS <= next_at - called_at <= 1_710 * MS and len(site.discovery._streams) == 1
 
     played(site_of(tmp_path), act)
 
 
-def test_an_overdue_call_of_the_old_source_is_given_up_as_it_moves(tmp_path):
+def test_an_overdue_call_to_the_old_source_is_abandoned_when_the_source_moves(tmp_path):
     def act(site):
         old = site.discovery
         old.queue = Queue(site.hub, others_us=3 * S)
@@ -243,7 +238,7 @@
             site.hub, site.net, version=300, servers=copy.deepcopy(old.servers)
         )
         site.discovery.start(site.scope)
-        site.discovery.queue = Queue(site.hub, others_us=3 * S)  # the old source's answer would come first
+        site.discovery.queue = Queue(site.hub, others_us=3 * S)  # the old source's answer would arrive first
         old.version = 900
         old.set("s1", site.shelfs[1].address, 1, "terminated")
         site.given["discovery"] = f"127.0.0.1:{site.discovery.address[1]}"
@@ -255,10 +250,8 @@
 
 
 @pytest.mark.parametrize("grace_us", [0, 2 * S, 20 * S])
-def test_calls_that_are_turned_down_after_they_waited_come_later_by_half_of_the_grace_at_most(
-    tmp_path, grace_us
-):
-    """So that two of them, and the answer to a third, are over as the grace of what was missed is."""
+def test_calls_after_late_rejections_are_delayed_by_at_most_half_of_the_grace(tmp_path, grace_us):
+    """Then two calls and the answer to a third fit into the grace of the change that was missed."""
 
     def act(site):
         site.discovery.queue = Queue(site.hub, others_us=5 * S, most_wait_us=2 * S)
@@ -266,13 +259,13 @@
         site.hub.sleep(40 * S)
         times = [when for when, target in site.discovery.calls if "timeout_ms=0" in target][-10:]
         apart = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
-        most_us = CYCLE_US + min(grace_us, CYCLE_US) // 2
-        assert most_us - CYCLE_US // 3 <= sum(apart) / len(apart) and max(apart) <= most_us + 1 * MS
+        longest_us = CYCLE_US + min(grace_us, CYCLE_US) // 2
+        assert longest_us - CYCLE_US // 3 <= sum(apart) / len(apart) and max(apart) <= longest_us + 1 * MS
 
     played(site_of(tmp_path, drainGraceUs=grace_us), act)
 
 
-def test_of_the_calls_under_way_the_oldest_goes_and_what_began_before_an_answer():
+def test_the_oldest_open_call_is_abandoned_and_all_that_began_before_an_answered_one():
     calls = OpenCalls()
     assert [calls.add(number) for number in range(MAX_OPEN_CALLS + 1)] == [[]] * MAX_OPEN_CALLS + [[0]]
     calls.remove(2)
@@ -280,7 +273,7 @@
     assert calls.complete(3) == [] and calls.clear() == [4] and not calls
 
 
-def test_heads_that_were_crowded_out_together_do_not_call_together_again():
+def test_heads_whose_calls_were_overdue_together_do_not_call_together_again():
     watches = [DiscoveryWatch(10 * S, 41, seed=seed) for seed in range(100)]
     for watch in watches:
         watch.subscribe(True)
--- a/tests/endings/test_standstill.py
+++ b/tests/endings/test_standstill.py
@@ -1,15 +1,15 @@
-"""A head that stood still acts on nothing old: it sends only once it has asked for the node list again.
-
-Seen: a platform head is stopped (SIGSTOP); its watch stays silent; a node begins to drain, which counts 6 s later;
-the head goes on 8.5 s after that (SIGCONT), and sends 1 to 14 requests to the drained node, the first 8 to 76 ms after
-it woke, in 12 of 12 plays. Where the watch had been answered meanwhile nothing was sent, 12 of 12 plays.
-
-Cause: time limits run by the hub's clock, and nothing noticed that it had leapt. The watch found its call overdue as the
-head woke, and made the next one 0.1 s later, as it does at any time; its log: `discovery failed why=overdue in_a_row=1
-took_us=9636966 again_us=99755`, then `discovery answered after_failures=1`. In that play 59 requests were sent to the
-drained node, 7 to 103 ms after it woke: up to that answer. Now the core looks at the clock each 50 ms and before each sending; where a look comes over 0.2 s late, what would be sent waits
-until a call that began after it has ended (`decisions/standstill.py`), and news that come first after it count from
-the last look before it.
+"""After a standstill a head sends nothing until it has requested the node list again.
+
+The fault: a platform head is stopped (SIGSTOP) while its watch is silent, and a node begins to drain, which counts
+6 s later. The head continues 8.5 s after that (SIGCONT), and sent 1 to 14 requests to the drained node, the first 8
+to 76 ms after it continued, in 12 of 12 runs; in none of 12 runs if its watch had been answered meanwhile.
+
+Time limits run by the hub's clock, and nothing noticed its leap: the watch found its call overdue, and made the next
+one 0.1 s later as usual (`discovery failed why=overdue in_a_row=1 took_us=9636966 again_us=99755`, then `discovery
+answered after_failures=1`). In that run 59 requests were sent to the drained node before that answer, 7 to 103 ms
+after the head continued. Now the core checks the clock every 50 ms and before each send; if a check is over 0.2 s
+late, sends wait until a call that began after it has ended (`decisions/standstill.py`), and the first changes
+received after it count from the last check before it.
 """
 
 import signal
@@ -30,19 +30,21 @@
 CLIENTS = 24
 
 
-# Clients wait for as long as a head stands still.
+# Clients wait as long as a standstill lasts.
 played = partial(platform_clock.played, within=60 * S)
 
 
 @BOTH
 @pytest.mark.parametrize("drained_us", [50 * MS, 500 * MS, 2 * S])
-@pytest.mark.parametrize("stood_us", [7 * S, 9 * S, 30 * S])
-def test_what_a_silent_watch_missed_is_asked_for_before_anything_is_sent(tmp_path, way, drained_us, stood_us):
-    """In simulated time; clients ask all the time."""
+@pytest.mark.parametrize("standstill_us", [7 * S, 9 * S, 30 * S])
+def test_the_list_is_requested_after_a_standstill_before_anything_is_sent(
+    tmp_path, way, drained_us, standstill_us
+):
+    """In simulated time; clients send requests throughout."""
 
     def act(site):
         site.discovery.fall_silent()
-        site.hub.freeze(site.head, stood_us)
+        site.hub.freeze(site.head, standstill_us)
         site.hub.sleep(drained_us)
         kept_the_rule(site, drain(site) + ANNOUNCED_AFTER_US)
 
@@ -50,25 +52,25 @@
 
 
 @BOTH
-@pytest.mark.parametrize("stood_us", [300 * MS, 7 * S])
+@pytest.mark.parametrize("standstill_us", [300 * MS, 7 * S])
 @pytest.mark.parametrize("outage", [Outage.SILENT, Outage.FAILING])
-def test_a_head_that_can_ask_nobody_serves_again_soon(tmp_path, way, stood_us, outage):
-    """Discovery is down as it wakes: what it knows is all there is."""
+def test_a_head_that_cannot_reach_discovery_soon_serves_again(tmp_path, way, standstill_us, outage):
+    """Discovery is down when the head continues: it has only the list in hand."""
 
     def act(site):
         site.discovery.outage = outage
         site.discovery.fall_silent()
-        site.hub.freeze(site.head, stood_us)
-        site.hub.sleep(stood_us)
-        woke_at = site.hub.now()
+        site.hub.freeze(site.head, standstill_us)
+        site.hub.sleep(standstill_us)
+        resumed_at = site.hub.now()
         site.hub.sleep(2 * S)
-        assert any(got.when > woke_at + 1_500 * MS for shelf in site.shelfs for got in shelf.got)
+        assert any(got.when > resumed_at + 1_500 * MS for shelf in site.shelfs for got in shelf.got)
 
     played(site_of(tmp_path, way), act)
 
 
 @BOTH
-def test_a_pause_of_a_tenth_of_a_second_refuses_nothing_and_asks_nothing(tmp_path, way):
+def test_a_pause_of_a_tenth_of_a_second_causes_no_refusal_and_no_call(tmp_path, way):
     def act(site):
         site.hub.sleep(300 * MS)
         calls = len(site.discovery.calls)
@@ -76,15 +78,15 @@
             site.hub.freeze(site.head, 100 * MS)
             status, _, _ = site.ask(site.request())
             assert status == 200
-        assert len(site.discovery.calls) <= calls + 1  # the watch's own next call may be due
+        assert len(site.discovery.calls) <= calls + 1  # the next call of the watch itself
 
     site = site_of(tmp_path, way)
     site.run(act)
 
 
 @BOTH
-def test_a_pause_within_half_of_the_grace_refuses_nothing_though_nobody_can_be_asked(tmp_path, way):
-    """What drained in its first moment counts from then on, and is sent nothing that the grace does not cover."""
+def test_a_pause_within_half_of_the_grace_causes_no_refusal_even_without_discovery(tmp_path, way):
+    """A drain at its beginning counts from then on, and the grace covers all that is sent to the node."""
 
     def act(site):
         site.discovery.outage = Outage.SILENT
@@ -99,39 +101,39 @@
 
 
 @BOTH
-def test_what_the_watch_was_told_meanwhile_counts_though_the_call_after_waking_fails(tmp_path, way):
-    """Its answer lies in the socket as the head wakes; discovery turns the next calls away for a while."""
+def test_an_answer_to_the_watch_during_a_standstill_counts_even_if_the_next_call_fails(tmp_path, way):
+    """The answer is in the socket when the head continues; discovery rejects the next calls for a while."""
 
     def act(site):
         site.hub.freeze(site.head, 3 * S)
         site.hub.sleep(50 * MS)
-        told_at = drain(site)
+        announced_at = drain(site)
         site.hub.sleep(20 * MS)
         site.discovery.outage = Outage.FAILING
         site.hub.sleep(4 * S)
         site.discovery.outage = Outage.NONE
-        kept_the_rule(site, told_at)
+        kept_the_rule(site, announced_at)
 
     played(site_of(tmp_path, way, drainGraceUs=GRACE_US), act)
 
 
-class Standing(Hears):
-    """The module; while it handles the next events the process stands still."""
+class PausingModule(Hears):
+    """A module that lets the process stand still while it handles the next events."""
 
-    stand = None
+    pause = None
 
     def handle(self, now, events):
         actions = super().handle(now, events)
-        if self.stand is not None and actions:
-            stand, self.stand = self.stand, None
-            stand()
+        if self.pause is not None and actions:
+            pause, self.pause = self.pause, None
+            pause()
         return actions
 
 
 @pytest.mark.real_time
 @BOTH
-def test_a_head_that_stands_still_between_a_decision_and_its_sending_decides_anew(tmp_path, way):
-    """Over sockets: the clock leaps while the module decides, behind a watch that has missed a drain."""
+def test_a_standstill_between_a_decision_and_its_send_leads_to_a_new_decision(tmp_path, way):
+    """Over sockets: the clock leaps while the module decides, after the watch has missed a drain."""
 
     def act(site):
         site.hub.sleep(100 * MS)
@@ -139,59 +141,61 @@
         site.hub.sleep(20 * MS)
         drain(site)
         before = len(site.shelfs[1].got)
-        site.head.module.stand = lambda: site.hub.clock.leap(9 * S)
+        site.head.module.pause = lambda: site.hub.clock.leap(9 * S)
         client = RawClient(site)
         client.send(site.request(**{"X-Expires-In-Ms": "19000"}))
         status, _, _ = client.until_answered()
         assert status == 503 and len(site.shelfs[1].got) == before
 
     lanes = [lane | {"aimUs": 15 * S, "giveUpUs": 20 * S} for lane in SETTINGS["lanes"]]
-    LoopbackSite(tmp_path, module=Standing, discovery=way, lanes=lanes).run(act)
+    LoopbackSite(tmp_path, module=PausingModule, discovery=way, lanes=lanes).run(act)
 
 
 @pytest.mark.real_time
 @pytest.mark.parametrize("drained_us", [50 * MS, 500 * MS])
-def test_a_stopped_process_sends_nothing_to_a_node_whose_drain_its_silent_watch_missed(tmp_path, drained_us):
-    """It is idle as it is stopped, and has more to do than it can as it goes on."""
+def test_a_stopped_process_sends_nothing_to_a_node_whose_drain_its_watch_missed(tmp_path, drained_us):
+    """The process is idle when stopped, and overloaded when it continues."""
 
-    def ask_for_ever(site, number):
+    def send_requests(site, number):
         stream = site.net.connect(site.place)
         while True:
-            asking.wait()
+            active.wait()
             number += CLIENTS
             stream.write(f"{REQUEST}{number:016x}\r\n\r\n".encode())
-            if not stream.read(site.hub.now() + 30 * S):  # it rested for too long, and the head has closed it
+            if not stream.read(
+                site.hub.now() + 30 * S
+            ):  # it was idle for too long, and the head has closed it
                 stream = site.net.connect(site.place)
 
     def act(site):
-        nonlocal asking
-        asking = Event(site.hub)
+        nonlocal active
+        active = Event(site.hub)
         site.given["settings"]["discovery"] = ASKED
         site.given["settings"]["safety"]["drainGraceUs"] = GRACE_US
         site.start()
         site.until(site.ready)
         site.until(lambda: site.old.calls[1:])  # the watch is open
-        asking.set()
+        active.set()
         for number in range(CLIENTS):
-            site.scope.spawn("asks", ask_for_ever, site, number)
+            site.scope.spawn("requests", send_requests, site, number)
         site.hub.sleep(500 * MS)
-        asking.clear()
+        active.clear()
         site.hub.sleep(100 * MS)
         site.old.fall_silent()
-        site.until(lambda: site.state() == "S")  # it has nothing to do
+        site.until(lambda: site.state() == "S")  # it is idle
         site.send(signal.SIGSTOP)
         site.until(lambda: site.state() == "T")
         site.hub.sleep(drained_us)
-        counts_at = site.hub.now() + ANNOUNCED_AFTER_US
+        counts_from = site.hub.now() + ANNOUNCED_AFTER_US
         site.old.set("s0", site.shelf.address, 0, "terminating")
         site.hub.sleep(8_500 * MS)
-        asking.set()
+        active.set()
         site.hub.sleep(20 * MS)
-        woke_at = site.hub.now()
+        resumed_at = site.hub.now()
         site.send(signal.SIGCONT)
         site.hub.sleep(1 * S)
-        late = [(got.when - woke_at) // MS for got in site.shelf.got if got.when > counts_at + GRACE_US]
-        assert site.shelf.got and not late, f"sent {late} ms after it woke; {site.logged()}"
+        late = [(got.when - resumed_at) // MS for got in site.shelf.got if got.when > counts_from + GRACE_US]
+        assert site.shelf.got and not late, f"sent {late} ms after it continued; {site.logged()}"
 
-    asking = None
+    active = None
     play(tmp_path, act)
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -1,4 +1,4 @@
-"""Scorers in a head: found as packages, asked on threads, chosen by settings and record, seen by operators."""
+"""Scorers in a head: discovery of packages, threads, selection by settings and record, operators' views."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from harriertrack.rules import recording as rec, scoring as score_rules
 from tests.test_fleet_days import head
 
-PICTURE = Snapshot("z0", (NodeObservation("a", evidence=9, age_us=0, latency_us=5.0),))
+SNAPSHOT = Snapshot("z0", (NodeObservation("a", evidence=9, age_us=0, latency_us=5.0),))
 
 
-class Offers:
-    """A plugin that offers what it is told to."""
+class Plugin:
+    """A plugin that provides the given kinds."""
 
     def __init__(self, *kinds):
         self.kinds = kinds
@@ -39,27 +39,27 @@
         return self.kinds
 
 
-class Steady:
+class Constant:
     def __init__(self, power=1.0):
         self.power = power
 
-    def score(self, picture):
-        return {one.node: self.power for one in picture.nodes}
+    def score(self, snapshot):
+        return {node.node: self.power for node in snapshot.nodes}
 
 
-KIND = ScorerKind("steady", 3, (Parameter("power", 1.0, 0.5, 2.0),), Steady)
+KIND = ScorerKind("steady", 3, (Parameter("power", 1.0, 0.5, 2.0),), Constant)
 
 
-def test_plugins_are_found_and_what_can_not_be_taken_is_noted_and_left_out():
+def test_plugins_are_found_and_invalid_ones_are_logged_and_skipped():
     notes = []
     kinds = found(lambda event, **fields: notes.append((event, fields["why"])),
-                  [Offers(KIND, "no kind"), Offers(KIND), Offers(ScorerKind("Bad Name", 1, (), Steady))])  # fmt: skip
+                  [Plugin(KIND, "no kind"), Plugin(KIND), Plugin(ScorerKind("Bad Name", 1, (), Constant))])  # fmt: skip
     assert {("steady", 3), ("least-latency", 1), ("fill-aware", 1), ("cost-by-zone", 1)} == set(kinds)
-    told = " ".join(why for _, why in notes)
-    assert "str is no ScorerKind" in told and "there already" in told and "Bad Name" in told
+    reasons = " ".join(why for _, why in notes)
+    assert "str is no ScorerKind" in reasons and "there already" in reasons and "Bad Name" in reasons
 
 
-def test_a_package_is_found_by_its_entry_point_and_a_broken_one_hurts_none(tmp_path):
+def test_a_package_is_found_by_its_entry_point_and_a_broken_one_affects_no_other(tmp_path):
     for name, code in (
         ("good", "from harriertrack.lab.fleet.weights import harriertrack_scorers"),
         ("bad", "1 / 0"),
@@ -76,22 +76,22 @@
     )
 
 
-def test_a_scorer_is_asked_on_a_thread_and_one_that_hangs_holds_nobody_up():
-    go = threading.Event()
+def test_a_scorer_runs_on_a_thread_and_a_hanging_one_blocks_nothing():
+    resume = threading.Event()
 
     class Hangs:
-        def score(self, picture):
-            go.wait(30)
+        def score(self, snapshot):
+            resume.wait(30)
             raise LookupError("x" * 500)
 
-    asked = OnThread(Hangs(), "hangs")
-    asked.ask([PICTURE])
-    assert asked.answers() is None
-    go.set()
-    while (answers := asked.answers()) is None:
+    runner = OnThread(Hangs(), "hangs")
+    runner.ask([SNAPSHOT])
+    assert runner.answers() is None
+    resume.set()
+    while (answers := runner.answers()) is None:
         pass
     assert answers[0].raised.startswith("LookupError: x") and len(answers[0].raised) < 200
-    asked.close()
+    runner.close()
 
 
 BODY = '(scorer "main" (kind "steady") (version 3) (parameter "power" (value %s)))'
@@ -101,8 +101,8 @@
     return Version("scorer/main", number, number - 1, body, "me", 0, "because")
 
 
-def test_the_record_puts_scorers_in_place_of_the_settings_whole_or_not_at_all():
-    kinds = found(lambda *_, **__: None, [Offers(KIND)])
+def test_the_record_replaces_scorers_of_the_settings_completely_or_not_at_all():
+    kinds = found(lambda *_, **__: None, [Plugin(KIND)])
     choice = Choice(kinds, [ScorerSettings(name="main", kind="least-latency")])
     before = choice.run()["main"].namespace
     for body, why in ((BODY % 9, "power"), ("(scorer", "brackets"), ('(scorer "main" (kind "none"))', "none"),
@@ -121,20 +121,20 @@
         choice.take("scorer/three", version(1, BODY % 1))
 
 
-def test_settings_that_no_head_can_run_are_told_with_their_field():
+def test_invalid_settings_are_reported_with_their_field():
     one = head(
         '(fleet "a" (listen "127.0.0.1" 7946) (scoring (scorer "least-latency" (parameter "power" (value 2)))))'
     )
     assert one.fleet.scoring.scorers[0].parameters == (ParameterSettings(name="power", value=2.0),)
     scoring = one.fleet.scoring
     assert scored_of(one, scoring, print).choice.run()
-    wrong = msgspec.structs.replace(scoring, scorers=(ScorerSettings(name="nobody"),))
-    with pytest.raises(SettingsError, match="fleet: scoring: no scorer nobody"):
+    wrong = msgspec.structs.replace(scoring, scorers=(ScorerSettings(name="unknown"),))
+    with pytest.raises(SettingsError, match="fleet: scoring: no scorer unknown"):
         scored_of(one, wrong, print)
 
 
 def short(name, seconds, **changes):
-    """Return a day's beginning."""
+    """Return the beginning of a day, with a rest of `seconds` at its end."""
     day = scenario.load(name)
     steps = (
         *day.steps[:2],
@@ -143,14 +143,14 @@
     return msgspec.structs.replace(day, steps=steps, **changes)
 
 
-def test_operators_see_what_is_said_here_and_together_and_who_lost_a_vote():
-    told = []
+def test_operators_see_own_and_aggregated_weights_and_suspended_scorers():
+    documents = []
 
-    class Looks(rec.Recorder):
+    class DocumentRecorder(rec.Recorder):
         def add(self, one):
             super().add(one)
-            if isinstance(one, rec.Weights) and one.t > 1_009_000_000 and not told:
-                told.append(rig.heads[0].head.fleet.together.scoring.document(one.t))
+            if isinstance(one, rec.Weights) and one.t > 1_009_000_000 and not documents:
+                documents.append(rig.heads[0].head.fleet.together.scoring.document(one.t))
 
     from harriertrack.lab.fleet.rig import SimulatedFleet
     from harriertrack.runtime.hub import Hub
@@ -158,9 +158,9 @@
 
     hub = Hub.virtual(1)
     day = short("score-broken-plugin", 10)
-    rig = SimulatedFleet(hub, MemoryNetwork(hub), day, 4, 1, Looks())
+    rig = SimulatedFleet(hub, MemoryNetwork(hub), day, 4, 1, DocumentRecorder())
     hub.run(rig.run)
-    lines, rows = list(scorer_lines(told[0])), node_rows(told[0])
+    lines, rows = list(scorer_lines(documents[0])), node_rows(documents[0])
     assert any("broken-state" in line and "no vote for" in line for line in lines)
     assert any("answered an equal picture otherwise" in line for line in lines)
     assert len(rows) == 7 and rows[1][0].startswith("node0") and len(rows[0]) == 10
@@ -198,7 +198,7 @@
     assert rule in {one.rule for one in score_rules.check(recorder.records)}
 
 
-def test_a_scorer_that_the_record_names_is_run_from_the_copy_on_disk_without_anybody_to_ask():
+def test_a_scorer_of_the_record_runs_from_the_copy_on_disk_while_the_witness_is_down():
     from harriertrack.config.settings import ChangesSettings
     from harriertrack.decisions.fleet.changes.record import Record
     from harriertrack.decisions.fleet.changes.standing import Standing
@@ -210,7 +210,7 @@
     from harriertrack.storage.changes import ChangesCache
 
     body = '(scorer "main" (kind "least-latency") (parameter "power" (value %s)))'
-    told = [
+    versions = [
         Version(thing, number, 0, body % power, "me", 0, "because", standing=Standing.IN_FORCE)
         for thing, number, power in (("scorer/main", 1, 2), ("scorer/other", 1, 99))
     ]
@@ -219,15 +219,15 @@
     rig = SimulatedFleet(hub, MemoryNetwork(hub), day, 3, 1, recorder)
     for number in range(3):
         cache = ChangesCache(None)
-        cache.write(encode(Record(1, 1, 0, tuple(told))))
+        cache.write(encode(Record(1, 1, 0, tuple(versions))))
         rig._changes[f"head{number}"] = cache
     rig.witness.down = True
     hub.run(rig.run)
-    taken = {
+    applied = {
         (one.head, one.thing, one.version, bool(one.why))
         for one in recorder.records
         if isinstance(one, rec.TookVersion)
     }
-    assert {("head0", "scorer/main", 1, False), ("head0", "scorer/other", 1, True)} <= taken
+    assert {("head0", "scorer/main", 1, False), ("head0", "scorer/other", 1, True)} <= applied
     weights = [one for one in recorder.records if isinstance(one, rec.Weights) and one.head == "head0"]
     assert set(weights[-1].joined) == {"main", "least-latency"}
--- a/tests/scoring/test_deciding.py
+++ b/tests/scoring/test_deciding.py
@@ -1,4 +1,4 @@
-"""The pure parts: scores to weights, votes, joining, damping, pages."""
+"""The pure logic of scoring: scores to weights, scorer states, aggregation, damping, pages."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
 A, B = (
     NodeObservation(n, z, 5, us, evidence=50, age_us=0) for n, z, us in (("a", "z0", 1000), ("b", "z1", 4000))
 )
-PICTURE = Snapshot("z0", (A, B))
+SNAPSHOT = Snapshot("z0", (A, B))
 
 
-def test_scorers_prefer_what_they_are_named_for():
-    quick = latency.LeastLatency(**base.check_parameters(latency.PARAMETERS, {})).score(PICTURE)
-    assert quick["a"] == pytest.approx(4 * quick["b"])
+def test_each_scorer_prefers_by_its_criterion():
+    by_latency = latency.LeastLatency(**base.check_parameters(latency.PARAMETERS, {})).score(SNAPSHOT)
+    assert by_latency["a"] == pytest.approx(4 * by_latency["b"])
     full = Snapshot("z0", (replace(A, fill=0.8), B))
-    free = fill.FillAware(**base.check_parameters(fill.PARAMETERS, {})).score(full)
-    assert free["b"] == pytest.approx(5 * free["a"])
-    near = cost.CostByZone(**base.check_parameters(cost.PARAMETERS, {"lateness": 0.0})).score(PICTURE)
-    assert near["a"] == pytest.approx(2 * near["b"])
+    by_fill = fill.FillAware(**base.check_parameters(fill.PARAMETERS, {})).score(full)
+    assert by_fill["b"] == pytest.approx(5 * by_fill["a"])
+    by_cost = cost.CostByZone(**base.check_parameters(cost.PARAMETERS, {"lateness": 0.0})).score(SNAPSHOT)
+    assert by_cost["a"] == pytest.approx(2 * by_cost["b"])
 
 
 @pytest.mark.parametrize("given_", [{"power": math.nan}, {"power": 99}, {"pwer": 1.0}, {"power": "1"}])
@@ -67,7 +67,7 @@
 
 @given(st.dictionaries(st.text(max_size=3), st.floats(1e-9, 1e9), min_size=1, max_size=30))
 @settings(max_examples=50, deadline=None)
-def test_weights_are_bounded_and_even_in_the_mean(scores):
+def test_weights_are_bounded_with_a_mean_of_zero(scores):
     logs = normalise(scores)
     assert all(-MAX_LOG_WEIGHT <= log <= MAX_LOG_WEIGHT for log in logs.values())
     assert abs(sum(logs.values())) < 1e-6
@@ -75,74 +75,75 @@
     assert logs[best] == max(logs.values())
 
 
-def _ask(voter, now, scorer, took_us=100, seen=PICTURE):
+def _query(guard, now, scorer, took_us=100, snapshot=SNAPSHOT):
     answers = []
-    for picture in voter.next_queries(now, seen):
+    for query in guard.next_queries(now, snapshot):
         try:
-            answers.append(ScorerAnswer(picture, scorer(picture), took_us=took_us))
+            answers.append(ScorerAnswer(query, scorer(query), took_us=took_us))
         except Exception as error:
-            answers.append(ScorerAnswer(picture, raised=repr(error)))
-    return voter.handle_answers(now, answers) if answers else None
+            answers.append(ScorerAnswer(query, raised=repr(error)))
+    return guard.handle_answers(now, answers) if answers else None
 
 
-def _state():
-    known = []
+def _scorer_with_state():
+    scored = []
 
-    def score(picture):
-        known.append(picture)
-        return {"a": float(len(known))}
+    def score(snapshot):
+        scored.append(snapshot)
+        return {"a": float(len(scored))}
 
     return score
 
 
-WRONG = [
+FAULTY_SCORERS = [
     (lambda p: 1 / 0, ScorerFault.RAISED), (lambda p: [1.0], ScorerFault.FORM),
     (lambda p: {"a": math.nan}, ScorerFault.NUMBER), (lambda p: {"a": True}, ScorerFault.NUMBER),
     (lambda p: {"a": math.inf}, ScorerFault.TOO_MUCH),
     (lambda p: {"a": -1.0}, ScorerFault.TOO_LITTLE), (lambda p: {"c": 1.0}, ScorerFault.UNASKED),
-    (lambda p: {"a": 1.0, "b": 1.0, "c": 1.0}, ScorerFault.TOO_MUCH), (_state(), ScorerFault.STATE),
+    (lambda p: {"a": 1.0, "b": 1.0, "c": 1.0}, ScorerFault.TOO_MUCH), (_scorer_with_state(), ScorerFault.STATE),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("scorer", "fault"), WRONG)
-def test_a_scorer_that_does_wrong_loses_its_vote_for_ever_longer(scorer, fault):
-    voter, now, spans = ScorerGuard(RULES), 0, []
+@pytest.mark.parametrize(("scorer", "fault"), FAULTY_SCORERS)
+def test_a_faulty_scorer_is_suspended_for_twice_as_long_each_time(scorer, fault):
+    guard, now, spans = ScorerGuard(RULES), 0, []
     for _ in range(3):
-        assert _ask(voter, now, scorer) is False
-        assert (voter.state, voter.fault, voter.scores) == (ScorerState.SUSPENDED, fault, {})
-        assert voter.next_queries(voter.suspended_until - 1, PICTURE) == ()
-        spans.append(voter.suspended_until - now)
-        now = voter.suspended_until
+        assert _query(guard, now, scorer) is False
+        assert (guard.state, guard.fault, guard.scores) == (ScorerState.SUSPENDED, fault, {})
+        assert guard.next_queries(guard.suspended_until - 1, SNAPSHOT) == ()
+        spans.append(guard.suspended_until - now)
+        now = guard.suspended_until
     assert spans == [RULES.suspend_us, 2 * RULES.suspend_us, 4 * RULES.suspend_us]
-    assert _ask(voter, now, lambda p: {"a": 1.0}) is True and voter.scores == {"a": 1.0}
+    assert _query(guard, now, lambda p: {"a": 1.0}) is True and guard.scores == {"a": 1.0}
 
 
-def test_state_that_shows_only_later_is_found():
-    started = [0]
+def test_state_that_shows_only_later_is_detected():
+    round_number = [0]
 
-    def drifting(picture):
-        return {"a": 1.0 + started[0] // 100}
+    def drifting(snapshot):
+        return {"a": 1.0 + round_number[0] // 100}
 
-    voter = ScorerGuard(RULES)
+    guard = ScorerGuard(RULES)
     for at in range(200):
-        started[0] = at
+        round_number[0] = at
         fresh = Snapshot("z0", (replace(A, served=at), B))
-        if _ask(voter, at * S, drifting, seen=fresh) is False:
+        if _query(guard, at * S, drifting, snapshot=fresh) is False:
             break
-    assert voter.fault is ScorerFault.STATE and started[0] == 103  # asked the kept picture each fourth time
+    # The reference snapshot is repeated every fourth round.
+    assert guard.fault is ScorerFault.STATE and round_number[0] == 103
 
 
-def test_a_slow_scorer_and_one_that_hangs_lose_their_vote():
-    voter = ScorerGuard(RULES)
-    assert _ask(voter, 0, lambda p: {"a": 1.0}, took_us=RULES.slow_us + 1) is False
-    assert voter.fault is ScorerFault.SLOW
+def test_slow_and_hanging_scorers_are_suspended():
+    guard = ScorerGuard(RULES)
+    assert _query(guard, 0, lambda p: {"a": 1.0}, took_us=RULES.slow_us + 1) is False
+    assert guard.fault is ScorerFault.SLOW
     hung = ScorerGuard(RULES)
-    assert hung.next_queries(0, PICTURE)
+    assert hung.next_queries(0, SNAPSHOT)
     for _ in range(RULES.hung_looks - 1):
-        assert hung.next_queries(60 * S, PICTURE) == () and hung.state is ScorerState.PENDING
-    assert hung.next_queries(60 * S, PICTURE) == () and hung.state is ScorerState.HUNG
-    assert hung.next_queries(10**12, PICTURE) == ()  # its call still runs: no second one is begun
-    assert hung.handle_answers(10**12, ()) is False and hung.next_queries(10**12, PICTURE)
+        assert hung.next_queries(60 * S, SNAPSHOT) == () and hung.state is ScorerState.PENDING
+    assert hung.next_queries(60 * S, SNAPSHOT) == () and hung.state is ScorerState.HUNG
+    assert hung.next_queries(10**12, SNAPSHOT) == ()  # its call is still running: no second one begins
+    assert hung.handle_answers(10**12, ()) is False and hung.next_queries(10**12, SNAPSHOT)
     with pytest.raises(IllegalScorerStep):
         ScorerGuard(RULES).handle_answers(0, ())
 
@@ -153,35 +154,35 @@
 
 @given(HONEST, st.lists(st.tuples(LOGS, st.floats(0, 300)), max_size=20), st.integers(0, 5))
 @settings(max_examples=120, deadline=None)
-def test_a_fifth_that_lies_moves_nothing_past_the_quartiles_of_the_others(honest, lies, silent):
-    most = (len(honest) + silent) // 4  # liars are a fifth of all then
-    told = [Opinion(*one) for one in honest]
-    liars = [Opinion(log, evidence, 0) for log, evidence in lies[:most]]
-    voters = len(honest) + silent + most
-    votes = [(one.log, vote) for one in told if (vote := vote_weight(one, RULES))]
-    neutral = voters - most - len(votes)
+def test_a_fifth_of_faulty_heads_moves_nothing_past_the_quartiles_of_the_others(honest, wrong, silent):
+    limit = (len(honest) + silent) // 4  # the faulty heads are a fifth of all then
+    opinions = [Opinion(*one) for one in honest]
+    faulty = [Opinion(log, evidence, 0) for log, evidence in wrong[:limit]]
+    voters = len(honest) + silent + limit
+    votes = [(one.log, vote) for one in opinions if (vote := vote_weight(one, RULES))]
+    neutral = voters - limit - len(votes)
     votes += [(0.0, 0.5)] * neutral
     total = sum(vote for _, vote in votes)
 
-    def quantile(part):
+    def quantile(fraction):
         before = 0.0
         for value, vote in sorted(votes):
             before += vote
-            if before >= part * total - 1e-9:
+            if before >= fraction * total - 1e-9:
                 return value
         return sorted(votes)[-1][0]
 
-    # Those liars that say nothing count as an even share: so do voters who are not heard.
-    found = aggregate(told + liars, voters, RULES)
-    quiet = most - sum(vote_weight(one, RULES) > 0 for one in liars)
+    # Faulty heads without an opinion count as an equal share, as do all voters without one.
+    found = aggregate(opinions + faulty, voters, RULES)
+    abstaining = limit - sum(vote_weight(one, RULES) > 0 for one in faulty)
     low, high = quantile(0.25), quantile(0.75)
-    if quiet:
+    if abstaining:
         low, high = min(low, 0.0), max(high, 0.0)
     assert low - 1e-9 <= found <= high + 1e-9
 
 
-def test_evidence_is_pooled_before_it_is_judged():
-    """A node that all avoid for being slow is known to nobody, and well known to all of them together."""
+def test_evidence_is_summed_over_heads_before_it_is_compared_with_the_minimum():
+    """No head has enough evidence on a slow node that all avoid, but all of them together do."""
     few = Opinion(-1.5, 0.75, 0)
     assert aggregate([few], 20, RULES) == 0.0, "one head's three quarters of an answer is chance"
     assert aggregate([few] * 12, 20, RULES) == -1.5
@@ -191,32 +192,32 @@
     }
 
 
-def test_opinions_fade_to_none_and_the_median_is_the_median():
+def test_votes_fade_with_age_and_the_median_is_weighted():
     assert [vote_weight(Opinion(1, 400, age), RULES) for age in (0, RULES.stale_us)] == [1.0, 0.0]
     assert vote_weight(Opinion(1, 0.2, 0), RULES) == 0 and vote_weight(Opinion(1, 1, 0), RULES) > 0.5
     assert weighted_median([(1, 1), (3, 1), (2, 1)]) == 2 and weighted_median([(0, 1), (1, 1)]) == 0.5
     strong = [Opinion(1.0, 400, 0)] * 3
     assert aggregate(strong, 8, RULES) == 1.0 and aggregate(strong, 12, RULES) == 0.0
-    assert aggregate([Opinion(1.0, 400, 14 * S)] * 3, 8, RULES) == 0.0  # as old ones they are not enough
+    assert aggregate([Opinion(1.0, 400, 14 * S)] * 3, 8, RULES) == 0.0  # old votes are not enough
 
 
-def test_weights_move_at_their_rate_and_come_to_rest_where_the_best_node_changes():
-    one, seen = DampedWeight(0), []
+def test_weights_move_at_their_rate_and_settle_if_the_best_node_keeps_changing():
+    one, logs = DampedWeight(0), []
     for at in range(1, 21):
         before = one.log
         one.move(at * S // 2, 2.0, RULES)
         assert one.log - before <= RULES.rate / 2 + 1e-9
     assert one.log == 2.0
-    restless = DampedWeight(0)
+    alternating = DampedWeight(0)
     for at in range(1, 121):
-        seen.append(restless.move(at * S // 2, 2.0 if (at // 2) % 2 else -2.0, RULES))
-    late = seen[60:]
-    assert max(late) - min(late) < 0.15 < max(seen[:6]) - min(seen[:6])
-    stood = DampedWeight(0)
-    assert stood.move(60 * S, 2.0, RULES) <= RULES.rate  # no windfall after a standstill
+        logs.append(alternating.move(at * S // 2, 2.0 if (at // 2) % 2 else -2.0, RULES))
+    late = logs[60:]
+    assert max(late) - min(late) < 0.15 < max(logs[:6]) - min(logs[:6])
+    resumed = DampedWeight(0)
+    assert resumed.move(60 * S, 2.0, RULES) <= RULES.rate  # a standstill is not made up in one step
 
 
-def test_gains_are_bounded_by_what_a_node_bears_and_idleness_is_no_merit():
+def test_weights_are_bounded_by_the_utilisation_and_unknown_nodes_get_an_equal_share():
     assert weight_ceiling(replace(A, fill=0.0), RULES) == MAX_LOG_WEIGHT
     assert weight_ceiling(replace(A, fill=0.5), RULES) == 1.0
     assert weight_ceiling(replace(A, fill=1.0), RULES) == 0.0
@@ -224,87 +225,87 @@
         assert weight_ceiling(idle, RULES) == 0.0
 
 
-def test_sights_draw_what_the_module_hears_and_does():
-    sights, entry = NodeObserver("z0", 10 * S), NodeEntry("a", 0, NodeState.UP, "z0")
-    sights.follow(S, [NodesChanged(ListKind.FULL, [entry])], [])
-    assert sights.snapshot(S).nodes[0].cold and sights.snapshot(S).nodes[0].age_us == -1
+def test_observations_follow_the_events_and_actions_of_the_module():
+    observer, entry = NodeObserver("z0", 10 * S), NodeEntry("a", 0, NodeState.UP, "z0")
+    observer.follow(S, [NodesChanged(ListKind.FULL, [entry])], [])
+    assert observer.snapshot(S).nodes[0].cold and observer.snapshot(S).nodes[0].age_us == -1
     for at in range(40):
         now = 20 * S + at * 100_000
-        sights.follow(now, [], [Send(at, "a")])
+        observer.follow(now, [], [Send(at, "a")])
         result = Result.FULL if at % 4 == 0 else Result.OK
-        sights.follow(now + 1000, [Ended(at, 0, "a", result, 1000 if at < 20 else 4000, True)], [])
-    seen = sights.snapshot(24 * S).nodes[0]
-    assert not seen.cold and 0.2 < seen.refused < 0.3 and 0.5 < seen.fill < 0.75 and seen.evidence > 20
-    later = sights.snapshot(24 * S + HALF_LIFE_US).nodes[0]
-    assert later.evidence == pytest.approx(seen.evidence / 2) and later.age_us > seen.age_us
-    sights.follow(30 * S, [], [Send(1, "a")])
-    sights.follow(34 * S, [Ended(1, 0, "a", Result.OK, 1000, True)], [])
-    assert sights.snapshot(34 * S).nodes[0].cold  # it was silent though asked
-    sights.follow(35 * S, [NodesChanged(ListKind.FULL, [])], [])
-    assert sights.snapshot(35 * S).nodes == ()
-
-
-def test_pages_are_deltas_and_keep_to_the_bytes():
+        observer.follow(now + 1000, [Ended(at, 0, "a", result, 1000 if at < 20 else 4000, True)], [])
+    node = observer.snapshot(24 * S).nodes[0]
+    assert not node.cold and 0.2 < node.refused < 0.3 and 0.5 < node.fill < 0.75 and node.evidence > 20
+    later = observer.snapshot(24 * S + HALF_LIFE_US).nodes[0]
+    assert later.evidence == pytest.approx(node.evidence / 2) and later.age_us > node.age_us
+    observer.follow(30 * S, [], [Send(1, "a")])
+    observer.follow(34 * S, [Ended(1, 0, "a", Result.OK, 1000, True)], [])
+    assert observer.snapshot(34 * S).nodes[0].cold  # it left a request unanswered for long
+    observer.follow(35 * S, [NodesChanged(ListKind.FULL, [])], [])
+    assert observer.snapshot(35 * S).nodes == ()
+
+
+def test_pages_contain_differences_and_stay_within_the_byte_rate():
     names = [f"node{number}" for number in range(200)]
-    speaker, said = Publisher(7, RULES), []
+    publisher, published = Publisher(7, RULES), []
     for step in range(240):
         logs = {name: Opinion(2.0 if (at + step // 40) % 2 else -2.0, 50, 0) for at, name in enumerate(names)}
-        if (page := speaker.next_page(step * S // 2, logs)) is not None:
-            said.append((step, page))
-    total = sum(page.bytes for _, page in said)
-    assert total <= RULES.say_bytes * 120 + 212 and {page.number for _, page in said} == set(
+        if (page := publisher.next_page(step * S // 2, logs)) is not None:
+            published.append((step, page))
+    total = sum(page.bytes for _, page in published)
+    assert total <= RULES.say_bytes * 120 + 212 and {page.number for _, page in published} == set(
         range(PAGE_COUNT)
     )
-    quiet = Publisher(7, RULES)
+    steady = Publisher(7, RULES)
     one = {"node1": Opinion(1.0, 50, 0)}
-    pages = [quiet.next_page(at * S, one) for at in range(12)]
-    assert sum(page is not None for page in pages) == 3  # at once, and again each five seconds
+    pages = [steady.next_page(at * S, one) for at in range(12)]
+    assert sum(page is not None for page in pages) == 3  # at once, and again every five seconds
     assert (
         pages[0].entries[0].steps * WEIGHT_STEP == 1.0
         and pages[0].number == node_number("node1") % PAGE_COUNT
     )
-    assert quiet.next_page(20 * S, {}).entries == ()  # what holds no more is taken back
+    assert steady.next_page(20 * S, {}).entries == ()  # an empty page withdraws the entry
 
 
-def test_few_speak_for_many_and_take_turns():
+def test_a_few_heads_publish_at_a_time_and_they_rotate():
     names = [f"head{number}" for number in range(200)]
     turns = [select_publishers(names, turn, 32) for turn in range(30)]
     assert {len(one) for one in turns} == {32} and len(frozenset.union(*turns)) == 200
     assert select_publishers(names[:9], 0, 32) == frozenset(names[:9])
 
 
-def _fleet(heads, scores, us=40 * S, liars=(), cut=()):
-    """Play heads that look and hear each other at once; return their weights."""
+def _fleet(heads, scores, us=40 * S, faulty=(), cut=()):
+    """Run heads that receive each other's pages at once; return their weights."""
     space = Namespace("x", 1)
     shared = {f"head{number}": SharedWeights(RULES) for number in range(heads)}
-    there = frozenset(shared)
+    present = frozenset(shared)
     for one in shared.values():
         one.set_scorers({"x": space})
-    picture = Snapshot("z0", tuple(replace(A, node=node) for node in sorted(scores)))
+    snapshot = Snapshot("z0", tuple(replace(A, node=node) for node in sorted(scores)))
     for now in range(0, us, RULES.look_us):
         for name, one in shared.items():
-            voter = one.by_scorer["x"].guard
-            mine = {node: 1 / score for node, score in scores.items()} if name in liars else scores
-            voter.handle_answers(
-                now, [ScorerAnswer(asked, mine) for asked in voter.next_queries(now, picture)]
+            guard = one.by_scorer["x"].guard
+            mine = {node: 1 / score for node, score in scores.items()} if name in faulty else scores
+            guard.handle_answers(
+                now, [ScorerAnswer(asked, mine) for asked in guard.next_queries(now, snapshot)]
             )
-            for page in one.update(now, HeadContext(name, now, picture, there, lambda _space: there)):
-                for other, its in shared.items():
+            for page in one.update(now, HeadContext(name, now, snapshot, present, lambda _space: present)):
+                for other, receiver in shared.items():
                     if other != name and name not in cut and other not in cut:
-                        assert its.receive(now, name, page)
+                        assert receiver.receive(now, name, page)
     return {name: one.factors for name, one in shared.items()}
 
 
-def test_heads_come_to_the_same_weights_and_a_fifth_of_liars_does_not_change_them():
+def test_heads_converge_and_a_fifth_of_faulty_heads_does_not_change_the_weights():
     scores = {"a": 4.0, "b": 1.0, "c": 1.0, "d": 0.25}
     plain = _fleet(10, scores)
-    lied = _fleet(10, scores, liars=("head3", "head7"))
+    with_faults = _fleet(10, scores, faulty=("head3", "head7"))
     for node in scores:
         assert len({round(one.factor(node), 6) for one in plain.values()}) == 1
-        assert lied["head0"].factor(node) == pytest.approx(plain["head0"].factor(node), abs=0.05)
+        assert with_faults["head0"].factor(node) == pytest.approx(plain["head0"].factor(node), abs=0.05)
     assert plain["head0"].factor("a") == pytest.approx(4.0) and plain["head0"].factor("unknown") == 1.0
 
 
-def test_a_head_that_is_cut_off_falls_back_to_even_shares():
+def test_an_isolated_head_falls_back_to_equal_shares():
     found = _fleet(10, {"a": 4.0, "b": 0.25}, cut=("head9",))
     assert found["head9"].factor("a") == 1.0 and found["head0"].factor("a") == pytest.approx(4.0)
--- a/tests/scoring/test_module.py
+++ b/tests/scoring/test_module.py
@@ -1,4 +1,4 @@
-"""The module takes weights as a factor where it places new objects, and all else stands above them."""
+"""The decision module applies weights to the placement of new objects, after all other rules."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Fixed:
-    """Weights that do not move."""
+    """Constant weights."""
 
     def __init__(self, **factors: float) -> None:
         self.factors = factors
@@ -42,39 +42,41 @@
         return self.factors.get(node, 1.0)
 
 
-def placed(weights, states=(NodeState.UP,) * 3, requests=600, seed=5, started=(0, 0, 0)):
-    """Let requests arrive, each answered in its time; return where they went and all actions."""
+def place(weights, states=(NodeState.UP,) * 3, requests=600, seed=5, started=(0, 0, 0)):
+    """Send requests, each answered after its latency; return the counts by node and all actions."""
     module, draws, now = Scheduler(SETTINGS, seed, weights=weights), random.Random(1), 100_000 * MS
     entries = [NodeEntry(f"n{at}", at, state, started_us=started[at]) for at, state in enumerate(states)]
     log = [module.handle(now, [NodesChanged(ListKind.FULL, entries)])]
-    went: dict[str, int] = {"n0": 0, "n1": 0, "n2": 0}
-    due: list[tuple[int, Ended]] = []
+    counts: dict[str, int] = {"n0": 0, "n1": 0, "n2": 0}
+    pending: list[tuple[int, Ended]] = []
     for number in range(requests):
         now += 2 * MS
-        events = [event for at, event in due if at <= now]
-        due = [one for one in due if one[0] > now]
-        ask = Arrived(number, "write", "p", "v", f"k{number}", -1, 1.0, 900 * MS)
-        log.append(module.handle(now, [*events, ask]))
+        events = [event for at, event in pending if at <= now]
+        pending = [one for one in pending if one[0] > now]
+        request = Arrived(number, "write", "p", "v", f"k{number}", -1, 1.0, 900 * MS)
+        log.append(module.handle(now, [*events, request]))
         for action in log[-1]:
             if isinstance(action, Send):
-                went[action.node] += 1
-                took = draws.randrange(3 * MS, 5 * MS)
-                due.append((now + took, Ended(action.request, 0, action.node, Result.OK, took, True)))
-    return went, log
+                counts[action.node] += 1
+                latency = draws.randrange(3 * MS, 5 * MS)
+                pending.append(
+                    (now + latency, Ended(action.request, 0, action.node, Result.OK, latency, True))
+                )
+    return counts, log
 
 
-def test_without_weights_and_with_even_ones_not_a_decision_differs():
-    assert placed(None)[1] == placed(Fixed())[1]
+def test_no_weights_and_equal_weights_lead_to_the_same_decisions():
+    assert place(None)[1] == place(Fixed())[1]
 
 
 @pytest.mark.parametrize("factor", [0.25, 4.0])
-def test_a_weight_draws_new_objects_or_keeps_them_off(factor):
-    even, swayed = placed(None)[0], placed(Fixed(n1=factor))[0]
-    assert (swayed["n1"] > 1.5 * even["n1"]) if factor > 1 else (swayed["n1"] < 0.7 * even["n1"])
-    assert sum(swayed.values()) == sum(even.values())
+def test_a_weight_attracts_or_repels_new_objects(factor):
+    equal, weighted = place(None)[0], place(Fixed(n1=factor))[0]
+    assert (weighted["n1"] > 1.5 * equal["n1"]) if factor > 1 else (weighted["n1"] < 0.7 * equal["n1"])
+    assert sum(weighted.values()) == sum(equal.values())
 
 
-def test_drains_and_cold_nodes_stand_above_weights():
-    assert placed(Fixed(n1=4.0), (NodeState.UP, NodeState.DRAINING, NodeState.UP))[0]["n1"] == 0
-    cold = placed(Fixed(n1=4.0), started=(0, 99_999 * MS, 0))[0]
-    assert cold["n1"] == placed(None, started=(0, 99_999 * MS, 0))[0]["n1"] == 0
+def test_drains_and_cold_starts_take_precedence_over_weights():
+    assert place(Fixed(n1=4.0), (NodeState.UP, NodeState.DRAINING, NodeState.UP))[0]["n1"] == 0
+    cold = place(Fixed(n1=4.0), started=(0, 99_999 * MS, 0))[0]
+    assert cold["n1"] == place(None, started=(0, 99_999 * MS, 0))[0]["n1"] == 0
--- a/tests/scoring/test_notes.py
+++ b/tests/scoring/test_notes.py
@@ -1,4 +1,4 @@
-"""Notes by topic: bytes, who reads them, and how much leaves a member."""
+"""Gossip notes by topic: their encoding, compatibility with older readers, and limits on bytes sent."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from harriertrack.membership.fleet.swim import Rules
 
 
-class Old(msgspec.Struct, array_like=True):
-    """A datagram as programs read it that know of no topics."""
+class OldDatagram(msgspec.Struct, array_like=True):
+    """A datagram as read by programs without topics."""
 
     reads: int
     version: int
@@ -57,21 +57,21 @@
     return one
 
 
-def test_without_topics_not_a_byte_differs_and_an_older_reader_passes_over_them():
+def test_without_topics_the_bytes_are_unchanged_and_an_older_reader_ignores_topics():
     assert len(msgspec.msgpack.decode(draft(0).pack())) == 15
-    told = msgspec.msgpack.decode(draft(2).pack(), type=Old)
-    assert [note.about for note in told.notes] == [b"about"]  # no topic is taken for it
+    old = msgspec.msgpack.decode(draft(2).pack(), type=OldDatagram)
+    assert [note.about for note in old.notes] == [b"about"]  # no topic is read as a note
     assert [note.topic for note in decode(draft(2).pack()).topics] == ["w/0", "w/1"]
     assert [note.topic for note in decode(later(draft(2).pack())).topics] == ["w/0", "w/1"]
     assert decode(later(draft(0).pack())).topics == []
 
 
-def test_topics_keep_to_the_room_of_notes():
+def test_topics_share_the_space_of_notes():
     fields = msgspec.msgpack.decode(draft(50).pack())
     assert sum(len(msgspec.msgpack.encode(one)) for one in fields[14] + fields[15]) <= NOTE_ROOM
 
 
-def test_pages_come_back_as_they_were_and_fit_a_note():
+def test_pages_survive_encoding_and_fit_a_note():
     data = weighing.encode(PAGE)
     assert len(data) <= 256 and weighing.decode(data) == PAGE and weighing.decode(data + b"more") == PAGE
     assert {one.steps for one in weighing.decode(contrary(data)).entries} == {32}
@@ -79,7 +79,7 @@
 
 @given(st.binary(max_size=256))
 @settings(max_examples=150, deadline=None)
-def test_any_bytes_are_a_page_or_none(data):
+def test_any_bytes_decode_to_a_page_or_are_rejected(data):
     try:
         page = weighing.decode(data)
     except weighing.MalformedPage:
@@ -88,14 +88,14 @@
 
 
 @pytest.mark.parametrize("at", [0, 5, 14, 15, 19])
-def test_a_page_that_no_head_would_write_is_turned_down(at):
+def test_an_invalid_page_is_rejected(at):
     data = bytearray(weighing.encode(PAGE))
     data[at] = 0 if at == 0 else 0x90
     with pytest.raises(weighing.MalformedPage):
         weighing.decode(bytes(data))
 
 
-def test_a_liar_changes_its_own_notes_alone():
+def test_a_faulty_head_changes_only_its_own_notes():
     both = Draft("fleet", Kind.PING, "m1", Life(1, 2), 7, 9, "m0")
     small = weighing.encode(Page(1, 1, 9, PAGE.entries[:2], 7))
     for name in ("m1", "m2"):
@@ -105,21 +105,21 @@
 
 
 @pytest.mark.parametrize("rate", [300, 2000])
-def test_topics_reach_all_the_newest_holds_and_bytes_are_bounded(rate):
+def test_topics_reach_all_members_the_newest_wins_and_bytes_are_bounded(rate):
     swarm = Swarm(Rules(topic_bytes=rate), seed=3)
     for number in range(12):
         swarm.start(f"m{number}")
     assert swarm.settle(20_000_000) >= 0
-    began = swarm.now
+    started = swarm.now
     sent = 0
     carry = swarm._carry
 
-    def counted(process, send):
+    def count_topics(process, send):
         nonlocal sent
         sent += sum(len(msgspec.msgpack.encode(one)) for one in decode(send.data).topics)
         carry(process, send)
 
-    swarm._carry = counted
+    swarm._carry = count_topics
     for step in range(40):
         for name, swim in swarm.members.items():
             swim.say(f"w/{step % 3}", f"{name} {step}".encode())
@@ -128,10 +128,10 @@
     for row in (row for swim in swarm.members.values() if rate == 2000 for row in swim.view):
         assert {topic: note.about.split()[1] for topic, note in row.topics.items()} == {
             "w/0": b"39", "w/1": b"37", "w/2": b"38"}  # fmt: skip
-    assert 0 < sent <= 12 * rate * ((swarm.now - began) / 1e6 + 1)
+    assert 0 < sent <= 12 * rate * ((swarm.now - started) / 1e6 + 1)
 
 
-def test_a_member_holds_so_many_topics_of_another_and_a_new_life_begins_without():
+def test_topics_of_a_member_are_limited_and_a_new_incarnation_starts_without_any():
     swarm = Swarm(Rules(), seed=4)
     one, other = swarm.start("m0"), swarm.start("m1")
     swarm.settle(20_000_000)
--- a/tests/test_cell_scheduler.py
+++ b/tests/test_cell_scheduler.py
@@ -1,4 +1,4 @@
-"""A module for each cell: who hears what, changes of the map, and days in the emulator."""
+"""A decision module for each cell: routing of events, changes of the map, and days in the emulator."""
 
 import pytest
 
@@ -13,24 +13,24 @@
 MAP = HeadCellMap(1, {0: "left", 1: "right"}, {"v": "left", "w": "right"})
 
 
-class Told:
-    """Stands for a cell's module: keeps what it is told and says what a test wants."""
+class FakeModule:
+    """In place of a cell's module: records events and returns the actions that a test sets."""
 
     def __init__(self, settings, seed, volumes, portions):
-        self.settings, self.seed, self.heard, self.says = settings, seed, [], []
+        self.settings, self.seed, self.events, self.actions = settings, seed, [], []
 
     def handle(self, now, events):
-        self.heard.extend(events)
-        says, self.says = self.says, []
-        return says
+        self.events.extend(events)
+        actions, self.actions = self.actions, []
+        return actions
 
 
-def celled(cells=MAP, **more):
+def cell_scheduler(cells=MAP, **more):
     classes = (api.RequestClass("read", 100_000, 500_000, effect=api.Effect.SAFE),)
-    return CellScheduler(api.Settings(1, classes, **more), 5, cells, Told)
+    return CellScheduler(api.Settings(1, classes, **more), 5, cells, FakeModule)
 
 
-def asked(number, volume="v", shard=0):
+def arrival(number, volume="v", shard=0):
     return api.Arrived(number, "read", "p", volume, "", shard, 1.0, 500_000)
 
 
@@ -38,80 +38,85 @@
     return api.NodeEntry(name, shard, state)
 
 
-def test_each_module_hears_of_its_own_alone():
-    one = celled(budget_free=8.0)
+def test_each_module_receives_only_the_events_of_its_cell():
+    one = cell_scheduler(budget_free=8.0)
     left, right = one.modules()
     assert left.settings.budget_free == right.settings.budget_free == 4.0 and left.seed != right.seed
     one.handle(
-        0, [api.NodesChanged(api.ListKind.FULL, [entry("a", 0), entry("b", 1)]), asked(1), asked(2, "w", 1)]
+        0,
+        [api.NodesChanged(api.ListKind.FULL, [entry("a", 0), entry("b", 1)]), arrival(1), arrival(2, "w", 1)],
     )
-    assert [e.node for news in left.heard if isinstance(news, api.NodesChanged) for e in news.entries] == [
-        "a"
-    ]
-    assert [e.request for e in left.heard if isinstance(e, api.Arrived)] == [1]
-    assert [e.request for e in right.heard if isinstance(e, api.Arrived)] == [2]
+    assert [
+        e.node for update in left.events if isinstance(update, api.NodesChanged) for e in update.entries
+    ] == ["a"]
+    assert [e.request for e in left.events if isinstance(e, api.Arrived)] == [1]
+    assert [e.request for e in right.events if isinstance(e, api.Arrived)] == [2]
     one.handle(1, [api.NodesChanged(api.ListKind.FAILED)])
-    assert left.heard[-1].kind is right.heard[-1].kind is api.ListKind.FAILED
+    assert left.events[-1].kind is right.events[-1].kind is api.ListKind.FAILED
 
 
 def test_a_volume_of_no_cell_is_refused():
-    assert celled().handle(0, [asked(1, "stranger")]) == [api.Refuse(1)]
+    assert cell_scheduler().handle(0, [arrival(1, "unknown")]) == [api.Refuse(1)]
 
 
-def test_timers_come_back_to_who_set_them():
-    one = celled()
+def test_timers_return_to_the_module_that_set_them():
+    one = cell_scheduler()
     left, right = one.modules()
-    left.says, right.says = [api.SetTimer("7", 50)], [api.SetTimer("7", 60)]
-    actions = one.handle(0, [asked(1), asked(2, "w", 1)])
+    left.actions, right.actions = [api.SetTimer("7", 50)], [api.SetTimer("7", 60)]
+    actions = one.handle(0, [arrival(1), arrival(2, "w", 1)])
     assert [(a.token, a.at_us) for a in actions] == [("left|7", 50), ("right|7", 60)]
     one.handle(60, [api.Woken("right|7")])
-    assert right.heard[-1] == api.Woken("7") and not any(isinstance(e, api.Woken) for e in left.heard)
+    assert right.events[-1] == api.Woken("7") and not any(isinstance(e, api.Woken) for e in left.events)
 
 
-def test_one_subscription_serves_all():
-    one = celled()
+def test_one_subscription_serves_all_modules():
+    one = cell_scheduler()
     for module in one.modules():
-        module.says = [api.Subscribe(True)]
+        module.actions = [api.Subscribe(True)]
     assert one.handle(0, [api.NodesChanged(api.ListKind.RESTORED, [])]) == [api.Subscribe(True)]
 
 
-def test_a_new_map_takes_later_requests_and_leaves_the_others():
-    one = celled()
+def test_a_new_map_applies_to_later_requests_only():
+    one = cell_scheduler()
     left, right = one.modules()
-    left.says = [api.Send(1, "a")]
-    one.handle(0, [api.NodesChanged(api.ListKind.FULL, [entry("a", 0), entry("b", 1)]), asked(1)])
+    left.actions = [api.Send(1, "a")]
+    one.handle(0, [api.NodesChanged(api.ListKind.FULL, [entry("a", 0), entry("b", 1)]), arrival(1)])
     with pytest.raises(StaleMapError):
         one.apply_map(MAP)
     one.apply_map(HeadCellMap(2, {0: "right", 1: "right"}, {"v": "right", "w": "right"}))
-    one.handle(1, [asked(2)])
-    assert right.heard[-1] == asked(2)
-    gone = [e for news in left.heard if isinstance(news, api.NodesChanged) for e in news.entries]
-    assert gone[-1].node == "a" and gone[-1].state is api.NodeState.GONE
-    assert any(news.entries and news.entries[0].node == "a" for news in right.heard
-               if isinstance(news, api.NodesChanged))  # fmt: skip
+    one.handle(1, [arrival(2)])
+    assert right.events[-1] == arrival(2)
+    removed = [e for update in left.events if isinstance(update, api.NodesChanged) for e in update.entries]
+    assert removed[-1].node == "a" and removed[-1].state is api.NodeState.GONE
+    assert any(update.entries and update.entries[0].node == "a" for update in right.events
+               if isinstance(update, api.NodesChanged))  # fmt: skip
     done = api.Ended(1, 0, "a", api.Result.OK, 900, True)
     one.handle(2, [done])
-    assert left.heard[-1] == done and done not in right.heard
-    one.handle(3, [done])  # nobody has it any more
-    assert left.heard.count(done) == 1
+    assert left.events[-1] == done and done not in right.events
+    one.handle(3, [done])  # no module has the request any more
+    assert left.events.count(done) == 1
 
 
-def test_an_extent_is_asked_for_where_it_lies_and_new_ones_go_home():
-    one = celled(HeadCellMap(1, {0: "left", 1: "right"}, {"v": "right"}))
+def test_requests_go_to_the_cell_of_their_extent_and_new_extents_to_their_volumes_cell():
+    one = cell_scheduler(HeadCellMap(1, {0: "left", 1: "right"}, {"v": "right"}))
     left, right = one.modules()
-    one.handle(0, [asked(1, "v", 0), asked(2, "v", 1), asked(3, "v", -1), asked(4, "v", 9)])
-    assert [e.request for e in left.heard] == [1]
-    assert [e.request for e in right.heard] == [2, 3, 4]  # a shard of no cell: its own module refuses
+    one.handle(0, [arrival(1, "v", 0), arrival(2, "v", 1), arrival(3, "v", -1), arrival(4, "v", 9)])
+    assert [e.request for e in left.events] == [1]
+    assert [e.request for e in right.events] == [
+        2,
+        3,
+        4,
+    ]  # 9 is in no cell: the module of its volume refuses it
 
 
-def test_a_late_outcome_of_an_answered_request_still_finds_its_module():
-    one = celled()
+def test_a_late_result_of_an_answered_request_still_reaches_its_module():
+    one = cell_scheduler()
     left, _ = one.modules()
-    left.says = [api.Send(1, "a"), api.Fail(1)]
-    one.handle(0, [asked(1)])
+    left.actions = [api.Send(1, "a"), api.Fail(1)]
+    one.handle(0, [arrival(1)])
     late = api.Ended(1, 0, "a", api.Result.TIMEOUT, 900, True)
     one.handle(5, [late])
-    assert left.heard[-1] is late
+    assert left.events[-1] is late
     assert not one._of_request and not one._in_flight and not one._finished
 
 
@@ -121,7 +126,7 @@
 
 @pytest.mark.parametrize("trouble", ["slow (from 1s) (for 3s) (size 5)", "mass_restart (from 2s) (for 1s) (part 0.5)",
                                      "drain (from 1s) (for 4s) (part 0.3)", "balancer_roll (from 1s) (for 2s)"])  # fmt: skip
-def test_rules_hold_and_no_cell_is_left(trouble):
+def test_rules_hold_and_no_request_leaves_its_cell(trouble):
     day = days.parse(read_text(DAY.replace("TROUBLE", trouble), "cells"), "cells")
     cells = HeadCellMap(
         1, {shard: f"c{shard % 2}" for shard in range(6)}, {f"vol{n}": f"c{n % 2}" for n in range(6)}
@@ -134,7 +139,7 @@
     assert got and all(int(one.volume[3:]) % 2 == one.shard % 2 for one in got)
 
 
-def test_a_head_without_cells_is_caught_where_there_are_some():
+def test_a_head_that_ignores_cells_breaks_rule_8():
     day = days.parse(read_text(DAY.replace("(trouble TROUBLE)", "").replace("(shared 0)", "(shared 0) (cells 2)"),
                                "cells"), "cells")  # fmt: skip
     recorder = rec.Recorder()
@@ -142,8 +147,8 @@
     assert {one.rule for one in checker.check(recorder.records)} == {8}
 
 
-def test_no_trace_of_a_flood_in_the_next_cell():
-    """The flooded cell's neighbours suffer; the other cell's requests meet the very same fate as without."""
+def test_a_flood_in_one_cell_does_not_affect_the_other():
+    """A flood degrades its own cell; the other cell serves as large a share as without the flood."""
     calm = days.parse(read_text(DAY.replace("(trouble TROUBLE)", ""), "cells"), "cells")
     flood = days.parse(
         read_text(DAY.replace("TROUBLE", "hot_key (from 1s) (for 4s) (size 40)"), "cells"), "cells"
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells: what a map must keep to, the planner against it, and why a plan can't be."""
+"""Cells: the rules of a map, plans that follow them, and why no plan exists."""
 
 import random
 
@@ -35,16 +35,16 @@
         for at in range(racks)
     )
     capacity = sum(rack.units for rack in made if rack.region == "a")
-    parts = [rng.uniform(1, 3) for _ in range(tenants)]
+    weights = [rng.uniform(1, 3) for _ in range(tenants)]
     those = tuple(
-        Tenant(f"t{at}", load * capacity * part / sum(parts), 0.5 * load * capacity * part / sum(parts),
-               int(part * (8 << 30)), ("a", "b") if at % 3 else ("ab"[at % 2],))
-        for at, part in enumerate(parts)
+        Tenant(f"t{at}", load * capacity * weight / sum(weights), 0.5 * load * capacity * weight / sum(weights),
+               int(weight * (8 << 30)), ("a", "b") if at % 3 else ("ab"[at % 2],))
+        for at, weight in enumerate(weights)
     )  # fmt: skip
     return Fleet(made, those, CellRules(cells, **rules))
 
 
-def test_a_plan_keeps_to_all_rules_and_moves_nothing_it_need_not():
+def test_a_plan_follows_all_rules_and_moves_no_more_than_needed():
     one = fleet()
     first = plan(one, CellMap(0), 20, workers=1)
     assert (
@@ -55,11 +55,11 @@
     for tenant in one.tenants:
         mine = first.cells.nodes_of(one, tenant.name)
         assert 0 < len(mine) < 24
-    assert first.cells.nodes_of(one, "nobody") == frozenset()
+    assert first.cells.nodes_of(one, "unknown") == frozenset()
 
 
-def test_what_moves_is_the_least_when_a_tenant_grows():
-    """One tenant grows until its cell is too full: something small enough moves, and not more."""
+def test_a_growing_tenant_causes_the_smallest_move():
+    """A tenant outgrows its cell: no more moves than what is needed to make space."""
     before = fleet(load=0.55, large=1.0)
     first = plan(before, CellMap(0), 20, workers=1).cells
     grown = max(before.tenants, key=lambda one: one.load)
@@ -80,7 +80,7 @@
 
 @given(st.integers(0, 500))
 @settings(max_examples=8, deadline=None)
-def test_every_plan_is_held_to_the_rules(seed):
+def test_every_plan_is_checked_against_the_rules(seed):
     rng = random.Random(seed)
     one = fleet(rng.randint(6, 12), rng.randint(4, 16), rng.randint(2, 3), seed, rng.uniform(0.2, 0.8))
     found = plan(one, CellMap(0), 5, workers=1)
@@ -97,7 +97,7 @@
     return " ".join(find_violations(one, CellMap(2, racks, tenants)))
 
 
-def test_each_rule_is_seen_when_a_map_breaks_it():
+def test_each_broken_rule_is_reported():
     one = fleet(large=0.05)
     cells = plan(one, CellMap(0), 20, workers=1)
     crowded = {tenant.name: "cell0" for tenant in one.tenants}
@@ -109,7 +109,7 @@
         good, base, racks={rack.name: "cell0" for rack in good.racks[:7]}
     )
     assert "does not exist" in broken(good, base, tenants={"t0": "cell9"})
-    assert "not part of this fleet" in broken(good, base, tenants={"stranger": "cell0"})
+    assert "not part of this fleet" in broken(good, base, tenants={"unknown": "cell0"})
     assert "is in no cell" in " ".join(find_violations(good, CellMap(1)))
     assert cells.outcome is Outcome.IMPOSSIBLE  # every tenant is large there, and there are two cells
     large = fleet(tenants=3, large=0.01)
@@ -117,7 +117,7 @@
     assert "would share all its nodes" in " ".join(find_violations(large, everything))
 
 
-def test_impossible_plans_say_why_in_words():
+def test_an_impossible_plan_reports_its_reasons():
     assert any("capacity in a" in line for line in plan(fleet(load=0.95), CellMap(0)).why)
     assert any("blast radius: 12 large tenants" in line for line in find_infeasibilities(fleet(large=0.0)))
     assert any("racks in a: 1" in line for line in find_infeasibilities(fleet(racks=2)))
@@ -125,8 +125,8 @@
         Fleet(fleet().racks, (Tenant("t", 1, 0, 1, ("c",)),), CellRules(2))))  # fmt: skip
 
 
-def test_what_only_a_search_can_see_is_explained_by_the_rules_that_clash():
-    """Three racks of a region for two cells that both need two there: only spread and blast radius clash."""
+def test_infeasibility_found_only_by_search_is_explained_by_conflicting_rules():
+    """Three racks of a region, two cells that need two each: racks per cell and blast radius conflict."""
     racks = tuple(Rack(f"r{at}", "a", (f"n{at}",), 100.0) for at in range(3))
     tenants = (Tenant("big", 60.0, 0.0, 1, ("a",)), Tenant("huge", 60.0, 0.0, 1, ("a",)))
     one = Fleet(racks, tenants, CellRules(2))
@@ -141,7 +141,7 @@
     assert explain(one, CellMap(0), 10) == found.why
 
 
-def test_cells_shrink_what_trouble_touches():
+def test_cells_reduce_the_blast_radius():
     one = fleet(racks=16, tenants=24, cells=4, load=0.3)
     cells = plan(one, CellMap(0), 20, workers=1).cells
     assert tenant_blast_radius(single_cell_map(one)) == rack_blast_radius(one, single_cell_map(one)) == 1.0
@@ -174,7 +174,7 @@
     assert again.exit_code == 1 and "version 1 is not newer" in again.output
     cells.write_text(cells.read_text().replace("(version 1)", "(version 2)"))
     assert run("apply", path, cells, force, "--yes").exit_code == 0
-    # Who did it stays in the file, from map to map.
+    # The file records who applied each version.
     assert [one.version for one in read_map(str(force)).changes] == [1, 2]
     assert "  2 put in force by " in run("show", path, force).output
     path.write_text(FLEET.replace("load 50", "load 900"))
@@ -184,7 +184,7 @@
     assert run("plan", path).exit_code == 2
 
 
-def test_bad_fleets(tmp_path):
+def test_invalid_fleets_and_maps(tmp_path):
     for old, new, why in [
         ('"n3"', '"n1"', "node n1: given twice"),
         ('"r2"', '"r1"', "rack r1: given twice"),
@@ -197,10 +197,10 @@
     with pytest.raises(SettingsError, match="tenant a: given twice"):
         load_map(str(tmp_path / "map"))
     cells = CellMap(3, {"r1": "cell0"}, {"liga": "cell0"})
-    save(str(tmp_path / "kept"), cells, {"r1": (4, 5)})
-    assert load_map(str(tmp_path / "kept")) == cells
+    save(str(tmp_path / "saved"), cells, {"r1": (4, 5)})
+    assert load_map(str(tmp_path / "saved")) == cells
     volumes = [VolumeSettings(name="v", size_bytes=512, plan="p", tenant="liga")]
-    mine = head_map(str(tmp_path / "kept"), volumes)
+    mine = head_map(str(tmp_path / "saved"), volumes)
     assert mine.shards == {4: "cell0", 5: "cell0"} and mine.volumes == {"v": "cell0"}
     with pytest.raises(SettingsError, match="tenant w of volume w is in no cell"):
-        head_map(str(tmp_path / "kept"), [VolumeSettings(name="w", size_bytes=512, plan="p")])
+        head_map(str(tmp_path / "saved"), [VolumeSettings(name="w", size_bytes=512, plan="p")])
