--- a/harriertrack/decisions/cell_scheduler.py
+++ b/harriertrack/decisions/cell_scheduler.py
@@ -19,24 +19,24 @@
 
 from harriertrack.decisions.interface import (
     Action,
-    Arrived,
-    Begun,
-    ClientGone,
-    Ended,
+    AttemptEnded,
+    BudgetShares,
+    ClientLeft,
     Event,
     Fail,
     ListKind,
     NodeEntry,
     NodesChanged,
     NodeState,
-    Portions,
     Refuse,
+    RequestArrived,
+    ResponseStarted,
     Send,
     SetTimer,
     Settings,
     SettingsChanged,
     Subscribe,
-    Woken,
+    TimerFired,
 )
 from harriertrack.decisions.scheduler import Scheduler, Volumes
 
@@ -65,7 +65,7 @@
 
     def __init__(self, settings: Settings, seed: int, cells: HeadCellMap,
                  make: Callable[..., Scheduler] = Scheduler,
-                 portions: Portions | None = None) -> None:  # fmt: skip
+                 portions: BudgetShares | None = None) -> None:  # fmt: skip
         """Start with a map; `make` is called with settings, seed, volumes and portions for each cell."""
         self.settings, self._portions = settings, portions
         self.map = cells
@@ -125,21 +125,21 @@
         self._subscribed = False
         for event in events:
             match event:
-                case Arrived():
+                case RequestArrived():
                     cell = self._cell_of(event)
                     if cell not in self._modules:
                         actions.append(Refuse(event.request))  # its volume is in no cell
                         continue
                     self._of_request[event.request] = cell
                     batches.setdefault(cell, []).append(event)
-                case Ended() | ClientGone() | Begun():
+                case AttemptEnded() | ClientLeft() | ResponseStarted():
                     if cell := self._of_request.get(event.request, ""):
                         batches.setdefault(cell, []).append(event)
                         self._track(event)
-                case Woken():
+                case TimerFired():
                     cell, _, token = event.token.partition(TIMER_SEPARATOR)
                     if cell in self._modules:
-                        batches.setdefault(cell, []).append(Woken(token))
+                        batches.setdefault(cell, []).append(TimerFired(token))
                 case NodesChanged():
                     for cell, update in self._split(event):
                         batches.setdefault(cell, []).append(update)
@@ -152,7 +152,7 @@
                 self._forward(cell, action, actions)
         return actions
 
-    def _cell_of(self, request: Arrived) -> str:
+    def _cell_of(self, request: RequestArrived) -> str:
         """Return the cell that decides on a request: that of its extent, or for a new one its volume's."""
         home = self.map.volumes.get(request.volume, "")
         return self.map.shards.get(request.shard, home) if home and request.shard >= 0 else home
@@ -195,15 +195,15 @@
 
     # -- the modules of requests
 
-    def _track(self, event: Ended | ClientGone | Begun) -> None:
+    def _track(self, event: AttemptEnded | ClientLeft | ResponseStarted) -> None:
         """Track a request's attempts in flight, and whether it has its answer."""
         match event:
-            case Ended():
+            case AttemptEnded():
                 self._in_flight[event.request] = self._in_flight.get(event.request, 1) - 1
-                if event.over:
+                if event.request_over:
                     self._finished.add(event.request)
                 self._forget(event.request)
-            case ClientGone():
+            case ClientLeft():
                 self._finish(event.request)
 
     def _finish(self, request: int) -> None:
--- a/harriertrack/decisions/client_connections.py
+++ b/harriertrack/decisions/client_connections.py
@@ -18,7 +18,7 @@
 from itertools import islice
 from typing import Generic, TypeVar
 
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 
 # Clients send as soon as they are connected: one that has not by now is evicted first if slots are short ...
 FIRST_BYTE_US = 200_000
@@ -134,10 +134,10 @@
         return None
 
     def transition(self, connection: Client, state: ClientState, now: int) -> None:
-        """Move a connection to another state. Raises IllegalStep, or KeyError for a removed connection."""
+        """Move a connection to another state. Raises IllegalTransition, or KeyError if it was removed."""
         before = self._state[connection]
         if (before, state) not in CLIENT_STEPS:
-            raise IllegalStep(f"a connection that is {before} can't become {state}")
+            raise IllegalTransition(f"a connection that is {before} can't become {state}")
         del self._entered_at[before][connection]
         self._state[connection] = state
         self._entered_at[state][connection] = now
--- a/harriertrack/decisions/connection_pool.py
+++ b/harriertrack/decisions/connection_pool.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 from typing import Generic, TypeVar
 
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 
 # A node closes connections that idle for the time in the settings "at the latest": later writes are lost.
 IDLE_PARTS = (2, 3)
@@ -73,13 +73,13 @@
     def add_dialing(self, connection: Connection, node: str) -> Connection | None:
         """Add a new connection; return one to close for it if there are too many.
 
-        Raises IllegalStep if all are in use: see `has_capacity`.
+        Raises IllegalTransition if all are in use: see `has_capacity`.
         """
         victim: Connection | None = None
         if len(self._state) >= self.limit:
             victim = self._longest_idle()
             if victim is None:
-                raise IllegalStep("all connections to nodes are in use, and their limit is reached")
+                raise IllegalTransition("all connections to nodes are in use, and their limit is reached")
             self.remove(victim)
         self._state[connection] = (node, ConnectionState.DIALING)
         return victim
@@ -94,10 +94,10 @@
         return min(oldest, key=lambda entry: entry[1].since)[0] if oldest else None
 
     def transition(self, connection: Connection, state: ConnectionState, now: int) -> None:
-        """Move a connection to another state. Raises IllegalStep, or KeyError for a removed connection."""
+        """Move a connection to another state. Raises IllegalTransition, or KeyError if it was removed."""
         node, before = self._state[connection]
         if (before, state) not in CONNECTION_STEPS:
-            raise IllegalStep(f"a connection that is {before} can't become {state}")
+            raise IllegalTransition(f"a connection that is {before} can't become {state}")
         self._leave(connection, node, before)
         self._state[connection] = (node, state)
         if state is ConnectionState.IDLE:
--- a/harriertrack/decisions/discovery_watch.py
+++ b/harriertrack/decisions/discovery_watch.py
@@ -14,7 +14,7 @@
 from enum import StrEnum
 from random import Random
 
-from harriertrack.decisions.life import IllegalStep
+from harriertrack.decisions.lifecycle import IllegalTransition
 
 # If a head makes no call for `ask_within_us`, the rules treat changes as announced to it anyway. A watch call
 # waits for this fraction of that time ...
@@ -143,9 +143,9 @@
         return self._followed
 
     def next_call(self) -> Call:
-        """Return the call to make now. Raises IllegalStep if the list is not followed."""
+        """Return the call to make now. Raises IllegalTransition if the list is not followed."""
         if self.state is WatchState.IDLE:
-            raise IllegalStep("the node list is not followed")
+            raise IllegalTransition("the node list is not followed")
         wait = 0 if self.state is WatchState.CATCHING_UP else self._wait_us
         return Call(None if self._needs_full else self.version, wait, wait + self._answer_allowance(wait))
 
@@ -162,9 +162,9 @@
         return max(least_us, min(PUSHED_CYCLE_US - elapsed_us, least_us << doublings))
 
     def handle_answer(self, version: int, full: bool, entries: int) -> UpdateOutcome:
-        """Handle an answer; return what to do with it. Raises IllegalStep if the list is not followed."""
+        """Handle an answer; return what to do with it. Raises IllegalTransition if not following."""
         if self.state is WatchState.IDLE:
-            raise IllegalStep("an answer came while the node list is not followed")
+            raise IllegalTransition("an answer came while the node list is not followed")
         if not self._needs_full and self.version is not None and version < self.version:
             # A source that started over, or one that lags behind: only a full list shows its state.
             self.state, self._needs_full = WatchState.CATCHING_UP, True
--- a/harriertrack/decisions/fleet/scoring/observer.py
+++ b/harriertrack/decisions/fleet/scoring/observer.py
@@ -12,7 +12,7 @@
 
 from harriertrack.decisions.fleet.scoring.snapshot import NodeObservation, Snapshot
 from harriertrack.decisions.interface import (
-    Ended,
+    AttemptEnded,
     Event,
     ListKind,
     NodeEntry,
@@ -64,7 +64,7 @@
     def follow(self, now: int, events: Iterable[Event], actions: Iterable[object]) -> None:
         """Process the events and actions of a module."""
         for event in events:
-            if isinstance(event, Ended):
+            if isinstance(event, AttemptEnded):
                 self._record_result(now, event)
             elif isinstance(event, NodesChanged):
                 self._update_nodes(now, event)
@@ -91,7 +91,7 @@
             for name in [name for name in self._nodes if name not in named]:
                 del self._nodes[name]
 
-    def _record_result(self, now: int, event: Ended) -> None:
+    def _record_result(self, now: int, event: AttemptEnded) -> None:
         sums = self._nodes.get(event.node)
         if sums is None or event.result in NEUTRAL_RESULTS:
             return
--- a/harriertrack/decisions/shares.py
+++ b/harriertrack/decisions/shares.py
@@ -128,7 +128,7 @@
             return "its cell has too much open here"
         if not self._fits("held_bytes", self.limits.held_bytes, volume, size):
             return "its cell has too many bytes open here"
-        if (left := self._rationed(volume)) is not None and left.wait(now, 1.0) > 0:
+        if (left := self._rationed(volume)) is not None and left.wait_us(now, 1.0) > 0:
             return "the head is busy with its cell"
         return ""
 
@@ -179,13 +179,13 @@
         if volume in self._cell_of:
             self._cells[self._cell_of[volume]].spent += cost
         if (left := self._rationed(volume)) is not None:
-            left.now(now)
+            left.refill(now)
             left.level -= cost
 
     def read_pause_us(self, volume: str, now: int) -> int:
         """Return how long a volume's connections are not to be read from; 0 if they may be read."""
         left = self._rationed(volume)
-        return READ_PAUSE_US if left is not None and left.now(now) < -left.most else 0
+        return READ_PAUSE_US if left is not None and left.refill(now) < -left.capacity else 0
 
     def update_load(self, now: int, busy: float) -> None:
         """Update the shares with the fraction of the time since the last tick that the loop was busy."""
@@ -206,7 +206,7 @@
             return
         rate = TARGET_LOAD * self.rate / len(self._cells)
         for cell in self._cells.values():
-            cell.allowed.now(now)
-            cell.allowed.rate, cell.allowed.most = rate, rate * BURST_US / 1e6
+            cell.allowed.refill(now)
+            cell.allowed.rate, cell.allowed.capacity = rate, rate * BURST_US / 1e6
             if not before:
-                cell.allowed.level = cell.allowed.most
+                cell.allowed.level = cell.allowed.capacity
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -13,7 +13,7 @@
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions import Scheduler, interface as api, standstill
 from harriertrack.decisions.cell_scheduler import CellScheduler, HeadCellMap, StaleMapError
-from harriertrack.decisions.requests import Attempt, ClientRequest, Core, Module
+from harriertrack.decisions.requests import Attempt, ClientRequest, Core, DecisionModule
 from harriertrack.gateway.front import NbdFront
 from harriertrack.gateway.links import Links
 from harriertrack.gateway.listing import Listing
@@ -30,8 +30,8 @@
 from harriertrack.storage.missed import MissedLog
 
 if TYPE_CHECKING:
-    from harriertrack.decisions.fleet.portions import Portions
-    from harriertrack.decisions.fleet.rollout.counting import Counting
+    from harriertrack.decisions.fleet.budget_shares import BudgetShares
+    from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
     from harriertrack.decisions.fleet.zones.evidence import Evidence
     from harriertrack.gateway.fleet.carrier import Fleet
     from harriertrack.gateway.fleet.rollout.carrier import Usage
@@ -77,7 +77,7 @@
         self._stopping = Event(hub)
         self.ready = Event(hub)
         self.trace: Callable[[Attempt], None] | None = None  # hears of every send, for rigs that stamp them
-        self._counting: Counting | None = None  # of its answers, where versions come in stages
+        self._counting: AnswerCounter | None = None  # of its answers, where versions come in stages
         self.address = self.nvme_address = settings.listen
         self.core: Core
         self.reception: Reception
@@ -85,7 +85,7 @@
         self.module: Scheduler | CellScheduler
         self.fleet: Fleet | None = None
         self.regional: Regional | None = None
-        self._portions: Portions | None = None
+        self._portions: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
         self._cells = head_map(settings.cell_map, settings.volumes) if settings.cell_map else None
         self.scored: Scored | None = None
@@ -111,7 +111,7 @@
                 self._serve(scope, listeners)
                 if settings.fleet is not None:
                     self._join(parts, settings.fleet, extents)
-                self.core.begin_looks(hub.now())
+                self.core.begin_standstill_checks(hub.now())
                 self._heartbeat.start()
                 self.ready.set()
                 self._stopping.wait()
@@ -148,7 +148,7 @@
 
             self._portions = portions_of(settings, hub)
         self.module = self._module(self._told(settings), seed)
-        decides: Module = self.module
+        decides: DecisionModule = self.module
         if self._portions is not None and fleet is not None and fleet.zones is not None:
             from harriertrack.decisions.fleet.zones.evidence import Evidence
             from harriertrack.gateway.fleet.observing import Observed
@@ -215,13 +215,15 @@
         if self.fleet is not None:
             self.fleet.wait_left()
 
-    def _counts(self) -> Counting | None:
+    def _counts(self) -> AnswerCounter | None:
         fleet = self.settings.fleet
         if fleet is None or fleet.changes is None or fleet.changes.rollout is None:
             return None
-        from harriertrack.decisions.fleet.rollout.counting import Counting  # heads without do not load it
+        from harriertrack.decisions.fleet.rollout.answer_counts import (
+            AnswerCounter,  # heads without do not load it
+        )
 
-        return Counting({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
+        return AnswerCounter({one.name: (one.aim_us, one.deadline_us) for one in self.settings.classes})
 
     def _told(self, settings: HeadSettings) -> api.Settings:
         """Return what the decision module is told."""
@@ -254,8 +256,8 @@
             plans, others = (
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
-            self._portions.retell(now, plans, others, divided_of(settings.fleet.budgets))
-        self.core.retell(now, request_rules(settings), told)
+            self._portions.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
+        self.core.apply_settings(now, request_rules(settings), told)
         self._links.settings = settings
         self.mover.retell(settings)
         if self.regional is not None:
@@ -311,8 +313,8 @@
     def send(self, attempt: Attempt) -> None:
         """Start an attempt, unless the process stood still since it was decided."""
         now = self.hub.now()
-        if self.core.must_ask(now):
-            self.hub.at_end_of_round(lambda: self.core.ended(now, attempt, api.Result.MOOT))
+        if self.core.needs_list_refresh(now):
+            self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
             return
         if self.trace is not None:
             self.trace(attempt)
@@ -326,8 +328,8 @@
         """Hand a final answer to whoever asked."""
         self.reception.ended(request)
         if self._counting is not None:
-            self._counting.answered(self.hub.now(), request)
-        request.token.answer(request)
+            self._counting.count_answer(self.hub.now(), request)
+        request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
         """Follow the node list, or stop."""
@@ -350,7 +352,7 @@
         self._note("module", text=text)
 
     def _look(self) -> None:
-        self.core.look(self.hub.now())
+        self.core.check_standstill(self.hub.now())
 
     def _flush(self) -> None:
         self.core.flush(self.hub.now())
--- a/harriertrack/gateway/listing.py
+++ b/harriertrack/gateway/listing.py
@@ -103,13 +103,13 @@
                     self._told(members)
                     known = members
             finally:
-                self._core.list_heard(asked_at, answered=True)
+                self._core.list_call_ended(asked_at, answered=True)
             self._hub.sleep(self._settings.poll_us)
 
     def _await_call(self) -> None:
         """Wait until this head has a call of those that its fleet divides, if it does."""
         again = False
-        while self._portions is not None and (us := self._portions.list_call(self._hub.now(), again)):
+        while self._portions is not None and (us := self._portions.list_call_wait(self._hub.now(), again)):
             self._hub.sleep(min(us, PORTION_US))
             again = True
 
@@ -148,6 +148,6 @@
                 older.give_up()
             self._index = call.next_index
             self._told(call.members)
-        self._core.list_heard(call.began, not call.failure)
+        self._core.list_call_ended(call.began, not call.failure)
         if call is not self._current and not call.failure:
             self.subscribe(True)
--- a/harriertrack/lab/interleaving/models/rollouts.py
+++ b/harriertrack/lab/interleaving/models/rollouts.py
@@ -11,13 +11,18 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from harriertrack.decisions.fleet.changes.following import Follower
+from harriertrack.decisions.fleet.changes.follower import Follower
+from harriertrack.decisions.fleet.changes.operations import (
+    ChangeRefused,
+    propose,
+    raise_level,
+    set_state_as_operator,
+)
 from harriertrack.decisions.fleet.changes.record import Record, Version
-from harriertrack.decisions.fleet.changes.standing import IllegalStep, Standing
-from harriertrack.decisions.fleet.changes.writing import Refused, propose, raise_level, wish
-from harriertrack.decisions.fleet.rollout.conducting import Conductor, Known
+from harriertrack.decisions.fleet.changes.version_state import IllegalTransition, VersionState
+from harriertrack.decisions.fleet.rollout.controller import HeadLocation, RolloutController
 from harriertrack.decisions.fleet.rollout.evidence import Report
-from harriertrack.decisions.fleet.rollout.levels import next_level
+from harriertrack.decisions.fleet.rollout.feature_levels import next_level
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.lab.interleaving.models.mail import Mail
@@ -65,7 +70,7 @@
     until: int = 0
     term: int = 1
     holder: str = "h1"
-    conductor: Conductor = field(default_factory=lambda: Conductor(plan_of))
+    conductor: RolloutController = field(default_factory=lambda: RolloutController(plan_of))
     writes: list[tuple[int, Step | int]] = field(default_factory=list)  # term, and a step or a level
     mail: Mail = field(default_factory=lambda: Mail(most=3))
     kills: int = 1
@@ -97,11 +102,11 @@
     def _report(self, state: State, name: str) -> Report:
         head = state.heads[name]
         runs = {THING: head.number} if head.number else {}
-        return Report(name, head.life, runs, {}, level=head.level)
+        return Report(name, head.life, runs, {}, feature_level=head.level)
 
     def _hear(self, state: State, report: Report) -> None:
         state.heard += 1
-        state.conductor.heard(state.now, report, VOLUMES[report.head], "z")
+        state.conductor.add_report(state.now, report, VOLUMES[report.head], "z")
 
     def _seen(self, state: State) -> tuple[int, int, int]:
         record = state.heads[state.holder].follower.record
@@ -132,7 +137,7 @@
             yield "the term passes"
         if state.kills:
             yield from (f"{name} dies" for name, head in state.heads.items() if head.there)
-        if state.aborts and state.record.under_way(THING) is not None:
+        if state.aborts and state.record.in_progress(THING) is not None:
             yield "abort"
         yield from state.mail.late()
 
@@ -150,10 +155,12 @@
                 state.passes -= 1
                 state.term += 1
                 state.holder = "h2" if state.holder == "h1" else "h1"
-                state.conductor = Conductor(plan_of)
+                state.conductor = RolloutController(plan_of)
             case ["abort"]:
                 state.aborts -= 1
-                state.record = wish(state.record, THING, Standing.ABORTED, "op", 1, "enough")
+                state.record = set_state_as_operator(
+                    state.record, THING, VersionState.ABORTED, "op", 1, "enough"
+                )
             case [name, "returns"]:
                 head = state.heads[name]
                 head.there, head.life = True, head.life + 1
@@ -176,18 +183,20 @@
     def _fetch(self, state: State, name: str) -> None:
         head = state.heads[name]
         head.fetches -= 1
-        head.follower.fetched(state.now, state.record, crc32(repr(state.record).encode()))
-        for thing, version in head.follower.due():
+        head.follower.finish_fetch(state.now, state.record, crc32(repr(state.record).encode()))
+        for thing, version in head.follower.pending_changes():
             number = version.number if version is not None else 0
-            head.follower.took(thing, number)
+            head.follower.mark_applied(thing, number)
             head.number, head.there = number, False  # it goes, and comes back as that
 
     def _look(self, state: State) -> None:
-        known = {name: Known("z", gone_us=-1 if head.there else 0) for name, head in state.heads.items()}
+        known = {
+            name: HeadLocation("z", absent_us=-1 if head.there else 0) for name, head in state.heads.items()
+        }
         record = state.heads[state.holder].follower.record
-        for step in state.conductor.look(state.now, record, known, state.holder):
+        for step in state.conductor.next_steps(state.now, record, known, state.holder):
             state.writes.append((state.term, step))
-        level = next_level(record, state.conductor.understood(), HEADS)
+        level = next_level(record, state.conductor.feature_levels(), HEADS)
         if level > record.level and not state.writes:
             state.writes.append((state.term, level))
 
@@ -197,8 +206,8 @@
             if isinstance(what, int):
                 state.record = raise_level(before, term, what)
             else:
-                state.record = what.write(before, term, 1)
-        except (Refused, IllegalStep):
+                state.record = what.apply(before, term, 1)
+        except (ChangeRefused, IllegalTransition):
             return
         if term < before.epoch:
             state.wrong = f"term {term} decides after term {before.epoch}"
@@ -208,9 +217,9 @@
     def _stepped(self, state: State, was: Version | None, one: Version | None) -> None:
         assert was is not None and one is not None
         unheard = sorted(set(was.heads) - state.ran)
-        if one.standing is Standing.IN_FORCE and unheard:
+        if one.standing is VersionState.IN_FORCE and unheard:
             state.wrong = f"in force, and {unheard} never ran it"
-        if one.standing is Standing.GOING:
+        if one.standing is VersionState.ADVANCING:
             fresh = set(one.heads) - set(was.heads)
             if fresh and unheard:
                 state.wrong = f"{sorted(fresh)} are to go, and {unheard} never came back"
--- a/harriertrack/service/discovery.py
+++ b/harriertrack/service/discovery.py
@@ -180,7 +180,7 @@
         if made.failure:
             self._open.remove(made)
             self._put_off(made, late)
-        self._core.list_heard(made.began, not made.failure)
+        self._core.list_call_ended(made.began, not made.failure)
         if late:
             self._log.ended_late(made, len(self._open), self._watch.version)
             self._go_on_from(made)
@@ -222,7 +222,7 @@
         """Hand what changed to the module."""
         news = self._nodes.replace(members) if whole else self._nodes.change(members)
         if news is not None:
-            news.told_at = counts_at
+            news.announced_at = counts_at
         self._core.nodes_changed(news)
         for node in self._nodes.forget_gone():
             self._storage_nodes.gone(node)
--- a/tests/scoring/test_deciding.py
+++ b/tests/scoring/test_deciding.py
@@ -32,7 +32,15 @@
 )
 from harriertrack.decisions.fleet.scoring.score_validation import ScorerFault
 from harriertrack.decisions.fleet.scoring.weights import normalise
-from harriertrack.decisions.interface import Ended, ListKind, NodeEntry, NodesChanged, NodeState, Result, Send
+from harriertrack.decisions.interface import (
+    AttemptEnded,
+    ListKind,
+    NodeEntry,
+    NodesChanged,
+    NodeState,
+    Result,
+    Send,
+)
 
 RULES = ScoringRules()
 S = 1_000_000
@@ -233,13 +241,13 @@
         now = 20 * S + at * 100_000
         observer.follow(now, [], [Send(at, "a")])
         result = Result.FULL if at % 4 == 0 else Result.OK
-        observer.follow(now + 1000, [Ended(at, 0, "a", result, 1000 if at < 20 else 4000, True)], [])
+        observer.follow(now + 1000, [AttemptEnded(at, 0, "a", result, 1000 if at < 20 else 4000, True)], [])
     node = observer.snapshot(24 * S).nodes[0]
     assert not node.cold and 0.2 < node.refused < 0.3 and 0.5 < node.fill < 0.75 and node.evidence > 20
     later = observer.snapshot(24 * S + HALF_LIFE_US).nodes[0]
     assert later.evidence == pytest.approx(node.evidence / 2) and later.age_us > node.age_us
     observer.follow(30 * S, [], [Send(1, "a")])
-    observer.follow(34 * S, [Ended(1, 0, "a", Result.OK, 1000, True)], [])
+    observer.follow(34 * S, [AttemptEnded(1, 0, "a", Result.OK, 1000, True)], [])
     assert observer.snapshot(34 * S).nodes[0].cold  # it left a request unanswered for long
     observer.follow(35 * S, [NodesChanged(ListKind.FULL, [])], [])
     assert observer.snapshot(35 * S).nodes == ()
--- a/tests/test_cell_scheduler.py
+++ b/tests/test_cell_scheduler.py
@@ -31,7 +31,7 @@
 
 
 def arrival(number, volume="v", shard=0):
-    return api.Arrived(number, "read", "p", volume, "", shard, 1.0, 500_000)
+    return api.RequestArrived(number, "read", "p", volume, "", shard, 1.0, 500_000)
 
 
 def entry(name, shard, state=api.NodeState.UP):
@@ -49,8 +49,8 @@
     assert [
         e.node for update in left.events if isinstance(update, api.NodesChanged) for e in update.entries
     ] == ["a"]
-    assert [e.request for e in left.events if isinstance(e, api.Arrived)] == [1]
-    assert [e.request for e in right.events if isinstance(e, api.Arrived)] == [2]
+    assert [e.request for e in left.events if isinstance(e, api.RequestArrived)] == [1]
+    assert [e.request for e in right.events if isinstance(e, api.RequestArrived)] == [2]
     one.handle(1, [api.NodesChanged(api.ListKind.FAILED)])
     assert left.events[-1].kind is right.events[-1].kind is api.ListKind.FAILED
 
@@ -65,8 +65,10 @@
     left.actions, right.actions = [api.SetTimer("7", 50)], [api.SetTimer("7", 60)]
     actions = one.handle(0, [arrival(1), arrival(2, "w", 1)])
     assert [(a.token, a.at_us) for a in actions] == [("left|7", 50), ("right|7", 60)]
-    one.handle(60, [api.Woken("right|7")])
-    assert right.events[-1] == api.Woken("7") and not any(isinstance(e, api.Woken) for e in left.events)
+    one.handle(60, [api.TimerFired("right|7")])
+    assert right.events[-1] == api.TimerFired("7") and not any(
+        isinstance(e, api.TimerFired) for e in left.events
+    )
 
 
 def test_one_subscription_serves_all_modules():
@@ -90,7 +92,7 @@
     assert removed[-1].node == "a" and removed[-1].state is api.NodeState.GONE
     assert any(update.entries and update.entries[0].node == "a" for update in right.events
                if isinstance(update, api.NodesChanged))  # fmt: skip
-    done = api.Ended(1, 0, "a", api.Result.OK, 900, True)
+    done = api.AttemptEnded(1, 0, "a", api.Result.OK, 900, True)
     one.handle(2, [done])
     assert left.events[-1] == done and done not in right.events
     one.handle(3, [done])  # no module has the request any more
@@ -114,7 +116,7 @@
     left, _ = one.modules()
     left.actions = [api.Send(1, "a"), api.Fail(1)]
     one.handle(0, [arrival(1)])
-    late = api.Ended(1, 0, "a", api.Result.TIMEOUT, 900, True)
+    late = api.AttemptEnded(1, 0, "a", api.Result.TIMEOUT, 900, True)
     one.handle(5, [late])
     assert left.events[-1] is late
     assert not one._of_request and not one._in_flight and not one._finished
