--- a/harriertrack/decisions/cell_scheduler.py
+++ b/harriertrack/decisions/cell_scheduler.py
@@ -65,9 +65,9 @@
 
     def __init__(self, settings: Settings, seed: int, cells: HeadCellMap,
                  make: Callable[..., Scheduler] = Scheduler,
-                 portions: BudgetShares | None = None) -> None:  # fmt: skip
-        """Start with a map; `make` is called with settings, seed, volumes and portions for each cell."""
-        self.settings, self._portions = settings, portions
+                 budget_shares: BudgetShares | None = None) -> None:  # fmt: skip
+        """Start with a map; `make` is called with settings, seed, volumes and budget shares for each cell."""
+        self.settings, self._budget_shares = settings, budget_shares
         self.map = cells
         self._make, self._seed = make, seed
         self._modules: dict[str, Scheduler] = {}
@@ -90,7 +90,7 @@
         """Return a cell's module; the budget of a new one is its share of the head's."""
         if cell not in self._modules:
             self._modules[cell] = self._make(
-                self._cell_settings(), self._seed + len(self._modules), self._volumes, self._portions
+                self._cell_settings(), self._seed + len(self._modules), self._volumes, self._budget_shares
             )
         return self._modules[cell]
 
--- a/tests/endings/test_crowded_discovery.py
+++ b/tests/endings/test_crowded_discovery.py
@@ -15,9 +15,9 @@
 import pytest
 
 from harriertrack.decisions.discovery_watch import (
-    CYCLE_US,
-    ANSWER_ALLOWANCE_US,
     ANNOUNCED_AFTER_US,
+    ANSWER_ALLOWANCE_US,
+    CYCLE_US,
     DiscoveryWatch,
 )
 from harriertrack.decisions.open_calls import MAX_OPEN_CALLS, OpenCalls
--- a/tests/scoring/test_deciding.py
+++ b/tests/scoring/test_deciding.py
@@ -25,10 +25,10 @@
     select_publishers,
 )
 from harriertrack.decisions.fleet.scoring.scorer_guard import (
-    ScorerAnswer,
     IllegalScorerStep,
-    ScorerState,
+    ScorerAnswer,
     ScorerGuard,
+    ScorerState,
 )
 from harriertrack.decisions.fleet.scoring.score_validation import ScorerFault
 from harriertrack.decisions.fleet.scoring.weights import normalise
@@ -36,8 +36,8 @@
     AttemptEnded,
     ListKind,
     NodeEntry,
-    NodesChanged,
     NodeState,
+    NodesChanged,
     Result,
     Send,
 )
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -17,12 +17,12 @@
     Rack,
     Tenant,
     compute_change,
-    plan_greedily,
     find_infeasibilities,
     find_violations,
+    plan_greedily,
     rack_blast_radius,
-    tenant_blast_radius,
     single_cell_map,
+    tenant_blast_radius,
 )
 from harriertrack.planning.cells import Outcome, explain, plan, price
 from harriertrack.planning.settings import parse_fleet
--- a/tests/test_platform_clock.py
+++ b/tests/test_platform_clock.py
@@ -1,7 +1,7 @@
-"""The list's clock: when a change counts as told, and that nothing new goes to a drained shelf after its grace.
+"""When a change of the node list counts as announced, and that a drained node gets no requests after its grace.
 
-Each play sends reads and writes for one shard all the time; the shelf that holds it begins to drain while
-discovery is in trouble. What the shelf then got is held against the platform's terms, not the head's own.
+Each test sends reads and writes for one shard continuously; the node of that shard begins to drain during a fault of
+discovery. The requests that the node received are checked against the platform's rules, not against the head's own.
 """
 
 import copy
@@ -12,12 +12,12 @@
 
 from harriertrack.decisions.graceful_shutdown import Phase
 from harriertrack.decisions.discovery_watch import (
-    STARTUP_HOLD_US,
-    MARGIN_US,
-    MOVED_RETRY_US,
-    ANSWER_ALLOWANCE_US,
     ANNOUNCED_AFTER_US,
+    ANSWER_ALLOWANCE_US,
+    MARGIN_US,
     MAX_WAIT_US,
+    MOVED_RETRY_US,
+    STARTUP_HOLD_US,
     DiscoveryWatch,
 )
 from harriertrack.standin.platform import Outage, PlatformDiscovery
@@ -25,7 +25,7 @@
 
 S = 1_000_000
 SLACK_US = 50 * MS
-SILENCE_US = 6 * S  # what a silent watch misses counts as told so long after
+SILENCE_US = 6 * S  # a change missed by a silent watch counts as announced after this time
 ASKED, PUSHED = "on_request", "pushed"
 BOTH = pytest.mark.parametrize("way", [ASKED, PUSHED])
 
@@ -37,10 +37,10 @@
     return site
 
 
-def ask_all_the_time(site, every_us=40 * MS, within=3 * S):
-    """Send reads and writes to shard 1 for ever (a task)."""
+def send_requests(site, every_us=40 * MS, within=3 * S):
+    """Send reads and writes to shard 1 continuously (a task)."""
     while True:
-        site.scope.spawn("ask", site.ask, site.request(writes=site.number % 2 == 1), None, within)
+        site.scope.spawn("request", site.ask, site.request(writes=site.number % 2 == 1), None, within)
         site.hub.sleep(every_us)
 
 
@@ -49,42 +49,44 @@
     return site.hub.now()
 
 
-def kept_the_rule(site, told_at):
-    """Play on past the grace; say that the drained shelf got requests before, and none from then on."""
-    over = told_at + site.given["settings"]["safety"]["drainGraceUs"] + SLACK_US
+def kept_the_rule(site, announced_at):
+    """Run past the grace; assert that the drained node got requests before its end, and none after it."""
+    over = announced_at + site.given["settings"]["safety"]["drainGraceUs"] + SLACK_US
     site.hub.sleep(max(0, over - site.hub.now()) + 2 * S)
     when = [got.when for got in site.shelfs[1].got]
     assert when and max(when) <= over, f"{(max(when) - over) / S:.2f} s after the grace was over"
 
 
 def played(site, act, within=3 * S):
-    """Play a test beside clients that ask all the time, and wait so long for each answer."""
+    """Run a test with clients that send requests throughout, and wait `within` for each answer."""
 
-    def whole(site):
-        site.scope.spawn("asks", ask_all_the_time, site, 40 * MS, within)
+    def run(site):
+        site.scope.spawn("requests", send_requests, site, 40 * MS, within)
         site.hub.sleep(1_300 * MS)
         act(site)
 
-    site.run(whole)
+    site.run(run)
 
 
 @BOTH
-@pytest.mark.parametrize("after_us", [0, 700 * MS, 2_300 * MS])  # of the watch's wait of 2.5 s
-def test_what_a_silent_watch_misses_is_acted_on_within_six_seconds_and_the_grace(tmp_path, way, after_us):
+@pytest.mark.parametrize("after_us", [0, 700 * MS, 2_300 * MS])  # into the watch call's wait of 2.5 s
+def test_a_change_missed_by_a_silent_watch_is_applied_within_six_seconds_and_the_grace(
+    tmp_path, way, after_us
+):
     def act(site):
         site.hub.sleep(after_us)
         site.discovery.fall_silent()
-        told_at = site.hub.now() + SILENCE_US
+        announced_at = site.hub.now() + SILENCE_US
         site.hub.sleep(100 * MS)
         drain(site)
-        kept_the_rule(site, told_at)
+        kept_the_rule(site, announced_at)
 
     played(site_of(tmp_path, way), act)
 
 
 @BOTH
-def test_a_silent_poll_is_asked_anew_too(tmp_path, way):
-    """All watches break, and the calls that follow are taken and never answered for a second."""
+def test_a_silent_poll_is_retried_too(tmp_path, way):
+    """All watches break, and for a second new calls are accepted but never answered."""
 
     def act(site):
         site.discovery.outage = Outage.SILENT
@@ -93,27 +95,27 @@
         site.discovery.outage = Outage.NONE
         returned = site.hub.now()
         drain(site)
-        # Asked for, the poll may stay silent: 6 s. Pushed, what the agent has counts as soon as it is back.
+        # In pull mode the poll may be silent for 6 s; in push mode the agent's data counts once it is back.
         kept_the_rule(site, returned + (SILENCE_US if way == ASKED else 0))
 
     played(site_of(tmp_path, way), act)
 
 
-def test_a_long_time_to_ask_within_does_not_make_a_watch_wait_for_longer_than_silence_allows(tmp_path):
+def test_a_long_time_allowed_without_a_call_does_not_prolong_the_wait_of_a_watch(tmp_path):
     def act(site):
         site.hub.sleep(20 * S)
         site.discovery.fall_silent()
-        silent_at = site.hub.now()
-        waited = int(site.discovery.calls[-1][1].split("timeout_ms=")[1]) * MS
-        told_at = max(silent_at + SILENCE_US, site.discovery.calls[-1][0] + waited + 2 * S)
+        silent_since = site.hub.now()
+        wait_us = int(site.discovery.calls[-1][1].split("timeout_ms=")[1]) * MS
+        announced_at = max(silent_since + SILENCE_US, site.discovery.calls[-1][0] + wait_us + 2 * S)
         drain(site)
-        kept_the_rule(site, told_at)
-        assert told_at == silent_at + SILENCE_US
+        kept_the_rule(site, announced_at)
+        assert announced_at == silent_since + SILENCE_US
 
     played(site_of(tmp_path, askWithinUs=120 * S), act)
 
 
-def test_a_pushed_list_counts_when_the_agent_has_it_though_the_watch_was_just_reset(tmp_path):
+def test_a_pushed_list_counts_once_the_agent_has_it_even_if_the_watch_was_just_reset(tmp_path):
     def act(site):
         site.discovery.reset()
         kept_the_rule(site, drain(site))
@@ -123,7 +125,7 @@
 
 @pytest.mark.parametrize("outage", [Outage.SILENT, Outage.FAILING])
 @pytest.mark.parametrize("lasts_us", [8_100 * MS, 8_400 * MS, 8_700 * MS, 9_000 * MS])
-def test_what_the_agent_gets_at_the_end_of_a_long_outage_counts_at_once(tmp_path, outage, lasts_us):
+def test_a_change_that_the_agent_gets_after_a_long_outage_counts_at_once(tmp_path, outage, lasts_us):
     def act(site):
         site.discovery.outage = outage
         site.discovery.reset()
@@ -134,16 +136,18 @@
     played(site_of(tmp_path, PUSHED), act)
 
 
-def test_a_head_that_starts_sends_nothing_to_a_shelf_that_the_agent_has_as_draining(tmp_path):
+def test_a_head_that_starts_sends_nothing_to_a_node_that_drains_according_to_the_agent(tmp_path):
     site = site_of(tmp_path, PUSHED)
-    site.discovery.set("s1", site.shelfs[1].address, 1, "terminating")  # after its list of the last life
+    site.discovery.set(
+        "s1", site.shelfs[1].address, 1, "terminating"
+    )  # after the list that the previous process saved
 
     def act(site):
-        played_until = site.hub.now() + 3 * S
-        while site.hub.now() < played_until:
+        end = site.hub.now() + 3 * S
+        while site.hub.now() < end:
             site.ask(site.request())
             site.hub.sleep(40 * MS)
-        # The grace is counted from the process's first moment; half of it may serve what nobody else can.
+        # The grace counts from the start of the process; half of it may be used for requests without another node.
         assert all(got.when <= began + 2 * S for got in site.shelfs[1].got)
 
     began = site.hub.now()
@@ -151,7 +155,7 @@
 
 
 @pytest.mark.parametrize("lasts_us", [5 * S, 7_500 * MS])
-def test_a_head_whose_agent_is_silent_at_its_start_is_not_ready_until_it_is_heard(tmp_path, lasts_us):
+def test_a_head_is_not_ready_until_its_agent_answers(tmp_path, lasts_us):
     site = site_of(tmp_path, PUSHED)
     site.discovery.set("s1", site.shelfs[1].address, 1, "terminated")
     site.discovery.outage = Outage.SILENT
@@ -172,7 +176,7 @@
     site.run(act)
 
 
-def test_a_head_whose_agent_stays_silent_is_ready_before_the_platform_counts_it_as_crashed(tmp_path):
+def test_a_head_whose_agent_stays_silent_is_ready_before_it_counts_as_crashed(tmp_path):
     site = site_of(tmp_path, PUSHED)
     site.discovery.outage = Outage.SILENT
     began = site.hub.now()
@@ -186,13 +190,13 @@
     site.run(act)
 
 
-def test_a_head_that_is_asked_to_leave_while_its_agent_is_silent_leaves_in_time(tmp_path):
+def test_a_head_that_is_stopped_while_its_agent_is_silent_exits_in_time(tmp_path):
     site = site_of(tmp_path, PUSHED)
     site.discovery.outage = Outage.SILENT
 
     began = site.hub.now()
 
-    def leave():
+    def stop():
         site.hub.sleep(1 * S)
         site.head.stop()
 
@@ -202,16 +206,15 @@
         # The longest deadline is 2.5 s, the kill comes 0.7 s after it.
         assert site.hub.now() - began < (1_000 + 3_200) * MS
 
-    site.begin = leave
+    site.begin = stop
     site.run(act)
 
 
 @BOTH
 @pytest.mark.parametrize("version", [90, 1])
-@pytest.mark.parametrize("trouble", [None, Outage.SILENT, Outage.FAILING])
-def test_four_seconds_after_a_new_configuration_its_source_has_been_heard(tmp_path, way, trouble, version):
-    """Also where the old source had failed for long, the new one does not answer its first calls, or counts
-    its versions anew."""
+@pytest.mark.parametrize("fault", [None, Outage.SILENT, Outage.FAILING])
+def test_a_new_source_is_read_within_four_seconds_of_the_new_configuration(tmp_path, way, fault, version):
+    """Also if the old source failed for long, or the new one leaves calls unanswered or restarts versions."""
 
     def act(site):
         site.discovery.version = 50
@@ -219,27 +222,27 @@
         site.hub.sleep(10 * MS)
         fresh = PlatformDiscovery(site.hub, site.net, version, dict(site.discovery.servers))
         fresh.start(site.scope)
-        if trouble is not None:
-            site.discovery.outage = trouble
+        if fault is not None:
+            site.discovery.outage = fault
             site.discovery.reset()
-            site.hub.sleep(14 * S)  # its waits have grown to 4 to 8 s
-            fresh.outage = trouble
+            site.hub.sleep(14 * S)  # the waits between retries have grown to 4 to 8 s
+            fresh.outage = fault
         site.given["discovery"] = f"127.0.0.1:{fresh.address[1]}"
         site.head.reconfigure(site.configuration())
-        told_at = site.hub.now() + 4 * S
+        announced_at = site.hub.now() + 4 * S
         fresh.set("s1", site.shelfs[1].address, 1, "terminating")
         site.hub.sleep(1_500 * MS)
         fresh.outage = Outage.NONE
-        kept_the_rule(site, told_at)
+        kept_the_rule(site, announced_at)
 
     played(site_of(tmp_path, way, drainGraceUs=400 * MS), act)
 
 
 @BOTH
-@pytest.mark.parametrize("whole", [False, True])  # whole lists come where changes are expected
+@pytest.mark.parametrize("full", [False, True])  # full lists are returned where changes are expected
 @pytest.mark.parametrize("lasts_us", [0, 8 * S, 20 * S])
-def test_a_source_that_counts_its_versions_anew_is_asked_for_the_whole_list_at_once(
-    tmp_path, way, whole, lasts_us
+def test_a_source_that_restarts_its_versions_is_asked_for_the_full_list_at_once(
+    tmp_path, way, full, lasts_us
 ):
     def act(site):
         site.discovery.version = 500
@@ -249,7 +252,7 @@
         site.discovery.reset()
         site.hub.sleep(lasts_us)
         site.discovery.outage, site.discovery.version, site.discovery.changed = Outage.NONE, 2, {}
-        if whole:
+        if full:
             site.discovery.spoil = lambda _body: json.dumps(site.discovery.listed()).encode()
         returned = drain(site)
         kept_the_rule(site, returned + (ANNOUNCED_AFTER_US if way == ASKED else 0))
@@ -261,7 +264,7 @@
 
 
 def test_a_late_answer_of_the_old_source_does_not_undo_the_list_of_the_new_one(tmp_path):
-    """It comes at each moment around the new configuration."""
+    """It arrives at various times around the new configuration."""
 
     def act(site):
         for late_us in range(-300, 301, 50):
@@ -283,8 +286,8 @@
 
 
 @pytest.mark.parametrize("within_us", [2 * S, 5 * S, 10 * S])
-def test_a_head_without_a_watch_asks_within_the_settings_time(tmp_path, within_us):
-    """Counted anew when discovery is back: the module's own waits grow to 8 s meanwhile."""
+def test_a_head_without_a_watch_calls_within_the_time_in_the_settings(tmp_path, within_us):
+    """Counted from the recovery of discovery: the module's own waits grow to 8 s meanwhile."""
 
     def act(site):
         site.discovery.outage = Outage.FAILING
@@ -301,10 +304,10 @@
 @pytest.mark.parametrize("lasts_us", [8 * S, 29 * S, 31 * S])
 @pytest.mark.parametrize("outage", [Outage.SILENT, Outage.FAILING])
 @pytest.mark.parametrize("settings", [{}, {"askWithinUs": 0}, {"askWithinUs": 120 * S}, {"drainGraceUs": 0}])
-def test_six_seconds_after_discovery_is_back_it_has_told_though_one_more_call_fails(
+def test_a_change_is_received_within_six_seconds_of_a_recovery_even_if_one_more_call_fails(
     tmp_path, settings, outage, lasts_us
 ):
-    """However long it was away, and whatever the settings allow without a call."""
+    """However long the outage was, and whatever the settings allow without a call."""
 
     def act(site):
         site.discovery.outage = outage
@@ -325,7 +328,7 @@
 
 @pytest.mark.parametrize("outage", [Outage.SILENT, Outage.FAILING])
 def test_an_outage_of_thirty_seconds_takes_a_bounded_number_of_calls(tmp_path, outage):
-    """Each failure that the module hears of makes it ask once more: it must not add up with the watch's own."""
+    """Each failure passed to the module makes it call again: these must not add to the watch's own calls."""
 
     def act(site):
         before = len(site.discovery.calls)
@@ -338,7 +341,7 @@
 
 
 @BOTH
-def test_what_is_written_on_a_watch_counts_then(tmp_path, way):
+def test_a_change_sent_to_a_watch_counts_at_once(tmp_path, way):
     def act(site):
         kept_the_rule(site, drain(site))
 
@@ -347,7 +350,7 @@
 
 @BOTH
 @pytest.mark.parametrize("indent", [0, 2])
-def test_lists_may_come_indented(tmp_path, way, indent):
+def test_lists_may_be_indented(tmp_path, way, indent):
     site = site_of(tmp_path, way)
     site.discovery.indent = indent
     site.discovery.set("s1", site.shelfs[1].address, 1, "terminating")
@@ -363,8 +366,8 @@
 
 
 @given(st.integers(0, 300 * S), st.booleans(), st.integers(100 * MS, 20 * S))
-def test_every_silence_is_over_before_it_counts_whatever_the_settings(within_us, pushed, grace_us):
-    """From any moment of a call: it is given up, and one more that fails too, before the next one is due."""
+def test_a_silent_call_is_retried_in_time_whatever_the_settings(within_us, pushed, grace_us):
+    """A call times out, and is retried, within the limits of the rules."""
     watching = DiscoveryWatch(within_us, 41, pushed, grace_us)
     watching.subscribe(True)
     watching.handle_answer(41, False, 0)
@@ -372,20 +375,20 @@
     assert call.wait_us <= MAX_WAIT_US and call.timeout_us <= max(
         MAX_WAIT_US + ANSWER_ALLOWANCE_US, call.wait_us + grace_us
     )
-    again = watching.handle_failure(call.timeout_us, 0)
+    retry_us = watching.handle_failure(call.timeout_us, 0)
     if pushed:
         watching.subscribe(True)
-        assert watching.next_call().timeout_us + again < grace_us / 2
+        assert watching.next_call().timeout_us + retry_us < grace_us / 2
     elif within_us >= 2 * S:
-        assert ANSWER_ALLOWANCE_US + again <= max(within_us, ANSWER_ALLOWANCE_US + 300 * MS)
+        assert ANSWER_ALLOWANCE_US + retry_us <= max(within_us, ANSWER_ALLOWANCE_US + 300 * MS)
 
 
 SETTINGS_OF_WATCHES = (st.integers(0, 300 * S), st.booleans(), st.integers(0, 20 * S))
-SHARES = st.floats(0, 1)  # of the time that a call may take at most, after which it fails
+FRACTIONS = st.floats(0, 1)  # of the time limit of a call, after which it fails
 
 
 class FailingCalls:
-    """A watch whose calls fail; `now` is when the next one begins if nobody asks for it before."""
+    """A watch whose calls fail; `now` is when the next one begins."""
 
     def __init__(self, within_us, pushed, grace_us, follows):
         self.now, self.watching = 0, DiscoveryWatch(within_us, 41, pushed, grace_us)
@@ -393,44 +396,44 @@
         if follows:
             self.watching.handle_answer(41, False, 0)
 
-    def fail(self, share):
-        began, call = self.now, self.watching.next_call()
-        self.now += int(call.timeout_us * share)
-        # A call that takes all its time is overdue: another is made beside it.
-        end = self.watching.handle_overdue if share == 1 else self.watching.handle_failure
-        self.now += end(self.now, began)
+    def fail(self, fraction):
+        started_at, call = self.now, self.watching.next_call()
+        self.now += int(call.timeout_us * fraction)
+        # A call that uses all its time is overdue: another is made beside it.
+        handle = self.watching.handle_overdue if fraction == 1 else self.watching.handle_failure
+        self.now += handle(self.now, started_at)
         assert self.watching.subscribe(True)
 
     def answered_at(self):
         return self.now + self.watching.next_call().timeout_us
 
 
-@given(*SETTINGS_OF_WATCHES, st.booleans(), st.lists(SHARES, min_size=1, max_size=9), SHARES, SHARES)
-def test_from_any_moment_at_which_discovery_is_back_its_answer_comes_in_time_though_one_more_call_fails(
-    within_us, pushed, grace_us, follows, before, under_way, one_more
+@given(*SETTINGS_OF_WATCHES, st.booleans(), st.lists(FRACTIONS, min_size=1, max_size=9), FRACTIONS, FRACTIONS)
+def test_after_a_recovery_at_any_time_the_answer_is_in_time_even_if_one_more_call_fails(
+    within_us, pushed, grace_us, follows, before, in_progress, one_more
 ):
     calls = FailingCalls(within_us, pushed, grace_us, follows)
-    for share in before:
-        calls.fail(share)
+    for fraction in before:
+        calls.fail(fraction)
     returned = calls.now
-    calls.fail(under_way)
+    calls.fail(in_progress)
     calls.fail(one_more)
     assert calls.answered_at() - returned <= ANNOUNCED_AFTER_US - MARGIN_US
 
 
-@given(*SETTINGS_OF_WATCHES, SHARES, SHARES)
-def test_what_a_silent_watch_misses_is_asked_for_in_time_though_the_call_after_it_fails(
+@given(*SETTINGS_OF_WATCHES, FRACTIONS, FRACTIONS)
+def test_after_a_silent_watch_the_answer_is_in_time_even_if_the_next_call_fails(
     within_us, pushed, grace_us, silent, one_more
 ):
     calls = FailingCalls(within_us, pushed, grace_us, True)
     calls.fail(silent)
     assert calls.answered_at() <= ANNOUNCED_AFTER_US - MARGIN_US
     calls.fail(one_more)
-    # The second call may take all of its patience: the third's answer has half of its own then.
+    # The second call may use all of its allowance: then half remains for the third call's answer.
     assert calls.now + ANSWER_ALLOWANCE_US // 2 <= ANNOUNCED_AFTER_US - MARGIN_US
 
 
-def test_until_a_new_source_has_answered_it_is_asked_every_second():
+def test_a_new_source_is_called_every_second_until_it_has_answered():
     watching = DiscoveryWatch(10 * S, 41)
     watching.subscribe(True)
     assert watching.handle_failure(0, 0) > MOVED_RETRY_US
@@ -441,7 +444,7 @@
     assert watching.handle_failure(0, 0) > MOVED_RETRY_US
 
 
-def test_without_a_grace_what_the_agent_gets_at_the_end_of_a_silent_outage_counts_at_once(tmp_path):
+def test_without_a_grace_a_change_after_a_silent_outage_of_the_agent_counts_at_once(tmp_path):
     def act(site):
         site.discovery.outage = Outage.SILENT
         site.discovery.reset()
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 
 from harriertrack.config.settings import LimitSettings
-from harriertrack.decisions.shares import TARGET_LOAD, READ_PAUSE_US, REFUSAL_COST, ShareLimits, Shares
+from harriertrack.decisions.shares import READ_PAUSE_US, REFUSAL_COST, TARGET_LOAD, ShareLimits, Shares
 from harriertrack.gateway.client import NbdClientError
 from harriertrack.protocol.nbd.wire import Command
 
