--- a/harriertrack/decisions/cell_scheduler.py
+++ b/harriertrack/decisions/cell_scheduler.py
@@ -71,12 +71,9 @@
         self.map = cells
         self._make, self._seed = make, seed
         self._modules: dict[str, Scheduler] = {}
-        # Shared, because two modules send the requests of a volume that moves: it has one limit and one
-        # reserve.
+        # Shared: during a move two modules send requests of a volume, which has one limit and one reserve.
         self._volumes: Volumes = {}
-        self._of_request: dict[
-            int, str
-        ] = {}  # the cell of requests that a module has, or has attempts in flight for
+        self._of_request: dict[int, str] = {}  # cells of requests that are open or have attempts in flight
         self._in_flight: dict[int, int] = {}  # attempts without a result, by request
         self._finished: set[int] = set()  # requests that have their final answer
         self._nodes: dict[str, NodeEntry] = {}
--- a/harriertrack/decisions/cells.py
+++ b/harriertrack/decisions/cells.py
@@ -48,9 +48,7 @@
     headroom: float = 0.7  # fraction of its capacity that expected load may use
     reserved: float = 0.6  # fraction of its capacity, without its largest rack, that reserves may use
     racks: int = 2  # the minimum in each region in which it has tenants
-    large: float = (
-        0.3  # a tenant is large from this fraction of an equal cell's capacity; a cell has at most one
-    )
+    large: float = 0.3  # of an equal cell's capacity: from there a tenant is large; a cell has at most one
 
     crowd: float = 1.5  # a cell holds at most this many times an equal share of all tenants, rounded up
 
--- a/harriertrack/decisions/discovery_watch.py
+++ b/harriertrack/decisions/discovery_watch.py
@@ -201,11 +201,11 @@
         A change since the start of the last answered call counts at the earliest 6 s after that start, even
         if this head receives it only now.
         """
-        effective_at = received_at
+        announced_at = received_at
         if not self.pushed and self._answered_from is not None:
-            effective_at = min(received_at, self._answered_from + ANNOUNCED_AFTER_US)
+            announced_at = min(received_at, self._answered_from + ANNOUNCED_AFTER_US)
         self._answered_from = started_at
-        return effective_at
+        return announced_at
 
     def handle_overdue(self, now: int, started_at: int) -> int:
         """A call exceeds its time; return after how long to make another one beside it.
--- a/harriertrack/decisions/fleet/scoring/scorer_guard.py
+++ b/harriertrack/decisions/fleet/scoring/scorer_guard.py
@@ -96,33 +96,33 @@
         if self.state is not ScorerState.PENDING:
             raise IllegalScorerStep(f"an answer without a query in state {self.state.value!r}")
         try:
-            scores = self._validate(answers)
+            validated = self._validate(answers)
         except InvalidScores as bad:
             self._suspend(now, ScorerState.SUSPENDED, bad.fault, bad.detail)
             return False
         self._transition(ScorerState.ACTIVE)
         if self._reference is None or self._rounds % (REPEAT_EVERY * REPEATS_PER_REFERENCE) == 0:
-            self._reference = answers[0].snapshot, scores
-        self.scores = scores
+            self._reference = answers[0].snapshot, validated
+        self.scores = validated
         if self.suspensions and now - self._suspended_at > self._rules.forgive_us:
             self.suspensions = 0
         return True
 
     def _validate(self, answers: Sequence[ScorerAnswer]) -> dict[str, float]:
         known = [self._reference] if self._reference is not None else []
-        for one in answers:
-            if one.raised:
-                raise InvalidScores(ScorerFault.RAISED, one.raised)
-            if one.took_us > self._rules.slow_us:
+        for answer in answers:
+            if answer.raised:
+                raise InvalidScores(ScorerFault.RAISED, answer.raised)
+            if answer.took_us > self._rules.slow_us:
                 raise InvalidScores(
                     ScorerFault.SLOW,
-                    f"{one.took_us / 1e3:.0f} ms, at most {self._rules.slow_us / 1e3:g} are allowed",
+                    f"{answer.took_us / 1e3:.0f} ms, at most {self._rules.slow_us / 1e3:g} are allowed",
                 )
-            scores = validate_scores(one.snapshot, one.scores)
+            scores = validate_scores(answer.snapshot, answer.scores)
             for snapshot, before in known:
-                if snapshot == one.snapshot and before != scores:
+                if snapshot == answer.snapshot and before != scores:
                     raise InvalidScores(ScorerFault.STATE, _difference(before, scores))
-            known.append((one.snapshot, scores))
+            known.append((answer.snapshot, scores))
         return validate_scores(answers[0].snapshot, answers[0].scores)
 
     def _suspend(self, now: int, state: ScorerState, fault: ScorerFault, detail: str) -> None:
--- a/harriertrack/decisions/fleet/scoring/scorers/base.py
+++ b/harriertrack/decisions/fleet/scoring/scorers/base.py
@@ -71,18 +71,20 @@
 
 def check_parameters(known: tuple[Parameter, ...], given: Mapping[str, float]) -> dict[str, float]:
     """Return all parameters of a scorer, with defaults where none is given. Raises BadParameters."""
-    names = {one.name for one in known}
+    names = {parameter.name for parameter in known}
     for name in given:
         if name not in names:
             raise BadParameters(f"{name}: no such parameter; there are {', '.join(sorted(names)) or 'none'}")
     values = {}
-    for one in known:
-        value = given.get(one.name, one.usual)
+    for parameter in known:
+        value = given.get(parameter.name, parameter.usual)
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
-            or not one.least <= value <= one.most
+            or not parameter.least <= value <= parameter.most
         ):
-            raise BadParameters(f"{one.name}: {value!r} is no number from {one.least:g} to {one.most:g}")
-        values[one.name] = float(value)
+            raise BadParameters(
+                f"{parameter.name}: {value!r} is not a number from {parameter.least:g} to {parameter.most:g}"
+            )
+        values[parameter.name] = float(value)
     return values
--- a/harriertrack/decisions/fleet/scoring/shared_weights.py
+++ b/harriertrack/decisions/fleet/scoring/shared_weights.py
@@ -55,12 +55,14 @@
         """Form this head's own opinions from the latest scores of its scorer."""
         logs = normalise(self.guard.scores)
         self.own = {
-            sight.node: Opinion(logs[sight.node], sight.evidence, sight.age_us)
-            for sight in snapshot.nodes
-            if sight.node in logs and sight.age_us >= 0
+            node.node: Opinion(logs[node.node], node.evidence, node.age_us)
+            for node in snapshot.nodes
+            if node.node in logs and node.age_us >= 0
         }
 
-    def aggregate(self, now: int, head: str, names: frozenset[str], snapshot: Snapshot, turn: int) -> None:
+    def aggregate_opinions(
+        self, now: int, head: str, names: frozenset[str], snapshot: Snapshot, turn: int
+    ) -> None:
         """Aggregate them with those of the heads that may vote: publishers of this turn or the last one."""
         limit = self._rules.reporters
         publishers = select_publishers(names, turn, limit) | select_publishers(names, turn - 1, limit)
@@ -68,7 +70,7 @@
         received = self.peers.opinions(now, publishers - {head})
         # If only some of the heads publish, pages from the publishers of two turns may be present at a time.
         self.voters = max(min(len(names), limit), len(self.peers.heads() & publishers) + 1)
-        nodes = {sight.node: node_number(sight.node) for sight in snapshot.nodes}
+        nodes = {node.node: node_number(node.node) for node in snapshot.nodes}
         self.aggregated = {}
         for name, number in nodes.items():
             own = [self.own[name]] if name in self.own else []
@@ -106,46 +108,48 @@
 
     def receive(self, now: int, head: str, page: Page) -> bool:
         """Store a page of a head; return whether a scorer of this head has its namespace."""
-        for one in self.by_scorer.values():
-            if one.namespace.number == page.namespace:
-                one.peers.receive(now, head, page)
+        for weights in self.by_scorer.values():
+            if weights.namespace.number == page.namespace:
+                weights.peers.receive(now, head, page)
                 return True
         return False
 
     def forget(self, head: str) -> None:
         """Forget the pages of a head, which has a new incarnation."""
-        for one in self.by_scorer.values():
-            one.peers.forget(head)
+        for weights in self.by_scorer.values():
+            weights.peers.forget(head)
 
     def update(self, now: int, context: HeadContext) -> list[Page]:
         """Aggregate the opinions and move the weights; return the pages to publish."""
         pages: list[Page] = []
         turn = context.wall_us // self.rules.turn_us
-        for one in self.by_scorer.values():
-            one.form_opinions(context.snapshot)
+        for weights in self.by_scorer.values():
+            weights.form_opinions(context.snapshot)
             names = (
-                frozenset({context.head}) if self.alone else context.runners(one.namespace) | {context.head}
+                frozenset({context.head})
+                if self.alone
+                else context.runners(weights.namespace) | {context.head}
             )
-            one.aggregate(now, context.head, names, context.snapshot, turn)
+            weights.aggregate_opinions(now, context.head, names, context.snapshot, turn)
             if len(names) > 1 and context.head in select_publishers(names, turn, self.rules.reporters):
                 publishers = min(len(names), self.rules.reporters)
-                if (page := one.publisher.next_page(now, one.own, publishers)) is not None:
+                if (page := weights.publisher.next_page(now, weights.own, publishers)) is not None:
                     pages.append(page)
         self._move(now, context.snapshot)
         return pages
 
     def _move(self, now: int, snapshot: Snapshot) -> None:
-        nodes = {sight.node: sight for sight in snapshot.nodes}
+        nodes = {node.node: node for node in snapshot.nodes}
         for name in [name for name in self._damped if name not in nodes]:
             del self._damped[name]
         count = max(1, len(self.by_scorer))
         self.desired = {}
-        for name, sight in nodes.items():
-            mean = sum(one.aggregated.get(name, 0.0) for one in self.by_scorer.values()) / count
-            self.desired[name] = min(mean, weight_ceiling(sight, self.rules))
+        for name, node in nodes.items():
+            mean = sum(weights.aggregated.get(name, 0.0) for weights in self.by_scorer.values()) / count
+            self.desired[name] = min(mean, weight_ceiling(node, self.rules))
             damped = self._damped.setdefault(name, DampedWeight(now))
             damped.move(now, self.desired[name], self.rules)
-        self.factors.logs = {name: one.log for name, one in self._damped.items()}
+        self.factors.logs = {name: damped.log for name, damped in self._damped.items()}
 
     def gain_of(self, node: str) -> float:
         """Return the damping gain of a node's weight: 1 is undamped."""
--- a/harriertrack/decisions/fleet/scoring/snapshot.py
+++ b/harriertrack/decisions/fleet/scoring/snapshot.py
@@ -31,8 +31,8 @@
     @property
     def names(self) -> frozenset[str]:
         """Return the names of the nodes."""
-        return frozenset(one.node for one in self.nodes)
+        return frozenset(known.node for known in self.nodes)
 
     def find(self, node: str) -> NodeObservation | None:
         """Return the observations of a node; None if it is not in use."""
-        return next((one for one in self.nodes if one.node == node), None)
+        return next((known for known in self.nodes if known.node == node), None)
--- a/harriertrack/decisions/fleet/scoring/weight_exchange.py
+++ b/harriertrack/decisions/fleet/scoring/weight_exchange.py
@@ -22,7 +22,7 @@
 
 PAGE_COUNT = 2
 WEIGHT_STEP = 1 / 16  # resolution of published weights, in powers of two
-MIN_STEPS = 3  # weights closer to an equal share are not published: one head's may differ that much by chance
+MIN_STEPS = 3  # weights closer to an equal share are not published: such differences may be chance
 MAX_ENTRIES = 32  # of a page; beyond that those closest to an equal share are left out
 MAX_EVIDENCE = 255
 UNTHROTTLED_PUBLISHERS = 8  # up to this number of publishers none has to wait longer than `say_us`
@@ -86,9 +86,9 @@
             pages[page_number(node)].append(
                 Entry(node, steps, min(MAX_EVIDENCE, math.ceil(opinion.evidence)))
             )
-    for at, page in enumerate(pages):
+    for index, page in enumerate(pages):
         strongest = sorted(page, key=lambda entry: (-abs(entry.steps), entry.node))[:MAX_ENTRIES]
-        pages[at] = sorted(strongest, key=lambda entry: entry.node)
+        pages[index] = sorted(strongest, key=lambda entry: entry.node)
     return pages
 
 
@@ -121,29 +121,29 @@
         pages = build_entries(opinions)
         # Large changes and pages published long ago go first, so that no page waits forever.
         candidates = [
-            ((1 + self._change(at, page)) * (now - self.published_at[at]), at)
-            for at, page in enumerate(pages)
-            if self._needs_publishing(now, at, page)
+            ((1 + self._change(number, page)) * (now - self.published_at[number]), number)
+            for number, page in enumerate(pages)
+            if self._needs_publishing(now, number, page)
         ]
         if not candidates:
             return None
-        _, at = max(candidates)
-        page = Page(self.namespace, at, _digest(pages), tuple(pages[at]), self.serial + 1)
+        _, number = max(candidates)
+        page = Page(self.namespace, number, _digest(pages), tuple(pages[number]), self.serial + 1)
         if page.bytes > self.allowance:
             return None
         self.allowance -= page.bytes
         self.serial += 1
-        self.published[at], self.published_at[at] = page.entries, now
+        self.published[number], self.published_at[number] = page.entries, now
         return page
 
-    def _needs_publishing(self, now: int, at: int, page: list[Entry]) -> bool:
-        if self._change(at, page):
+    def _needs_publishing(self, now: int, number: int, page: list[Entry]) -> bool:
+        if self._change(number, page):
             return True
-        return bool(page) and now - self.published_at[at] >= self.rules.again_us
+        return bool(page) and now - self.published_at[number] >= self.rules.again_us
 
-    def _change(self, at: int, page: list[Entry]) -> int:
+    def _change(self, number: int, page: list[Entry]) -> int:
         """Return by how many steps a page differs from the one published last."""
-        before = {entry.node: entry.steps for entry in self.published[at]}
+        before = {entry.node: entry.steps for entry in self.published[number]}
         after = {entry.node: entry.steps for entry in page}
         return sum(abs(after.get(node, 0) - before.get(node, 0)) for node in {*before, *after})
 
@@ -178,9 +178,11 @@
         for name, pages in self._received.items():
             if name not in names:
                 continue
-            for at, page in pages.values():
+            for received_at, page in pages.values():
                 for entry in page.entries:
-                    opinion = Opinion(entry.steps * WEIGHT_STEP, float(entry.evidence), max(0, now - at))
+                    opinion = Opinion(
+                        entry.steps * WEIGHT_STEP, float(entry.evidence), max(0, now - received_at)
+                    )
                     found.setdefault(entry.node, []).append(opinion)
         return found
 
--- a/tests/endings/test_crowded_discovery.py
+++ b/tests/endings/test_crowded_discovery.py
@@ -1,11 +1,12 @@
 """Heads that restart while discovery is overloaded must not send to removed nodes.
 
-Discovery serves its callers in order, and after an outage with many restarted heads an answer takes about 2 s. Calls
-were abandoned after 1.2 s and made again at the end of the queue, so some heads were never answered (`discovery
-failed why=overdue in_a_row=3 took_us=1200550 version=2` with the same version each time, while other heads had their
-answers 1.9 to 2.0 s after the call). Nodes that ended counted as removed after 6 s and started again under their
-names; these heads sent hundreds of requests to them 2.09 s and more after that, where rule `drain` allows 2 s. Heads
-with an open watch had 1.2 s beyond its wait of 2.5 s, and were answered.
+Discovery serves its callers in order. After an outage of some seconds in which most heads restarted, and while a
+release changes the list every 0.35 s, an answer takes about 2 s. Calls were abandoned after 1.2 s and made again at
+the end of the queue, so some heads were never answered (`discovery failed why=overdue in_a_row=3 took_us=1200550
+version=2`, always with the same version, while other heads had their answers 1.9 to 2.0 s after the call). Nodes that
+ended counted as removed after 6 s and started again under their names; these heads sent hundreds of requests to them
+2.09 s and more after that, where rule `drain` allows 2 s. Heads with an open watch had 1.2 s beyond its wait of 2.5 s,
+and were answered.
 """
 
 import copy
