--- a/tests/scoring/test_deciding.py
+++ b/tests/scoring/test_deciding.py
@@ -293,9 +293,9 @@
     for now in range(0, us, RULES.look_us):
         for name, one in shared.items():
             guard = one.by_scorer["x"].guard
-            mine = {node: 1 / score for node, score in scores.items()} if name in faulty else scores
+            own = {node: 1 / score for node, score in scores.items()} if name in faulty else scores
             guard.handle_answers(
-                now, [ScorerAnswer(asked, mine) for asked in guard.next_queries(now, snapshot)]
+                now, [ScorerAnswer(query, own) for query in guard.next_queries(now, snapshot)]
             )
             for page in one.update(now, HeadContext(name, now, snapshot, present, lambda _space: present)):
                 for other, receiver in shared.items():
--- a/tests/test_platform_clock.py
+++ b/tests/test_platform_clock.py
@@ -148,9 +148,9 @@
             site.ask(site.request())
             site.hub.sleep(40 * MS)
         # The grace counts from the start of the process; half of it may be used for requests without another node.
-        assert all(got.when <= began + 2 * S for got in site.shelfs[1].got)
+        assert all(got.when <= started_at + 2 * S for got in site.shelfs[1].got)
 
-    began = site.hub.now()
+    started_at = site.hub.now()
     site.run(act)
 
 
@@ -159,7 +159,7 @@
     site = site_of(tmp_path, PUSHED)
     site.discovery.set("s1", site.shelfs[1].address, 1, "terminated")
     site.discovery.outage = Outage.SILENT
-    began = site.hub.now()
+    started_at = site.hub.now()
 
     def end_of_outage():
         site.hub.sleep(lasts_us)
@@ -168,7 +168,7 @@
         site.discovery.outage = Outage.NONE
 
     def act(site):
-        assert lasts_us <= site.hub.now() - began < lasts_us + 1 * S
+        assert lasts_us <= site.hub.now() - started_at < lasts_us + 1 * S
         assert site.ask(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")[0] == 200
         assert site.ask(site.request())[0] == 503 and not site.shelfs[1].got
 
@@ -179,11 +179,11 @@
 def test_a_head_whose_agent_stays_silent_is_ready_before_it_counts_as_crashed(tmp_path):
     site = site_of(tmp_path, PUSHED)
     site.discovery.outage = Outage.SILENT
-    began = site.hub.now()
+    started_at = site.hub.now()
 
     def act(site):
         # Nine in ten restarted heads have to be ready within 10 s: 1.5 s are left for the imports.
-        assert STARTUP_HOLD_US <= site.hub.now() - began <= 8_500 * MS
+        assert STARTUP_HOLD_US <= site.hub.now() - started_at <= 8_500 * MS
         assert site.ask(site.request())[0] == 200
         assert "list not heard" in [event for event, _ in site.notes]
 
@@ -194,7 +194,7 @@
     site = site_of(tmp_path, PUSHED)
     site.discovery.outage = Outage.SILENT
 
-    began = site.hub.now()
+    started_at = site.hub.now()
 
     def stop():
         site.hub.sleep(1 * S)
@@ -204,7 +204,7 @@
         while site.head.leaving.phase is not Phase.ENDED:
             site.hub.sleep(10 * MS)
         # The longest deadline is 2.5 s, the kill comes 0.7 s after it.
-        assert site.hub.now() - began < (1_000 + 3_200) * MS
+        assert site.hub.now() - started_at < (1_000 + 3_200) * MS
 
     site.begin = stop
     site.run(act)
