--- a/harriertrack/decisions/fleet/scoring/scorer_guard.py
+++ b/harriertrack/decisions/fleet/scoring/scorer_guard.py
@@ -94,7 +94,7 @@
             self._transition(ScorerState.SUSPENDED)
             return False
         if self.state is not ScorerState.PENDING:
-            raise IllegalScorerStep(f"an answer without a query in state {self.state.value!r}")
+            raise IllegalScorerStep(f"an answer without a query in state {self.state.value}")
         try:
             validated = self._validate(answers)
         except InvalidScores as bad:
--- a/harriertrack/decisions/node_snapshots.py
+++ b/harriertrack/decisions/node_snapshots.py
@@ -24,7 +24,7 @@
     if isinstance(module, Baseline):
         return {name: NodeSnapshot(0.0, 0.0, out, False) for name, out in module._outstanding.items()}
     if isinstance(module, CellScheduler):
-        return {name: node for one in module.modules() for name, node in snapshot_nodes(one).items()}
+        return {name: snapshot for one in module.modules() for name, snapshot in snapshot_nodes(one).items()}
     return {
         name: NodeSnapshot(node.window, node.held_units, len(node.out), bool(node.silent_at))
         for name, node in module._nodes.items()
