--- a/harriertrack/gateway/list_call.py
+++ b/harriertrack/gateway/list_call.py
@@ -7,7 +7,7 @@
 from harriertrack.config.settings import ConsulSettings
 from harriertrack.membership import consul
 from harriertrack.membership.nodes import Member
-from harriertrack.protocol.http import Call, HttpError
+from harriertrack.protocol.http import HttpCall, HttpError
 from harriertrack.runtime.hub import Event, Hub, Scope, Task
 from harriertrack.runtime.streams import Network
 
@@ -49,7 +49,7 @@
         stream = network.connect(address, None, name)
         try:
             target = consul.target(self._source.service, self._index, self._wait_us)
-            get = Call("GET", f"{address[0]}:{address[1]}", target, agent)
+            get = HttpCall("GET", f"{address[0]}:{address[1]}", target, agent)
             stream.write(get.request)
             while not get.receive(stream.read()):
                 pass
--- a/harriertrack/gateway/witness.py
+++ b/harriertrack/gateway/witness.py
@@ -7,7 +7,7 @@
 
 from harriertrack.membership import leases
 from harriertrack.membership.leases import Lock, Standing, WitnessError
-from harriertrack.protocol.http import Call, HttpError
+from harriertrack.protocol.http import HttpCall, HttpError
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import Network
 
@@ -28,7 +28,7 @@
         stream = self._network.connect(self._address, deadline, self._name)
         try:
             host = f"{self._address[0]}:{self._address[1]}"
-            call = Call(method, host, target, f"harriertrack/{self._name}", body)
+            call = HttpCall(method, host, target, f"harriertrack/{self._name}", body)
             stream.write(call.request)
             while not call.receive(stream.read(deadline)):
                 pass
--- a/harriertrack/lab/interleaving/scenarios/watch.py
+++ b/harriertrack/lab/interleaving/scenarios/watch.py
@@ -45,7 +45,7 @@
 
 
 class _Shelfs:
-    def gone(self, _node: str) -> None:
+    def node_removed(self, _node: str) -> None:
         """No connection is open to it."""
 
 
@@ -102,7 +102,7 @@
             nonlocal wanted
             if core.discovery is not None:
                 wanted = OTHER
-                core.discovery.move(sources[OTHER].address)
+                core.discovery.change_address(sources[OTHER].address)
 
         if moves:
             world.fault("the source moves", HEAD, move)
--- a/harriertrack/protocol/http.py
+++ b/harriertrack/protocol/http.py
@@ -11,7 +11,7 @@
     """The peer's HTTP is broken, or its answer too large."""
 
 
-class Call:
+class HttpCall:
     """One call: send `request`, feed what comes to `receive` until it returns True."""
 
     def __init__(self, method: str, host: str, target: str, agent: str, body: bytes = b"") -> None:
--- a/harriertrack/protocol/nbd/client.py
+++ b/harriertrack/protocol/nbd/client.py
@@ -12,7 +12,6 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from harriertrack.protocol.inbox import Inbox
 from harriertrack.protocol.nbd import extension
 from harriertrack.protocol.nbd.wire import (
     CHUNK,
@@ -53,6 +52,7 @@
     put_string,
     take_string,
 )  # fmt: skip
+from harriertrack.protocol.receive_buffer import ReceiveBuffer
 
 
 @dataclass(slots=True)
@@ -112,7 +112,7 @@
     """One connection, seen from the client."""
 
     def __init__(self) -> None:
-        self._inbox = Inbox()
+        self._inbox = ReceiveBuffer()
         self.state = ClientState.GREETING
         self.outgoing: list[bytes | memoryview] = []
         self.structured = False
@@ -272,7 +272,7 @@
         if len(self._inbox) < OPTION_REPLY.size + length:
             return False
         self._inbox.skip(OPTION_REPLY.size)
-        data = self._inbox.take(length)
+        data = self._inbox.consume(length)
         if kind & REP_ERROR:
             asked.error, asked.message = kind, data.decode("utf-8", "replace")
         elif kind == Rep.SERVER:
@@ -329,7 +329,7 @@
             return False
         self._inbox.skip(SIMPLE_REPLY.size)
         pending.reply.error = error
-        pending.reply.data = self._inbox.take(length)
+        pending.reply.data = self._inbox.consume(length)
         del self._pending[cookie]
         events.append(pending.reply)
         return True
@@ -351,7 +351,7 @@
         if len(self._inbox) < CHUNK.size + length:
             return False
         self._inbox.skip(CHUNK.size)
-        self._take_chunk(pending, kind, self._inbox.take(length))
+        self._take_chunk(pending, kind, self._inbox.consume(length))
         if flags & CHUNK_DONE:
             del self._pending[cookie]
             self._finish(pending)
--- a/harriertrack/protocol/nbd/server.py
+++ b/harriertrack/protocol/nbd/server.py
@@ -13,7 +13,6 @@
 from enum import Enum
 from typing import Protocol
 
-from harriertrack.protocol.inbox import Inbox
 from harriertrack.protocol.nbd import extension
 from harriertrack.protocol.nbd.wire import (
     BASE_ALLOCATION,
@@ -56,6 +55,7 @@
     put_string,
     take_string,
 )  # fmt: skip
+from harriertrack.protocol.receive_buffer import ReceiveBuffer
 
 _WRITE, _DISC = int(Command.WRITE), int(Command.DISC)
 _OURS = frozenset(map(int, (Command.CANCEL, Command.TICK, Command.CAUGHT, Command.DIGEST)))
@@ -156,7 +156,7 @@
 
     def __init__(self, exports: Exports) -> None:
         self._exports = exports
-        self._inbox = Inbox()
+        self._inbox = ReceiveBuffer()
         self._skip = 0  # option data still to be thrown away
         self.state = ServerState.FLAGS
         self.outgoing: list[bytes] = []
@@ -235,7 +235,7 @@
         if len(inbox) < OPTION.size + length:
             return False
         inbox.skip(OPTION.size)
-        data = inbox.take(length)
+        data = inbox.consume(length)
         match option:
             case Option.EXPORT_NAME:
                 self._export_name(data, events)
@@ -383,7 +383,7 @@
             if len(inbox) < REQUEST.size + length:
                 return False
             inbox.skip(REQUEST.size)
-            data = inbox.take(length)
+            data = inbox.consume(length)
         else:
             inbox.skip(REQUEST.size)
             if kind == _DISC:
--- a/harriertrack/protocol/nvme/transport.py
+++ b/harriertrack/protocol/nvme/transport.py
@@ -15,7 +15,6 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum, auto
 
-from harriertrack.protocol.inbox import Inbox
 from harriertrack.protocol.nvme.wire import (
     COMMON,
     DATA,
@@ -44,6 +43,7 @@
     aligned,
     crc32c,
 )  # fmt: skip
+from harriertrack.protocol.receive_buffer import ReceiveBuffer
 
 BODY = COMMON.size  # where a PDU's own header fields begin
 NO_DIGESTS = Dgst(0)
@@ -120,7 +120,7 @@
         self.header_digest = self.data_digest = False
         self._align_in = self._align_out = 0  # dwords, zero-based: of data that comes, and that goes
         self._most_data = most_data  # that one PDU of the peer's may bring
-        self._inbox = Inbox()
+        self._inbox = ReceiveBuffer()
         self._out: list[bytes] = []
 
     def take_outgoing(self) -> list[bytes]:
@@ -167,7 +167,7 @@
             _, flags, hlen, pdo, plen = common
             if len(self._inbox) < plen:
                 return
-            raw = self._inbox.take(plen)
+            raw = self._inbox.consume(plen)
             header = raw[:hlen]
             if digest:
                 (sent,) = DIGEST.unpack_from(raw, hlen)
--- a/harriertrack/protocol/platform/exchange.py
+++ b/harriertrack/protocol/platform/exchange.py
@@ -11,12 +11,12 @@
 
 import httptools
 
-from harriertrack.protocol.platform import MOST_HEAD
+from harriertrack.protocol.platform import MAX_HEAD_BYTES
 
 MOST_INTERIM = 8  # 1xx answers ahead of the real one
 
 
-class Spoilt(Exception):
+class InvalidAnswer(Exception):
     """An answer that can't be read or is not whole."""
 
 
@@ -54,17 +54,17 @@
     def receive(self, data: bytes) -> Answer | None:
         """Take bytes, b"" for the end; return the answer once it is whole. Raises Spoilt."""
         if not data:
-            raise Spoilt("the connection ended inside an answer")
+            raise InvalidAnswer("the connection ended inside an answer")
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self._complete:
-                raise Spoilt(self._why or str(error)) from error
+                raise InvalidAnswer(self._why or str(error)) from error
             self._surplus = True
         if not self._headed:
             self._fed += len(data)
-            if self._fed > MOST_HEAD:  # the parser keeps a field until it ends
-                raise Spoilt("a head of more than 16 KiB")
+            if self._fed > MAX_HEAD_BYTES:  # the parser keeps a field until it ends
+                raise InvalidAnswer("a head of more than 16 KiB")
         if not self._complete:
             return None
         reusable = self._kept and not self._surplus
@@ -73,19 +73,19 @@
     def on_message_begin(self) -> None:
         """A message begins; behind a whole answer it belongs to nothing."""
         if self._complete:
-            raise Spoilt("more than an answer")
+            raise InvalidAnswer("more than an answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a field."""
         self._head += len(name) + len(value)
-        if self._head > MOST_HEAD:
+        if self._head > MAX_HEAD_BYTES:
             self._stop("a head of more than 16 KiB")
         name = name.lower()
         self._fields[name] = None if name in self._fields else value
 
     def _stop(self, why: str) -> None:
         self._why = why
-        raise Spoilt(why)
+        raise InvalidAnswer(why)
 
     def on_headers_complete(self) -> None:
         """Check the framing: an answer that only the connection's end would end proves nothing."""
--- a/harriertrack/protocol/platform/asked.py
+++ b/harriertrack/protocol/platform/request_parser.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from harriertrack.protocol.platform import MOST_BODY, MOST_HEAD
+from harriertrack.protocol.platform import MAX_BODY_BYTES, MAX_HEAD_BYTES
 
 ID = re.compile(rb"[0-9a-fA-F]{16}")
 COUNT = re.compile(rb"[0-9]{1,9}")
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassForm:
+class ClassSchema:
     """What the requests of a class look like."""
 
     writes: bool
@@ -46,28 +46,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forms:
+class RequestSchema:
     """What requests may name and how large their figures may be."""
 
-    classes: dict[str, ClassForm]
+    classes: dict[str, ClassSchema]
     plans: frozenset[str]
-    most_units: float
+    max_units: float
     shards: int
     heads: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
+class ReadinessCheck:
     """Somebody asks whether the head is ready."""
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class PlatformRequest:
     """A client's request. `target` and `key` go to a shelf as they came; times are milliseconds."""
 
     writes: bool
     target: bytes
-    trace: bytes
+    trace_id: bytes
     key: bytes
     body: bytes
     class_name: str
@@ -78,7 +78,7 @@
     shard: int
     hosts: int
     expires_ms: int
-    repeat: bool
+    second_try: bool
 
 
 def _matched(form: re.Pattern[bytes], value: bytes | None, what: str) -> bytes:
@@ -94,7 +94,7 @@
     that sends on at full speed must cost no more than what was read of it until then.
     """
 
-    def __init__(self, forms: Forms) -> None:
+    def __init__(self, forms: RequestSchema) -> None:
         self._forms = forms
         self._parser = httptools.HttpRequestParser(self)
         self._bad: BadRequest | None = None
@@ -106,7 +106,7 @@
         self._fields: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
 
-    def receive(self, data: bytes) -> Asked | Ready | None:
+    def receive(self, data: bytes) -> PlatformRequest | ReadinessCheck | None:
         """Take bytes; return a request that is whole and right. Raises BadRequest."""
         try:
             self._parser.feed_data(data)
@@ -114,7 +114,7 @@
             raise self._bad or BadRequest(400, str(error)) from error
         if not self._headed:
             self._fed += len(data)
-            if self._fed > MOST_HEAD:  # the parser keeps a field until it ends
+            if self._fed > MAX_HEAD_BYTES:  # the parser keeps a field until it ends
                 raise BadRequest(431, TOO_LONG)
         return self._whole() if self._complete else None
 
@@ -124,7 +124,7 @@
 
     def _take_head(self, size: int) -> None:
         self._head += size
-        if self._head > MOST_HEAD:
+        if self._head > MAX_HEAD_BYTES:
             self._stop(431, TOO_LONG)
 
     def on_message_begin(self) -> None:
@@ -149,7 +149,7 @@
         lengths = [value for name, value in self._fields if name == b"content-length"]
         if any(name == b"transfer-encoding" for name, _ in self._fields):
             self._stop(400, "a body is told by Content-Length alone")
-        elif lengths and (length := int(lengths[0])) > MOST_BODY:
+        elif lengths and (length := int(lengths[0])) > MAX_BODY_BYTES:
             self._stop(413, "a body of more than 64 KiB")
         elif method == b"PUT" and not lengths:
             self._stop(411, "a write without Content-Length")
@@ -164,12 +164,12 @@
         """A request is whole."""
         self._complete, self._kept = True, self._parser.should_keep_alive()
 
-    def _whole(self) -> Asked | Ready:
+    def _whole(self) -> PlatformRequest | ReadinessCheck:
         forms, method = self._forms, self._parser.get_method()
         target = _matched(TARGET, self._target, "the target")
         path, _, query = target.partition(b"?")
         if path == READY_PATH and method == b"GET":
-            return Ready()
+            return ReadinessCheck()
         fields: dict[bytes, bytes] = {}
         for name, value in self._fields:
             if name in fields and (name.startswith(b"x-") or name == b"idempotency-key"):
@@ -187,13 +187,13 @@
         objects = [item[7:] for item in query.split(b"&") if item.startswith(b"object=")]
         if len(objects) != 1:
             raise BadRequest(400, "object is missing or given twice")
-        key = fields.get(b"idempotency-key", b"")
+        idempotency_key = fields.get(b"idempotency-key", b"")
         if form.keyed:
-            _matched(VISIBLE, key, "Idempotency-Key")
+            _matched(VISIBLE, idempotency_key, "Idempotency-Key")
         volume, units, shard, hosts = self._placement(fields.get(b"x-placement", b""))
-        return Asked(
+        return PlatformRequest(
             form.writes, target, _matched(ID, fields.get(b"x-trace-id"), "X-Trace-Id"),
-            key if form.keyed else b"", b"".join(self._body), class_name, plan,
+            idempotency_key if form.keyed else b"", b"".join(self._body), class_name, plan,
             _matched(ID, objects[0], "object").decode(), volume, units, shard, hosts,
             int(_matched(COUNT, fields.get(b"x-expires-in-ms"), "X-Expires-In-Ms")),
             fields.get(b"x-second-try", b"") == b"1",
@@ -210,13 +210,13 @@
         units = float(_matched(NUMBER, given.get(b"units"), "units"))
         shard = int(_matched(SIGNED, given.get(b"shard"), "shard"))
         hosts = int(_matched(COUNT, given.get(b"hosts"), "hosts"))
-        if not 0 < units <= self._forms.most_units:
+        if not 0 < units <= self._forms.max_units:
             raise BadRequest(400, "units out of bounds")
         if shard >= self._forms.shards or not 1 <= hosts <= self._forms.heads:
             raise BadRequest(400, "shard or hosts out of bounds")
         return volume, units, shard, hosts
 
-    def answer(self, status: int, length: int, retry_after_us: int = 0, close: bool = False) -> bytes:
+    def answer_head(self, status: int, length: int, retry_after_us: int = 0, close: bool = False) -> bytes:
         """Return the head of the answer to what was read last; `close` ends the connection after it."""
         head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, REASONS.get(status, b"Error"), length)
         if retry_after_us > 0:
@@ -225,7 +225,7 @@
             head += b"Connection: close\r\n"
         return head + b"\r\n"
 
-    def again(self) -> bool:
+    def start_next(self) -> bool:
         """Make ready for the next request after an answer; return whether the connection may have one."""
         self._headed = self._complete = False
         self._fed = self._head = 0
@@ -234,7 +234,7 @@
         return self._kept
 
 
-def parting(status: int, why: str) -> bytes:
+def closing_answer(status: int, why: str) -> bytes:
     """Return an answer after which the connection ends, whatever was read of the request."""
     body = why.encode("ascii", "replace") + b"\n"
     reason = REASONS.get(status, b"Error")
--- a/harriertrack/protocol/inbox.py
+++ b/harriertrack/protocol/receive_buffer.py
@@ -5,7 +5,7 @@
 import struct
 
 
-class Inbox:
+class ReceiveBuffer:
     """What came in; parsers of all protocols take from its front."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         """Take bytes off the front unread."""
         self._at += count
 
-    def take(self, count: int) -> bytes:
+    def consume(self, count: int) -> bytes:
         """Take bytes off the front; the caller checked that they are there."""
         at = self._at
         self._at = at + count
--- a/harriertrack/service/__main__.py
+++ b/harriertrack/service/__main__.py
@@ -21,7 +21,7 @@
 from harriertrack.runtime.hub import Hub  # noqa: E402
 from harriertrack.runtime.signals import on_signals  # noqa: E402
 from harriertrack.runtime.streams import SocketNetwork  # noqa: E402
-from harriertrack.service.configuration import ConfigurationError, read  # noqa: E402
+from harriertrack.service.configuration import ConfigurationError, read_configuration  # noqa: E402
 from harriertrack.service.head import PlatformHead  # noqa: E402
 
 
@@ -45,7 +45,7 @@
 def main() -> int:
     """Run the head until it is asked to leave; return the exit status."""
     try:
-        configuration = read(os.environ)
+        configuration = read_configuration(os.environ)
     except ConfigurationError as error:
         log(f"harriertrack: {error}")
         return 2
@@ -59,7 +59,7 @@
             head.stop()
             return
         try:
-            head.reconfigure(read(os.environ))
+            head.reconfigure(read_configuration(os.environ))
         except ConfigurationError as error:
             log("configuration not taken", why=error)
 
--- a/harriertrack/service/calls.py
+++ b/harriertrack/service/calls.py
@@ -8,7 +8,7 @@
 from harriertrack.decisions.client_connections import DISCONNECT_KNOWN_US
 from harriertrack.decisions.requests import ClientRequest
 from harriertrack.decisions.retry_queue import WaitMode
-from harriertrack.protocol.platform.asked import Asked
+from harriertrack.protocol.platform.request_parser import PlatformRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 class Call:
     """A client's request as its front knows it: what was asked, and over which connection."""
 
-    asked: Asked
+    asked: PlatformRequest
     session: Session
 
     def answer(self, request: ClientRequest) -> None:
--- a/harriertrack/service/configuration.py
+++ b/harriertrack/service/configuration.py
@@ -14,7 +14,7 @@
 from harriertrack.decisions.settings_parser import parse_settings, read_number, read_object
 from harriertrack.membership.nodes import Member
 from harriertrack.membership.targets import Targets, TargetsError, address_of, members_of
-from harriertrack.protocol.platform.asked import ClassForm, Forms
+from harriertrack.protocol.platform.request_parser import ClassSchema, RequestSchema
 
 PREFIX = "PROXY_"
 MOST_FILE = 8 << 20  # bytes of the file
@@ -62,15 +62,15 @@
 class Bounds:
     """How much of everything the head holds at most; times are microseconds."""
 
-    callers: int
-    asked: int  # of these, those that have asked
-    ways: int
-    held: int
-    dial_us: int
-    idle_us: int
+    client_connections: int
+    used_client_connections: int  # of these, those that have asked
+    node_connections: int
+    open_requests: int
+    dial_timeout_us: int
+    idle_timeout_us: int
     ask_within_us: int
-    longest_us: int
-    answer: int  # bytes of an answer's body
+    longest_deadline_us: int
+    answer_bytes: int  # bytes of an answer's body
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,23 +83,25 @@
     seed: int
     version: int  # of the list that the head had last ...
     known: list[Member]  # ... and its members, their starts in Unix time
-    told: api.Settings
-    forms: Forms
+    settings: api.Settings
+    schema: RequestSchema
     bounds: Bounds
     cores: float
     deadlines: dict[str, int]  # of each class, the longest that a client waits
 
-    def rules(self) -> RequestRules:
+    def request_rules(self) -> RequestRules:
         """Return what the core is told: requests come placed, so nothing is cut."""
         # The settings name a window for classes of every effect; it binds keyed ones alone.
         windows = {
-            one.name: one.window_us if one.effect is api.Effect.KEYED else 0 for one in self.told.classes
+            one.name: one.window_us if one.effect is api.Effect.KEYED else 0 for one in self.settings.classes
         }
         classes = tuple(
             ClassRule(one.name, frozenset(), 0, one.deadline_us, one.in_order, windows[one.name])
-            for one in self.told.classes
+            for one in self.settings.classes
+        )
+        return RequestRules(
+            1, 1, self.settings.tick_us, self.bounds.open_requests, classes, self.settings.drain_grace_us
         )
-        return RequestRules(1, 1, self.told.tick_us, self.bounds.held, classes, self.told.drain_grace_us)
 
 
 def _address(field: str, text: str) -> tuple[str, int]:
@@ -117,7 +119,7 @@
     return int(read_number(f"{group}.{key}", value, least)) or default
 
 
-def read(environment: Mapping[str, str]) -> Configuration:
+def read_configuration(environment: Mapping[str, str]) -> Configuration:
     """Read the configuration that the environment names. Raises ConfigurationError and nothing else."""
     for name in ("NAME", "LISTEN", "DISCOVERY", "CONFIG"):
         if not environment.get(PREFIX + name):
@@ -151,25 +153,25 @@
         raise ValueError(f"settings.{error}") from error
 
 
-def _forms(settings: dict[str, Any], told: api.Settings) -> Forms:
+def _forms(settings: dict[str, Any], told: api.Settings) -> RequestSchema:
     classes = {
-        one.name: ClassForm(one.writes, one.effect is api.Effect.KEYED) for one in told.classes
+        one.name: ClassSchema(one.writes, one.effect is api.Effect.KEYED) for one in told.classes
     }  # fmt: skip
     # Where there are no plans, volumes have none.
     plans = frozenset(one.name for one in told.plans) or frozenset(("",))
     named = read_object("", settings, "familyInfo").get("mostUnits")
     most_units = told.most_units if named else MOST_UNITS
-    return Forms(
+    return RequestSchema(
         classes, plans, most_units, _whole(settings, "familyInfo", "slotsTotal", 1 << 20), told.heads
     )
 
 
 def _bounds(given: _File, told: api.Settings) -> Bounds:
     settings, sockets = given.settings, given.limits.sockets
-    callers = sockets * CLIENTS // 100
+    clients = sockets * CLIENTS // 100
     memory = int((given.limits.memory_mb or MEMORY_MB) * (1 << 20))
     return Bounds(
-        callers, sockets * ASKED // 100, min(sockets * NODES // 100, sockets - callers - LEAST_SPARE),
+        clients, sockets * ASKED // 100, min(sockets * NODES // 100, sockets - clients - LEAST_SPARE),
         _whole(settings, "permissions", "mostHeld", 1 << 20, least=1),
         _whole(settings, "permissions", "dialTimeoutUs", 1_000_000),
         _whole(settings, "permissions", "connIdleUs", 30_000_000),
@@ -180,17 +182,17 @@
 
 def _checked(given: _File) -> Configuration:
     """Turn the file into a configuration. Raises ValueError or TargetsError, which name the field."""
-    told = _settings(given.settings)
+    settings = _settings(given.settings)
     try:
         known = members_of(given.known)
     except TargetsError as error:
         raise ValueError(f"known: {error}") from error
     try:
-        forms, bounds = _forms(given.settings, told), _bounds(given, told)
+        forms, bounds = _forms(given.settings, settings), _bounds(given, settings)
     except ValueError as error:
         raise ValueError(f"settings.{error}") from error
     return Configuration(
         given.name, _address("listen", given.listen), _address("discovery", given.discovery),
-        int(given.seed, 16), given.known.version, known, told, forms, bounds,
-        given.limits.cores or CORES, {one.name: one.deadline_us for one in told.classes},
+        int(given.seed, 16), given.known.version, known, settings, forms, bounds,
+        given.limits.cores or CORES, {one.name: one.deadline_us for one in settings.classes},
     )  # fmt: skip
--- a/harriertrack/service/discovery.py
+++ b/harriertrack/service/discovery.py
@@ -66,7 +66,7 @@
                 self._give_up_all()
             self._start(on)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere now."""
         if address != self._address:
             self._address = address
@@ -75,7 +75,7 @@
             if self._watch.restart(self._hub.now()):
                 self._start(True)
 
-    def ask_now(self) -> None:
+    def refresh(self) -> None:
         """Call for what has changed, whatever call is under way: it may wait for news, or be silent.
 
         That one stays open: its answer may have come already, and counts.
@@ -225,4 +225,4 @@
             news.announced_at = counts_at
         self._core.nodes_changed(news)
         for node in self._nodes.forget_gone():
-            self._storage_nodes.gone(node)
+            self._storage_nodes.node_removed(node)
--- a/harriertrack/service/discovery_call.py
+++ b/harriertrack/service/discovery_call.py
@@ -6,7 +6,7 @@
 
 from harriertrack.decisions.discovery_watch import Call
 from harriertrack.membership.targets import MOST_LIST, target_of
-from harriertrack.protocol.platform.exchange import Answer, Exchange, Spoilt
+from harriertrack.protocol.platform.exchange import Answer, Exchange, InvalidAnswer
 from harriertrack.runtime.hub import Event, Hub, Scope, Task
 from harriertrack.runtime.streams import Network, Stream
 
@@ -56,7 +56,7 @@
             self.answer = self._ask(network, name)
             if self.answer.status != 200:
                 self.failure = f"status {self.answer.status}"
-        except (OSError, Spoilt) as error:
+        except (OSError, InvalidAnswer) as error:
             self.failure = str(error) or type(error).__name__
         except BaseException:
             self.close()
--- a/harriertrack/service/front.py
+++ b/harriertrack/service/front.py
@@ -22,23 +22,29 @@
 from harriertrack.decisions.graceful_shutdown import GracefulShutdown
 from harriertrack.decisions.requests import ClientPlacement, ClientRequest, Core, Volume
 from harriertrack.decisions.splitting import Kind, Outcome
-from harriertrack.protocol.platform.asked import Asked, BadRequest, Ready, RequestParser, parting
+from harriertrack.protocol.platform.request_parser import (
+    BadRequest,
+    PlatformRequest,
+    ReadinessCheck,
+    RequestParser,
+    closing_answer,
+)
 from harriertrack.runtime.hub import Hub, Scope, Waiters
 from harriertrack.runtime.streams import Listener, Stream, StreamClosed
 from harriertrack.service.calls import Call, PlatformVolume
 from harriertrack.service.configuration import Configuration
 from harriertrack.service.log import Log, has_doubled
 
-LOOK_US = 250_000  # how often overdue connections are looked for
+EXPIRY_CHECK_PERIOD_US = 250_000  # how often overdue connections are looked for
 
 
 @dataclass(slots=True)
 class FrontCounts:
     """What became of connections, for operators."""
 
-    taken: int = 0
-    turned_away: int = 0  # for want of room
-    bad: int = 0  # requests that could not be taken
+    accepted: int = 0
+    evicted: int = 0  # for want of room
+    bad_requests: int = 0  # requests that could not be taken
     overdue: int = 0
     unanswered: int = 0  # closed here before anything was answered over them: each is priced as a refusal
 
@@ -52,15 +58,15 @@
         scope: Scope,
         core: Core,
         configuration: Configuration,
-        leaving: GracefulShutdown,
+        shutdown: GracefulShutdown,
         log: Log,
     ) -> None:
-        self.hub, self.core, self.leaving = hub, core, leaving
-        self.forms, self.deadlines = configuration.forms, configuration.deadlines
+        self.hub, self.core, self.shutdown = hub, core, shutdown
+        self.forms, self.deadlines = configuration.schema, configuration.deadlines
         self.connections: ClientConnections[ClientConnection] = ClientConnections(
-            configuration.bounds.callers, configuration.bounds.asked
+            configuration.bounds.client_connections, configuration.bounds.used_client_connections
         )
-        self.open: dict[bytes, Call] = {}  # by the client's id
+        self.open_requests: dict[bytes, Call] = {}  # by the client's id
         self.counts = FrontCounts()
         self._scope, self._log = scope, log
 
@@ -83,10 +89,10 @@
 
     def _take(self, stream: Stream) -> None:
         connection = ClientConnection(self, stream)
-        self.counts.taken += 1
+        self.counts.accepted += 1
         victim = self.connections.accept(connection, self.hub.now(), ClientConnection.silent)
         if victim is not None:
-            self.counts.turned_away += 1
+            self.counts.evicted += 1
             self._close(victim)
         if victim is not connection:
             self._scope.spawn("client", connection.run)
@@ -94,7 +100,7 @@
     def watch(self) -> None:
         """End overdue connections, for ever (a task)."""
         while True:
-            self.hub.sleep(LOOK_US)
+            self.hub.sleep(EXPIRY_CHECK_PERIOD_US)
             if not all(connection.silent() for connection in self.connections.expired(self.hub.now())):
                 self.hub.sleep(0)  # what has come is read first
             for connection in self.connections.expired(self.hub.now()):
@@ -118,13 +124,13 @@
 
     def _close(self, connection: ClientConnection) -> None:
         self.counts.unanswered += not connection.answered
-        connection.end()
+        connection.close()
 
     def told_bad(self, error: BadRequest, peer: str) -> None:
         """A request could not be taken: say so now and then, a flood of them must not flood the log."""
-        self.counts.bad += 1
-        if has_doubled(self.counts.bad):
-            self._log("bad request", why=str(error)[:120], peer=peer, so_far=self.counts.bad)
+        self.counts.bad_requests += 1
+        if has_doubled(self.counts.bad_requests):
+            self._log("bad request", why=str(error)[:120], peer=peer, so_far=self.counts.bad_requests)
 
 
 class ClientConnection:
@@ -148,13 +154,13 @@
             pass  # this connection alone suffers
         finally:
             self.leave()
-            self.end()
+            self.close()
 
     def _serve(self) -> None:
         """Take one request after another until the client ends, or its last answer is given."""
         try:
             while not self._closed and (asked := self._read()) is not None:
-                if isinstance(asked, Ready):
+                if isinstance(asked, ReadinessCheck):
                     self._tell_ready()
                 else:
                     self._take(asked)
@@ -170,7 +176,7 @@
         state = self._front.connections.state(self)
         return not self._closed and state in (ClientState.BUSY, ClientState.SENDING)
 
-    def _read(self) -> Asked | Ready | None:
+    def _read(self) -> PlatformRequest | ReadinessCheck | None:
         """Wait for a request that is whole; None for the end of the connection."""
         connections = self._front.connections
         while data := self._stream.read():
@@ -193,18 +199,18 @@
             self._changed.wait()
 
     def _tell_ready(self) -> None:
-        leaves = self._front.leaving.is_draining
+        leaves = self._front.shutdown.is_draining
         status, body = (503, b"leaving\n") if leaves else (200, b"ready\n")
         self._send(self._front.hub.now(), status, body)
 
-    def _take(self, asked: Asked) -> None:
+    def _take(self, asked: PlatformRequest) -> None:
         front = self._front
         now = front.hub.now()
         call = Call(asked, self)
         if call.client_left(now):
             self._closed = True
             return
-        other = front.open.get(asked.trace)
+        other = front.open_requests.get(asked.trace_id)
         if other is not None:
             if not other.session.left(now):
                 raise BadRequest(409, "a request with this id is open")
@@ -216,11 +222,11 @@
         deadline = min(self._stream.came_at, now) + left
         request = ClientRequest(volume, kind, 0, len(asked.body), asked.body, 0, call, deadline)
         self._request = request
-        front.open[asked.trace] = call
+        front.open_requests[asked.trace_id] = call
         front.core.accept_placed(
             now,
             request,
-            ClientPlacement(asked.class_name, asked.object, asked.shard, asked.units, asked.repeat),
+            ClientPlacement(asked.class_name, asked.object, asked.shard, asked.units, asked.second_try),
         )
         self._stream.watch_end(self.leave)
 
@@ -229,7 +235,7 @@
         if self._request is not request:
             return
         self._request = None
-        self._front.open.pop(call.asked.trace, None)
+        self._front.open_requests.pop(call.asked.trace_id, None)
         self._stream.watch_end(None)
         match request.outcome:
             case Outcome.SERVED:
@@ -241,15 +247,15 @@
 
     def _send(self, deadline: int, status: int, body: bytes, retry_after_us: int = 0) -> None:
         """Send an answer that is awaited until a time; it is the last one if the head leaves."""
-        leaves = self._front.leaving.is_draining
-        self._stream.write(self._http.answer(status, len(body), retry_after_us, close=leaves))
+        leaves = self._front.shutdown.is_draining
+        self._stream.write(self._http.answer_head(status, len(body), retry_after_us, close=leaves))
         self._stream.write(body)
-        kept = self._http.again()
+        kept = self._http.start_next()
         self._send_off(deadline + MAX_LATENESS_US, last=leaves or not kept)
 
     def refuse(self, status: int, why: str) -> None:
         """Say why nothing more is taken over the connection."""
-        self._stream.write(parting(status, why))
+        self._stream.write(closing_answer(status, why))
         self._send_off(self._front.hub.now() + LINGER_US, last=True)
 
     def _send_off(self, until: int, last: bool) -> None:
@@ -261,7 +267,7 @@
         connections.start_sending(self, until, self._front.hub.now())
         self._stream.push(self._sent)
         if connections.state(self) is ClientState.SENDING:
-            self._stream.watch_end(self.end)
+            self._stream.watch_end(self.close)
 
     def _sent(self) -> None:
         """The last byte of an answer has left this process."""
@@ -288,12 +294,12 @@
         if request is not None:
             call = request.requester
             assert isinstance(call, Call)
-            self._front.open.pop(call.asked.trace, None)
+            self._front.open_requests.pop(call.asked.trace_id, None)
             self._front.core.client_left(request)
             self._closed = True
             self._changed.notify()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close the connection."""
         self._closed = True
         self._front.connections.remove(self)
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -57,9 +57,9 @@
         self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._look)
         self._asked_to_leave = Event(hub)
         self.ready = Event(hub)
-        self.leaving = GracefulShutdown(configuration.bounds.longest_us)
+        self.shutdown = GracefulShutdown(configuration.bounds.longest_deadline_us)
         self.nodes = NodeList()
-        self.module = module(configuration.told, configuration.seed)
+        self.module = module(configuration.settings, configuration.seed)
         # A start comes as Unix time. The difference is fixed once: a step of the wall clock must not make
         # known nodes look newly started.
         self._wall_ahead_us = hub.clock.wall() - hub.now()
@@ -90,11 +90,13 @@
         known = [member.localised(self._wall_ahead_us) for member in configuration.known]
         self.nodes.replace(known, restored=True)
         entries = [member.entry for member in self.nodes.members()]
-        self.core = Core(configuration.rules(), self.module, (), self, self.nodes, NoPlaces(), entries)
+        self.core = Core(
+            configuration.request_rules(), self.module, (), self, self.nodes, NoPlaces(), entries
+        )
         self.storage_nodes = StorageNodes(
             hub, self._network, scope, self.core, configuration.bounds, configuration.name, self._log
         )
-        told = configuration.told
+        told = configuration.settings
         watching = DiscoveryWatch(
             configuration.bounds.ask_within_us,
             configuration.version,
@@ -116,7 +118,7 @@
             configuration.name,
             self._log,
         )
-        self.front = Front(hub, scope, self.core, configuration, self.leaving, self._log)
+        self.front = Front(hub, scope, self.core, configuration, self.shutdown, self._log)
         self.core.begin_standstill_checks(hub.now())
         self._heartbeat.start()
         return watching
@@ -129,7 +131,8 @@
         scope.spawn("storage_nodes", self.storage_nodes.watch)
         self.ready.set()
         self._log("ready", name=configuration.name, nodes=len(self.nodes), cores=configuration.cores,
-                   callers=bounds.callers, ways=bounds.ways, longest_us=bounds.longest_us)  # fmt: skip
+                  callers=bounds.client_connections, ways=bounds.node_connections,
+                  longest_us=bounds.longest_deadline_us)  # fmt: skip
         self._asked_to_leave.wait()
         while not self._part(listener):
             hub.sleep(CHECK_PERIOD_US)
@@ -137,7 +140,7 @@
 
     def _part(self, listener: Listener) -> bool:
         """Do what is due while it leaves; return whether it has left."""
-        front, leaving = self.front, self.leaving
+        front, leaving = self.front, self.shutdown
         phase = leaving.advance(self.hub.now(), len(front.connections))
         if leaving.is_draining:
             front.take_waiting(listener)
@@ -183,14 +186,14 @@
             moot=core.moot,
             **ends,
             callers=len(front.connections),
-            came=front.counts.taken,
-            turned_away=front.counts.turned_away,
-            bad=front.counts.bad,
+            came=front.counts.accepted,
+            turned_away=front.counts.evicted,
+            bad=front.counts.bad_requests,
             overdue=front.counts.overdue,
             unanswered=front.counts.unanswered,
             ways=len(storage_nodes.pool),
             dialled=storage_nodes.counts.dialled,
-            spoilt=storage_nodes.counts.spoilt,
+            spoilt=storage_nodes.counts.invalid_answers,
             surplus=storage_nodes.counts.surplus,
             idle_us=self.hub.idle_us,
             longest_round_us=self.hub.longest_round_us,
@@ -198,7 +201,7 @@
 
     def stop(self) -> None:
         """Leave: take what still comes for a while, answer all, and end."""
-        if self.leaving.begin(self.hub.now()):
+        if self.shutdown.begin(self.hub.now()):
             self._log("leaving", open=self.core.open_requests)
             self.report()
             self._asked_to_leave.set()
@@ -207,9 +210,9 @@
     def reconfigure(self, fresh: Configuration) -> None:
         """Follow a new configuration as far as a running head can: where discovery is."""
         before = self.configuration
-        if (fresh.told, fresh.listen, fresh.name) != (before.told, before.listen, before.name):
+        if (fresh.settings, fresh.listen, fresh.name) != (before.settings, before.listen, before.name):
             self._log("configuration", why="a running head follows discovery alone")
-        self.discovery.move(fresh.discovery)
+        self.discovery.change_address(fresh.discovery)
 
     # -- what the core asks for
 
@@ -240,7 +243,7 @@
 
     def ask_list(self) -> None:
         """Ask for the node list now."""
-        self.discovery.ask_now()
+        self.discovery.refresh()
 
     def wake_at(self, when: int) -> None:
         """Flush the core at a time."""
--- a/harriertrack/service/storage_nodes.py
+++ b/harriertrack/service/storage_nodes.py
@@ -14,7 +14,7 @@
 from harriertrack.decisions.lifecycle import AttemptState
 from harriertrack.decisions.requests import Attempt, Core
 from harriertrack.membership.nodes import Member
-from harriertrack.protocol.platform.exchange import Answer, Exchange, Spoilt
+from harriertrack.protocol.platform.exchange import Answer, Exchange, InvalidAnswer
 from harriertrack.runtime.hub import DeadlineExceeded, Hub, Scope
 from harriertrack.runtime.streams import Network, Stream
 from harriertrack.service.calls import Call
@@ -39,9 +39,9 @@
     """What became of connections and answers, for operators."""
 
     dialled: int = 0
-    spoilt: int = 0
+    invalid_answers: int = 0
     surplus: int = 0
-    no_room: int = 0
+    no_capacity: int = 0
     ends: dict[api.Result, int] = field(default_factory=dict)
 
 
@@ -66,7 +66,9 @@
     def __init__(self, hub: Hub, network: Network, scope: Scope, core: Core, bounds: Bounds, name: str,
                  log: Log) -> None:  # fmt: skip
         self.hub, self.network, self.core, self.bounds, self.name = hub, network, core, bounds, name
-        self.pool: ConnectionPool[NodeConnection] = ConnectionPool(bounds.ways, bounds.idle_us)
+        self.pool: ConnectionPool[NodeConnection] = ConnectionPool(
+            bounds.node_connections, bounds.idle_timeout_us
+        )
         self.counts = NodeCounts()
         self._scope, self._log = scope, log
         self._connection_of: dict[Attempt, NodeConnection] = {}
@@ -81,7 +83,7 @@
                 break
             connection.close()
         if connection is None and not self.pool.has_capacity:
-            self.counts.no_room += 1
+            self.counts.no_capacity += 1
             # Not sent, for want of this head's own descriptors: that says nothing of the node.
             self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
             return
@@ -114,13 +116,13 @@
         else:
             self.core.attempt_ended(at, attempt, result)
 
-    def spoilt(self, node: str, why: str) -> None:
+    def report_invalid_answer(self, node: str, why: str) -> None:
         """An answer could not be read: say so now and then."""
-        self.counts.spoilt += 1
-        if has_doubled(self.counts.spoilt):
-            self._log("spoilt answer", shelf=node, why=why[:120], so_far=self.counts.spoilt)
+        self.counts.invalid_answers += 1
+        if has_doubled(self.counts.invalid_answers):
+            self._log("spoilt answer", shelf=node, why=why[:120], so_far=self.counts.invalid_answers)
 
-    def gone(self, node: str) -> None:
+    def node_removed(self, node: str) -> None:
         """A node is gone from the list: nothing more goes over its idle connections."""
         for connection in self.pool.idle_connections(node):
             connection.close()
@@ -163,12 +165,16 @@
         asked = call.asked
         left = max(1, (attempt.times_out_at - owner.hub.now()) // 1000)
         headers = [
-            (b"Host", b"api.internal"), (b"X-Trace-Id", asked.trace), (b"X-Expires-In-Ms", b"%d" % left),
+            (b"Host", b"api.internal"), (b"X-Trace-Id", asked.trace_id), (b"X-Expires-In-Ms", b"%d" % left),
         ]  # fmt: skip
         if asked.key:
             headers.append((b"Idempotency-Key", asked.key))
         self._exchange = Exchange(
-            b"PUT" if asked.writes else b"GET", asked.target, headers, asked.body, owner.bounds.answer
+            b"PUT" if asked.writes else b"GET",
+            asked.target,
+            headers,
+            asked.body,
+            owner.bounds.answer_bytes,
         )
         # Looked at last: the process may have stood still since this was decided.
         if not owner.core.may_begin(owner.hub.now(), attempt):
@@ -189,15 +195,15 @@
         """Dial, then take answers until the connection ends (its task)."""
         owner, hub = self._owner, self._owner.hub
         try:
-            deadline = hub.now() + owner.bounds.dial_us
+            deadline = hub.now() + owner.bounds.dial_timeout_us
             self._stream = owner.network.connect(self._address, deadline, owner.name)
             if self._closed:
                 return
             self._up()
             while self._take(self._stream.read()):
                 pass
-        except Spoilt as error:
-            owner.spoilt(self._node, str(error))
+        except InvalidAnswer as error:
+            owner.report_invalid_answer(self._node, str(error))
             self._lost(api.Result.ERROR)
         except (OSError, DeadlineExceeded):
             pass  # this connection alone suffers
--- a/tests/endings/test_attempt_ends.py
+++ b/tests/endings/test_attempt_ends.py
@@ -407,7 +407,7 @@
     def act(site):
         node = RawNode(site)
         site.net.held = {node.socket.getsockname()}
-        ways = site.head.configuration.bounds.ways
+        ways = site.head.configuration.bounds.node_connections
         for _ in range(4):
             site.net.up.clear()
             theirs = []
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -91,7 +91,7 @@
             client = RawClient(site)
             client.send(site.request() + behind)
             end(client)
-        site.until(lambda: site.head.front.counts.taken == 20 and not len(site.head.front.connections))
+        site.until(lambda: site.head.front.counts.accepted == 20 and not len(site.head.front.connections))
         assert site.head.core.counts.accepted == site.head.core.counts.sent == 0
         assert not site.shelfs[1].got
 
@@ -149,7 +149,11 @@
             client.send(site.request())
         site.until(lambda: site.head.core.counts.clients_left == 10)
         site.hub.sleep(20 * MS)
-        assert len(site.shelfs[1].got) == 10 and not site.head.core.open_requests and not site.head.front.open
+        assert (
+            len(site.shelfs[1].got) == 10
+            and not site.head.core.open_requests
+            and not site.head.front.open_requests
+        )
 
     LoopbackSite(tmp_path, module=Holds).run(act)
 
@@ -172,7 +176,7 @@
         monkeypatch.setattr(ClientConnection, "_take", takes)
         fresh.send(same)
         assert fresh.until_answered()[2] == b"fresh"
-        assert site.head.core.counts.clients_left == 1 and not site.head.front.open
+        assert site.head.core.counts.clients_left == 1 and not site.head.front.open_requests
 
     LoopbackSite(tmp_path).run(act)
 
@@ -215,7 +219,7 @@
         (caller,) = site.head.front.connections._state
         site.until(caller.silent)
         site.hub.clock.leap(100 * S)
-        site.until(lambda: site.head.front.counts.bad and not len(site.head.front.connections))
+        site.until(lambda: site.head.front.counts.bad_requests and not len(site.head.front.connections))
         assert not client.was_reset()
         assert client.until_answered()[0] == status
         assert client.until_ended() == b"" and not client.broken
@@ -290,7 +294,7 @@
     monkeypatch.setattr(
         "harriertrack.decisions.client_connections.STATE_TIMEOUTS", ((ClientState.IDLE, 20 * MS),)
     )
-    monkeypatch.setattr("harriertrack.service.front.LOOK_US", 10 * MS)
+    monkeypatch.setattr("harriertrack.service.front.EXPIRY_CHECK_PERIOD_US", 10 * MS)
     site = LoopbackSite(tmp_path, sockets=SMALL)
     site.script = lambda got: answer(LARGE)
 
@@ -402,14 +406,14 @@
         send, counts = site.head.storage_nodes.send, site.head.front.counts
 
         def sends(attempt):
-            seen.append(counts.taken)
+            seen.append(counts.accepted)
             send(attempt)
 
         site.head.storage_nodes.send = sends
         flood = [RawClient(site) for _ in range(200)]
         client.send(site.request())
         assert client.until_answered()[0] == 200 and seen[0] <= 3 * ACCEPTS_PER_ROUND
-        site.until(lambda: counts.taken == 1 + len(flood))
+        site.until(lambda: counts.accepted == 1 + len(flood))
 
     LoopbackSite(tmp_path, sockets=1024).run(act)
 
--- a/tests/endings/test_crowded_fleet.py
+++ b/tests/endings/test_crowded_fleet.py
@@ -45,7 +45,7 @@
     def list_call_ended(self, _began, _answered):
         pass
 
-    def gone(self, _node):
+    def node_removed(self, _node):
         pass
 
 
--- a/tests/endings/test_head_shutdown.py
+++ b/tests/endings/test_head_shutdown.py
@@ -28,7 +28,7 @@
         begins[Phase.DRAINING] = 50 * MS
         begins[Phase.CLOSING] = begins[Phase.DRAINING] + graceful_shutdown.DRAIN_US
         longest = begins[Phase.CLOSING] + graceful_shutdown.KILL_MARGIN_US - graceful_shutdown.KILL_AFTER_US
-        state = self.head.leaving = graceful_shutdown.GracefulShutdown(longest)
+        state = self.head.shutdown = graceful_shutdown.GracefulShutdown(longest)
         look = state.advance
 
         def looks(now, connections):
@@ -137,7 +137,7 @@
                 client.send(rest[-10:])  # whole now, but refused already
             assert client.until_ended() == b"" and not client.broken
         site.until_phase(Phase.ENDED)
-        assert len(site.shelfs[1].got) == 1 and not site.head.front.open
+        assert len(site.shelfs[1].got) == 1 and not site.head.front.open_requests
 
     site.run(act)
 
@@ -146,13 +146,13 @@
     def act(site):
         client = RawClient(site)
         site.leave()
-        at = site.head.leaving._asked_at
+        at = site.head.shutdown._asked_at
         site.hub.sleep(5 * MS)
         site.given["discovery"] = "127.0.0.1:9"  # nobody listens there
         site.head.reconfigure(site.configuration())
         site.head.stop()
         client.send(site.request())
-        assert client.until_answered()[0] == 200 and site.head.leaving._asked_at == at
+        assert client.until_answered()[0] == 200 and site.head.shutdown._asked_at == at
         site.until_phase(Phase.ENDED)
         assert Phase.CLOSING not in site.phases  # nothing was open
 
--- a/tests/endings/test_settings_of_others.py
+++ b/tests/endings/test_settings_of_others.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, given, settings, strategies as st
 
 from harriertrack.decisions.graceful_shutdown import Phase
-from harriertrack.service.configuration import ConfigurationError, read
+from harriertrack.service.configuration import ConfigurationError, read_configuration
 from harriertrack.service.head import PlatformHead
 from tests.test_platform import MS, Site
 
@@ -29,7 +29,7 @@
         self.change, text = lambda given: None, self.written()
         if text is not None:
             self.path.write_bytes(text)
-        return read({"PROXY_NAME": "n1", "PROXY_LISTEN": str(self.given.get("listen")), "PROXY_DISCOVERY": "x:1",
+        return read_configuration({"PROXY_NAME": "n1", "PROXY_LISTEN": str(self.given.get("listen")), "PROXY_DISCOVERY": "x:1",
                      "PROXY_CONFIG": str(self.path)})  # fmt: skip
 
     def start_anew(self, configuration):
@@ -146,7 +146,7 @@
         assert site.ask(site.request(path="/nothing"))[0] == 404
         asked_at = site.hub.now()
         site.head.stop()
-        while site.head.leaving.phase is not Phase.ENDED:
+        while site.head.shutdown.phase is not Phase.ENDED:
             site.hub.sleep(10 * MS)
         assert site.hub.now() - asked_at < LONGEST_LEAVE_US
 
@@ -287,7 +287,7 @@
         site.hub.sleep(7_000 * MS)
         assert site.ask(READY)[0] == 200
         site.head.stop()
-        while site.head.leaving.phase is not Phase.ENDED:
+        while site.head.shutdown.phase is not Phase.ENDED:
             site.hub.sleep(10 * MS)
 
     site.run(act)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 from harriertrack.decisions.connection_pool import REUSE_DELAY_US
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import MemoryNetwork
-from harriertrack.service.configuration import ConfigurationError, read
+from harriertrack.service.configuration import ConfigurationError, read_configuration
 from harriertrack.service.head import PlatformHead
 from harriertrack.standin.platform import (
     MUTE,
@@ -88,7 +88,7 @@
 
     def configuration(self):
         self.path.write_text(json.dumps(self.given))
-        return read({"PROXY_NAME": "n1", "PROXY_LISTEN": self.given["listen"], "PROXY_DISCOVERY": "x:1",
+        return read_configuration({"PROXY_NAME": "n1", "PROXY_LISTEN": self.given["listen"], "PROXY_DISCOVERY": "x:1",
                      "PROXY_CONFIG": str(self.path)})  # fmt: skip
 
     def run(self, act):
@@ -210,7 +210,7 @@
         status, _, _ = site.ask(site.request(True))
         assert site.head.module.results()[0] in (result, api.Result.CANCELLED if said == MUTE else result)
         assert status == (503 if result.never_ran else 500)
-        assert site.head.core.open_requests == 0 and not site.head.front.open
+        assert site.head.core.open_requests == 0 and not site.head.front.open_requests
 
     site.run(act)
 
@@ -309,7 +309,7 @@
         assert said is not None and 400 <= said[0] < 600
         site.hub.sleep(1000 * MS)
         assert not site.shelfs[0].got and not site.shelfs[1].got
-        assert site.head.core.counts.taken == 0 and len(site.head.front.connections) == 0
+        assert site.head.core.counts.accepted == 0 and len(site.head.front.connections) == 0
         assert site.ask(site.request())[0] == 200
 
     site.run(act)
@@ -339,7 +339,7 @@
         assert len(site.head.front.connections) <= 1
         ends = [site.answered(one, 10 * MS) for one in silent + late]
         assert all(end is None or end[0] == 408 for end in ends)
-        assert len(site.head.front.connections) <= 1 and site.head.core.counts.taken == 1
+        assert len(site.head.front.connections) <= 1 and site.head.core.counts.accepted == 1
 
     Site(tmp_path, sockets=160).run(act)
 
@@ -353,7 +353,7 @@
         stream.close()
         site.hub.sleep(50 * MS)
         assert site.shelfs[1].ended == [1] and site.head.module.results() == [api.Result.CANCELLED]
-        assert not site.head.front.open and site.head.core.open_requests == 0
+        assert not site.head.front.open_requests and site.head.core.open_requests == 0
 
     site.run(act)
 
@@ -461,10 +461,10 @@
         status, fields, _ = site.ask(site.request(), stream)  # clients keep what is open
         assert status == 200 and "connection" not in fields
         site.script = lambda got: MUTE
-        while site.head.leaving.phase is Phase.LAME_DUCK:
+        while site.head.shutdown.phase is Phase.LAME_DUCK:
             site.hub.sleep(5 * MS)
         assert site.answered(stream, 10 * MS) is None  # it was idle
-        assert site.head.leaving.phase is Phase.ENDED
+        assert site.head.shutdown.phase is Phase.ENDED
         # Longest deadline 2.5 s and 0.7 s: it has to be over before that.
         assert site.hub.now() - began < 3_200 * MS
 
@@ -597,7 +597,7 @@
         site.hub.sleep(10 * MS)
         second = site.request(**{"X-Placement": f"volume={VOLUME},units=1,shard=0,hosts=2"})
         assert site.ask(second, within=100 * MS)[0] == 503  # nothing was sent, and it is told at once
-        assert site.head.storage_nodes.counts.no_room >= 1 and not site.shelfs[0].got
+        assert site.head.storage_nodes.counts.no_capacity >= 1 and not site.shelfs[0].got
         assert site.answered(holds)[0] in (500, 503)
         site.script = lambda got: answer(b"again")
         assert site.ask(second.replace(b"X-Trace-Id: 0", b"X-Trace-Id: f"))[2] == b"again"
--- a/tests/test_platform_clock.py
+++ b/tests/test_platform_clock.py
@@ -197,7 +197,7 @@
         site.head.stop()
 
     def act(site):
-        while site.head.leaving.phase is not Phase.ENDED:
+        while site.head.shutdown.phase is not Phase.ENDED:
             site.hub.sleep(10 * MS)
         # The longest deadline is 2.5 s, the kill comes 0.7 s after it.
         assert site.hub.now() - began < (1_000 + 3_200) * MS
--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_leaving.py
@@ -55,7 +55,7 @@
     site.head.stop()
     clients.new_until = asked_at + 400 * MS
     site.hub.sleep_until(kill_at)
-    assert site.head.leaving.phase is Phase.ENDED and not site.head.front.open
+    assert site.head.shutdown.phase is Phase.ENDED and not site.head.front.open_requests
     return clients
 
 
--- a/tests/test_platform_states.py
+++ b/tests/test_platform_states.py
@@ -17,8 +17,8 @@
 from harriertrack.decisions.lifecycle import IllegalTransition
 from harriertrack.decisions.discovery_watch import DiscoveryWatch, UpdateOutcome
 from harriertrack.decisions.connection_pool import REUSE_DELAY_US, ConnectionPool, ConnectionState
-from harriertrack.protocol.platform import MOST_HEAD
-from harriertrack.protocol.platform.asked import BadRequest, RequestParser, Forms
+from harriertrack.protocol.platform import MAX_HEAD_BYTES
+from harriertrack.protocol.platform.request_parser import BadRequest, RequestParser, RequestSchema
 from harriertrack.protocol.platform.exchange import Exchange
 
 S = 1_000_000
@@ -239,8 +239,8 @@
     for flood in (b"GET / HTTP/1.1\r\nA: b\r\n\r\n" * 5000, b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 50_000):
         seen = 0
         with pytest.raises(BadRequest):
-            Counts(Forms({}, frozenset(), 1, 1, 1)).receive(flood)
-        assert seen <= MOST_HEAD // 2
+            Counts(RequestSchema({}, frozenset(), 1, 1, 1)).receive(flood)
+        assert seen <= MAX_HEAD_BYTES // 2
 
 
 def test_what_comes_behind_a_whole_answer_is_not_parsed():
