--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -33,7 +33,7 @@
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.division import Division, Trial
 from harriertrack.lab.fleet.processes import WOKE_US, play_processes
-from harriertrack.membership.fleet import budgeting
+from harriertrack.membership.fleet import topic_datagrams
 from harriertrack.rules import budgets, recording as rec
 
 S = 1_000_000
@@ -44,7 +44,9 @@
 def _division(heads: int, seed: int, fixed: float, rate: float) -> Division:
     one = Division(heads, {"v": BudgetTotal(rate, rate / 5, heads, fixed)}, seed, RULES, clocks=0.001)
     one.measure = lambda said: len(
-        budgeting.encode("fleet", said if not isinstance(said, Term) else (budgeting.Kind.TERM, 0, said))
+        topic_datagrams.encode(
+            "fleet", said if not isinstance(said, Term) else (topic_datagrams.Kind.TERM, 0, said)
+        )
     )
     return one
 
@@ -206,10 +208,10 @@
         self.seconds[what] += time.process_time() - began
         return found
 
-    def carried(self, said: budgeting.Said) -> budgeting.Said:
-        data = self.timed("codec", budgeting.encode, "fleet", said)
+    def carried(self, said: topic_datagrams.Message) -> topic_datagrams.Message:
+        data = self.timed("codec", topic_datagrams.encode, "fleet", said)
         self.bytes += len(data)
-        return self.timed("codec", budgeting.decode, "fleet", data)
+        return self.timed("codec", topic_datagrams.decode, "fleet", data)
 
 
 def _exchange(spent: _Spent, now: int, ledger: Ledger, holders: list[LeaseHolder]) -> None:
--- a/benchmarks/fleet_scoring.py
+++ b/benchmarks/fleet_scoring.py
@@ -28,8 +28,8 @@
 from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings, Verb
 from harriertrack.lab.fleet.swarm import Swarm
 from harriertrack.lab.rig import HeadSlot
-from harriertrack.membership.fleet import weighing
-from harriertrack.membership.fleet.messages import decode, packed
+from harriertrack.membership.fleet import weight_pages
+from harriertrack.membership.fleet.messages import decode, encode_item
 from harriertrack.membership.fleet.swim import Rules, Send
 from harriertrack.rules import checker, recording as rec, scoring as score_rules
 from harriertrack.runtime.hub import Hub
@@ -217,7 +217,7 @@
     carry = swarm._carry
 
     def counted(process: str, send: Send) -> None:
-        sent[process] += sum(len(packed(note)) for note in decode(send.data).topics)
+        sent[process] += sum(len(encode_item(note)) for note in decode(send.data).topics)
         carry(process, send)
 
     swarm._carry = counted  # type: ignore[method-assign]
@@ -226,8 +226,8 @@
         for name in speaking:
             opinions = {node: Opinion(log + draws.gauss(0, 0.07), 50, 0) for node, log in logs.items()}
             if (page := says[name].next_page(swarm.now, opinions, len(speaking))) is not None:
-                topic = weighing.topic_of(page)
-                swarm.members[name].say(topic, weighing.encode(page))
+                topic = weight_pages.topic_of(page)
+                swarm.members[name].set_topic_note(topic, weight_pages.encode(page))
                 row = swarm.members[name].view.find(name)
                 assert row is not None
                 said[name, topic][row.topics[topic].version] = swarm.now
--- a/harriertrack/cli/asking.py
+++ b/harriertrack/cli/asking.py
@@ -9,7 +9,7 @@
 
 from harriertrack.cli.common import fail, settings_of
 from harriertrack.config.settings import HeadSettings
-from harriertrack.membership.fleet.telling import Document, MalformedDocument, document_from
+from harriertrack.membership.fleet.status_document import Document, MalformedDocument, parse_document
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import SocketNetwork
 
@@ -58,7 +58,7 @@
     hub = Hub()
     try:
         body = hub.run(ask, hub, address)
-        return body, document_from(body)
+        return body, parse_document(body)
     except (OSError, DeadlineExceeded, MalformedDocument) as error:
         fail(f"{address[0]}:{address[1]}: {error or 'no answer in time'}")
 
--- a/harriertrack/cli/changes.py
+++ b/harriertrack/cli/changes.py
@@ -34,7 +34,7 @@
 from harriertrack.decisions.fleet.changes.version_state import IllegalTransition, VersionState
 from harriertrack.gateway.fleet.changes import keeping
 from harriertrack.gateway.witness import FAILURES, WitnessClient
-from harriertrack.membership.fleet.changing import DamagedRecord
+from harriertrack.membership.fleet.change_record import DamagedRecord
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import SocketNetwork
 
--- a/harriertrack/cli/closing.py
+++ b/harriertrack/cli/closing.py
@@ -16,7 +16,7 @@
     table,
 )
 from harriertrack.cli.common import fail
-from harriertrack.membership.fleet.telling import ClosingTold
+from harriertrack.membership.fleet.status_document import ClosingStatus
 
 WORDS = ("calendar", "closes done", "now", "next", "next (UTC)")
 WOULD = ("would purge here",)
@@ -26,7 +26,7 @@
     return f"{datetime.fromtimestamp(us / 1e6, UTC):%Y-%m-%d %H:%M:%S}" if us else "-"
 
 
-def _time(told: ClosingTold) -> str:
+def _time(told: ClosingStatus) -> str:
     if told.between_us is None:
         return "does not know the time: most of the fleet was not heard, or its clock has jumped"
     low, high = told.between_us
--- a/harriertrack/cli/fleet.py
+++ b/harriertrack/cli/fleet.py
@@ -21,9 +21,9 @@
 from harriertrack.cli.common import fail
 from harriertrack.cli.lazily import Late, LazyGroup
 from harriertrack.gateway.fleet.seats import DECIDES
-from harriertrack.membership.fleet.telling import (
-    BudgetsTold,
-    Told,
+from harriertrack.membership.fleet.status_document import (
+    BudgetsStatus,
+    MemberStatus,
 )
 
 SHOWN = (
@@ -68,7 +68,7 @@
     fleet.add_command(one_command)
 
 
-def _line(one: Told) -> tuple[str, ...]:
+def _line(one: MemberStatus) -> tuple[str, ...]:
     about = one.about
     return (
         one.name, one.state, f"{one.since_s:.1f}s", str(one.incarnation), one.region or "-", one.zone or "-",
@@ -153,7 +153,7 @@
     return f"{amount:.4g}"
 
 
-def _budget_lines(told: BudgetsTold, wanted: Callable[[str], bool]) -> Iterator[str]:
+def _budget_lines(told: BudgetsStatus, wanted: Callable[[str], bool]) -> Iterator[str]:
     """Tell what a head has of budgets, and what it lent as who keeps a ledger."""
     for seat in told.seats:
         asks = f"asks {seat.keeper}, epoch {seat.epoch}" if seat.keeper else "knows nobody who keeps it"
--- a/harriertrack/cli/list_service.py
+++ b/harriertrack/cli/list_service.py
@@ -39,7 +39,7 @@
                 service.set_state(name, NodeState.GONE)
             for name, node in fresh.items():
                 if told.get(name) != node:
-                    service.set(member_of(node).localised(self._wall_ahead_us))
+                    service.set(member_of(node).with_local_start(self._wall_ahead_us))
             self._told[entrance.name] = fresh
 
 
--- a/harriertrack/cli/scoring.py
+++ b/harriertrack/cli/scoring.py
@@ -7,12 +7,12 @@
 import click
 
 from harriertrack.gateway.fleet.scoring.plugins import found
-from harriertrack.membership.fleet.telling import ScoresTold
+from harriertrack.membership.fleet.status_document import ScoresStatus
 
 NODES = ("node", "zone", "weight", "gain", "latency", "taken", "refused", "answers")
 
 
-def scorer_lines(told: ScoresTold) -> Iterator[str]:
+def scorer_lines(told: ScoresStatus) -> Iterator[str]:
     """Tell of each scorer whether it has its vote, and why not."""
     for one in told.scorers:
         vote = "has its vote" if not one.back_s else f"{one.vote}: no vote for {one.back_s:.0f} s more"
@@ -28,7 +28,7 @@
         yield "no scorer runs here"
 
 
-def node_rows(told: ScoresTold) -> list[tuple[str, ...]]:
+def node_rows(told: ScoresStatus) -> list[tuple[str, ...]]:
     """Return a table of nodes: the weight in use, and by scorer what is said here and by all together."""
     names = [one.name for one in told.scorers]
     rows: list[tuple[str, ...]] = [(*NODES, *(f"{name}: here, joined" for name in names))]
--- a/harriertrack/cli/zones.py
+++ b/harriertrack/cli/zones.py
@@ -20,14 +20,14 @@
 from harriertrack.config.settings import HeadSettings
 from harriertrack.gateway.fleet.zones import set_wish
 from harriertrack.gateway.witness import FAILURES, WitnessClient
-from harriertrack.membership.fleet.telling import Document, LeavingTold, ZonesTold
+from harriertrack.membership.fleet.status_document import Document, ZoneLeaveCost, ZonesStatus
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import SocketNetwork
 
 WORDS = ("zone", "stage", "share", "used here", "seen here", "all heads", "wish", "why")
 
 
-def _told(document: Document) -> ZonesTold:
+def _told(document: Document) -> ZonesStatus:
     if document.zones is None:
         fail(f"{document.name} leaves no zones with others: (zones ...) is not set")
     return document.zones
@@ -73,7 +73,7 @@
     click.echo(f"{zone}: {f'wished {wish}' if wish else 'no wish any more'}; who decides looks each 2 s")
 
 
-def leaving_lines(zone: str, others: list[str], cost: LeavingTold) -> list[str]:
+def leaving_lines(zone: str, others: list[str], cost: ZoneLeaveCost) -> list[str]:
     """Return what leaving a zone would do, as text."""
     return [
         f"{zone} serves {cost.served:.0f} requests a second; {cost.stays:.0f} of them are for data that lie "
--- a/harriertrack/decisions/fleet/scoring/weight_exchange.py
+++ b/harriertrack/decisions/fleet/scoring/weight_exchange.py
@@ -7,7 +7,7 @@
 not go stale; never more than so many bytes a second, and the more rarely the more heads speak: what is said
 before the last was heard by all is lost labour. At any time so many heads speak as `reporters` says, drawn by
 checksum, others after a turn: what passes between heads does not grow with the fleet beyond that. Pure; as
-bytes it is in membership/fleet/weighing.py.
+bytes it is in membership/fleet/weight_pages.py.
 """
 
 from __future__ import annotations
--- a/harriertrack/gateway/fleet/budgets.py
+++ b/harriertrack/gateway/fleet/budgets.py
@@ -19,10 +19,10 @@
 from harriertrack.gateway.fleet.seats import DECIDES, Locks, Seat
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import WitnessClient
-from harriertrack.membership.fleet import budgeting
-from harriertrack.membership.fleet.budgeting import Kind, MalformedDatagram, Said
+from harriertrack.membership.fleet import topic_datagrams
+from harriertrack.membership.fleet.status_document import BudgetsStatus
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import BudgetsTold
+from harriertrack.membership.fleet.topic_datagrams import Kind, MalformedDatagram, Message
 from harriertrack.runtime.alarm import Alarm
 from harriertrack.runtime.datagrams import Address
 from harriertrack.runtime.hub import Hub
@@ -88,7 +88,9 @@
         self._locks = Locks(parts, settings, swim, self._soon, self._vacated)
         self._alarm = Alarm(hub, self._wake)
         self._closed, self._shed = False, shed
-        self.otherwise: Callable[[Said, Address], None] = lambda _said, _source: None  # what is of no ledger
+        self.otherwise: Callable[[Message, Address], None] = lambda _said, _source: (
+            None
+        )  # what is of no ledger
 
     def start(self) -> None:
         """Take part from now on."""
@@ -113,10 +115,10 @@
         counts.came += 1
         counts.came_bytes += len(data)
         try:
-            said = budgeting.decode(self._fleet, data)
-        except budgeting.Stranger:
+            said = topic_datagrams.decode(self._fleet, data)
+        except topic_datagrams.ForeignFleet:
             counts.strangers += 1
-        except budgeting.TooNew:
+        except topic_datagrams.UnsupportedVersion:
             counts.too_new += 1
         except MalformedDatagram:
             counts.garbage += 1
@@ -128,7 +130,7 @@
             if (seat := self._seats.get(number)) is not None:
                 self._take(now, seat, said, source)
 
-    def _take(self, now: int, seat: Seat, said: Said, source: Address) -> None:
+    def _take(self, now: int, seat: Seat, said: Message, source: Address) -> None:
         match said:
             case LeaseRequest():
                 self._asked(now, seat, said, source)
@@ -175,9 +177,9 @@
         elif (address := seat.addresses.get((grant.holder, grant.instance))) is not None:
             self.send(address, grant)
 
-    def send(self, address: Address, said: Said) -> None:
+    def send(self, address: Address, said: Message) -> None:
         """Send a datagram to another head."""
-        data = budgeting.encode(self._fleet, said)
+        data = topic_datagrams.encode(self._fleet, said)
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
         self._send_bytes(data, address)
@@ -268,7 +270,7 @@
 
     # -- what operators see
 
-    def document(self, now: int) -> BudgetsTold:
+    def document(self, now: int) -> BudgetsStatus:
         """Return what this head tells of budgets."""
         counts = {name: getattr(self.counts, name) for name in Counts.__slots__}
         return showing.told(now, list(self._seats.values()), self._swim.view.present, counts)
--- a/harriertrack/gateway/fleet/carrier.py
+++ b/harriertrack/gateway/fleet/carrier.py
@@ -13,9 +13,15 @@
 from harriertrack.gateway.fleet.figures import figures
 from harriertrack.gateway.fleet.together import Member, Together
 from harriertrack.gateway.parts import HeadParts
-from harriertrack.membership.fleet.messages import BUDGETS, Record, State
-from harriertrack.membership.fleet.swim import Changed, Noted, Rules, Said, Send, Swim
-from harriertrack.membership.fleet.telling import About, about_of, digest_name, document_of, state_name
+from harriertrack.membership.fleet.messages import TOPIC_MARK, Record, State
+from harriertrack.membership.fleet.status_document import (
+    ActivityNote,
+    build_document,
+    digest_name,
+    parse_member_note,
+    state_name,
+)
+from harriertrack.membership.fleet.swim import LogEvent, MemberChanged, NoteReceived, Rules, Send, Swim
 from harriertrack.membership.fleet.view import Change
 from harriertrack.runtime.alarm import Alarm
 from harriertrack.runtime.datagrams import Address, SocketDatagrams
@@ -41,7 +47,7 @@
         self._at_door = 0
         self._closed = False
         self._taken = self._refused = 0
-        self._about = About()
+        self._about = ActivityNote()
         self.swim: Swim
         self.together: Together
 
@@ -76,7 +82,7 @@
     def retell(self, settings: FleetSettings) -> None:
         """Go by other figures from now on; what is due already stays so."""
         self._settings = settings
-        self.swim.retell(rules_of(settings))
+        self.swim.update_rules(rules_of(settings))
         self.together.retell(settings)
 
     @property
@@ -105,7 +111,7 @@
         """Wait until the goodbye has been said often enough, for `leave` at most."""
         until = self._hub.now() + self._settings.leave_us
         while self._hub.now() < until:
-            if self.swim.left and self.together.released:
+            if self.swim.leave_complete and self.together.released:
                 return
             self._hub.sleep(self._settings.gossip_us // 4)
 
@@ -114,7 +120,7 @@
     def _come(self, data: bytes, source: Address) -> None:
         if self._closed:
             return
-        if data[:1] == BUDGETS and (budgets := self.together.budgets) is not None:
+        if data[:1] == TOPIC_MARK and (budgets := self.together.budgets) is not None:
             budgets.receive(data, source)
             return
         self.swim.receive(self._hub.now(), data, source)
@@ -130,20 +136,22 @@
             match action:
                 case Send(address, data):
                     self._port.send(data, address)
-                case Changed(change):
+                case MemberChanged(change):
                     self._changed(change)
-                case Noted(note):
-                    if (changes := self.together.changes) is not None and (about := about_of(note.about)):
+                case NoteReceived(note):
+                    if (changes := self.together.changes) is not None and (
+                        about := parse_member_note(note.payload)
+                    ):
                         changes.heard(about)
-                case Said(event, fields):
+                case LogEvent(event, fields):
                     self._parts.note(event, **dict(fields))
         self._alarm.wake_at(self.swim.wake_at())
 
     def _changed(self, change: Change) -> None:
         before, after, view, zones = change.before, change.after, self.swim.view, self.together.zones
-        if zones is not None and after.state is State.ALIVE and (before is None or change.another_life):
+        if zones is not None and after.state is State.ALIVE and (before is None or change.process_changed):
             zones.joined(after)
-        if before is not None and before.state is after.state and not change.another_life:
+        if before is not None and before.state is after.state and not change.process_changed:
             return  # a suspect's objection, known before the suspicion was
         self._parts.note(
             "fleet member", member=after.name, state=state_name(after.state),
@@ -160,7 +168,7 @@
         while True:
             taken, refused = core.counts.accepted - self._taken, core.counts.refused - self._refused
             self._taken, self._refused = core.counts.accepted, core.counts.refused
-            self._about = About(
+            self._about = ActivityNote(
                 volumes=len(self._parts.settings.volumes), open=core.open_requests,
                 taken=round(taken * 1e6 / settings.note_us), refused=100 * refused // taken if taken else 0,
             )  # fmt: skip
@@ -170,7 +178,7 @@
     def _tell_now(self) -> None:
         about, changes = self._about, self.together.changes
         told = changes.about(about) if changes is not None else msgspec.msgpack.encode(about)
-        self.swim.note(self._hub.now(), told)
+        self.swim.set_note(self._hub.now(), told)
         self._follow()
 
     # -- the door
@@ -191,7 +199,7 @@
         sent = Event(self._hub)
         try:
             now = self._hub.now()
-            document = msgspec.structs.replace(document_of(self.swim, now), **self.together.documents(now))
+            document = msgspec.structs.replace(build_document(self.swim, now), **self.together.documents(now))
             stream.write(msgspec.json.encode(document))
             stream.push(sent.set)
             stream.watch_end(sent.set)
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -19,10 +19,16 @@
 from harriertrack.gateway.fleet.deciding import Deciding
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES
-from harriertrack.membership.fleet.changing import DamagedRecord, decode, digest_of
-from harriertrack.membership.fleet.messages import MOST_NOTE
+from harriertrack.membership.fleet.change_record import DamagedRecord, decode, digest_of
+from harriertrack.membership.fleet.messages import MAX_NOTE
+from harriertrack.membership.fleet.status_document import (
+    ActivityNote,
+    ChangesStatus,
+    ChangeStatus,
+    MemberNote,
+    parse_member_note,
+)
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import About, ChangesTold, Telling, ThingTold, about_of
 from harriertrack.runtime.hub import DeadlineExceeded
 from harriertrack.storage.changes import ChangesCache
 
@@ -51,7 +57,7 @@
 class _Document(msgspec.Struct):
     """What is read of another head's document."""
 
-    record: ChangesTold | None = None
+    record: ChangesStatus | None = None
 
 
 class Changes:
@@ -95,7 +101,7 @@
 
     # -- hearing
 
-    def heard(self, about: Telling) -> None:
+    def heard(self, about: MemberNote) -> None:
         """Hear what another member tells by its note."""
         if about.record:
             self._follower.observe_revision(self._fetch_from(), about.record)
@@ -170,7 +176,7 @@
         rows = [self._swim.view.find(name) for name in self._swim.view.present]
         told = []
         for row in rows:
-            about = about_of(row.note.about) if row is not None and row.note is not None else None
+            about = parse_member_note(row.note.payload) if row is not None and row.note is not None else None
             if row is not None and about is not None and about.record > self.record.revision:
                 told.append(row.record.address)
         if not told:
@@ -252,18 +258,18 @@
 
     # -- telling
 
-    def about(self, about: About) -> bytes:
+    def about(self, about: ActivityNote) -> bytes:
         """Return a member's note with what is told of changes, as far as it has room."""
         runs = dict(self._follower.running_versions())
         while True:
-            told = Telling(about.volumes, about.open, about.taken, about.refused, self.record.revision,
+            told = MemberNote(about.volumes, about.open, about.taken, about.refused, self.record.revision,
                            self._follower.digest, LEVEL, runs)  # fmt: skip
             data = msgspec.msgpack.encode(told)
-            if len(data) <= MOST_NOTE or not runs:
+            if len(data) <= MAX_NOTE or not runs:
                 return data
             del runs[max(runs, key=len)]
 
-    def document(self, _now: int) -> ChangesTold:
+    def document(self, _now: int) -> ChangesStatus:
         """Return what operators, and heads that reach no witness, are told."""
         record, follower = self.record, self._follower
         things = []
@@ -275,7 +281,7 @@
             )
             last = going or holds or record.versions_of(thing)[-1]
             things.append(
-                ThingTold(
+                ChangeStatus(
                     thing, holds.number if holds is not None else 0,
                     taken.running if taken is not None else 0,
                     going.number if going is not None else 0, last.standing.value, last.stage,
@@ -283,5 +289,5 @@
                     taken.rejected if taken is not None else 0, taken.reason if taken is not None else "",
                 )
             )  # fmt: skip
-        return ChangesTold(record.revision, follower.digest, record.epoch, record.level,
+        return ChangesStatus(record.revision, follower.digest, record.epoch, record.level,
                            follower.highest_seen, follower.witness_behind, things, self._data)  # fmt: skip
--- a/harriertrack/gateway/fleet/changes/keeping.py
+++ b/harriertrack/gateway/fleet/changes/keeping.py
@@ -9,7 +9,7 @@
 from harriertrack.decisions.fleet.changes.operations import ChangeRefused
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.gateway.witness import WitnessClient
-from harriertrack.membership.fleet.changing import PATH, DamagedRecord, decode, encode
+from harriertrack.membership.fleet.change_record import PATH, DamagedRecord, decode, encode
 
 TRIES = 8  # to be first, against others who change it just then
 
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -41,8 +41,8 @@
 from harriertrack.gateway.fleet.figures import figures
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.regional import Regional
+from harriertrack.membership.fleet.status_document import ClosingStatus
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import ClosingTold
 from harriertrack.storage.extents import ExtentMap
 
 T = TypeVar("T")
@@ -316,14 +316,14 @@
             closes={one.calendar: one.last_purged for one in self.fences.fences.values()},
         )  # fmt: skip
 
-    def document(self, _now: int) -> ClosingTold:
+    def document(self, _now: int) -> ClosingStatus:
         """Return what this head tells operators."""
         reading = self._guard.reading()
         told = [
             fence_told(fence, reading, self._would_purge(fence), self._extents.get(fence.calendar, 0))
             for fence in self.fences.fences.values()
         ]
-        return ClosingTold(
+        return ClosingStatus(
             self._keeping.decides, self.fences.is_blind(reading),
             (reading.low, reading.high) if reading else None, self._wrong, len(self._trims),
             self._guard.refused, told,
--- a/harriertrack/gateway/fleet/closing/keeping.py
+++ b/harriertrack/gateway/fleet/closing/keeping.py
@@ -33,7 +33,7 @@
 )
 from harriertrack.gateway.fleet.closing.reading import digest_of
 from harriertrack.gateway.witness import FAILURES
-from harriertrack.membership.fleet.changing import DamagedRecord
+from harriertrack.membership.fleet.change_record import DamagedRecord
 from harriertrack.runtime.hub import Hub
 
 AGAIN_US = 500_000  # between two tries to begin a term
--- a/harriertrack/gateway/fleet/deciding.py
+++ b/harriertrack/gateway/fleet/deciding.py
@@ -11,7 +11,14 @@
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.gateway.fleet.budgets import Budgets
 from harriertrack.gateway.witness import WitnessClient
-from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY, Report, Ruling, Said, Seen, Told
+from harriertrack.membership.fleet.topic_datagrams import (
+    MAX_TOPIC_BODY,
+    Message,
+    Report,
+    Ruling,
+    ZoneDecisions,
+    ZoneObservations,
+)
 from harriertrack.runtime.datagrams import Address
 from harriertrack.runtime.hub import Hub
 
@@ -21,8 +28,8 @@
 
     def __init__(self, hub: Hub, name: str, budgets: Budgets) -> None:
         self._hub, self._name, self._budgets = hub, name, budgets
-        self.on_seen: Callable[[int, Seen], None] = lambda _now, _seen: None  # of zones
-        self.on_told: Callable[[int, Told], None] = lambda _now, _told: None
+        self.on_seen: Callable[[int, ZoneObservations], None] = lambda _now, _seen: None  # of zones
+        self.on_told: Callable[[int, ZoneDecisions], None] = lambda _now, _told: None
         self.on_report: dict[str, Callable[[int, str, bytes], None]] = {}  # by topic: (now, head, body)
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}  # by topic: (now, term, body)
         budgets.otherwise = self._come
@@ -46,16 +53,16 @@
         """Whether this is the term that this head goes by."""
         return self._budgets.deciding.holder.observe_term(now, term)
 
-    def tell_keeper(self, said: Said) -> None:
+    def tell_keeper(self, said: Message) -> None:
         """Tell who decides, if it is known and another head."""
         if (keeper := self._budgets.deciding.keeper) is not None:
             self._budgets.send(keeper, said)
 
-    def tell(self, address: Address, said: Said) -> None:
+    def tell(self, address: Address, said: Message) -> None:
         """Tell one head."""
         self._budgets.send(address, said)
 
-    def tell_all(self, said: Said) -> None:
+    def tell_all(self, said: Message) -> None:
         """Tell all who are there."""
         for address in self._budgets.others():
             self._budgets.send(address, said)
@@ -63,7 +70,7 @@
     # -- any other part of the fleet
 
     def report(self, topic: str, body: bytes) -> None:
-        """Tell who decides something; at most `MOST_TOPIC_BODY` bytes, which may be lost.
+        """Tell who decides something; at most `MAX_TOPIC_BODY` bytes, which may be lost.
 
         Raises ValueError for more.
         """
@@ -77,7 +84,7 @@
     def rule(self, topic: str, body: bytes) -> bool:
         """Tell everybody, oneself too, what is decided; return False if this head does not decide (any more).
 
-        Raises ValueError for more than `MOST_TOPIC_BODY` bytes.
+        Raises ValueError for more than `MAX_TOPIC_BODY` bytes.
         """
         _check(body)
         now = self._hub.now()
@@ -93,12 +100,12 @@
         if (heard := self.on_report.get(topic)) is not None:
             heard(now, head, body)
 
-    def _come(self, said: Said, _source: Address) -> None:
+    def _come(self, said: Message, _source: Address) -> None:
         now = self._hub.now()
         match said:
-            case Seen():
+            case ZoneObservations():
                 self.on_seen(now, said)
-            case Told():
+            case ZoneDecisions():
                 self.on_told(now, said)
             case Report(topic, head, body):
                 if self.keeps(now) is not None:
@@ -109,5 +116,5 @@
 
 
 def _check(body: bytes) -> None:
-    if len(body) > MOST_TOPIC_BODY:
-        raise ValueError(f"{len(body)} bytes, more than {MOST_TOPIC_BODY}")
+    if len(body) > MAX_TOPIC_BODY:
+        raise ValueError(f"{len(body)} bytes, more than {MAX_TOPIC_BODY}")
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -36,7 +36,7 @@
 )
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES
-from harriertrack.membership.fleet.changing import DamagedRecord
+from harriertrack.membership.fleet.change_record import DamagedRecord
 from harriertrack.membership.fleet.messages import State
 from harriertrack.membership.fleet.swim import Swim
 from harriertrack.membership.fleet.view import Row
--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -14,7 +14,7 @@
 from harriertrack.decisions.fleet.rollout.answer_counts import LATENCY_BUCKETS, Tally
 from harriertrack.decisions.fleet.rollout.baseline import Baseline
 from harriertrack.decisions.fleet.rollout.evidence import Report, Usage
-from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY
+from harriertrack.membership.fleet.topic_datagrams import MAX_TOPIC_BODY
 
 PAGE = 150  # checksums of volumes in one report
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
@@ -73,10 +73,10 @@
             _Counted(report.incarnation, report.feature_level, report.memory, report.processor_us,
                      dict(report.versions), fell, {name: _flat(tally) for name, tally in classes})
         )  # fmt: skip
-        if len(data) <= MOST_TOPIC_BODY:
+        if len(data) <= MAX_TOPIC_BODY:
             return data
         if not classes:
-            raise ValueError(f"a report of {len(data)} bytes, more than {MOST_TOPIC_BODY}")
+            raise ValueError(f"a report of {len(data)} bytes, more than {MAX_TOPIC_BODY}")
         classes.pop()
 
 
@@ -89,7 +89,7 @@
             _Before(life, before.thing, before.number, before.ago_us, usage.memory, usage.processor_us,
                     usage.reports, {name: _flat(tally) for name, tally in classes})
         )  # fmt: skip
-        if len(data) <= MOST_TOPIC_BODY:
+        if len(data) <= MAX_TOPIC_BODY:
             return data
         classes.pop()
 
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -23,10 +23,10 @@
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
 from harriertrack.gateway.fleet.scoring.plugins import found
 from harriertrack.gateway.parts import HeadParts
-from harriertrack.membership.fleet import weighing
-from harriertrack.membership.fleet.messages import Life
+from harriertrack.membership.fleet import weight_pages
+from harriertrack.membership.fleet.messages import ProcessInstance
+from harriertrack.membership.fleet.status_document import NodeScore, ScorerStatus, ScoresStatus
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import NodeScore, ScorerTold, ScoresTold
 from harriertrack.runtime.hub import Hub
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
         self._asking: dict[str, Asking] = {}
         self._votes: dict[str, bool] = {}
         self._versions: dict[tuple[str, str], tuple[int, int, int]] = {}  # what was heard of each topic
-        self._lives: dict[str, Life] = {}  # of whom pages are kept
+        self._lives: dict[str, ProcessInstance] = {}  # of whom pages are kept
         self._told_at = 0
         self.garbage = 0
 
@@ -163,7 +163,7 @@
         picture = self._sights.snapshot(now)
         moment = HeadContext(self._swim.me.name, self._hub.clock.wall(), picture, there, self._who)
         for page in shared.update(now, moment):
-            self._swim.say(weighing.topic_of(page), weighing.encode(page))
+            self._swim.set_topic_note(weight_pages.topic_of(page), weight_pages.encode(page))
         if self._settings.tell_us and now >= self._told_at + self._settings.tell_us:
             self._told_at = now
             own = {
@@ -193,21 +193,21 @@
         for row in self._swim.view:
             if not row.record.present or row.record.name == self._swim.me.name:
                 continue
-            if self._lives.setdefault(row.record.name, row.record.life) != row.record.life:
+            if self._lives.setdefault(row.record.name, row.record.process) != row.record.process:
                 # Of what its last life thought it may not say a word: then that would stand beside its own.
                 self._shared.forget(row.record.name)
-                self._lives[row.record.name] = row.record.life
+                self._lives[row.record.name] = row.record.process
             for topic, note in row.topics.items():
                 key = row.record.name, topic
-                self._versions[key] = note.newness
-                if known.get(key) == note.newness or not topic.startswith(weighing.TOPIC):
+                self._versions[key] = note.precedence
+                if known.get(key) == note.precedence or not topic.startswith(weight_pages.TOPIC):
                     continue
                 try:
-                    page = weighing.decode(note.about)
-                except weighing.MalformedPage:
+                    page = weight_pages.decode(note.payload)
+                except weight_pages.MalformedPage:
                     self.garbage += 1
                     continue
-                if weighing.topic_of(page) == topic:
+                if weight_pages.topic_of(page) == topic:
                     self._shared.receive(now, row.record.name, page)
 
     def lost(self) -> dict[str, str]:
@@ -223,14 +223,14 @@
 
     # -- operators
 
-    def document(self, now: int) -> ScoresTold:
+    def document(self, now: int) -> ScoresStatus:
         """Return what this head tells of scores."""
         shared = self._shared
         scorers = []
         for name, one in sorted(shared.by_scorer.items()):
             voter = one.guard
             scorers.append(
-                ScorerTold(
+                ScorerStatus(
                     name, str(one.namespace), f"{one.namespace.number:08x}", voter.state.value,
                     max(0, voter.suspended_until - now) / 1e6
                     if voter.state in (ScorerState.SUSPENDED, ScorerState.HUNG) else 0.0,
@@ -250,7 +250,7 @@
                     sight.latency_us / 1e3, sight.fill, sight.refused, sight.cold, sight.evidence,
                 )
             )  # fmt: skip
-        return ScoresTold(scorers, nodes, self.garbage, shared.alone)
+        return ScoresStatus(scorers, nodes, self.garbage, shared.alone)
 
 
 def _rounded(logs: dict[str, float]) -> dict[str, float]:
--- a/harriertrack/gateway/fleet/zones.py
+++ b/harriertrack/gateway/fleet/zones.py
@@ -23,10 +23,10 @@
 from harriertrack.gateway.listing import Listing
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES, WitnessClient
-from harriertrack.membership.fleet.budgeting import Seen, Told
 from harriertrack.membership.fleet.messages import Record
+from harriertrack.membership.fleet.status_document import ZoneLeaveCost, ZonesStatus, ZoneStatus
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import LeavingTold, ZonesTold, ZoneTold
+from harriertrack.membership.fleet.topic_datagrams import ZoneDecisions, ZoneObservations
 
 LOOK_US = 100_000
 TELL_US = 500_000  # what is seen is told so often, and each 100 ms while something is wrong
@@ -57,10 +57,10 @@
     return [(word.zone, word.stage, word.share, word.trial_round) for word in words]
 
 
-def _leaving_told(cost: Cost) -> LeavingTold:
+def _leaving_told(cost: Cost) -> ZoneLeaveCost:
     halves = (cost.pinned + cost.movable, cost.pinned, cost.movable, cost.reserved, cost.spare, cost.absorbed,
               cost.absorbed_reserved, cost.refused)  # fmt: skip
-    return LeavingTold(*(2.0 * one for one in halves))  # counted is in half a second
+    return ZoneLeaveCost(*(2.0 * one for one in halves))  # counted is in half a second
 
 
 class Zones:
@@ -116,7 +116,7 @@
             self._decides.record_report(now, self._swim.me.name, sights)
         elif sights and (any(one.silent for one in sights) or now >= self._said_at + TELL_US):
             self._said_at = now
-            self._deciding.tell_keeper(Seen(self._swim.me.name, sights))
+            self._deciding.tell_keeper(ZoneObservations(self._swim.me.name, sights))
         if (held := valid_decisions(self._words, now - self._heard_at, self._rules.told_us)) != self._words:
             self._parts.note("fleet zones: no word any more")
             self._words = held
@@ -137,17 +137,17 @@
         self._heard(now, term, words)
         if _said(words) != _said(before) or now >= self._told_at + WORD_US:
             self._told_at = now
-            self._deciding.tell_all(Told(term, words))
+            self._deciding.tell_all(ZoneDecisions(term, words))
 
-    def saw(self, now: int, seen: Seen) -> None:
+    def saw(self, now: int, seen: ZoneObservations) -> None:
         """Another head says what it sees."""
         if self._decides is not None:
-            self._decides.record_report(now, seen.head, seen.sights)
+            self._decides.record_report(now, seen.head, seen.observations)
 
-    def told(self, now: int, told: Told) -> None:
+    def told(self, now: int, told: ZoneDecisions) -> None:
         """The word of the one who decides."""
         if self._deciding.follows(now, told.term):
-            self._heard(now, told.term, told.words)
+            self._heard(now, told.term, told.decisions)
             self._show(now)
 
     def joined(self, record: Record) -> None:
@@ -156,7 +156,7 @@
         It hears them a moment after it said that it is there; nobody else hears of it as soon as seeds do.
         """
         if self._words and self._heard_in is not None and (self._greets or self._decides is not None):
-            self._deciding.tell(record.address, Told(self._heard_in, self._words))
+            self._deciding.tell(record.address, ZoneDecisions(self._heard_in, self._words))
 
     def _heard(self, now: int, term: Term, words: tuple[ZoneDecision, ...]) -> None:
         self._heard_at, self._heard_in = now, term
@@ -202,7 +202,7 @@
                     self._parts.note("fleet zone wish", zone=zone, wish=wish or "none")
             self._wishes = fresh
 
-    def document(self, now: int) -> ZonesTold:
+    def document(self, now: int) -> ZonesStatus:
         """Return what this head tells of zones."""
         words = {word.zone: word for word in self._words}
         sights = {sight.zone: sight for sight in self._evidence.report(now)}
@@ -211,7 +211,7 @@
         for zone in self._zones:
             word, sight, whole = words.get(zone), sights.get(zone), sums.get(zone)
             told.append(
-                ZoneTold(
+                ZoneStatus(
                     zone, word.stage.value if word is not None else "in",
                     word.share if word is not None else 1.0,
                     zone not in self._overlay.unused_zones,
@@ -226,4 +226,4 @@
         heard_s = max(0, now - self._heard_at) / 1e6 if self._heard_at else None
         keeper = self._deciding.keeper
         decider = f"{keeper[0]}:{keeper[1]}" if keeper is not None and self._decides is None else ""
-        return ZonesTold(self._decides is not None, heard_s, told, decider)
+        return ZonesStatus(self._decides is not None, heard_s, told, decider)
--- a/harriertrack/gateway/list_call.py
+++ b/harriertrack/gateway/list_call.py
@@ -48,7 +48,7 @@
         address = self._source.address
         stream = network.connect(address, None, name)
         try:
-            target = consul.target(self._source.service, self._index, self._wait_us)
+            target = consul.query_target(self._source.service, self._index, self._wait_us)
             get = Call("GET", f"{address[0]}:{address[1]}", target, agent)
             stream.write(get.request)
             while not get.receive(stream.read()):
@@ -57,5 +57,5 @@
             stream.close()
         if get.status != 200:
             raise HttpError(f"status {get.status}")
-        self.members = consul.members_of(get.body)
+        self.members = consul.parse_members(get.body)
         self.next_index = consul.next_index(self._index, get.headers.get("x-consul-index"))
--- a/harriertrack/gateway/listing.py
+++ b/harriertrack/gateway/listing.py
@@ -77,7 +77,7 @@
             self._core.list_failed()
 
     def _told(self, members: list[Member]) -> None:
-        self._latest = [member.localised(self._wall_ahead) for member in members]
+        self._latest = [member.with_local_start(self._wall_ahead) for member in members]
         self.heard([member.entry for member in self._latest])
         self._tell()
 
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -36,7 +36,7 @@
 from harriertrack.gateway.peer import Peer, PeerLink
 from harriertrack.gateway.regional_volume import RegionalVolume, Work
 from harriertrack.gateway.witness import FAILURES, WitnessClient
-from harriertrack.membership.leases import Fence, Holding, Lock, Session, Standing
+from harriertrack.membership.leases import Fence, HeldLocks, Lock, Session, VolumeRecord
 from harriertrack.protocol.nbd.client import Reply
 from harriertrack.protocol.nbd.extension import RELAY_CONTEXT, context_of
 from harriertrack.protocol.nbd.wire import Command, CommandFlags, Errno
@@ -83,7 +83,7 @@
         self.region = region = settings.region
         self.extent_bytes = settings.extent_bytes
         self.session = Session(region.ttl_us, region.clock_error)
-        self.holding = Holding(self.session)
+        self.holding = HeldLocks(self.session)
         self.fence = Fence()
         self.expiry = Expiry(region.fresh_us)
         self._witness = WitnessClient(hub, network, region.witness, region.ttl_us // 6, name)
@@ -378,7 +378,7 @@
 
     def _record(self, volume: RegionalVolume, in_sync: frozenset[str]) -> bool:
         """Write the witness's record while holding the lock; return whether it stands."""
-        standing = Standing(volume.spread.home, tuple(sorted(in_sync)))
+        standing = VolumeRecord(volume.spread.home, tuple(sorted(in_sync)))
         try:
             index = self._witness.take(volume.name, self.session.id, standing, volume.index)
             if not index:
@@ -386,7 +386,7 @@
                 # next try.
                 lock = self._witness.lock(volume.name)
                 if lock is None or lock.session != self.session.id:
-                    self.holding.gave(volume.name)
+                    self.holding.remove(volume.name)
                 else:
                     volume.index = lock.index
                 return False
@@ -594,19 +594,19 @@
 
     def _lost_session(self) -> None:
         self._note("lease over", region=self.region.name)
-        self.session.lose()
+        self.session.invalidate()
 
     def _keep_session(self) -> None:
         asked_at = self._hub.now()
         if self.session.valid(asked_at):
             if self._witness.renew(self.session.id):
-                self.session.granted(self.session.id, asked_at)
+                self.session.record_grant(self.session.id, asked_at)
                 return
             self._lost_session()
         elif self.session.id:
             self._lost_session()
         asked_at = self._hub.now()
-        self.session.granted(self._witness.create(self.region.ttl_us), asked_at)
+        self.session.record_grant(self._witness.create(self.region.ttl_us), asked_at)
 
     def _look_at(self, volume: RegionalVolume) -> None:
         """Read a volume's key, and take, keep, or hand over the volume as that says."""
@@ -615,22 +615,22 @@
         if lock is not None:
             volume.index = lock.index
             if lock.session != mine:
-                self.holding.gave(volume.name)
+                self.holding.remove(volume.name)
                 if self.generations is not None:  # trims after closes wait for no copy to bring its epoch
                     self._links.epochs.record_lease(volume.name, lock.epoch)
         acts = bool(self.holding.epoch(volume.name, now))
         match lock_action(view, lock, mine, acts, volume.wish, now), lock:
             case LockAction.CREATE, _:
-                self._acquire(volume, Standing(view.home, tuple(sorted((view.here, view.other)))), 0)
+                self._acquire(volume, VolumeRecord(view.home, tuple(sorted((view.here, view.other)))), 0)
             case LockAction.ACQUIRE, Lock():
                 if view.home == view.here or self._its_turn(volume):
-                    self._acquire(volume, lock.standing, lock.index)
+                    self._acquire(volume, lock.record, lock.index)
             case LockAction.ACTIVATE, Lock():
                 self._took(volume, lock)
             case LockAction.MAINTAIN, _:
                 self._tend(volume, now)
 
-    def _acquire(self, volume: RegionalVolume, standing: Standing, index: int) -> None:
+    def _acquire(self, volume: RegionalVolume, standing: VolumeRecord, index: int) -> None:
         if not self._witness.take(volume.name, self.session.id, standing, index):
             return
         lock = self._witness.lock(volume.name)
@@ -639,11 +639,11 @@
             self._took(volume, lock)
 
     def _took(self, volume: RegionalVolume, lock: Lock) -> None:
-        view, in_sync = volume.view, frozenset(lock.standing.in_sync)
+        view, in_sync = volume.view, frozenset(lock.record.in_sync)
         opened = self._log.opened(volume.name)
         match acquired_action(view, in_sync, bool(opened)):
             case AcquiredAction.RELEASE:
-                self._witness.give(volume.name, self.session.id, lock.standing, lock.index)
+                self._witness.give(volume.name, self.session.id, lock.record, lock.index)
                 return
             case AcquiredAction.RECORD_ALONE:
                 self._log.miss(volume.name, opened)
@@ -656,7 +656,7 @@
         volume.catch_up.reset()
         self.fence.admits(volume.name, lock.epoch)
         self._links.epochs.record_lease(volume.name, lock.epoch)
-        self.holding.took(volume.name, lock.epoch)
+        self.holding.add(volume.name, lock.epoch)
         self._note("volume held", volume=volume.name, epoch=lock.epoch, in_sync=sorted(in_sync))
 
     def _tend(self, volume: RegionalVolume, now: int) -> None:
@@ -692,8 +692,8 @@
         view = volume.view
         if not len(volume.locks) and view.other in view.in_sync and not volume.copies.dropping:
             self._log.forget_open(volume.name)
-            standing = Standing(volume.spread.home, tuple(sorted(view.in_sync)))
-            self.holding.gave(volume.name)
+            standing = VolumeRecord(volume.spread.home, tuple(sorted(view.in_sync)))
+            self.holding.remove(volume.name)
             if self._witness.give(volume.name, self.session.id, standing, volume.index):
                 self._note("volume handed over", volume=volume.name, region=view.other)
                 self._send_tick(LOOK_NOW)
--- a/harriertrack/gateway/witness.py
+++ b/harriertrack/gateway/witness.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from harriertrack.membership import leases
-from harriertrack.membership.leases import Lock, Standing, WitnessError
+from harriertrack.membership.leases import Lock, VolumeRecord, WitnessError
 from harriertrack.protocol.http import Call, HttpError
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import Network
@@ -45,7 +45,7 @@
     def create(self, ttl_us: int) -> str:
         """Ask for a session; return its id."""
         asked = leases.session_request(ttl_us, self._name)
-        return leases.session_id(self._must("PUT", f"{leases.SESSION_PATH}/create", asked))
+        return leases.parse_session_id(self._must("PUT", f"{leases.SESSION_PATH}/create", asked))
 
     def renew(self, session: str) -> bool:
         """Renew a session; return False if the witness does not know it any more."""
@@ -65,14 +65,14 @@
     def lock(self, volume: str) -> Lock | None:
         """Return a volume's key; None if the witness has none."""
         body = self._get(f"{leases.KEY_PREFIX}{volume}")
-        return None if body is None else leases.lock_of(body)
+        return None if body is None else leases.parse_lock(body)
 
     def key(self, path: str) -> leases.Key | None:
         """Return any key, by its path in the API; None if the witness has none."""
         body = self._get(path)
-        return None if body is None else leases.key_of(body)
+        return None if body is None else leases.parse_key(body)
 
-    def _change(self, verb: str, volume: str, session: str, standing: Standing, index: int) -> int:
+    def _change(self, verb: str, volume: str, session: str, standing: VolumeRecord, index: int) -> int:
         return self._transact(leases.change_request(volume, verb, session, standing, index))
 
     def change(self, path: str, verb: str, session: str, value: bytes, index: int) -> int:
@@ -89,9 +89,9 @@
             return 0
         if status != 200:
             raise WitnessError(f"transaction: status {status}")
-        return leases.changed_index(body)
+        return leases.parse_new_index(body)
 
-    def take(self, volume: str, session: str, standing: Standing, index: int) -> int:
+    def take(self, volume: str, session: str, standing: VolumeRecord, index: int) -> int:
         """Take a volume's lock, or change its record while holding it, if its key is as it was read at
         `index`.
 
@@ -99,18 +99,18 @@
         """
         return self._change("lock", volume, session, standing, index)
 
-    def give(self, volume: str, session: str, standing: Standing, index: int) -> int:
+    def give(self, volume: str, session: str, standing: VolumeRecord, index: int) -> int:
         """Give a volume's lock back, under the same condition; return the key's new index, or 0."""
         return self._change("unlock", volume, session, standing, index)
 
     def wish(self, volume: str) -> str:
         """Return the region that operators wish a volume to be in; "" for none."""
-        status, body = self._call("GET", f"{leases.WISH_PREFIX}{volume}?raw")
+        status, body = self._call("GET", f"{leases.HOME_REQUEST_PREFIX}{volume}?raw")
         return body.decode("utf-8", "replace") if status == 200 else ""
 
     def set_wish(self, volume: str, region: str) -> None:
         """Wish a volume into a region; "" takes the wish back."""
-        self.put(f"{leases.WISH_PREFIX}{volume}", region.encode())
+        self.put(f"{leases.HOME_REQUEST_PREFIX}{volume}", region.encode())
 
     def put(self, path: str, value: bytes) -> None:
         """Write a key that nobody locks."""
--- a/harriertrack/lab/fleet/later.py
+++ b/harriertrack/lab/fleet/later.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from harriertrack.membership.fleet.budgeting import MARK
-from harriertrack.membership.fleet.messages import MOST_BYTES
+from harriertrack.membership.fleet.messages import MAX_DATAGRAM_BYTES
+from harriertrack.membership.fleet.topic_datagrams import MARK
 from harriertrack.runtime.datagrams import Address, DatagramNetwork, DatagramPort, Taken
 
 MORE = ["later", 1]  # appended to everything that is a list of fields
@@ -30,7 +30,7 @@
     if not mark:
         fields[TOPICS:] = [[[*one, *MORE] for one in (fields[TOPICS] if len(fields) > TOPICS else [])]]
     written = (MARK if mark else b"") + msgspec.msgpack.encode([*fields, *MORE])
-    return written if len(written) <= MOST_BYTES else data
+    return written if len(written) <= MAX_DATAGRAM_BYTES else data
 
 
 class LaterPort:
--- a/harriertrack/lab/fleet/rig/hearing.py
+++ b/harriertrack/lab/fleet/rig/hearing.py
@@ -11,8 +11,8 @@
 from harriertrack.lab.fleet import regions, shares, staging, weights
 from harriertrack.lab.fleet.weights import Tally
 from harriertrack.lab.rig import HeadSlot
-from harriertrack.membership.fleet import budgeting
-from harriertrack.membership.fleet.budgeting import MARK
+from harriertrack.membership.fleet import topic_datagrams
+from harriertrack.membership.fleet.topic_datagrams import MARK
 from harriertrack.rules import recording as rec
 
 if TYPE_CHECKING:
@@ -80,8 +80,8 @@
         if data[:1] != MARK:
             return
         try:
-            said = budgeting.decode(FLEET, data)
-        except budgeting.MalformedDatagram:
+            said = topic_datagrams.decode(FLEET, data)
+        except topic_datagrams.MalformedDatagram:
             return
         if isinstance(said, LeaseRequest) and not arrives:
             rig.recorder.add(shares.asked(now, said))
--- a/harriertrack/lab/fleet/swarm.py
+++ b/harriertrack/lab/fleet/swarm.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from harriertrack.membership.fleet.messages import Address, Record, State
-from harriertrack.membership.fleet.swim import Changed, Rules, Said, Send, Swim
+from harriertrack.membership.fleet.swim import LogEvent, MemberChanged, Rules, Send, Swim
 from harriertrack.membership.fleet.view import Change
 
 DELAY_US = (200, 800)  # of a datagram, drawn evenly
@@ -34,7 +34,7 @@
         self.rules, self.now, self.random = rules, 1_000_000, random.Random(seed)
         self.members: dict[str, Swim] = {}
         self.seen: list[Seen] = []
-        self.said: list[tuple[int, str, Said]] = []
+        self.said: list[tuple[int, str, LogEvent]] = []
         self.loss = 0.0  # share of datagrams that are lost
         self.late_us: Callable[[str, str], int] = lambda _source, _target: 0
         self.cut: Callable[[str, str], bool] = lambda _source, _target: False
@@ -100,9 +100,9 @@
         for action in swim.take_actions():
             if isinstance(action, Send):
                 self._carry(process, action)
-            elif isinstance(action, Changed) and self.keep_changes:
+            elif isinstance(action, MemberChanged) and self.keep_changes:
                 self.seen.append(Seen(self.now, process, action.change))
-            elif isinstance(action, Said):
+            elif isinstance(action, LogEvent):
                 self.said.append((self.now, process, action))
         self._plan(process)
 
--- a/harriertrack/lab/fleet/weights.py
+++ b/harriertrack/lab/fleet/weights.py
@@ -19,9 +19,9 @@
 from harriertrack.decisions.fleet.scoring.weight_exchange import MAX_EVIDENCE, WEIGHT_STEP
 from harriertrack.gateway.fleet.scoring.plugins import scorers
 from harriertrack.lab.fleet.later import TOPICS
-from harriertrack.membership.fleet import weighing
-from harriertrack.membership.fleet.budgeting import MARK
+from harriertrack.membership.fleet import weight_pages
 from harriertrack.membership.fleet.messages import MalformedDatagram, decode
+from harriertrack.membership.fleet.topic_datagrams import MARK
 from harriertrack.rules import recording as rec
 from harriertrack.runtime.datagrams import Address, DatagramNetwork, DatagramPort, Taken
 
@@ -33,12 +33,12 @@
 
 def contrary(about: bytes) -> bytes:
     """Return a page that says the contrary."""
-    page = weighing.decode(about)
+    page = weight_pages.decode(about)
     entries = tuple(
         replace(one, steps=-MOST_STEPS if one.steps > 0 else MOST_STEPS, evidence=MAX_EVIDENCE)
         for one in page.entries
     )
-    return weighing.encode(replace(page, entries=entries))
+    return weight_pages.encode(replace(page, entries=entries))
 
 
 def lied(data: bytes) -> bytes:
@@ -50,7 +50,7 @@
         return data
     sender = fields[4]
     for note in fields[TOPICS]:
-        if note[0] == sender and note[5].startswith(weighing.TOPIC):
+        if note[0] == sender and note[5].startswith(weight_pages.TOPIC):
             note[4] = contrary(note[4])
     return msgspec.msgpack.encode(fields)
 
--- a/harriertrack/lab/interleaving/scenarios/budgets.py
+++ b/harriertrack/lab/interleaving/scenarios/budgets.py
@@ -54,7 +54,7 @@
             swim = Swim(Rules(fleet="f"), _member(self.name), (), 1)
             swim.start(hub.now())
             for other in NAMES:
-                swim.view.take(hub.now(), _member(other))
+                swim.view.apply(hub.now(), _member(other))
             port = world.posts.bind(
                 ("x", 1 + NAMES.index(self.name)), lambda data, source: self._come(data, source)
             )
--- a/harriertrack/lab/interleaving/scenarios/changes.py
+++ b/harriertrack/lab/interleaving/scenarios/changes.py
@@ -23,7 +23,7 @@
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.interleaving.scenarios.witness import CALL_US, WITNESS, ApartWitness, witness_of
 from harriertrack.lab.interleaving.world import Scenario, World
-from harriertrack.membership.fleet.changing import PATH, decode, encode
+from harriertrack.membership.fleet.change_record import PATH, decode, encode
 
 THING = "settings"
 Make = Callable[[Record], Record]
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -27,7 +27,7 @@
 from harriertrack.lab.interleaving.scenarios.changes import THING, History
 from harriertrack.lab.interleaving.scenarios.witness import CALL_US, WITNESS, witness_of
 from harriertrack.lab.interleaving.world import Scenario, World
-from harriertrack.membership.fleet.changing import PATH, encode
+from harriertrack.membership.fleet.change_record import PATH, encode
 from harriertrack.membership.fleet.messages import Record, State
 from harriertrack.membership.fleet.swim import Rules, Swim
 from harriertrack.runtime.datagrams import Address
@@ -154,7 +154,7 @@
                 swim = Swim(Rules(fleet="f"), _member(name, life), (), 1)
                 swim.start(hub.now())
                 for other in NAMES:
-                    swim.view.take(hub.now(), _member(other, 1))
+                    swim.view.apply(hub.now(), _member(other, 1))
                 client = WitnessClient(hub, world.network, (WITNESS, 8500), CALL_US, place)
                 deciding = cast(Deciding, _Deciding(world, name, terms, client))
                 mine = parts(scope, place)
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -26,7 +26,7 @@
 from harriertrack.gateway.fleet.scoring.choosing import Choice
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.lab.interleaving.world import Scenario, World
-from harriertrack.membership.fleet.messages import Draft, Kind, Record, State, TopicNote, packed
+from harriertrack.membership.fleet.messages import Draft, Kind, Record, State, TopicNote, encode_item
 from harriertrack.membership.fleet.swim import Rules, Swim
 from harriertrack.runtime.datagrams import Address
 from harriertrack.runtime.hub import Event, Hub, Scope
@@ -83,17 +83,17 @@
 
     def say(self, topic: str, about: bytes) -> None:
         """Say something on a topic to all."""
-        super().say(topic, about)
+        super().set_topic_note(topic, about)
         row = self.view.find(self.me.name)
         assert row is not None
         self.send(self.told([row.topics[topic]]))
 
     def told(self, topics: Sequence[TopicNote]) -> bytes:
         """Return a datagram with the word on oneself and some notes."""
-        draft = Draft("fleet", Kind.WORD, self.me.name, self.me.life, 0, 0)
-        draft.add(packed(self.me))
+        draft = Draft("fleet", Kind.GOSSIP, self.me.name, self.me.process, 0, 0)
+        draft.add(encode_item(self.me))
         for note in topics:
-            draft.add_topic(packed(note))
+            draft.add_topic(encode_item(note))
         return draft.pack()
 
 
--- a/harriertrack/lab/interleaving/scenarios/witness.py
+++ b/harriertrack/lab/interleaving/scenarios/witness.py
@@ -9,7 +9,7 @@
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.interleaving.footprints import Touched
 from harriertrack.lab.interleaving.world import Scenario, World
-from harriertrack.membership.leases import KEY_PREFIX, Holding, Session, Standing
+from harriertrack.membership.leases import KEY_PREFIX, HeldLocks, Session, VolumeRecord
 from harriertrack.runtime.hub import Event, Hub
 from harriertrack.runtime.streams import Network
 from harriertrack.standin.http import Answer, Asked
@@ -118,7 +118,7 @@
     """Two heads want a volume, one may be killed: never do two act for it, and one gets it."""
     hub = world.hub
     witness = witness_of(world)
-    holding = {me: Holding(Session(TTL_US, ERROR)) for me in ("a", "b")}
+    holding = {me: HeldLocks(Session(TTL_US, ERROR)) for me in ("a", "b")}
     epochs: list[str] = []
 
     def head(me: str) -> None:
@@ -136,21 +136,21 @@
     def _keep_session(client: WitnessClient, session: Session) -> None:
         asked_at = hub.now()
         if session.valid(asked_at) and client.renew(session.id):
-            session.granted(session.id, asked_at)
+            session.record_grant(session.id, asked_at)
             return
-        session.lose()
+        session.invalidate()
         asked_at = hub.now()
-        session.granted(client.create(TTL_US), asked_at)
+        session.record_grant(client.create(TTL_US), asked_at)
 
-    def _take(client: WitnessClient, mine: Holding) -> None:
+    def _take(client: WitnessClient, mine: HeldLocks) -> None:
         lock = client.lock(VOLUME)
         if lock is None or not lock.session:
             index = lock.index if lock is not None else 0
-            if not client.take(VOLUME, mine.session.id, Standing("a", ("a",)), index):
+            if not client.take(VOLUME, mine.session.id, VolumeRecord("a", ("a",)), index):
                 return
             lock = client.lock(VOLUME)
         if lock is not None and lock.session == mine.session.id:
-            mine.took(VOLUME, lock.epoch)  # also if the answer to an earlier take was lost
+            mine.add(VOLUME, lock.epoch)  # also if the answer to an earlier take was lost
             epochs.append(f"{lock.epoch}{mine.session.id}")
 
     for me in holding:
--- a/harriertrack/membership/consul.py
+++ b/harriertrack/membership/consul.py
@@ -49,7 +49,7 @@
     """An answer that is no list; the list in hand stays."""
 
 
-def target(service: str, index: int, wait_us: int) -> str:
+def query_target(service: str, index: int, wait_us: int) -> str:
     """Return the request target of a (blocking, if `index` is above 0) query."""
     asked = f"/v1/health/service/{service}"
     return f"{asked}?index={index}&wait={max(1, wait_us // 1000)}ms" if index > 0 else asked
@@ -64,7 +64,7 @@
     return 0 if index < known or index < 1 else index
 
 
-def members_of(body: bytes) -> list[Member]:
+def parse_members(body: bytes) -> list[Member]:
     """Read the answer's body. Raises ListAnswerError if it is no list of services with shards."""
     try:
         entries = msgspec.json.decode(body, type=list[_Entry])
@@ -89,7 +89,7 @@
     return Member(listed, (service.address or entry.node.address, service.port))
 
 
-def body_of(members: list[Member]) -> bytes:
+def encode_members(members: list[Member]) -> bytes:
     """Write an answer's body, as a service of this API does: used by stand-ins and their tests."""
     rows = []
     for member in members:
--- a/harriertrack/membership/fleet/changing.py
+++ b/harriertrack/membership/fleet/change_record.py
@@ -13,7 +13,7 @@
 from harriertrack.decisions.fleet.changes.record import Record, Version
 
 PATH = "/v1/kv/harriertrack/changes/record"  # at the witness
-MOST_BYTES = 384 << 10  # the witness takes 512 kB, in base64
+MAX_RECORD_BYTES = 384 << 10  # the witness takes 512 kB, in base64
 _SUM = 17  # 16 hexadecimal digits and a line's end
 
 
@@ -38,8 +38,8 @@
 def encode(record: Record) -> bytes:
     """Return a record's bytes. Raises ValueError for one that is larger than can be kept."""
     body = msgspec.json.encode(_Written(record.revision, record.epoch, record.level, record.versions))
-    if len(body) > MOST_BYTES:
-        raise ValueError(f"a record of {len(body)} bytes, more than {MOST_BYTES}")
+    if len(body) > MAX_RECORD_BYTES:
+        raise ValueError(f"a record of {len(body)} bytes, more than {MAX_RECORD_BYTES}")
     return f"{_sum(body):016x}\n".encode() + body
 
 
--- a/harriertrack/membership/fleet/spreading.py
+++ b/harriertrack/membership/fleet/dissemination.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 
 
-def sends_of(repeats: float, members: int) -> int:
+def transmit_limit(repeats: float, members: int) -> int:
     """Return how often a member passes a piece of news on among so many."""
     return max(1, math.ceil(repeats * math.ceil(math.log10(members + 1))))
 
 
-class Spreading:
+class DisseminationQueue:
     """News by name; a newer piece takes the place of an older one of the same name."""
 
     def __init__(self) -> None:
--- a/harriertrack/membership/fleet/messages.py
+++ b/harriertrack/membership/fleet/messages.py
@@ -15,13 +15,17 @@
 
 import msgspec
 
-BUDGETS = b"\xc1"  # what other datagrams begin with at this address (budgeting.py); MessagePack never uses it
+TOPIC_MARK = (
+    b"\xc1"  # what other datagrams begin with at this address (topic_datagrams.py); MessagePack never uses it
+)
 VERSION = 1  # what this program writes
 READS = 1  # the oldest version that understands it
-MOST_BYTES = 1200  # of one datagram: passes any link unfragmented
-MOST_NOTE = 256  # bytes of one member's note
-MOST_TOPICS = 24  # notes of one member beside the one on itself
-NOTE_ROOM = 400  # bytes of notes that ride on one datagram: news goes first, and traffic stays even
+MAX_DATAGRAM_BYTES = 1200  # of one datagram: passes any link unfragmented
+MAX_NOTE = 256  # bytes of one member's note
+MAX_TOPICS = 24  # notes of one member beside the one on itself
+MAX_NOTE_BYTES_PER_DATAGRAM = (
+    400  # bytes of notes that ride on one datagram: news goes first, and traffic stays even
+)
 BUCKETS = 32  # of a view's summary
 
 Text = Annotated[str, msgspec.Meta(max_length=64)]
@@ -46,12 +50,12 @@
     PING_REQ = 1  # ask `target` at `host`, `port` for me; answered by ACK, or by NACK if it does not answer
     ACK = 2  # `target` is there
     NACK = 3  # I am there, `target` did not answer me
-    WORD = 4  # news alone
+    GOSSIP = 4  # news alone
     SYNC = 5  # my view's summary: send me what differs
     STATE = 6  # news that you lack; a summary with it asks for what I lack
 
 
-class Life(msgspec.Struct, frozen=True, array_like=True, order=True):
+class ProcessInstance(msgspec.Struct, frozen=True, array_like=True, order=True):
     """One life of a process: when it started (ms since 1970, raised where needed), and a random number."""
 
     started: Number
@@ -74,9 +78,9 @@
     by: Text = ""
 
     @property
-    def life(self) -> Life:
+    def process(self) -> ProcessInstance:
         """Return which life it is about."""
-        return Life(self.started, self.instance)
+        return ProcessInstance(self.started, self.instance)
 
     @property
     def address(self) -> Address:
@@ -84,7 +88,7 @@
         return self.host, self.port
 
     @property
-    def newness(self) -> tuple[int, int, int, int]:
+    def precedence(self) -> tuple[int, int, int, int]:
         """Return the key by which of two words on one member the newer is told. It is a total order."""
         return self.started, self.instance, self.incarnation, self.state
 
@@ -101,10 +105,10 @@
     started: Number
     instance: Number
     version: Number
-    about: Annotated[bytes, msgspec.Meta(max_length=MOST_NOTE)]
+    payload: Annotated[bytes, msgspec.Meta(max_length=MAX_NOTE)]
 
     @property
-    def newness(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Return the key by which of two notes of one member the newer is told."""
         return self.started, self.instance, self.version
 
@@ -116,11 +120,11 @@
     started: Number
     instance: Number
     version: Number
-    about: Annotated[bytes, msgspec.Meta(max_length=MOST_NOTE)]
+    payload: Annotated[bytes, msgspec.Meta(max_length=MAX_NOTE)]
     topic: Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 
     @property
-    def newness(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Return the key by which of two notes of one member and topic the newer is told."""
         return self.started, self.instance, self.version
 
@@ -186,14 +190,14 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def packed(one: Record | Note | TopicNote) -> bytes:
+def encode_item(one: Record | Note | TopicNote) -> bytes:
     """Return a record's or note's bytes, to be put into many datagrams."""
     return _ENCODER.encode(one)
 
 
 def decode(data: bytes) -> Datagram:
     """Read a datagram. Raises MalformedDatagram."""
-    if len(data) > MOST_BYTES:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise MalformedDatagram("too long")
     try:
         return _DECODER.decode(data)
@@ -204,7 +208,7 @@
 class Draft:
     """A datagram that is being filled as far as it has room."""
 
-    def __init__(self, fleet: str, kind: Kind, sender: str, life: Life, number: int, digest: int,
+    def __init__(self, fleet: str, kind: Kind, sender: str, life: ProcessInstance, number: int, digest: int,
                  target: str = "", address: Address = ("", 0),
                  summary: tuple[int, ...] = ()) -> None:  # fmt: skip
         self._written = _Written(
@@ -212,8 +216,8 @@
             address[0], address[1], summary, [], [],
         )  # fmt: skip
         # Lists of more than 15 elements take two bytes more each.
-        self._left = MOST_BYTES - len(_ENCODER.encode(self._written)) - 4
-        self._notes_left = NOTE_ROOM
+        self._left = MAX_DATAGRAM_BYTES - len(_ENCODER.encode(self._written)) - 4
+        self._notes_left = MAX_NOTE_BYTES_PER_DATAGRAM
         self._topics: list[msgspec.Raw] = []
 
     def add(self, record: bytes) -> bool:
--- a/harriertrack/membership/fleet/telling.py
+++ b/harriertrack/membership/fleet/status_document.py
@@ -9,7 +9,7 @@
 from harriertrack.membership.fleet.view import Row
 
 
-class About(msgspec.Struct, frozen=True):
+class ActivityNote(msgspec.Struct, frozen=True):
     """A member's note: what it serves and how busy it is. What a reader does not know it passes over."""
 
     volumes: int = 0
@@ -18,7 +18,7 @@
     refused: int = 0  # of these, in percent
 
 
-class Telling(About, frozen=True):
+class MemberNote(ActivityNote, frozen=True):
     """The note of a member that follows the fleet's record of changes."""
 
     record: int = 0  # the revision that it goes by; 0: it follows none
@@ -27,7 +27,7 @@
     runs: dict[str, int] = {}  # versions by thing, as far as there is room for them
 
 
-class Word(msgspec.Struct, frozen=True):
+class StateChange(msgspec.Struct, frozen=True):
     """A word that changed what is held of a member, so many seconds ago."""
 
     ago_s: float
@@ -36,7 +36,7 @@
     by: str = ""
 
 
-class Told(msgspec.Struct, frozen=True):
+class MemberStatus(msgspec.Struct, frozen=True):
     """A member as the telling head holds it."""
 
     name: str
@@ -52,13 +52,13 @@
     incarnation: int
     heard_s: float | None  # seconds since it last said something itself to this head; None: never
     agrees: bool  # what it said last of who is there is what this head holds
-    about: Telling | None = None
+    about: MemberNote | None = None
     suspected_by: list[str] = []
     dead_in_s: float | None = None  # a suspect that does not object is held dead then
-    history: list[Word] = []
+    history: list[StateChange] = []
 
 
-class PortionTold(msgspec.Struct, frozen=True):
+class BudgetShareStatus(msgspec.Struct, frozen=True):
     """What the telling head has of a budget; rates a second."""
 
     budget: str
@@ -71,7 +71,7 @@
     level: float  # to be used at once
 
 
-class SlipTold(msgspec.Struct, frozen=True):
+class LeaseStatus(msgspec.Struct, frozen=True):
     """What a ledger holds of one head's part of a budget."""
 
     budget: str
@@ -84,7 +84,7 @@
     there: bool  # whether the head is there by the view
 
 
-class LedgerTold(msgspec.Struct, frozen=True):
+class LedgerStatus(msgspec.Struct, frozen=True):
     """A ledger that the telling head keeps."""
 
     ledger: int
@@ -94,10 +94,10 @@
     holders: int
     moves: int
     movable: dict[str, float]  # by budget: what may move of the whole
-    slips: list[SlipTold]
+    slips: list[LeaseStatus]
 
 
-class SeatTold(msgspec.Struct, frozen=True):
+class LedgerHolderStatus(msgspec.Struct, frozen=True):
     """Whom the telling head asks for its shares of a ledger."""
 
     ledger: int
@@ -108,17 +108,17 @@
     lapses: int
 
 
-class BudgetsTold(msgspec.Struct, frozen=True):
+class BudgetsStatus(msgspec.Struct, frozen=True):
     """What a head tells of budgets."""
 
-    seats: list[SeatTold]
-    portions: list[PortionTold]
-    ledgers: list[LedgerTold]
+    seats: list[LedgerHolderStatus]
+    portions: list[BudgetShareStatus]
+    ledgers: list[LedgerStatus]
     counts: dict[str, int]
     more: int = 0  # portions and slips beyond what one document names
 
 
-class LeavingTold(msgspec.Struct, frozen=True):
+class ZoneLeaveCost(msgspec.Struct, frozen=True):
     """What leaving a zone would cost now, in requests a second, as all heads see it."""
 
     served: float  # there
@@ -131,7 +131,7 @@
     refused: float
 
 
-class ZoneTold(msgspec.Struct, frozen=True):
+class ZoneStatus(msgspec.Struct, frozen=True):
     """What holds of a zone for the telling head, and what is seen of it."""
 
     zone: str
@@ -145,19 +145,19 @@
     all_bad: int | None
     heads: int | None  # that say so
     wish: str  # an operator's
-    leaving: LeavingTold | None = None  # if the telling head decides
+    leaving: ZoneLeaveCost | None = None  # if the telling head decides
 
 
-class ZonesTold(msgspec.Struct, frozen=True):
+class ZonesStatus(msgspec.Struct, frozen=True):
     """What a head tells of zones."""
 
     decides: bool
     heard_s: float | None  # since the fleet's word was heard last
-    zones: list[ZoneTold]
+    zones: list[ZoneStatus]
     decider: str = ""  # where who decides is asked, if that is another head
 
 
-class ThingTold(msgspec.Struct, frozen=True):
+class ChangeStatus(msgspec.Struct, frozen=True):
     """What holds of a thing that can change, as the telling head knows it."""
 
     thing: str
@@ -174,7 +174,7 @@
     turned_down_why: str
 
 
-class ChangesTold(msgspec.Struct, frozen=True):
+class ChangesStatus(msgspec.Struct, frozen=True):
     """What a head tells of the record of changes."""
 
     revision: int
@@ -183,11 +183,11 @@
     level: int
     heard: int  # the highest revision that others told of
     lost: bool  # the witness holds an older one
-    things: list[ThingTold]
+    things: list[ChangeStatus]
     record: bytes  # whole, for whoever can't ask the witness
 
 
-class FenceTold(msgspec.Struct, frozen=True):
+class CalendarStatus(msgspec.Struct, frozen=True):
     """One calendar, as one head is with it: the last close done, and the next with what it would purge."""
 
     calendar: str
@@ -199,7 +199,7 @@
     extents: int  # that the last one made unreadable, in this life
 
 
-class ClosingTold(msgspec.Struct, frozen=True):
+class ClosingStatus(msgspec.Struct, frozen=True):
     """What a head tells of closes."""
 
     decides: bool
@@ -208,10 +208,10 @@
     clock_wrong: bool
     left: int  # extents to trim
     refused: int  # requests, since it began
-    fences: list[FenceTold]
+    fences: list[CalendarStatus]
 
 
-class ScorerTold(msgspec.Struct, frozen=True):
+class ScorerStatus(msgspec.Struct, frozen=True):
     """A scorer that the telling head runs."""
 
     name: str
@@ -241,10 +241,10 @@
     evidence: float
 
 
-class ScoresTold(msgspec.Struct, frozen=True):
+class ScoresStatus(msgspec.Struct, frozen=True):
     """What a head tells of scores."""
 
-    scorers: list[ScorerTold]
+    scorers: list[ScorerStatus]
     nodes: list[NodeScore]
     garbage: int  # notes that were no pages of weights
     alone: bool  # nothing is shared
@@ -261,12 +261,12 @@
     doubts: int
     changes: int
     counts: dict[str, int]
-    members: list[Told]
-    budgets: BudgetsTold | None = None
-    zones: ZonesTold | None = None
-    record: ChangesTold | None = None
-    closing: ClosingTold | None = None
-    scores: ScoresTold | None = None
+    members: list[MemberStatus]
+    budgets: BudgetsStatus | None = None
+    zones: ZonesStatus | None = None
+    record: ChangesStatus | None = None
+    closing: ClosingStatus | None = None
+    scores: ScoresStatus | None = None
     rollouts: list[str] | None = None  # where each stands, a line each; None: another head decides
 
 
@@ -284,47 +284,47 @@
     return f"{digest:016x}"
 
 
-def about_of(note: bytes) -> Telling | None:
+def parse_member_note(note: bytes) -> MemberNote | None:
     """Read a member's note; None if it is of another form."""
     try:
-        return msgspec.msgpack.decode(note, type=Telling)
+        return msgspec.msgpack.decode(note, type=MemberNote)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return None
 
 
-def _told(swim: Swim, row: Row, now: int) -> Told:
+def _told(swim: Swim, row: Row, now: int) -> MemberStatus:
     record: Record = row.record
     mine = record.name == swim.me.name
     suspicion = row.suspicion
-    return Told(
+    return MemberStatus(
         name=record.name, state=state_name(record.state), since_s=(now - row.since) / 1e6,
         host=record.host, port=record.port, region=record.region, zone=record.zone, cell=record.cell,
         started=record.started, instance=digest_name(record.instance), incarnation=record.incarnation,
-        heard_s=(now - row.heard_at) / 1e6 if row.heard_at else None,
+        heard_s=(now - row.last_contact) / 1e6 if row.last_contact else None,
         agrees=mine or row.digest == swim.view.digest,
-        about=about_of(row.note.about) if row.note is not None else None,
+        about=parse_member_note(row.note.payload) if row.note is not None else None,
         suspected_by=list(suspicion.by) if suspicion is not None else [],
-        dead_in_s=max(0, suspicion.ends_at - now) / 1e6 if suspicion is not None else None,
+        dead_in_s=max(0, suspicion.expires_at - now) / 1e6 if suspicion is not None else None,
         history=[
-            Word((now - heard.at) / 1e6, state_name(heard.record.state), heard.record.incarnation,
+            StateChange((now - heard.at) / 1e6, state_name(heard.record.state), heard.record.incarnation,
                  heard.record.by)
             for heard in row.history
         ],
     )  # fmt: skip
 
 
-def document_of(swim: Swim, now: int) -> Document:
+def build_document(swim: Swim, now: int) -> Document:
     """Return what a member tells; `now` in microseconds by its clock."""
     view, counts = swim.view, swim.counts
     return Document(
-        fleet=swim.rules.fleet, name=swim.me.name, standing=swim.standing.value,
-        digest=digest_name(view.digest), there=len(view.present), doubts=swim.doubts, changes=view.changes,
+        fleet=swim.rules.fleet, name=swim.me.name, standing=swim.state.value,
+        digest=digest_name(view.digest), there=len(view.present), doubts=swim.health_score, changes=view.changes,
         counts={name: getattr(counts, name) for name in counts.__slots__},
         members=[_told(swim, row, now) for row in sorted(view, key=lambda row: row.record.name)],
     )  # fmt: skip
 
 
-def document_from(body: bytes) -> Document:
+def parse_document(body: bytes) -> Document:
     """Read a document. Raises MalformedDocument."""
     try:
         return msgspec.json.decode(body, type=Document)
--- a/harriertrack/membership/fleet/suspicion.py
+++ b/harriertrack/membership/fleet/suspicion.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 
 
-def least_us(probe_us: int, factor: float, members: int) -> int:
+def min_timeout_us(probe_us: int, factor: float, members: int) -> int:
     """Return the shortest time of a suspicion among so many members."""
     return int(factor * max(1.0, math.log10(max(1, members))) * probe_us)
 
 
-def most_confirmations(wanted: int, members: int) -> int:
+def expected_confirmations(wanted: int, members: int) -> int:
     """Return how many others' agreement shortens it: none where there are not so many others."""
     return wanted if members - 2 >= wanted else 0
 
@@ -33,7 +33,7 @@
     shifted_us: int = 0  # for which its holder stood still
 
     @property
-    def ends_at(self) -> int:
+    def expires_at(self) -> int:
         """Return when the member is to be held dead."""
         if not self.wanted:
             return self.began + self.least_us + self.shifted_us
--- a/harriertrack/membership/fleet/swim/__init__.py
+++ b/harriertrack/membership/fleet/swim/__init__.py
@@ -12,9 +12,19 @@
 finds what views lack, `notes` has what members say of themselves, `sending` puts news on datagrams.
 """
 
-from harriertrack.membership.fleet.swim.actions import Action, Changed, Noted, Said, Send
+from harriertrack.membership.fleet.swim.actions import Action, LogEvent, MemberChanged, NoteReceived, Send
 from harriertrack.membership.fleet.swim.core import Swim
 from harriertrack.membership.fleet.swim.member import Counts
-from harriertrack.membership.fleet.swim.rules import Rules, Standing
+from harriertrack.membership.fleet.swim.rules import MembershipState, Rules
 
-__all__ = ["Action", "Changed", "Counts", "Noted", "Rules", "Said", "Send", "Standing", "Swim"]
+__all__ = [
+    "Action",
+    "MemberChanged",
+    "Counts",
+    "NoteReceived",
+    "Rules",
+    "LogEvent",
+    "Send",
+    "MembershipState",
+    "Swim",
+]
--- a/harriertrack/membership/fleet/swim/actions.py
+++ b/harriertrack/membership/fleet/swim/actions.py
@@ -17,25 +17,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class MemberChanged:
     """What is held of a member changed."""
 
     change: Change
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class NoteReceived:
     """A member's note is new."""
 
     note: Note
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class LogEvent:
     """Something that operators should read."""
 
     event: str
     fields: tuple[tuple[str, str | int], ...] = ()
 
 
-Action = Send | Changed | Noted | Said
+Action = Send | MemberChanged | NoteReceived | LogEvent
--- a/harriertrack/membership/fleet/swim/comparing.py
+++ b/harriertrack/membership/fleet/swim/anti_entropy.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from harriertrack.membership.fleet.messages import Address, Draft, Kind, State, packed
+from harriertrack.membership.fleet.messages import Address, Draft, Kind, State, encode_item
 from harriertrack.membership.fleet.swim.member import Member
-from harriertrack.membership.fleet.swim.rules import Standing
-from harriertrack.membership.fleet.swim.sending import Sending
+from harriertrack.membership.fleet.swim.rules import MembershipState
+from harriertrack.membership.fleet.swim.sender import Sender
 
 
-class Comparing:
+class AntiEntropy:
     """Whom a member asks for what it lacks, and what it answers."""
 
-    def __init__(self, member: Member, sending: Sending, seeds: list[Address]) -> None:
+    def __init__(self, member: Member, sending: Sender, seeds: list[Address]) -> None:
         self._member, self._sending, self._seeds = member, sending, seeds
         self._gone: list[Address] = []  # who is tried next though gone, and seeds, from its end
         self._join_us = member.rules.join_us
@@ -43,7 +43,7 @@
         member, rules = self._member, self._member.rules
         there = {member.address(name) for name in member.view.present}
         seeds = [address for address in self._seeds if address not in there]
-        alone = member.standing is Standing.ALONE
+        alone = member.state is MembershipState.ALONE
         if alone:
             member.due.reach = now + member.spread(self._join_us)
             self._join_us = min(2 * self._join_us, rules.reach_us)
@@ -52,7 +52,7 @@
             member.due.reach = now + member.spread(rules.reach_us)
         for _ in range(rules.fanout if alone else 1):
             if not self._gone:
-                self._gone = [row.record.address for row in member.view.gone(State.DEAD)] + seeds
+                self._gone = [row.record.address for row in member.view.rows_with(State.DEAD)] + seeds
                 member.random.shuffle(self._gone)
             if self._gone and (address := self._gone.pop()) not in there:
                 self._ask(address)
@@ -81,8 +81,8 @@
     def _ask(self, address: Address) -> None:
         member = self._member
         draft = self._sending.draft(Kind.SYNC, summary=member.view.summary)
-        if member.standing is not Standing.DISPLACED:
-            draft.add(packed(member.me))
+        if member.state is not MembershipState.DISPLACED:
+            draft.add(encode_item(member.me))
         self._sending.out(address, draft)
 
     def _answer(self, now: int, address: Address, buckets: frozenset[int], summary: tuple[int, ...]) -> None:
@@ -92,8 +92,8 @@
         self._pages_at = now
         drafts: list[Draft] = []
         draft = self._sending.draft(Kind.STATE, summary=summary)
-        for row in member.view.within(buckets):
-            record = packed(row.record)
+        for row in member.view.rows_in(buckets):
+            record = encode_item(row.record)
             if not draft.add(record):
                 drafts.append(draft)
                 draft = self._sending.draft(Kind.STATE)
@@ -109,7 +109,7 @@
 
     def _forget(self, now: int) -> None:
         member = self._member
-        for row in member.view.gone(State.DEAD, State.LEFT):
+        for row in member.view.rows_with(State.DEAD, State.LEFT):
             if now - row.since >= member.rules.forget_us and row.record.name != member.me.name:
                 member.topics.forget(row.record.name, row.topics)
                 member.view.forget(row.record.name)
--- a/harriertrack/membership/fleet/swim/member.py
+++ b/harriertrack/membership/fleet/swim/member.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from harriertrack.membership.fleet.messages import Address, Life, Record, State
-from harriertrack.membership.fleet.spreading import Spreading
+from harriertrack.membership.fleet.dissemination import DisseminationQueue
+from harriertrack.membership.fleet.messages import Address, ProcessInstance, Record, State
 from harriertrack.membership.fleet.swim.actions import Action
-from harriertrack.membership.fleet.swim.rules import Rules, Standing
-from harriertrack.membership.fleet.topics import Topics
+from harriertrack.membership.fleet.swim.rules import MembershipState, Rules
+from harriertrack.membership.fleet.topics import TopicNotes
 from harriertrack.membership.fleet.view import View
 
 
@@ -20,7 +20,7 @@
     """The probe under way."""
 
     target: str
-    life: Life
+    life: ProcessInstance
     number: int
     ask_at: int  # when others are asked
     ends_at: int
@@ -77,14 +77,14 @@
     def __init__(self, rules: Rules, me: Record, seed: int) -> None:
         self.rules, self.me = rules, me
         self.view = View()
-        self.standing = Standing.NEW
-        self.doubts = 0  # Lifeguard's local health multiplier, less 1
+        self.state = MembershipState.NEW
+        self.health_score = 0  # Lifeguard's local health multiplier, less 1
         self.counts = Counts()
         self.random = random.Random(seed)
         self.actions: list[Action] = []
-        self.news = Spreading()
-        self.notes = Spreading()
-        self.topics = Topics(self.view, rules.topic_bytes)
+        self.news = DisseminationQueue()
+        self.notes = DisseminationQueue()
+        self.topics = TopicNotes(self.view, rules.topic_bytes)
         self.turn: list[str] = []  # who is probed next, from its end
         self.probe: Probe | None = None
         self.relayed: dict[int, Relayed] = {}
@@ -95,9 +95,9 @@
         """Return a time around `us`, so that members do not do things together."""
         return int(us * (0.75 + 0.5 * self.random.random()))
 
-    def doubt(self, change: int) -> None:
+    def adjust_health(self, change: int) -> None:
         """Doubt oneself more, or less."""
-        self.doubts = min(max(0, self.doubts + change), max(0, self.rules.doubt - 1))
+        self.health_score = min(max(0, self.health_score + change), max(0, self.rules.doubt - 1))
 
     def drop_probes(self) -> None:
         """Forget the probes under way, one's own and others'."""
@@ -119,7 +119,7 @@
         row = self.view.find(name)
         return None if row is None else row.record.state
 
-    def renamed(self, **changes: object) -> Record:
+    def updated_record(self, **changes: object) -> Record:
         """Return the word on oneself with some fields changed."""
         fresh = msgspec.structs.replace(self.me, by="")
         return msgspec.structs.replace(fresh, **changes)
--- a/harriertrack/membership/fleet/swim/notes.py
+++ b/harriertrack/membership/fleet/swim/notes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from harriertrack.membership.fleet.messages import MOST_NOTE, Note, packed
-from harriertrack.membership.fleet.swim.actions import Noted
+from harriertrack.membership.fleet.messages import MAX_NOTE, Note, encode_item
+from harriertrack.membership.fleet.swim.actions import NoteReceived
 from harriertrack.membership.fleet.swim.member import Member
 
 
@@ -17,7 +17,7 @@
 
     def say(self, about: bytes) -> None:
         """Say something of oneself, unless it was said last. Raises ValueError for more than 256 bytes."""
-        if len(about) > MOST_NOTE:
+        if len(about) > MAX_NOTE:
             raise ValueError(f"a note of {len(about)} bytes")
         if about == self._last:
             return
@@ -35,10 +35,10 @@
     def hear(self, note: Note) -> None:
         """Take a member's note that came from outside."""
         if note.name != self._member.me.name and self._take(note):
-            self._member.actions.append(Noted(note))
+            self._member.actions.append(NoteReceived(note))
 
     def _take(self, note: Note) -> bool:
-        news = self._member.view.take_note(note)
+        news = self._member.view.apply_note(note)
         if news:
-            self._member.notes.add(note.name, packed(note))
+            self._member.notes.add(note.name, encode_item(note))
         return news
--- a/harriertrack/membership/fleet/swim/probing.py
+++ b/harriertrack/membership/fleet/swim/prober.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from harriertrack.membership.fleet.messages import Address, Datagram, Kind, State
-from harriertrack.membership.fleet.swim.comparing import Comparing
+from harriertrack.membership.fleet.swim.anti_entropy import AntiEntropy
 from harriertrack.membership.fleet.swim.member import Member, Probe, Relayed
-from harriertrack.membership.fleet.swim.sending import Sending
-from harriertrack.membership.fleet.swim.words import Words
+from harriertrack.membership.fleet.swim.sender import Sender
+from harriertrack.membership.fleet.swim.updates import Updates
 from harriertrack.membership.fleet.view import Row
 
 RELAYED = 0.8  # of the time for an answer, after which a helper says that it got none (Lifeguard)
 
 
-class Probing:
+class Prober:
     """A member's own probe, and those that it makes for others."""
 
-    def __init__(self, member: Member, sending: Sending, words: Words, comparing: Comparing) -> None:
+    def __init__(self, member: Member, sending: Sender, words: Updates, comparing: AntiEntropy) -> None:
         self._member, self._sending, self._words, self._comparing = member, sending, words, comparing
         self._number = 0
 
@@ -25,7 +25,7 @@
         probe = member.probe
         if probe is not None:
             if not probe.answered and probe.helped < 0 and now >= probe.ask_at:
-                self._ask_others(probe)
+                self._request_indirect_pings(probe)
             if now < probe.ends_at:
                 return
             member.probe = None
@@ -33,7 +33,7 @@
                 self._failed(now, probe)
         if now < member.due.probe:
             return
-        scale, rules = 1 + member.doubts, member.rules
+        scale, rules = 1 + member.health_score, member.rules
         member.due.probe = now + rules.probe_us * scale
         row = self._next_target()
         if row is None:
@@ -42,7 +42,7 @@
         member.counts.probes += 1
         record = row.record
         answer_at, ends_at = now + rules.answer_us * scale, now + rules.probe_us * scale
-        member.probe = Probe(record.name, record.life, self._number, answer_at, ends_at)
+        member.probe = Probe(record.name, record.process, self._number, answer_at, ends_at)
         self._sending.send(record.address, Kind.PING, self._number, record.name)
 
     def times(self) -> list[int]:
@@ -64,7 +64,7 @@
                 return None
             member.random.shuffle(member.turn)
 
-    def _ask_others(self, probe: Probe) -> None:
+    def _request_indirect_pings(self, probe: Probe) -> None:
         member = self._member
         others = [
             name for name in member.others()
@@ -83,9 +83,9 @@
         # Helpers that do not even say that they had no answer tell of trouble here rather than there.
         member = self._member
         member.counts.failed_probes += 1
-        member.doubt(probe.helped - probe.nacks if probe.helped > 0 else 1)
+        member.adjust_health(probe.helped - probe.nacks if probe.helped > 0 else 1)
         row = member.view.find(probe.target)
-        if row is not None and row.record.life == probe.life and row.record.present:
+        if row is not None and row.record.process == probe.life and row.record.present:
             self._words.suspect(now, row, member.me.name)
 
     def relay(self, now: int, told: Datagram, source: Address) -> None:
@@ -125,6 +125,6 @@
         if probe is None or probe.number != told.number or probe.target != told.target or probe.answered:
             return
         probe.answered = True
-        member.doubt(-1)
+        member.adjust_health(-1)
         if told.sender == told.target and told.digest != member.view.digest:
             self._comparing.mend(now, told.sender)
--- a/harriertrack/membership/fleet/swim/rules.py
+++ b/harriertrack/membership/fleet/swim/rules.py
@@ -31,11 +31,11 @@
     topic_bytes: int = 2000  # of notes by topic that a member sends in a second, and at once
 
 
-class Standing(Enum):
+class MembershipState(Enum):
     """What a member is to its fleet."""
 
     NEW = "new"  # not started
     ALONE = "alone"  # it knows nobody else who is there
-    IN = "in"
+    JOINED = "in"
     LEAVING = "leaving"
     DISPLACED = "displaced"  # a process that started later goes by its name: it only looks on
--- a/harriertrack/membership/fleet/swim/sending.py
+++ b/harriertrack/membership/fleet/swim/sender.py
@@ -2,14 +2,22 @@
 
 from __future__ import annotations
 
-from harriertrack.membership.fleet.messages import Address, Datagram, Draft, Kind, Life, State, packed
-from harriertrack.membership.fleet.spreading import sends_of
+from harriertrack.membership.fleet.dissemination import transmit_limit
+from harriertrack.membership.fleet.messages import (
+    Address,
+    Datagram,
+    Draft,
+    Kind,
+    ProcessInstance,
+    State,
+    encode_item,
+)
 from harriertrack.membership.fleet.swim.actions import Send
 from harriertrack.membership.fleet.swim.member import Member
-from harriertrack.membership.fleet.swim.rules import Standing
+from harriertrack.membership.fleet.swim.rules import MembershipState
 
 
-class Sending:
+class Sender:
     """What a member sends."""
 
     def __init__(self, member: Member) -> None:
@@ -20,8 +28,8 @@
         """Return a datagram that has room for news."""
         member = self._member
         me, digest = member.me, member.view.digest
-        sender = "" if member.standing is Standing.DISPLACED else me.name
-        return Draft(member.rules.fleet, kind, sender, me.life, number, digest, target, address, summary)
+        sender = "" if member.state is MembershipState.DISPLACED else me.name
+        return Draft(member.rules.fleet, kind, sender, me.process, number, digest, target, address, summary)
 
     def out(self, address: Address, draft: Draft) -> None:
         """Send a datagram as it is."""
@@ -41,11 +49,11 @@
         row = member.view.find(to.sender if to is not None else target)
         first = ""
         if row is not None and row.record.name != member.me.name:
-            outdated = to is not None and row.record.life > Life(to.started, to.instance)
+            outdated = to is not None and row.record.process > ProcessInstance(to.started, to.instance)
             if row.record.state is not State.ALIVE or outdated:
-                draft.add(packed(row.record))
+                draft.add(encode_item(row.record))
                 first = row.record.name
-        most = sends_of(member.rules.repeats, len(member.view.present))
+        most = transmit_limit(member.rules.repeats, len(member.view.present))
         member.news.fill(draft.add, most, skip=first)
         topics_first = member.counts.sent % 2 == 1  # in turn: where many say much neither waits for ever
         if topics_first:
@@ -61,14 +69,14 @@
         if not member.news:
             if member.topics and (others := member.others()):  # these have time: one member is told at a time
                 name = member.random.choice(others)
-                self.send(member.address(name), Kind.WORD, 0, name)
+                self.send(member.address(name), Kind.GOSSIP, 0, name)
             return
         recent = now - member.rules.recent_us
         names = member.others()
-        names += [row.record.name for row in member.view.gone(State.DEAD) if row.since >= recent]
+        names += [row.record.name for row in member.view.rows_with(State.DEAD) if row.since >= recent]
         for name in member.random.sample(names, min(len(names), fanout)):
             if not member.news:
                 return
-            self.send(member.address(name), Kind.WORD, 0, name)
+            self.send(member.address(name), Kind.GOSSIP, 0, name)
         if not names:
             member.news.clear()  # whoever comes asks for the whole view
--- a/harriertrack/membership/fleet/swim/suspecting.py
+++ b/harriertrack/membership/fleet/swim/suspects.py
@@ -9,7 +9,7 @@
 from harriertrack.membership.fleet.view import Row
 
 
-class Suspects:
+class SuspectTimers:
     """The suspects by name; their suspicions stand in the view's rows and end with the words there."""
 
     def __init__(self, member: Member) -> None:
@@ -22,8 +22,8 @@
         member, rules = self._member, self._member.rules
         row, members = member.view.find(record.name), len(member.view.present)
         assert row is not None
-        least = suspicion.least_us(rules.probe_us, rules.suspicion, members)
-        wanted = suspicion.most_confirmations(rules.confirmations, members)
+        least = suspicion.min_timeout_us(rules.probe_us, rules.suspicion, members)
+        wanted = suspicion.expected_confirmations(rules.confirmations, members)
         row.suspicion = Suspicion(now, least, int(least * rules.slack), wanted, [record.by])
         self._names[record.name] = None
         self.first_at = None
@@ -53,7 +53,7 @@
             row = self._member.view.find(name)
             if row is None or row.suspicion is None:
                 self._names.pop(name)
-            elif now >= row.suspicion.ends_at:
+            elif now >= row.suspicion.expires_at:
                 over.append(row)
         return over
 
@@ -62,7 +62,7 @@
         if not self._names:
             return None
         if self.first_at is None:
-            self.first_at = min((one.ends_at for one in self._suspicions()), default=otherwise)
+            self.first_at = min((one.expires_at for one in self._suspicions()), default=otherwise)
         return self.first_at
 
     def shift(self, us: int) -> None:
--- a/harriertrack/membership/fleet/swim/words.py
+++ b/harriertrack/membership/fleet/swim/updates.py
@@ -4,19 +4,19 @@
 
 import msgspec
 
-from harriertrack.membership.fleet.messages import Record, State, packed
-from harriertrack.membership.fleet.swim.actions import Changed, Said
+from harriertrack.membership.fleet.messages import Record, State, encode_item
+from harriertrack.membership.fleet.swim.actions import LogEvent, MemberChanged
 from harriertrack.membership.fleet.swim.member import Member
 from harriertrack.membership.fleet.swim.notes import Notes
-from harriertrack.membership.fleet.swim.rules import Standing
-from harriertrack.membership.fleet.swim.suspecting import Suspects
+from harriertrack.membership.fleet.swim.rules import MembershipState
+from harriertrack.membership.fleet.swim.suspects import SuspectTimers
 from harriertrack.membership.fleet.view import Row
 
 
-class Words:
+class Updates:
     """What a member does with words."""
 
-    def __init__(self, member: Member, suspects: Suspects, notes: Notes) -> None:
+    def __init__(self, member: Member, suspects: SuspectTimers, notes: Notes) -> None:
         self._member, self._suspects, self._notes = member, suspects, notes
 
     def take(self, now: int, record: Record, pass_on: bool = True) -> None:
@@ -24,12 +24,12 @@
         member, view, name = self._member, self._member.view, record.name
         if name == member.me.name and record.instance == member.me.instance:
             member.me = record
-        change = view.take(now, record)
+        change = view.apply(now, record)
         if change is None:
             return
         if pass_on:
-            member.news.add(name, packed(record))
-        member.actions.append(Changed(change))
+            member.news.add(name, encode_item(record))
+        member.actions.append(MemberChanged(change))
         self._suspects.end(name)
         if record.state is State.SUSPECT:
             self._suspects.begin(now, record)
@@ -37,10 +37,10 @@
         if newcomer and name != member.me.name:
             # A newcomer is probed at a random place of the present turn.
             member.turn.insert(member.random.randrange(len(member.turn) + 1), name)
-        if member.standing in (Standing.ALONE, Standing.IN):
-            before = member.standing
-            member.standing = Standing.IN if len(view.present) > 1 else Standing.ALONE
-            if before is Standing.ALONE:
+        if member.state in (MembershipState.ALONE, MembershipState.JOINED):
+            before = member.state
+            member.state = MembershipState.JOINED if len(view.present) > 1 else MembershipState.ALONE
+            if before is MembershipState.ALONE:
                 member.joined_at = now
 
     def suspect(self, now: int, row: Row, by: str) -> None:
@@ -49,7 +49,7 @@
         if row.suspicion is None:
             self.take(now, msgspec.structs.replace(record, state=State.SUSPECT, by=by))
         elif self._suspects.confirm(row, by):
-            self._member.news.add(record.name, packed(msgspec.structs.replace(record, by=by)))
+            self._member.news.add(record.name, encode_item(msgspec.structs.replace(record, by=by)))
 
     def run_out(self, now: int) -> None:
         """Hold those dead that were suspected for long enough."""
@@ -61,7 +61,7 @@
         """Take a word that came from outside; `compared`: as the answer to a comparison of views."""
         member = self._member
         if record.name == member.me.name:
-            self._of_me(now, record)
+            self._handle_own_record(now, record)
             return
         row = member.view.find(record.name)
         if row is None:
@@ -71,7 +71,7 @@
             if len(member.view) >= member.rules.members:
                 member.counts.turned_down += 1
                 return
-        elif record.newness[:3] == row.record.newness[:3]:
+        elif record.precedence[:3] == row.record.precedence[:3]:
             if record.state is State.SUSPECT and row.record.state is State.SUSPECT:
                 self.suspect(now, row, record.by)
                 return
@@ -83,24 +83,26 @@
         joining = compared and now - member.joined_at < member.rules.probe_us
         self.take(now, record, pass_on=not joining)
 
-    def _of_me(self, now: int, record: Record) -> None:
+    def _handle_own_record(self, now: int, record: Record) -> None:
         """Somebody says something of this member's name."""
         member, me = self._member, self._member.me
-        if record.life == me.life:
+        if record.process == me.process:
             if record.incarnation < me.incarnation:
                 if record.state is not State.ALIVE:
-                    member.news.add(me.name, packed(me))  # somebody missed the objection: it goes along again
+                    member.news.add(
+                        me.name, encode_item(me)
+                    )  # somebody missed the objection: it goes along again
                 return
-            if record.newness == me.newness or member.standing is Standing.LEAVING:
+            if record.precedence == me.precedence or member.state is MembershipState.LEAVING:
                 return
             if record.state is State.ALIVE and record.incarnation == me.incarnation:
                 return
             member.counts.refuted += 1
-            member.doubt(1)
+            member.adjust_health(1)
             held = record.state.name.lower()
-            member.actions.append(Said("fleet: objected", (("by", record.by), ("held", held))))
-            self.take(now, member.renamed(incarnation=record.incarnation + 1))
-        elif record.life > me.life:
+            member.actions.append(LogEvent("fleet: objected", (("by", record.by), ("held", held))))
+            self.take(now, member.updated_record(incarnation=record.incarnation + 1))
+        elif record.process > me.process:
             # The place can't be another's while this process holds it: an earlier life with a clock ahead.
             if not record.present or record.address == me.address:
                 self._return(now, record)
@@ -110,20 +112,20 @@
     def _return(self, now: int, record: Record) -> None:
         """Go on as a later life than the one that was heard of."""
         member = self._member
-        if member.standing is Standing.DISPLACED:
-            member.standing = Standing.ALONE
+        if member.state is MembershipState.DISPLACED:
+            member.state = MembershipState.ALONE
             member.due.probe = now + member.spread(member.rules.probe_us)
             self._suspects.restart(now)
-        self.take(now, member.renamed(started=record.started + 1, incarnation=0, state=State.ALIVE))
+        self.take(now, member.updated_record(started=record.started + 1, incarnation=0, state=State.ALIVE))
         self._notes.say_again()
         member.topics.say_again(member.me)
 
     def _displaced(self, now: int, record: Record) -> None:
         member = self._member
-        member.view.take(now, record)
-        if member.standing is Standing.DISPLACED:
+        member.view.apply(now, record)
+        if member.state is MembershipState.DISPLACED:
             return
-        member.standing = Standing.DISPLACED
+        member.state = MembershipState.DISPLACED
         member.drop_probes()
         self._suspects.clear()
         member.news.clear()
@@ -131,5 +133,5 @@
         member.topics.clear()
         member.due.reach = now + member.spread(member.rules.reach_us)
         where = f"{record.host}:{record.port}"
-        said = Said("fleet: displaced by a later process of this name", (("address", where),))
+        said = LogEvent("fleet: displaced by a later process of this name", (("address", where),))
         member.actions.append(said)
--- a/harriertrack/membership/fleet/budgeting.py
+++ b/harriertrack/membership/fleet/topic_datagrams.py
@@ -17,13 +17,13 @@
 from harriertrack.decisions.fleet.zones.evidence import ZoneObservation
 from harriertrack.decisions.fleet.zones.zone_decision import ZoneDecision, ZoneStage
 from harriertrack.membership.fleet import messages
-from harriertrack.membership.fleet.messages import MOST_BYTES, MalformedDatagram, Number, Text
+from harriertrack.membership.fleet.messages import MAX_DATAGRAM_BYTES, MalformedDatagram, Number, Text
 
-MARK = messages.BUDGETS
+MARK = messages.TOPIC_MARK
 VERSION = 1
 READS = 1
 
-MOST_TOPIC_BODY = 1000  # bytes of a report or ruling
+MAX_TOPIC_BODY = 1000  # bytes of a report or ruling
 MOST_REASONS = 300  # bytes of reasons in one datagram
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e18)]
 Zone = Annotated[str, msgspec.Meta(max_length=32)]
@@ -33,12 +33,12 @@
 class Kind(IntEnum):
     """What a datagram says."""
 
-    ASK = 0
+    LEASE_REQUEST = 0
     GRANT = 1
     TERM = 2  # its sender keeps the ledger in this term
     VACATED = 3  # ... and does so no longer
-    SEEN = 4  # what a head sees of zones, to who decides on them
-    WORD = 5  # what that one decided
+    ZONE_OBSERVATIONS = 4  # what a head sees of zones, to who decides on them
+    ZONE_DECISIONS = 5  # what that one decided
     REPORT = 6  # a head to who decides, on a topic
     RULING = 7  # who decides to all, on a topic
 
@@ -105,35 +105,35 @@
     """Reports and rulings; other datagrams are written without these fields."""
 
     topic: Text = ""
-    body: Annotated[bytes, msgspec.Meta(max_length=MOST_TOPIC_BODY)] = b""
+    body: Annotated[bytes, msgspec.Meta(max_length=MAX_TOPIC_BODY)] = b""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(_Topical)
 
 
-class TooNew(MalformedDatagram):
+class UnsupportedVersion(MalformedDatagram):
     """A datagram of a version that this program can't read."""
 
 
-class Stranger(MalformedDatagram):
+class ForeignFleet(MalformedDatagram):
     """A datagram of another fleet."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ZoneObservations:
     """What a head sees of zones."""
 
     head: str
-    sights: tuple[ZoneObservation, ...]
+    observations: tuple[ZoneObservation, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ZoneDecisions:
     """The fleet's word on all zones that are not simply in use, and the term of who decided."""
 
     term: Term
-    words: tuple[ZoneDecision, ...]
+    decisions: tuple[ZoneDecision, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,15 +154,15 @@
     body: bytes
 
 
-Said = LeaseRequest | Grant | Seen | Told | Report | Ruling | tuple[Kind, int, Term]
+Message = LeaseRequest | Grant | ZoneObservations | ZoneDecisions | Report | Ruling | tuple[Kind, int, Term]
 
 
-def encode(fleet: str, said: Said) -> bytes:
+def encode(fleet: str, said: Message) -> bytes:
     """Write a datagram: an ask, a grant, or (TERM or VACATED, ledger, term)."""
     match said:
         case LeaseRequest():
             wire = _Wire(
-                READS, VERSION, fleet, Kind.ASK, said.ledger, said.term.epoch, said.term.nonce, said.holder,
+                READS, VERSION, fleet, Kind.LEASE_REQUEST, said.ledger, said.term.epoch, said.term.nonce, said.holder,
                 said.instance, said.tenure, said.sequence, said.lease_us, said.weight,
                 [
                     _Claim(one.budget, one.movable, one.demand, one.version, one.released)
@@ -175,17 +175,19 @@
                 said.instance, said.tenure, said.in_reply_to, said.lease_us, 1.0, [],
                 [_Share(one.budget, one.version, one.rate, one.tokens) for one in said.shares],
             )  # fmt: skip
-        case Seen():
-            sights = [
+        case ZoneObservations():
+            observations = [
                 _Sight(one.zone, one.responding, one.silent, one.requests, one.served, one.movable,
                        one.reserved, one.wasted, one.busy)
-                for one in said.sights
+                for one in said.observations
             ]  # fmt: skip
-            wire = _Wire(READS, VERSION, fleet, Kind.SEEN, 0, 0, 0, said.head, sights=sights)
-        case Told():
+            wire = _Wire(
+                READS, VERSION, fleet, Kind.ZONE_OBSERVATIONS, 0, 0, 0, said.head, sights=observations
+            )
+        case ZoneDecisions():
             # Reasons are for people: where there are many words, they give way to the words.
-            room = MOST_REASONS // max(1, len(said.words)) if len(said.words) <= 8 else 0
-            words = [
+            room = MOST_REASONS // max(1, len(said.decisions)) if len(said.decisions) <= 8 else 0
+            decisions = [
                 _Word(
                     one.zone,
                     one.stage.value,
@@ -196,9 +198,18 @@
                     one.by_operator,
                     one.left_us,
                 )
-                for one in said.words
+                for one in said.decisions
             ]
-            wire = _Wire(READS, VERSION, fleet, Kind.WORD, 0, said.term.epoch, said.term.nonce, words=words)
+            wire = _Wire(
+                READS,
+                VERSION,
+                fleet,
+                Kind.ZONE_DECISIONS,
+                0,
+                said.term.epoch,
+                said.term.nonce,
+                words=decisions,
+            )
         case Report():
             wire = _Topical(READS, VERSION, fleet, Kind.REPORT, 0, 0, 0, said.head, topic=said.topic,
                             body=said.body)  # fmt: skip
@@ -210,20 +221,20 @@
     return MARK + _ENCODER.encode(wire)
 
 
-def decode(fleet: str, data: bytes) -> Said:
-    """Read a datagram. Raises MalformedDatagram, Stranger, TooNew."""
-    if len(data) > MOST_BYTES:
+def decode(fleet: str, data: bytes) -> Message:
+    """Read a datagram. Raises MalformedDatagram, ForeignFleet, UnsupportedVersion."""
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise MalformedDatagram("too long")
     try:
         wire = _DECODER.decode(memoryview(data)[len(MARK) :])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise MalformedDatagram(str(error)) from error
     if wire.fleet != fleet:
-        raise Stranger(wire.fleet)
+        raise ForeignFleet(wire.fleet)
     if wire.reads > VERSION:
-        raise TooNew(str(wire.reads))
+        raise UnsupportedVersion(str(wire.reads))
     term = Term(wire.epoch, wire.nonce)
-    if wire.kind is Kind.ASK:
+    if wire.kind is Kind.LEASE_REQUEST:
         claims = tuple(Claim(*msgspec.structs.astuple(one)) for one in wire.claims)
         return LeaseRequest(wire.ledger, term, wire.holder, wire.instance, wire.tenure, wire.number,
                             wire.lease_us, wire.weight, claims)  # fmt: skip
@@ -231,14 +242,16 @@
         shares = tuple(ShareUpdate(*msgspec.structs.astuple(one)) for one in wire.shares)
         return Grant(wire.ledger, term, wire.holder, wire.instance, wire.tenure, wire.number, wire.lease_us,
                      shares)  # fmt: skip
-    if wire.kind is Kind.SEEN:
-        return Seen(wire.holder, tuple(ZoneObservation(*msgspec.structs.astuple(one)) for one in wire.sights))
-    if wire.kind is Kind.WORD:
+    if wire.kind is Kind.ZONE_OBSERVATIONS:
+        return ZoneObservations(
+            wire.holder, tuple(ZoneObservation(*msgspec.structs.astuple(one)) for one in wire.sights)
+        )
+    if wire.kind is Kind.ZONE_DECISIONS:
         words = (
             ZoneDecision(zone, ZoneStage(stage), *rest)
             for zone, stage, *rest in (msgspec.structs.astuple(one) for one in wire.words)
         )
-        return Told(term, tuple(words))
+        return ZoneDecisions(term, tuple(words))
     if wire.kind is Kind.REPORT:
         return Report(wire.topic, wire.holder, wire.body)
     if wire.kind is Kind.RULING:
--- a/harriertrack/membership/fleet/topics.py
+++ b/harriertrack/membership/fleet/topics.py
@@ -7,27 +7,27 @@
 
 from collections.abc import Iterable
 
-from harriertrack.membership.fleet.messages import MOST_NOTE, Draft, Record, TopicNote, packed
-from harriertrack.membership.fleet.spreading import Spreading
+from harriertrack.membership.fleet.dissemination import DisseminationQueue
+from harriertrack.membership.fleet.messages import MAX_NOTE, Draft, Record, TopicNote, encode_item
 from harriertrack.membership.fleet.view import View
 
 
-class Topics:
+class TopicNotes:
     """One member's own and those that it passes on."""
 
     def __init__(self, view: View, rate: float) -> None:
         """Begin; of all notes by topic no more than `rate` bytes a second leave, a second's at once."""
         self._view, self._rate, self._spare, self._at = view, rate, float(rate), 0
-        self._news = Spreading()
+        self._news = DisseminationQueue()
         self._said: dict[str, bytes] = {}
         self._version = 0
 
-    def say(self, me: Record, topic: str, about: bytes) -> None:
+    def set_note(self, me: Record, topic: str, about: bytes) -> None:
         """Say something on a topic to all, in place of what was said on it before.
 
         Raises ValueError for more than a note holds.
         """
-        if len(about) > MOST_NOTE:
+        if len(about) > MAX_NOTE:
             raise ValueError(f"a note of {len(about)} bytes")
         if self._said.get(topic) == about:
             return
@@ -39,7 +39,7 @@
         """Say all of it anew, as another life."""
         said, self._said = self._said, {}
         for topic, about in said.items():
-            self.say(me, topic, about)
+            self.set_note(me, topic, about)
 
     def hear(self, me: str, notes: Iterable[TopicNote]) -> None:
         """Take what came, and pass on what is news."""
@@ -48,10 +48,10 @@
                 self._take(note)
 
     def _take(self, note: TopicNote) -> None:
-        if self._view.take_topic(note):
-            self._news.add(note.key, packed(note))
+        if self._view.apply_topic_note(note):
+            self._news.add(note.key, encode_item(note))
 
-    def pass_time(self, now: int) -> None:
+    def refill(self, now: int) -> None:
         """It is `now`: more bytes may leave."""
         self._spare = min(self._rate, self._spare + self._rate * max(0, now - self._at) / 1e6)
         self._at = now
--- a/harriertrack/membership/fleet/view.py
+++ b/harriertrack/membership/fleet/view.py
@@ -13,7 +13,15 @@
 
 from xxhash import xxh64_intdigest
 
-from harriertrack.membership.fleet.messages import BUCKETS, MOST_TOPICS, Life, Note, Record, State, TopicNote
+from harriertrack.membership.fleet.messages import (
+    BUCKETS,
+    MAX_TOPICS,
+    Note,
+    ProcessInstance,
+    Record,
+    State,
+    TopicNote,
+)
 from harriertrack.membership.fleet.suspicion import Suspicion
 
 MOST_HISTORY = 12  # words on a member that are kept to explain what is held of it
@@ -22,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class HistoryEntry:
     """A word that changed what is held of a member: when it came, by the holder's clock."""
 
     at: int
@@ -39,9 +47,9 @@
     note: Note | None = None
     topics: dict[str, TopicNote] = field(default_factory=dict)
     digest: int = 0  # whom it said to be there last
-    heard_at: int = 0  # when it last said anything itself; 0: never in this life
+    last_contact: int = 0  # when it last said anything itself; 0: never in this life
     suspicion: Suspicion | None = None
-    history: deque[Heard] = field(default_factory=lambda: deque(maxlen=MOST_HISTORY))
+    history: deque[HistoryEntry] = field(default_factory=lambda: deque(maxlen=MOST_HISTORY))
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,9 +60,9 @@
     after: Record
 
     @property
-    def another_life(self) -> bool:
+    def process_changed(self) -> bool:
         """Whether the member is another process than before."""
-        return self.before is not None and self.before.life != self.after.life
+        return self.before is not None and self.before.process != self.after.process
 
 
 def _there(record: Record) -> int:
@@ -62,7 +70,7 @@
 
 
 def _exactly(record: Record) -> int:
-    return xxh64_intdigest("\0".join(map(str, (record.name, *record.newness))).encode()) & _SUMMED
+    return xxh64_intdigest("\0".join(map(str, (record.name, *record.precedence))).encode()) & _SUMMED
 
 
 class View:
@@ -97,11 +105,11 @@
         pairs = enumerate(zip(self._summary, theirs, strict=True))
         return frozenset(at for at, (here, there) in pairs if here != there)
 
-    def within(self, buckets: frozenset[int]) -> list[Row]:
+    def rows_in(self, buckets: frozenset[int]) -> list[Row]:
         """Return all members of some buckets, the gone ones too."""
         return [row for row in self._rows.values() if row.bucket in buckets]
 
-    def take(self, now: int, record: Record) -> Change | None:
+    def apply(self, now: int, record: Record) -> Change | None:
         """Take a word; return what it changed, None if what is held is as new."""
         row = self._rows.get(record.name)
         if row is None:
@@ -110,19 +118,19 @@
             change = Change(None, record)
         else:
             before = row.record
-            if record.newness <= before.newness:
+            if record.precedence <= before.precedence:
                 return None
             self._count(before, row.bucket, -1)
             change = Change(before, record)
             row.record = record
-            if before.state != record.state or change.another_life:
+            if before.state != record.state or change.process_changed:
                 row.since = now
-            if change.another_life:
-                row.note, row.digest, row.heard_at = None, 0, 0
+            if change.process_changed:
+                row.note, row.digest, row.last_contact = None, 0, 0
                 row.topics.clear()
             row.suspicion = None
         self._count(record, row.bucket, 1)
-        row.history.append(Heard(now, record))
+        row.history.append(HistoryEntry(now, record))
         if record.present:
             self.present.setdefault(record.name)
         else:
@@ -136,27 +144,27 @@
             self.digest = (self.digest + sign * _there(record)) & _ALL
             self._summary[bucket] = (self._summary[bucket] + sign * _exactly(record)) & _SUMMED
 
-    def take_note(self, note: Note) -> bool:
+    def apply_note(self, note: Note) -> bool:
         """Take a member's note; return whether it is news."""
         row = self._rows.get(note.name)
-        if row is None or row.record.life != Life(note.started, note.instance):
+        if row is None or row.record.process != ProcessInstance(note.started, note.instance):
             return False
-        if row.note is not None and note.newness <= row.note.newness:
+        if row.note is not None and note.precedence <= row.note.precedence:
             return False
         row.note = note
         return True
 
-    def take_topic(self, note: TopicNote) -> bool:
+    def apply_topic_note(self, note: TopicNote) -> bool:
         """Take a member's note on a topic; return whether it is news. The one said longest ago makes room."""
         row = self._rows.get(note.name)
-        if row is None or row.record.life != Life(note.started, note.instance):
+        if row is None or row.record.process != ProcessInstance(note.started, note.instance):
             return False
         known = row.topics.get(note.topic)
-        if known is not None and note.newness <= known.newness:
+        if known is not None and note.precedence <= known.precedence:
             return False
-        if known is None and len(row.topics) >= MOST_TOPICS:
-            oldest = min(row.topics.values(), key=lambda one: one.newness)
-            if note.newness <= oldest.newness:
+        if known is None and len(row.topics) >= MAX_TOPICS:
+            oldest = min(row.topics.values(), key=lambda one: one.precedence)
+            if note.precedence <= oldest.precedence:
                 return False
             del row.topics[oldest.topic]
         row.topics[note.topic] = note
@@ -168,6 +176,6 @@
         assert not row.record.present, "only who is gone is forgotten"
         del self._rows[name]
 
-    def gone(self, *states: State) -> list[Row]:
+    def rows_with(self, *states: State) -> list[Row]:
         """Return the members of which one of these states is held."""
         return [row for row in self._rows.values() if row.record.state in states]
--- a/harriertrack/membership/leases.py
+++ b/harriertrack/membership/leases.py
@@ -22,10 +22,10 @@
 
 SESSION_PATH = "/v1/session"
 KEY_PREFIX = "/v1/kv/harriertrack/volumes/"
-WISH_PREFIX = "/v1/kv/harriertrack/wishes/"
+HOME_REQUEST_PREFIX = "/v1/kv/harriertrack/wishes/"
 
 
-class Standing(msgspec.Struct, frozen=True):
+class VolumeRecord(msgspec.Struct, frozen=True):
     """What the witness keeps for a volume.
 
     Where its home is, and which regions hold all acknowledged writes.
@@ -39,7 +39,7 @@
 class Lock:
     """A volume's key as the witness last told it."""
 
-    standing: Standing
+    record: VolumeRecord
     session: str  # "" while nobody holds it
     epoch: int  # LockIndex
     index: int = 0  # ModifyIndex: changes with every change of the key
@@ -70,7 +70,7 @@
     )
 
 
-def change_request(volume: str, verb: str, session: str, standing: Standing, index: int) -> bytes:
+def change_request(volume: str, verb: str, session: str, standing: VolumeRecord, index: int) -> bytes:
     """Write the transaction that locks or unlocks a volume's key if it is still as read (index 0: not there).
 
     Source: Consul HTTP API, "Transaction": `check-index` with `lock` or `unlock` in one step. Without the
@@ -107,7 +107,7 @@
     return msgspec.json.encode([{"KV": check}, {"KV": change}])
 
 
-def changed_index(body: bytes) -> int:
+def parse_new_index(body: bytes) -> int:
     """Read the key's new index from a transaction's answer. Raises WitnessError."""
     try:
         return msgspec.json.decode(body, type=_Results).results[-1].kv.modify_index
@@ -115,7 +115,7 @@
         raise WitnessError(str(error)) from error
 
 
-def session_id(body: bytes) -> str:
+def parse_session_id(body: bytes) -> str:
     """Read the session's id. Raises WitnessError."""
     try:
         return msgspec.json.decode(body, type=_Session).id
@@ -133,7 +133,7 @@
     index: int  # ModifyIndex
 
 
-def key_of(body: bytes) -> Key:
+def parse_key(body: bytes) -> Key:
     """Read a key; its value comes in base64, as the API documents. Raises WitnessError."""
     try:
         (entry,) = msgspec.json.decode(body, type=list[_Entry])
@@ -143,14 +143,14 @@
     return Key(value, entry.session, entry.lock_index, entry.modify_index)
 
 
-def lock_of(body: bytes) -> Lock:
+def parse_lock(body: bytes) -> Lock:
     """Read a volume's key. Raises WitnessError."""
-    key = key_of(body)
+    key = parse_key(body)
     try:
-        standing = msgspec.json.decode(key.value, type=Standing)
+        record = msgspec.json.decode(key.value, type=VolumeRecord)
     except msgspec.MsgspecError as error:
         raise WitnessError(str(error)) from error
-    return Lock(standing, key.session, key.epoch, key.index)
+    return Lock(record, key.session, key.epoch, key.index)
 
 
 @dataclass(slots=True)
@@ -168,7 +168,7 @@
         """How long a grant is relied on, counted from before it was asked for."""
         return int(self.ttl_us * (1 - 2 * self.clock_error))
 
-    def granted(self, session: str, asked_at: int) -> None:
+    def record_grant(self, session: str, asked_at: int) -> None:
         """A session was created, or renewed, by a call that began at `asked_at`."""
         self.id, self.until = session, max(self.until if session == self.id else 0, asked_at + self.safe_us)
 
@@ -176,7 +176,7 @@
         """Whether the witness can't have ended it yet."""
         return bool(self.id) and now < self.until
 
-    def lose(self) -> None:
+    def invalidate(self) -> None:
         """It is over: by its time, or because the witness does not know it any more."""
         if self.id:
             self.ended += 1
@@ -184,7 +184,7 @@
 
 
 @dataclass(slots=True)
-class Holding:
+class HeldLocks:
     """What this head holds under its session: volume to epoch.
 
     Nothing outlives the session it was held under.
@@ -193,11 +193,11 @@
     session: Session
     _held: dict[str, tuple[str, int]] = field(default_factory=dict)
 
-    def took(self, volume: str, epoch: int) -> None:
+    def add(self, volume: str, epoch: int) -> None:
         """The witness granted a volume's lock to the present session."""
         self._held[volume] = (self.session.id, epoch)
 
-    def gave(self, volume: str) -> None:
+    def remove(self, volume: str) -> None:
         """The lock was released, or found to be another's."""
         self._held.pop(volume, None)
 
--- a/harriertrack/membership/nodes.py
+++ b/harriertrack/membership/nodes.py
@@ -19,7 +19,7 @@
     entry: NodeEntry
     address: tuple[str, int]
 
-    def localised(self, wall_ahead_us: int) -> Member:
+    def with_local_start(self, wall_ahead_us: int) -> Member:
         """Return it with its start, told in Unix time, on a clock that Unix time is so far ahead of."""
         entry = self.entry
         started = max(1, entry.started_us - wall_ahead_us) if entry.started_us else 0
@@ -44,7 +44,7 @@
         """Return all nodes, the gone ones among them."""
         return tuple(self._members.values())
 
-    def change(self, members: Iterable[Member]) -> NodesChanged:
+    def apply_changes(self, members: Iterable[Member]) -> NodesChanged:
         """Take the entries that changed; return the news for the module."""
         changed = list(members)
         self._members.update((member.entry.node, member) for member in changed)
--- a/harriertrack/membership/targets.py
+++ b/harriertrack/membership/targets.py
@@ -10,8 +10,8 @@
 from harriertrack.decisions.interface import NodeEntry, NodeState
 from harriertrack.membership.nodes import Member
 
-MOST_LIST = 4 << 20  # bytes of a list
-MOST_SIZE = 1e18  # no machine's registered size comes near it; above it a whole number may be no float
+MAX_LIST_BYTES = 4 << 20  # bytes of a list
+MAX_NODE_SIZE = 1e18  # no machine's registered size comes near it; above it a whole number may be no float
 STATES = {
     "in_service": NodeState.UP, "terminating": NodeState.DRAINING, "terminated": NodeState.GONE,
 }  # fmt: skip
@@ -46,14 +46,14 @@
     servers: list[Target]
 
 
-def target_of(since: int | None, wait_us: int) -> bytes:
+def request_target(since: int | None, wait_us: int) -> bytes:
     """Return what to GET: the whole list, or what is newer than a version, waiting for it so long."""
     if since is None:
         return PATH.encode()
     return f"{PATH}?since={since}&timeout_ms={wait_us // 1000}".encode()
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Read an address and port, without names. Raises ValueError."""
     host, _, port = text.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
@@ -62,7 +62,7 @@
     return host.strip("[]"), int(port)
 
 
-def targets_of(body: bytes) -> Targets:
+def parse_targets(body: bytes) -> Targets:
     """Read a list. Raises TargetsError."""
     try:
         return msgspec.json.decode(body, type=Targets)
@@ -70,7 +70,7 @@
         raise TargetsError(str(error)) from error
 
 
-def members_of(targets: Targets) -> list[Member]:
+def members_from_targets(targets: Targets) -> list[Member]:
     """Turn a list into members, their starts in Unix time (microseconds).
 
     Raises TargetsError: a list with one entry that can't be read is not taken at all.
@@ -81,12 +81,12 @@
         if state is None:
             raise TargetsError(f"{one.id}: unknown state {one.state[:40]!r}")
         try:
-            address = address_of(one.addr)
+            address = parse_address(one.addr)
         except ValueError as error:
             raise TargetsError(f"{one.id}: {error}") from error
         started_us = (one.started_ms or 0) * 1000
         kind = one.kind if isinstance(one.kind, str) else ""
-        size = one.weight if isinstance(one.weight, int | float) and 0 < one.weight < MOST_SIZE else 0.0
+        size = one.weight if isinstance(one.weight, int | float) and 0 < one.weight < MAX_NODE_SIZE else 0.0
         entry = NodeEntry(one.id, one.cell, state, one.zone or "", started_us, kind, float(size))
         members.append(Member(entry, address))
     return members
--- a/harriertrack/service/configuration.py
+++ b/harriertrack/service/configuration.py
@@ -13,7 +13,7 @@
 from harriertrack.decisions.requests import ClassRule, RequestRules
 from harriertrack.decisions.settings_parser import parse_settings, read_number, read_object
 from harriertrack.membership.nodes import Member
-from harriertrack.membership.targets import Targets, TargetsError, address_of, members_of
+from harriertrack.membership.targets import Targets, TargetsError, members_from_targets, parse_address
 from harriertrack.protocol.platform.asked import ClassForm, Forms
 
 PREFIX = "PROXY_"
@@ -104,7 +104,7 @@
 
 def _address(field: str, text: str) -> tuple[str, int]:
     try:
-        return address_of(text)
+        return parse_address(text)
     except ValueError as error:
         raise ValueError(f"{field}: {error}") from error
 
@@ -182,7 +182,7 @@
     """Turn the file into a configuration. Raises ValueError or TargetsError, which name the field."""
     told = _settings(given.settings)
     try:
-        known = members_of(given.known)
+        known = members_from_targets(given.known)
     except TargetsError as error:
         raise ValueError(f"known: {error}") from error
     try:
--- a/harriertrack/service/discovery.py
+++ b/harriertrack/service/discovery.py
@@ -14,7 +14,7 @@
 from harriertrack.decisions.open_calls import OpenCalls
 from harriertrack.decisions.requests import Core
 from harriertrack.membership.nodes import Member, NodeList
-from harriertrack.membership.targets import TargetsError, members_of, targets_of
+from harriertrack.membership.targets import TargetsError, members_from_targets, parse_targets
 from harriertrack.runtime.hub import DeadlineExceeded, Event, Hub, Scope, Task
 from harriertrack.runtime.streams import Network, Stream
 from harriertrack.service.discovery_call import DiscoveryCall
@@ -200,9 +200,9 @@
 
     def _take(self, made: DiscoveryCall, late: bool) -> None:
         assert made.answer is not None
-        targets = targets_of(made.answer.body)
+        targets = parse_targets(made.answer.body)
         # Read whole before any of it is taken.
-        members = [member.localised(self._wall_ahead_us) for member in members_of(targets)]
+        members = [member.with_local_start(self._wall_ahead_us) for member in members_from_targets(targets)]
         if late:
             outcome = self._watch.handle_late_answer(targets.version, targets.full)
         else:
@@ -220,7 +220,7 @@
 
     def _tell(self, members: list[Member], whole: bool, counts_at: int) -> None:
         """Hand what changed to the module."""
-        news = self._nodes.replace(members) if whole else self._nodes.change(members)
+        news = self._nodes.replace(members) if whole else self._nodes.apply_changes(members)
         if news is not None:
             news.announced_at = counts_at
         self._core.nodes_changed(news)
--- a/harriertrack/service/discovery_call.py
+++ b/harriertrack/service/discovery_call.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from harriertrack.decisions.discovery_watch import Call
-from harriertrack.membership.targets import MOST_LIST, target_of
+from harriertrack.membership.targets import MAX_LIST_BYTES, request_target
 from harriertrack.protocol.platform.exchange import Answer, Exchange, Spoilt
 from harriertrack.runtime.hub import Event, Hub, Scope, Task
 from harriertrack.runtime.streams import Network, Stream
@@ -68,8 +68,8 @@
         if self._stream is None:
             self._stream = network.connect(self._address, None, name)
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        target = target_of(self.call.since, self.call.wait_us)
-        exchange = Exchange(b"GET", target, [(b"Host", host)], b"", MOST_LIST)
+        target = request_target(self.call.since, self.call.wait_us)
+        exchange = Exchange(b"GET", target, [(b"Host", host)], b"", MAX_LIST_BYTES)
         self._stream.write(exchange.request)
         while (answer := exchange.receive(self._stream.read())) is None:
             pass
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -87,7 +87,7 @@
 
     def _set_up(self, scope: Scope) -> DiscoveryWatch:
         hub, configuration = self.hub, self.configuration
-        known = [member.localised(self._wall_ahead_us) for member in configuration.known]
+        known = [member.with_local_start(self._wall_ahead_us) for member in configuration.known]
         self.nodes.replace(known, restored=True)
         entries = [member.entry for member in self.nodes.members()]
         self.core = Core(configuration.rules(), self.module, (), self, self.nodes, NoPlaces(), entries)
--- a/harriertrack/standin/listservice.py
+++ b/harriertrack/standin/listservice.py
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from harriertrack.decisions.interface import NodeState
-from harriertrack.membership.consul import body_of
+from harriertrack.membership.consul import encode_members
 from harriertrack.membership.nodes import Member
 from harriertrack.rules import recording as rec
 from harriertrack.runtime.hub import DeadlineExceeded, Hub, Scope, Waiters
@@ -75,7 +75,7 @@
             return None
         members = list(self._members.values())
         self._record(asked.agent, members)
-        body = body_of([self._on_wire(member) for member in members])
+        body = encode_members([self._on_wire(member) for member in members])
         return Answer(200, body, (("X-Consul-Index", str(self._index)), ("Content-Type", "application/json")))
 
     def _on_wire(self, member: Member) -> Member:
--- a/tests/changes/test_changes_carrier.py
+++ b/tests/changes/test_changes_carrier.py
@@ -14,7 +14,7 @@
 from harriertrack.gateway.witness import WitnessClient
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
-from harriertrack.membership.fleet.changing import PATH, DamagedRecord
+from harriertrack.membership.fleet.change_record import PATH, DamagedRecord
 from harriertrack.rules import changes as rules, recording as rec
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryNetwork
@@ -180,8 +180,8 @@
 
 def test_a_note_has_room_for_what_a_member_runs_and_stays_within_its_bytes():
     from harriertrack.decisions.fleet.changes.follower import AppliedVersion
-    from harriertrack.membership.fleet.messages import MOST_NOTE
-    from harriertrack.membership.fleet.telling import About, about_of
+    from harriertrack.membership.fleet.messages import MAX_NOTE
+    from harriertrack.membership.fleet.status_document import ActivityNote, parse_member_note
 
     one = Changes.__new__(Changes)
     one._follower = Follower("h")
@@ -189,15 +189,15 @@
     one._follower.applied = {
         f"calendar/{'x' * 40}{number}": AppliedVersion(running=7) for number in range(20)
     } | {"settings": AppliedVersion(running=3)}
-    data = one.about(About(9, 9, 9, 9))
-    told = about_of(data)
-    assert len(data) <= MOST_NOTE and told.record == 1 << 40 and told.runs["settings"] == 3
+    data = one.about(ActivityNote(9, 9, 9, 9))
+    told = parse_member_note(data)
+    assert len(data) <= MAX_NOTE and told.record == 1 << 40 and told.runs["settings"] == 3
 
 
 def test_a_note_of_a_member_that_follows_no_record_is_what_it_was():
-    from harriertrack.membership.fleet.telling import About
+    from harriertrack.membership.fleet.status_document import ActivityNote
 
-    assert set(msgspec.msgpack.decode(msgspec.msgpack.encode(About()))) == {
+    assert set(msgspec.msgpack.decode(msgspec.msgpack.encode(ActivityNote()))) == {
         "volumes",
         "open",
         "taken",
--- a/tests/changes/test_record.py
+++ b/tests/changes/test_record.py
@@ -17,7 +17,7 @@
     set_state,
     set_state_as_operator,
 )
-from harriertrack.membership.fleet.changing import DamagedRecord, decode, digest_of, encode
+from harriertrack.membership.fleet.change_record import DamagedRecord, decode, digest_of, encode
 from harriertrack.storage.changes import ChangesCache
 
 
--- a/tests/closing/test_closing_cli.py
+++ b/tests/closing/test_closing_cli.py
@@ -8,10 +8,12 @@
 from harriertrack.config.settings import ClosingSettings
 from harriertrack.config.sexp import SettingsError
 from harriertrack.gateway.fleet.closing.messages import Ask, Done, Ruling, ask_from, encode, ruling_from
-from harriertrack.membership.fleet.telling import ClosingTold, Document, FenceTold
+from harriertrack.membership.fleet.status_document import ClosingStatus, Document, CalendarStatus
 
-FENCE = FenceTold("calendar/tokyo", 3, "open", "2026-12-02 15:30:00 Asia/Tokyo", 1_796_193_000_000_000, 17, 4)
-STATUS = ClosingTold(True, False, (1_796_190_000_000_000, 1_796_190_000_020_000), False, 5, 6, [FENCE])
+FENCE = CalendarStatus(
+    "calendar/tokyo", 3, "open", "2026-12-02 15:30:00 Asia/Tokyo", 1_796_193_000_000_000, 17, 4
+)
+STATUS = ClosingStatus(True, False, (1_796_190_000_000_000, 1_796_190_000_020_000), False, 5, 6, [FENCE])
 
 
 def run_closes(monkeypatch, status, *options):
@@ -35,7 +37,7 @@
 
 
 def test_blind_head_is_reported(monkeypatch):
-    result = run_closes(monkeypatch, ClosingTold(False, True, None, True, 0, 0, []))
+    result = run_closes(monkeypatch, ClosingStatus(False, True, None, True, 0, 0, []))
     assert (
         "BLIND" in result.output
         and "does not know the time" in result.output
@@ -44,7 +46,7 @@
 
 
 def test_json_output_and_a_head_without_closes(monkeypatch):
-    assert msgspec.json.decode(run_closes(monkeypatch, STATUS, "--json").output, type=ClosingTold) == STATUS
+    assert msgspec.json.decode(run_closes(monkeypatch, STATUS, "--json").output, type=ClosingStatus) == STATUS
     assert run_closes(monkeypatch, None).exit_code == 2
 
 
--- a/tests/closing/test_closing_clocks.py
+++ b/tests/closing/test_closing_clocks.py
@@ -127,7 +127,7 @@
 
 def test_each_answer_is_sent_once_and_fits_into_a_datagram():
     from harriertrack.gateway.fleet.closing.messages import ANSWERS_BYTES, Answer, Ruling, encode
-    from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY
+    from harriertrack.membership.fleet.topic_datagrams import MAX_TOPIC_BODY
 
     estimator, sent = TimeEstimator(RULES, 3_000_000), []
     for number in range(200):
@@ -139,6 +139,6 @@
         answers = [Answer(echo.head, echo.sent_at, echo.received_at) for echo in echoes]
         assert (
             len(encode(Ruling(2**61, 2**32, (-(2**61), 2**61), 2**61, answers, ["x" * 64] * 2)))
-            <= MOST_TOPIC_BODY
+            <= MAX_TOPIC_BODY
         )
     assert len(sent) == len(set(sent)) == 200
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -245,14 +245,14 @@
     Fault(
         "a session counts from its answer",
         "witness-lock",
-        f"{LEASES}:Session.granted",
+        f"{LEASES}:Session.record_grant",
         "asked_at + self.safe_us",
         "asked_at + 3 * self.safe_us",
     ),
     Fault(
         "an epoch outlives its session",
         "witness-lock",
-        f"{LEASES}:Holding.epoch",
+        f"{LEASES}:HeldLocks.epoch",
         " or not self.session.valid(now)",
         "",
     ),
@@ -444,8 +444,8 @@
     Fault(
         "a note of a life before counts",
         "weights-restart",
-        f"{VIEW}.take_topic",
-        "row.record.life != Life(note.started, note.instance)",
+        f"{VIEW}.apply_topic_note",
+        "row.record.process != ProcessInstance(note.started, note.instance)",
         "False",
         newest=True,
     ),
@@ -459,8 +459,8 @@
     Fault(
         "an older note takes a newer one's place",
         "weights-restart",
-        f"{VIEW}.take_topic",
-        "known is not None and note.newness <= known.newness",
+        f"{VIEW}.apply_topic_note",
+        "known is not None and note.precedence <= known.precedence",
         "False",
     ),
     Fault(
--- a/tests/rollout/test_baselines.py
+++ b/tests/rollout/test_baselines.py
@@ -24,7 +24,7 @@
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
-from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY
+from harriertrack.membership.fleet.topic_datagrams import MAX_TOPIC_BODY
 from harriertrack.membership.fleet.messages import Record as Member, State
 from harriertrack.membership.fleet.view import View
 from harriertrack.rules import recording as rec, rollout
@@ -250,7 +250,7 @@
     many = {f"class-{number}": Tally(number, 1, 2, 3, 4, [number] * 16) for number in range(40)}
     before = Baseline("scorer/near", 7, 5 * S, many, Usage(1 << 30, 99, 0, 12))
     data = encode_before(3, before)
-    assert len(data) <= MOST_TOPIC_BODY
+    assert len(data) <= MAX_TOPIC_BODY
     back = Heard("a").take(data)
     assert isinstance(back, Baseline) and (back.thing, back.number, back.ago_us) == ("scorer/near", 7, 5 * S)
     assert set(back.classes) == {f"class-{number}" for number in range(40 - len(back.classes), 40)}, (
@@ -304,7 +304,7 @@
     view = View()
     for record in (member(1, 11, State.ALIVE), member(1, 11, State.LEFT), member(2, 22, State.ALIVE), member(2, 22, State.DEAD),
                    member(3, 33, State.ALIVE)):  # fmt: skip
-        view.take(0, record)
+        view.apply(0, record)
     assert asked(view.find("a")) == {11}
     assert asked(view.find("b")) == frozenset()
 
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -20,7 +20,7 @@
 from harriertrack.gateway.fleet.rollout.launcher.launcher import Launcher, Unfit, command_of
 from harriertrack.gateway.fleet.rollout.program_user import HANDING_OVER, ProgramUser
 from harriertrack.gateway.fleet.rollout.reports import Heard, MalformedReport, encode_counts, encode_volumes
-from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY
+from harriertrack.membership.fleet.topic_datagrams import MAX_TOPIC_BODY
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Report
 from harriertrack.runtime.hub import Hub
@@ -296,14 +296,14 @@
         "h", 9, {"settings": 3, "program": 4}, classes, 1 << 30, 10**9, {"program": (5, "w" * 500)}, 2
     )
     data = encode_counts(report)
-    assert len(data) <= MOST_TOPIC_BODY
+    assert len(data) <= MAX_TOPIC_BODY
     received = Heard("h")
     read = received.take(data)
     assert read.versions == report.versions and set(read.classes) < set(classes) and len(read.classes) >= 5
     assert all(read.classes[name] == classes[name] for name in read.classes)
     assert received.volumes is None
     for body in encode_volumes(9, list(range(10**9, 10**9 + 400))):
-        assert len(body) <= MOST_TOPIC_BODY and received.take(body) is None
+        assert len(body) <= MAX_TOPIC_BODY and received.take(body) is None
     assert len(received.volumes) == 400
     next_incarnation = next(iter(encode_volumes(10, [1] * 151)))
     assert received.take(next_incarnation) is None and received.volumes is None, (
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -184,7 +184,7 @@
         day = short("score-broken-plugin", 12)
         monkeypatch.setattr(ScorerGuard, "_lose", lambda self, *_: setattr(self, "state", ScorerState.ACTIVE))
     else:
-        monkeypatch.setattr("harriertrack.membership.fleet.topics.Topics.pass_time",
+        monkeypatch.setattr("harriertrack.membership.fleet.topics.TopicNotes.refill",
                             lambda self, _now: setattr(self, "_spare", 1e9))  # fmt: skip
         settings = msgspec.structs.replace(
             day.scoring, say_us=100_000, look_us=100_000, say_bytes=5000, again_us=100_000
@@ -202,7 +202,7 @@
     from harriertrack.decisions.fleet.changes.version_state import VersionState
     from harriertrack.lab.fleet.rig import SimulatedFleet
     from harriertrack.lab.fleet.scenario import DayBudgets
-    from harriertrack.membership.fleet.changing import encode
+    from harriertrack.membership.fleet.change_record import encode
     from harriertrack.runtime.hub import Hub
     from harriertrack.runtime.streams import MemoryNetwork
     from harriertrack.storage.changes import ChangesCache
--- a/tests/scoring/test_notes.py
+++ b/tests/scoring/test_notes.py
@@ -10,17 +10,17 @@
 from harriertrack.lab.fleet.later import later
 from harriertrack.lab.fleet.swarm import Swarm
 from harriertrack.lab.fleet.weights import contrary, lied
-from harriertrack.membership.fleet import weighing
+from harriertrack.membership.fleet import weight_pages
 from harriertrack.membership.fleet.messages import (
-    MOST_TOPICS,
-    NOTE_ROOM,
+    MAX_TOPICS,
+    MAX_NOTE_BYTES_PER_DATAGRAM,
     Draft,
     Kind,
-    Life,
+    ProcessInstance,
     Note,
     TopicNote,
     decode,
-    packed,
+    encode_item,
 )
 from harriertrack.membership.fleet.swim import Rules
 
@@ -50,17 +50,17 @@
 
 
 def draft(topics=1):
-    one = Draft("fleet", Kind.PING, "m1", Life(1, 2), 7, 9, "m0")
-    one.add_note(packed(Note("m1", 1, 2, 3, b"about")))
+    one = Draft("fleet", Kind.PING, "m1", ProcessInstance(1, 2), 7, 9, "m0")
+    one.add_note(encode_item(Note("m1", 1, 2, 3, b"about")))
     for number in range(topics):
-        one.add_topic(packed(TopicNote("m1", 1, 2, number, b"x" * 60, f"w/{number}")))
+        one.add_topic(encode_item(TopicNote("m1", 1, 2, number, b"x" * 60, f"w/{number}")))
     return one
 
 
 def test_without_topics_not_a_byte_differs_and_an_older_reader_passes_over_them():
     assert len(msgspec.msgpack.decode(draft(0).pack())) == 15
     told = msgspec.msgpack.decode(draft(2).pack(), type=Old)
-    assert [note.about for note in told.notes] == [b"about"]  # no topic is taken for it
+    assert [note.payload for note in told.notes] == [b"about"]  # no topic is taken for it
     assert [note.topic for note in decode(draft(2).pack()).topics] == ["w/0", "w/1"]
     assert [note.topic for note in decode(later(draft(2).pack())).topics] == ["w/0", "w/1"]
     assert decode(later(draft(0).pack())).topics == []
@@ -68,40 +68,45 @@
 
 def test_topics_keep_to_the_room_of_notes():
     fields = msgspec.msgpack.decode(draft(50).pack())
-    assert sum(len(msgspec.msgpack.encode(one)) for one in fields[14] + fields[15]) <= NOTE_ROOM
+    assert (
+        sum(len(msgspec.msgpack.encode(one)) for one in fields[14] + fields[15])
+        <= MAX_NOTE_BYTES_PER_DATAGRAM
+    )
 
 
 def test_pages_come_back_as_they_were_and_fit_a_note():
-    data = weighing.encode(PAGE)
-    assert len(data) <= 256 and weighing.decode(data) == PAGE and weighing.decode(data + b"more") == PAGE
-    assert {one.steps for one in weighing.decode(contrary(data)).entries} == {32}
+    data = weight_pages.encode(PAGE)
+    assert (
+        len(data) <= 256 and weight_pages.decode(data) == PAGE and weight_pages.decode(data + b"more") == PAGE
+    )
+    assert {one.steps for one in weight_pages.decode(contrary(data)).entries} == {32}
 
 
 @given(st.binary(max_size=256))
 @settings(max_examples=150, deadline=None)
 def test_any_bytes_are_a_page_or_none(data):
     try:
-        page = weighing.decode(data)
-    except weighing.MalformedPage:
+        page = weight_pages.decode(data)
+    except weight_pages.MalformedPage:
         return
-    assert len(page.entries) <= MAX_ENTRIES and weighing.encode(page)
+    assert len(page.entries) <= MAX_ENTRIES and weight_pages.encode(page)
 
 
 @pytest.mark.parametrize("at", [0, 5, 14, 15, 19])
 def test_a_page_that_no_head_would_write_is_turned_down(at):
-    data = bytearray(weighing.encode(PAGE))
+    data = bytearray(weight_pages.encode(PAGE))
     data[at] = 0 if at == 0 else 0x90
-    with pytest.raises(weighing.MalformedPage):
-        weighing.decode(bytes(data))
+    with pytest.raises(weight_pages.MalformedPage):
+        weight_pages.decode(bytes(data))
 
 
 def test_a_liar_changes_its_own_notes_alone():
-    both = Draft("fleet", Kind.PING, "m1", Life(1, 2), 7, 9, "m0")
-    small = weighing.encode(Page(1, 1, 9, PAGE.entries[:2], 7))
+    both = Draft("fleet", Kind.PING, "m1", ProcessInstance(1, 2), 7, 9, "m0")
+    small = weight_pages.encode(Page(1, 1, 9, PAGE.entries[:2], 7))
     for name in ("m1", "m2"):
-        both.add_topic(packed(TopicNote(name, 1, 2, 1, small, "w/00000001/1")))
+        both.add_topic(encode_item(TopicNote(name, 1, 2, 1, small, "w/00000001/1")))
     mine, others = decode(lied(both.pack())).topics
-    assert others.about == small and mine.about == contrary(small) != small
+    assert others.payload == small and mine.payload == contrary(small) != small
 
 
 @pytest.mark.parametrize("rate", [300, 2000])
@@ -122,11 +127,11 @@
     swarm._carry = counted
     for step in range(40):
         for name, swim in swarm.members.items():
-            swim.say(f"w/{step % 3}", f"{name} {step}".encode())
+            swim.set_topic_note(f"w/{step % 3}", f"{name} {step}".encode())
         swarm.run(1_000_000)
     swarm.run(20_000_000)
     for row in (row for swim in swarm.members.values() if rate == 2000 for row in swim.view):
-        assert {topic: note.about.split()[1] for topic, note in row.topics.items()} == {
+        assert {topic: note.payload.split()[1] for topic, note in row.topics.items()} == {
             "w/0": b"39", "w/1": b"37", "w/2": b"38"}  # fmt: skip
     assert 0 < sent <= 12 * rate * ((swarm.now - began) / 1e6 + 1)
 
@@ -135,12 +140,12 @@
     swarm = Swarm(Rules(), seed=4)
     one, other = swarm.start("m0"), swarm.start("m1")
     swarm.settle(20_000_000)
-    for number in range(MOST_TOPICS + 3):
-        one.say(f"t/{number}", b"x")
+    for number in range(MAX_TOPICS + 3):
+        one.set_topic_note(f"t/{number}", b"x")
     with pytest.raises(ValueError, match="300 bytes"):
-        one.say("t/0", b"x" * 300)
+        one.set_topic_note("t/0", b"x" * 300)
     swarm.run(60_000_000)
-    assert set(other.view.find("m0").topics) == {f"t/{number}" for number in range(3, MOST_TOPICS + 3)}
+    assert set(other.view.find("m0").topics) == {f"t/{number}" for number in range(3, MAX_TOPICS + 3)}
     swarm.kill("m0")
     swarm.start("m0")
     swarm.run(60_000_000)
--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -37,10 +37,10 @@
 from harriertrack.lab.fleet.later import later
 from harriertrack.lab.fleet.processes import Places
 from harriertrack.lab.fleet.rig import simulate
-from harriertrack.membership.fleet import budgeting
-from harriertrack.membership.fleet.budgeting import Kind, MalformedDatagram
-from harriertrack.membership.fleet.messages import MOST_BYTES, decode as decode_member
-from harriertrack.membership.fleet.telling import document_from
+from harriertrack.membership.fleet import topic_datagrams
+from harriertrack.membership.fleet.topic_datagrams import Kind, MalformedDatagram
+from harriertrack.membership.fleet.messages import MAX_DATAGRAM_BYTES, decode as decode_member
+from harriertrack.membership.fleet.status_document import parse_document
 from harriertrack.rules import budgets as rules, checker, recording as rec
 from harriertrack.runtime.datagrams import MemoryDatagrams
 from harriertrack.runtime.hub import Hub
@@ -62,22 +62,22 @@
 
 @pytest.mark.parametrize("said", [ASK, GRANT, (Kind.TERM, 4, TERM), (Kind.VACATED, 0, TERM)])
 def test_what_is_said_is_read_back_and_is_garbage_to_members_without_budgets(said):
-    data = budgeting.encode("f", said)
-    assert budgeting.decode("f", data) == said
+    data = topic_datagrams.encode("f", said)
+    assert topic_datagrams.decode("f", data) == said
     with pytest.raises(MalformedDatagram):
         decode_member(data)
-    with pytest.raises(budgeting.Stranger):
-        budgeting.decode("g", data)
+    with pytest.raises(topic_datagrams.ForeignFleet):
+        topic_datagrams.decode("g", data)
 
 
 @given(st.binary(max_size=1500), st.integers(0, 200), st.integers(0, 255))
 @settings(max_examples=300, deadline=None)
 def test_any_bytes_are_read_or_refused(tail, at, byte):
-    good = bytearray(budgeting.encode("f", ASK))
+    good = bytearray(topic_datagrams.encode("f", ASK))
     good[at % len(good)] = byte
-    for data in (budgeting.MARK + tail, bytes(good), bytes(good[: at % len(good)])):
+    for data in (topic_datagrams.MARK + tail, bytes(good), bytes(good[: at % len(good)])):
         try:
-            said = budgeting.decode("f", data)
+            said = topic_datagrams.decode("f", data)
         except MalformedDatagram:
             continue
         for claim in said.claims if isinstance(said, LeaseRequest) else ():
@@ -87,19 +87,19 @@
 
 
 def test_later_versions_add_fields_and_too_new_ones_are_told():
-    raw = msgspec.msgpack.decode(budgeting.encode("f", GRANT)[1:])
-    assert budgeting.decode("f", budgeting.MARK + msgspec.msgpack.encode([*raw, "more"])) == GRANT
-    with pytest.raises(budgeting.TooNew):
-        budgeting.decode("f", budgeting.MARK + msgspec.msgpack.encode([9, *raw[1:]]))
+    raw = msgspec.msgpack.decode(topic_datagrams.encode("f", GRANT)[1:])
+    assert topic_datagrams.decode("f", topic_datagrams.MARK + msgspec.msgpack.encode([*raw, "more"])) == GRANT
+    with pytest.raises(topic_datagrams.UnsupportedVersion):
+        topic_datagrams.decode("f", topic_datagrams.MARK + msgspec.msgpack.encode([9, *raw[1:]]))
 
 
 @pytest.mark.parametrize("said", [
-    ASK, GRANT, (Kind.TERM, 4, TERM), budgeting.Seen("a", ()), budgeting.Told(TERM, ()),
-    budgeting.Report("t", "a", b"x"), budgeting.Ruling("t", TERM, b"x"),
+    ASK, GRANT, (Kind.TERM, 4, TERM), topic_datagrams.ZoneObservations("a", ()), topic_datagrams.ZoneDecisions(TERM, ()),
+    topic_datagrams.Report("t", "a", b"x"), topic_datagrams.Ruling("t", TERM, b"x"),
 ])  # fmt: skip
 def test_what_the_later_version_of_rehearsals_says_is_read_by_this_one(said):
-    data = later(budgeting.encode("f", said))
-    assert data != budgeting.encode("f", said) and budgeting.decode("f", data) == said
+    data = later(topic_datagrams.encode("f", said))
+    assert data != topic_datagrams.encode("f", said) and topic_datagrams.decode("f", data) == said
 
 
 def test_asks_and_grants_of_many_long_names_fit_datagrams():
@@ -113,13 +113,15 @@
     asks = holder.due_requests(100_000)
     assert (
         sum(len(ask.claims) for ask in asks) == 300
-        and max(len(budgeting.encode("f" * 64, a)) for a in asks) <= MOST_BYTES
+        and max(len(topic_datagrams.encode("f" * 64, a)) for a in asks) <= MAX_DATAGRAM_BYTES
     )
     for ask in asks:
-        assert len(budgeting.encode("f" * 64, ledger.handle_request(100_000, ask))) <= MOST_BYTES
+        assert (
+            len(topic_datagrams.encode("f" * 64, ledger.handle_request(100_000, ask))) <= MAX_DATAGRAM_BYTES
+        )
     news = ledger.rebalance(200_000)
     assert sum(len(one.shares) for one in news) == 300
-    assert max(len(budgeting.encode("f" * 64, one)) for one in news) <= MOST_BYTES
+    assert max(len(topic_datagrams.encode("f" * 64, one)) for one in news) <= MAX_DATAGRAM_BYTES
 
 
 # -- settings
@@ -341,7 +343,7 @@
         body = b""
         while data := stream.read(self.hub.now() + 3 * S):
             body += data
-        return document_from(body).budgets
+        return parse_document(body).budgets
 
 
 def run(test, **more):
@@ -442,14 +444,14 @@
         rng, port = hub.random, heads.datagrams.bind(("127.0.0.1", 0), lambda *one: None)
         for _ in range(1500):
             data = bytearray(
-                budgeting.encode("fleet" if rng.random() < 0.7 else "other", rng.choice((ASK, GRANT)))
+                topic_datagrams.encode("fleet" if rng.random() < 0.7 else "other", rng.choice((ASK, GRANT)))
             )
             if rng.random() < 0.5:
                 data[rng.randrange(1, len(data))] = rng.randrange(256)
                 del data[rng.randrange(1, len(data) + 1) :]
             port.send(bytes(data), ("127.0.0.1", 40_000 + rng.randrange(3)))
             hub.sleep(500)
-        port.send(budgeting.encode("fleet", (Kind.TERM, 77, TERM)), ("127.0.0.1", 40_000))
+        port.send(topic_datagrams.encode("fleet", (Kind.TERM, 77, TERM)), ("127.0.0.1", 40_000))
         hub.sleep(2 * S)
         counts = [heads.told(number).counts for number in range(3)]
         assert sum(one["garbage"] for one in counts) > 100 and sum(one["strangers"] for one in counts) > 50
--- a/tests/test_fleet_carrier.py
+++ b/tests/test_fleet_carrier.py
@@ -11,9 +11,9 @@
 from harriertrack.gateway.fleet import carrier
 from harriertrack.lab.fleet.processes import Places
 from harriertrack.gateway.head import Wiring
-from harriertrack.membership.fleet.messages import Draft, Kind, Life
+from harriertrack.membership.fleet.messages import Draft, Kind, ProcessInstance
 from harriertrack.membership.fleet.swim import Rules
-from harriertrack.membership.fleet.telling import MalformedDocument, document_from
+from harriertrack.membership.fleet.status_document import MalformedDocument, parse_document
 from harriertrack.runtime.datagrams import MOST_WAITING, MemoryDatagrams, SocketDatagrams
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import MemoryNetwork, SocketNetwork
@@ -147,7 +147,7 @@
         body = b""
         while data := stream.read(self.hub.now() + 3_000_000):
             body += data
-        return document_from(body)
+        return parse_document(body)
 
     def events(self, number):
         return [event for event, _ in self.sites[number].notes]
@@ -205,7 +205,7 @@
     def test(hub, scope):
         heads = Heads(hub, scope)
         rng, port = hub.random, heads.datagrams.bind(PLACE, lambda *one: None)
-        good = Draft("fleet", Kind.SYNC, "h9", Life(1, 9), 1, 1, summary=(7,) * 32).pack()
+        good = Draft("fleet", Kind.SYNC, "h9", ProcessInstance(1, 9), 1, 1, summary=(7,) * 32).pack()
         for _ in range(2000):
             data = bytearray(good)
             data[rng.randrange(len(data))] = rng.randrange(256)
@@ -237,7 +237,7 @@
     assert default == Rules(), "settings and protocol have one set of defaults"
     for bad in (b"", b"{}", b"[]", msgspec.json.encode({"fleet": 1})):
         with pytest.raises(MalformedDocument):
-            document_from(bad)
+            parse_document(bad)
 
 
 @pytest.mark.real_time
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -10,8 +10,8 @@
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.membership.fleet.swim import Swim
 from harriertrack.membership.fleet.swim.member import Member
-from harriertrack.membership.fleet.swim.suspecting import Suspects
-from harriertrack.membership.fleet.swim.words import Words
+from harriertrack.membership.fleet.swim.suspects import SuspectTimers
+from harriertrack.membership.fleet.swim.updates import Updates
 from harriertrack.rules import fleet, recording as rec
 from harriertrack.rules.everything import judge
 from harriertrack.standin.relay import Fault, Weather
@@ -130,13 +130,14 @@
         self.first_at = now + 1_000_000_000
         return []
 
-    monkeypatch.setattr(Suspects, "run_out", never)
+    monkeypatch.setattr(SuspectTimers, "run_out", never)
     _, records, day = play("fleet-crash", 5)
     assert {1, 3} & {breach.rule for breach in fleet.check(records, day.detect_us)}
 
 
 @pytest.mark.parametrize(
-    ("where", "care", "more"), [(Swim, "_stood", 3), (Member, "doubt", 2), (Words, "_of_me", 2)]
+    ("where", "care", "more"),
+    [(Swim, "_recover_from_pause", 3), (Member, "adjust_health", 2), (Updates, "_handle_own_record", 2)],
 )
 def test_what_keeps_starved_members_from_suspecting_each_other(monkeypatch, where, care, more):
     def suspicions():
@@ -148,7 +149,7 @@
     assert not broken
     monkeypatch.setattr(where, care, lambda self, *_: None)
     without, broken = suspicions()
-    assert without >= more * with_care > 0 and (2 in broken) == (care == "_of_me")
+    assert without >= more * with_care > 0 and (2 in broken) == (care == "_handle_own_record")
 
 
 def test_the_view_costs_requests_nothing_in_simulated_time():
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 from harriertrack.lab.fleet.processes import FleetProcessError, Places, play_processes
 from harriertrack.lab.fleet.processes.children import waited_us
 from harriertrack.lab.fleet.processes.machine import stood
-from harriertrack.membership.fleet.telling import document_from
+from harriertrack.membership.fleet.status_document import parse_document
 from harriertrack.rules import fleet, recording as rec
 from harriertrack.rules.everything import judge
 
@@ -94,7 +94,7 @@
         while told is None or {one.name: one.state for one in told.members}.get("head2") != "dead":
             assert time.monotonic() < until and day.poll() is None, told
             done = fleet_command("members", "--settings", settings, "--json")
-            told = document_from(done.stdout.encode()) if done.returncode == 0 else None
+            told = parse_document(done.stdout.encode()) if done.returncode == 0 else None
         assert told.there == 2 and told.standing == "in"
         table = fleet_command("members", "--settings", settings).stdout
         assert "head2" in table and "dead" in table and told.digest in table
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -10,19 +10,19 @@
 from harriertrack.membership.fleet.messages import (
     Draft,
     Kind,
-    Life,
+    ProcessInstance,
     MalformedDatagram,
     Note,
     Record,
     State,
     decode,
-    packed,
+    encode_item,
 )
-from harriertrack.membership.fleet.spreading import Spreading, sends_of
-from harriertrack.membership.fleet.suspicion import Suspicion, least_us, most_confirmations
-from harriertrack.membership.fleet.swim import Rules, Said, Send, Standing, Swim
-from harriertrack.membership.fleet.swim.probing import Probing
-from harriertrack.membership.fleet.swim.words import Words
+from harriertrack.membership.fleet.dissemination import DisseminationQueue, transmit_limit
+from harriertrack.membership.fleet.suspicion import Suspicion, min_timeout_us, expected_confirmations
+from harriertrack.membership.fleet.swim import Rules, LogEvent, Send, MembershipState, Swim
+from harriertrack.membership.fleet.swim.prober import Prober
+from harriertrack.membership.fleet.swim.updates import Updates
 from harriertrack.membership.fleet.view import View
 
 S = 1_000_000
@@ -66,8 +66,13 @@
         rng.shuffle(said)
         view = View()
         for one in said:
-            view.take(0, one)
-        held = (sorted(row.record.newness for row in view), view.digest, view.summary, sorted(view.present))
+            view.apply(0, one)
+        held = (
+            sorted(row.record.precedence for row in view),
+            view.digest,
+            view.summary,
+            sorted(view.present),
+        )
         assert first is None or held == first
         first = held
     assert len(view) == 6
@@ -75,40 +80,40 @@
 
 def test_what_is_not_newer_changes_nothing():
     view = View()
-    assert view.take(5, record(incarnation=2)).before is None
+    assert view.apply(5, record(incarnation=2)).before is None
     for old in (
         record(incarnation=2),
         record(incarnation=1, state=State.DEAD),
         record(started=0, incarnation=9),
     ):
-        assert view.take(6, old) is None
-    change = view.take(7, record(started=2, state=State.ALIVE))
-    assert change.another_life and view.find("m1").since == 7
+        assert view.apply(6, old) is None
+    change = view.apply(7, record(started=2, state=State.ALIVE))
+    assert change.process_changed and view.find("m1").since == 7
 
 
 def test_sums_tell_who_is_there_and_where_views_differ():
     here, there = View(), View()
     for one in ("a", "b", "c"):
-        here.take(0, record(one))
-        there.take(0, record(one))
+        here.apply(0, record(one))
+        there.apply(0, record(one))
     assert here.digest == there.digest and not here.differing(there.summary)
-    there.take(1, record("b", state=State.SUSPECT))
+    there.apply(1, record("b", state=State.SUSPECT))
     assert here.digest == there.digest, "a suspect is there until it is dead"
     (bucket,) = here.differing(there.summary)
-    assert [row.record.name for row in here.within(frozenset((bucket,))) if row.record.name == "b"] == ["b"]
-    there.take(2, record("b", state=State.DEAD))
+    assert [row.record.name for row in here.rows_in(frozenset((bucket,))) if row.record.name == "b"] == ["b"]
+    there.apply(2, record("b", state=State.DEAD))
     assert here.digest != there.digest and "b" not in there.present
-    here.take(3, record("b", state=State.LEFT))
+    here.apply(3, record("b", state=State.LEFT))
     assert here.digest == there.digest and not here.differing(there.summary)
 
 
 def test_a_note_is_of_a_life_and_the_newest_holds():
     view = View()
-    assert not view.take_note(Note("m1", 1, 1, 1, b"x")), "of a stranger"
-    view.take(0, record())
-    assert view.take_note(Note("m1", 1, 1, 2, b"x")) and not view.take_note(Note("m1", 1, 1, 1, b"old"))
-    assert not view.take_note(Note("m1", 2, 1, 9, b"of a life not heard of"))
-    view.take(0, record(started=2))
+    assert not view.apply_note(Note("m1", 1, 1, 1, b"x")), "of a stranger"
+    view.apply(0, record())
+    assert view.apply_note(Note("m1", 1, 1, 2, b"x")) and not view.apply_note(Note("m1", 1, 1, 1, b"old"))
+    assert not view.apply_note(Note("m1", 2, 1, 9, b"of a life not heard of"))
+    view.apply(0, record(started=2))
     assert view.find("m1").note is None
 
 
@@ -116,20 +121,24 @@
 
 
 def draft(**more):
-    return Draft("fleet", Kind.PING, "m1", Life(1, 2), 7, 9, **more)
+    return Draft("fleet", Kind.PING, "m1", ProcessInstance(1, 2), 7, 9, **more)
 
 
 def test_a_datagram_never_passes_its_bound():
     full = draft(summary=tuple((1 << 32) - 1 for _ in range(messages.BUCKETS)))
     count = 0
-    while full.add(packed(record("n" * 64, 1 << 40, 1 << 62, by="b" * 64))):
+    while full.add(encode_item(record("n" * 64, 1 << 40, 1 << 62, by="b" * 64))):
         count += 1
     notes = 0
-    while full.add_note(packed(Note("n", 1, 1, 1, b"z" * 60))):
+    while full.add_note(encode_item(Note("n", 1, 1, 1, b"z" * 60))):
         notes += 1
     data = full.pack()
     told = decode(data)
-    assert len(data) <= messages.MOST_BYTES and count == len(told.records) > 2 and notes == len(told.notes)
+    assert (
+        len(data) <= messages.MAX_DATAGRAM_BYTES
+        and count == len(told.records) > 2
+        and notes == len(told.notes)
+    )
 
 
 def test_garbage_is_counted_and_does_no_harm():
@@ -137,7 +146,7 @@
     one = Swim(Rules(), record("m0"), seed=1)
     one.start(0)
     good = draft(target="m0")
-    good.add(packed(record("m1")))
+    good.add(encode_item(record("m1")))
     data = good.pack()
     for at in range(400):
         bad = bytearray(data)
@@ -153,7 +162,7 @@
 def test_another_fleet_and_a_version_that_can_not_be_read_are_passed_over():
     one = Swim(Rules(), record("m0"), seed=1)
     one.start(0)
-    other = Draft("other", Kind.PING, "m1", Life(1, 2), 7, 9, "m0")
+    other = Draft("other", Kind.PING, "m1", ProcessInstance(1, 2), 7, 9, "m0")
     one.receive(1, other.pack(), ("10.0.0.1", 2))
     newer = msgspec.msgpack.decode(draft(target="m0").pack())
     newer[0], newer[1] = 2, 2
@@ -179,7 +188,7 @@
 def test_comparisons_are_answered_at_a_bounded_rate():
     one = Swim(Rules(pages=5), record("m0"), seed=1)
     one.start(0)
-    asked = Draft("fleet", Kind.SYNC, "", Life(1, 2), 0, 0, summary=(1,) * 32).pack()
+    asked = Draft("fleet", Kind.SYNC, "", ProcessInstance(1, 2), 0, 0, summary=(1,) * 32).pack()
     for at in range(50):
         one.receive(1 + at, asked, ("10.9.9.9", 9))
     assert one.counts.sent == 5 and one.counts.turned_down == 45
@@ -190,7 +199,7 @@
     one.start(0)
     for number in range(1, 30):
         told = draft()
-        told.add(packed(record(f"m{number}")))
+        told.add(encode_item(record(f"m{number}")))
         one.receive(number, told.pack(), ("10.0.0.1", 2))
     assert len(one.view) == 10 and one.counts.turned_down == 20
 
@@ -199,7 +208,7 @@
 
 
 def test_news_goes_first_least_sent_first_and_so_often():
-    news = Spreading()
+    news = DisseminationQueue()
     for name in ("a", "b"):
         news.add(name, name.encode())
     sent = []
@@ -221,21 +230,21 @@
     out = []
     news.fill(lambda piece: out.append(piece) is None, 1)
     assert out == [b"2"] and "a" not in news
-    assert [sends_of(4, n) for n in (1, 9, 99, 200)] == [4, 4, 8, 12]
+    assert [transmit_limit(4, n) for n in (1, 9, 99, 200)] == [4, 4, 8, 12]
 
 
 def test_a_suspicion_shrinks_as_others_agree():
-    assert least_us(S, 4, 8) == 4 * S and least_us(S, 4, 100) == 8 * S
-    assert [most_confirmations(3, n) for n in (2, 4, 5, 9)] == [0, 0, 3, 3]
+    assert min_timeout_us(S, 4, 8) == 4 * S and min_timeout_us(S, 4, 100) == 8 * S
+    assert [expected_confirmations(3, n) for n in (2, 4, 5, 9)] == [0, 0, 3, 3]
     one = Suspicion(0, 4 * S, 24 * S, 3, ["a"])
-    ends = [one.ends_at]
+    ends = [one.expires_at]
     assert not one.confirm("a")
     for name in ("b", "c", "d"):
         assert one.confirm(name)
-        ends.append(one.ends_at)
+        ends.append(one.expires_at)
     assert not one.confirm("e")
     assert ends[0] == 24 * S and ends[-1] == 4 * S and ends == sorted(ends, reverse=True)
-    assert Suspicion(0, 4 * S, 24 * S, 0, ["a"]).ends_at == 4 * S
+    assert Suspicion(0, 4 * S, 24 * S, 0, ["a"]).expires_at == 4 * S
 
 
 # -- many members
@@ -246,7 +255,7 @@
     one = swarm(count)
     one.run(120 * S)
     assert one.agree() and not one.seen
-    assert all(member.standing is Standing.IN for member in one.members.values())
+    assert all(member.state is MembershipState.JOINED for member in one.members.values())
 
 
 def test_seeds_that_come_later():
@@ -254,7 +263,7 @@
     for number in (2, 3, 4):
         one.start(f"m{number}")
     one.run(30 * S)
-    assert {member.standing for member in one.members.values()} == {Standing.ALONE}
+    assert {member.state for member in one.members.values()} == {MembershipState.ALONE}
     for number in (0, 1):
         one.start(f"m{number}")
     assert one.settle(15 * S) >= 0
@@ -275,8 +284,8 @@
     one = swarm(8)
     one.leave("m5")
     assert one.settle(3 * S, [name for name in one.members if name != "m5"]) >= 0
-    one.run(3 * S, lambda: one.members["m5"].left)
-    assert one.members["m5"].left
+    one.run(3 * S, lambda: one.members["m5"].leave_complete)
+    assert one.members["m5"].leave_complete
     one.kill("m5")
     one.run(60 * S)
     assert one.agree() and not words(one, State.DEAD) and not words(one, State.SUSPECT)
@@ -288,7 +297,7 @@
         if number != 6:
             one.kill(f"m{number}")
     # It can't tell whether it is cut off itself: it doubts itself, and takes its time.
-    assert one.run(150 * S, lambda: one.members["m6"].standing is Standing.ALONE)
+    assert one.run(150 * S, lambda: one.members["m6"].state is MembershipState.ALONE)
     for number in range(2, 8):  # the seeds stay away
         if number != 6:
             one.start(f"m{number}")
@@ -322,12 +331,14 @@
     assert one.settle(30 * S, held) >= 0
     one.run(20 * S)
     elder = one.members["m5"]
-    assert elder.standing is Standing.DISPLACED and any("displaced" in said.event for _, _, said in one.said)
+    assert elder.state is MembershipState.DISPLACED and any(
+        "displaced" in said.event for _, _, said in one.said
+    )
     sent = elder.counts.sent
     one.run(60 * S)
     assert elder.counts.sent - sent < 10, "it only looks on"
     one.kill("usurper")
-    assert one.run(120 * S, lambda: elder.standing is Standing.IN) and one.settle(20 * S) >= 0
+    assert one.run(120 * S, lambda: elder.state is MembershipState.JOINED) and one.settle(20 * S) >= 0
 
 
 def test_a_member_that_stood_still_for_a_minute_buries_nobody_and_returns():
@@ -344,7 +355,7 @@
 
 
 def test_without_the_care_after_a_standstill_it_would_bury_others(monkeypatch):
-    monkeypatch.setattr(Swim, "_stood", lambda self, now: None)
+    monkeypatch.setattr(Swim, "_recover_from_pause", lambda self, now: None)
     buried = 0
     for seed in range(6):
         one = swarm(8, seed)
@@ -399,7 +410,7 @@
 
 
 def test_with_no_others_to_ask_they_would_be(monkeypatch):
-    monkeypatch.setattr(Probing, "_ask_others", lambda self, probe: setattr(probe, "helped", 0))
+    monkeypatch.setattr(Prober, "_request_indirect_pings", lambda self, probe: setattr(probe, "helped", 0))
     one = swarm(8)
     one.cut = lambda a, b: {a, b} == {"m1", "m2"}
     one.run(60 * S)
@@ -438,14 +449,14 @@
 
 def test_an_objection_that_was_missed_is_made_again(monkeypatch):
     assert not lossy(7)
-    heard = Words._of_me
+    heard = Updates._handle_own_record
 
     def once(self, now, told):
         me = self._member.me
-        if told.life != me.life or told.incarnation >= me.incarnation:
+        if told.process != me.process or told.incarnation >= me.incarnation:
             heard(self, now, told)
 
-    monkeypatch.setattr(Words, "_of_me", once)
+    monkeypatch.setattr(Updates, "_handle_own_record", once)
     assert lossy(7), "the test would not notice"
 
 
@@ -454,7 +465,9 @@
     one.late_us = lambda a, b: 700_000 if "m5" in (a, b) else 0
     one.run(120 * S)
     slow = one.members["m5"]
-    assert slow.doubts > 0 and not [seen for seen in words(one, State.DEAD) if seen.change.after.name != "m5"]
+    assert slow.health_score > 0 and not [
+        seen for seen in words(one, State.DEAD) if seen.change.after.name != "m5"
+    ]
     one.late_us = lambda a, b: 0
     assert one.settle(30 * S) >= 0
 
@@ -477,21 +490,21 @@
     fresh = one.start("m5").me
     assert one.settle(5 * S) >= 0
     for state in State:
-        told = Draft("fleet", Kind.WORD, "m6", Life(1, 2), 0, 0)
-        told.add(packed(msgspec.structs.replace(old, state=state, incarnation=99)))
+        told = Draft("fleet", Kind.GOSSIP, "m6", ProcessInstance(1, 2), 0, 0)
+        told.add(encode_item(msgspec.structs.replace(old, state=state, incarnation=99)))
         one.members["m1"].receive(one.now, told.pack(), ("10.0.0.1", 7))
-    assert one.members["m1"].view.find("m5").record.life == fresh.life and one.agree()
+    assert one.members["m1"].view.find("m5").record.process == fresh.process and one.agree()
 
 
 def test_notes_reach_all_and_the_newest_holds():
     one = swarm(20)
     for version in range(3):
-        one.members["m5"].note(one.now, b"load %d" % version)
+        one.members["m5"].set_note(one.now, b"load %d" % version)
         one.run(3 * S)
     one.run(20 * S)
-    assert {member.view.find("m5").note.about for member in one.members.values()} == {b"load 2"}
+    assert {member.view.find("m5").note.payload for member in one.members.values()} == {b"load 2"}
     with pytest.raises(ValueError):
-        one.members["m5"].note(one.now, bytes(257))
+        one.members["m5"].set_note(one.now, bytes(257))
 
 
 def test_the_gone_are_forgotten_and_do_not_come_back():
@@ -525,7 +538,9 @@
     one = Swim(Rules(), record("m0", started=5, instance=5), seed=1)
     one.start(0)
     told = draft()
-    told.add(packed(record("m0", 5, 5, 0, State.SUSPECT, by="m1")))
+    told.add(encode_item(record("m0", 5, 5, 0, State.SUSPECT, by="m1")))
     one.receive(1, told.pack(), ("10.0.0.1", 2))
-    assert one.me.incarnation == 1 and one.doubts == 1
-    assert [action.event for action in one.take_actions() if isinstance(action, Said)] == ["fleet: objected"]
+    assert one.me.incarnation == 1 and one.health_score == 1
+    assert [action.event for action in one.take_actions() if isinstance(action, LogEvent)] == [
+        "fleet: objected"
+    ]
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -27,7 +27,7 @@
 from harriertrack.gateway.fleet import zones as carrier
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
-from harriertrack.membership.fleet import budgeting
+from harriertrack.membership.fleet import topic_datagrams
 from harriertrack.rules import recording as rec, zones as rules
 from tests.test_fleet_days import head
 
@@ -286,8 +286,8 @@
         one.apply_holds(now, {zone: wish})
         assert any(each.stage is ZoneStage.IN for each in one.zones.values())
         for word in one.decisions(now):
-            assert 0 <= word.share <= 1 and budgeting.decode(
-                "f", budgeting.encode("f", budgeting.Told(Term(1, 1), (word,)))
+            assert 0 <= word.share <= 1 and topic_datagrams.decode(
+                "f", topic_datagrams.encode("f", topic_datagrams.ZoneDecisions(Term(1, 1), (word,)))
             )
 
 
@@ -471,9 +471,9 @@
 
 
 def test_the_words_datagrams_are_read_back():
-    for said in (budgeting.Seen("h1", (ZoneObservation("z0", 3, 1, 40, 9, 4, 2, 1, 35),)),
-                 budgeting.Told(Term(2, 3), (ZoneDecision("z1", ZoneStage.RETURNING, 0.25, 4, "2 nodes answer", 7, True, 9),))):  # fmt: skip
-        assert budgeting.decode("f", budgeting.encode("f", said)) == said
+    for said in (topic_datagrams.ZoneObservations("h1", (ZoneObservation("z0", 3, 1, 40, 9, 4, 2, 1, 35),)),
+                 topic_datagrams.ZoneDecisions(Term(2, 3), (ZoneDecision("z1", ZoneStage.RETURNING, 0.25, 4, "2 nodes answer", 7, True, 9),))):  # fmt: skip
+        assert topic_datagrams.decode("f", topic_datagrams.encode("f", said)) == said
 
 
 def test_many_words_fit_a_datagram():
@@ -481,11 +481,13 @@
         ZoneDecision(f"zone-{number:0>27}", ZoneStage.RETURNING, 0.123, 1 << 20, "w" * 100)
         for number in range(16)
     )
-    data = budgeting.encode("f" * 64, budgeting.Told(Term(1 << 40, 1 << 61), words))
-    assert len(budgeting.decode("f" * 64, data).words) == 16
+    data = topic_datagrams.encode("f" * 64, topic_datagrams.ZoneDecisions(Term(1 << 40, 1 << 61), words))
+    assert len(topic_datagrams.decode("f" * 64, data).decisions) == 16
     sights = tuple(ZoneObservation(f"zone-{number:0>27}", 200, 200, 10**6) for number in range(16))
     assert (
-        budgeting.decode("f" * 64, budgeting.encode("f" * 64, budgeting.Seen("h" * 64, sights))).sights
+        topic_datagrams.decode(
+            "f" * 64, topic_datagrams.encode("f" * 64, topic_datagrams.ZoneObservations("h" * 64, sights))
+        ).observations
         == sights
     )
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -34,7 +34,7 @@
 
 def test_a_node_that_is_not_listed_any_more_keeps_its_kind_and_size():
     listed, machine = NodeList(), NodeEntry("a", 0, kind="large", size=3.0)
-    listed.replace([Member(machine, ("127.0.0.1", 1)).localised(5)])
+    listed.replace([Member(machine, ("127.0.0.1", 1)).with_local_start(5)])
     (gone,) = listed.replace([]).entries
     assert (gone.state, gone.kind, gone.size) == (NodeState.GONE, "large", 3.0)
 
@@ -53,7 +53,7 @@
         "weight": weight,
     }
     body = json.dumps({"version": 1, "full": True, "servers": [server]}).encode()
-    (member,) = targets.members_of(targets.targets_of(body))
+    (member,) = targets.members_from_targets(targets.parse_targets(body))
     assert (member.entry.kind, member.entry.size) == read
 
 
@@ -65,7 +65,7 @@
         member("b", 1, NodeState.DRAINING),
         member("c", 2, NodeState.GONE),
     ]
-    assert consul.members_of(consul.body_of(members)) == members
+    assert consul.parse_members(consul.encode_members(members)) == members
 
 
 def test_an_answer_as_the_api_documents_it():
@@ -74,7 +74,7 @@
                   "Meta": {"shard": "4", "zone": "east"}, "Weights": {"Passing": 10, "Warning": 1}},
       "Checks": [{"Node": "foobar", "CheckID": "serfHealth", "Status": "passing"},
                  {"Node": "foobar", "CheckID": "_service_maintenance:shelf-1", "Status": "warning"}]}]"""
-    (one,) = consul.members_of(body)
+    (one,) = consul.parse_members(body)
     assert one == Member(NodeEntry("shelf-1", 4, NodeState.DRAINING, "east", 0), ("10.1.10.12", 8000))
 
 
@@ -94,12 +94,12 @@
 )
 def test_what_is_no_list_is_turned_down(body):
     with pytest.raises(consul.ListAnswerError):
-        consul.members_of(body)
+        consul.parse_members(body)
 
 
 def test_indexes_and_targets():
-    assert consul.target("shelf", 0, 5_000_000) == "/v1/health/service/shelf"
-    assert consul.target("shelf", 7, 5_000_000) == "/v1/health/service/shelf?index=7&wait=5000ms"
+    assert consul.query_target("shelf", 0, 5_000_000) == "/v1/health/service/shelf"
+    assert consul.query_target("shelf", 7, 5_000_000) == "/v1/health/service/shelf?index=7&wait=5000ms"
     assert [consul.next_index(5, text) for text in ("6", "5", "4", "0", "-1")] == [6, 5, 0, 0, 0]
     for text in (None, "", "x"):
         with pytest.raises(consul.ListAnswerError):
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -109,22 +109,22 @@
 def test_a_session_is_relied_on_for_less_than_its_ttl():
     for clock_error in (0.0, 0.01, 0.05):
         one = leases.Session(3 * S, clock_error)
-        one.granted("x", 100)
+        one.record_grant("x", 100)
         # This clock slow, the witness's fast: what is relied on must end before the witness's TTL does.
         assert (one.until - 100) / (1 - clock_error) <= 3 * S / (1 + clock_error) + 1
         assert one.valid(one.until - 1) and not one.valid(one.until)
-    one.granted("x", 50)
+    one.record_grant("x", 50)
     assert one.until == 100 + one.safe_us  # an answer that came late takes nothing back
 
 
 def test_what_was_held_ends_with_its_session():
     session = leases.Session(S, 0.01)
-    holding = leases.Holding(session)
-    session.granted("s1", 0)
-    holding.took("v", 4)
+    holding = leases.HeldLocks(session)
+    session.record_grant("s1", 0)
+    holding.add("v", 4)
     assert holding.epoch("v", 0) == 4 and holding.epoch("w", 0) == 0 and holding.epoch("v", S) == 0
-    session.lose()
-    session.granted("s2", S)
+    session.invalidate()
+    session.record_grant("s2", S)
     assert holding.epoch("v", S) == 0
 
 
@@ -144,9 +144,9 @@
         b'[{"Value": "e30=", "LockIndex": 1, "ModifyIndex": 1}]',
     ):
         with pytest.raises(leases.WitnessError):
-            leases.lock_of(body)
+            leases.parse_lock(body)
     with pytest.raises(leases.WitnessError):
-        leases.session_id(b"[]")
+        leases.parse_session_id(b"[]")
 
 
 def test_ranges_go_first_come_first_served():
@@ -246,19 +246,19 @@
         def take(client_hub):
             client = WitnessClient(client_hub, SocketNetwork(client_hub), witness_of(settings), S, "head")
             session = client.create(30 * S)
-            index = client.take("v", session, leases.Standing("a", ("a",)), 0)
+            index = client.take("v", session, leases.VolumeRecord("a", ("a",)), 0)
             # A call that was under way for long finds the key changed, and puts nothing back.
-            assert index and not client.take("v", session, leases.Standing("a", ("a", "b")), 0)
-            assert not client.give("v", session, leases.Standing("a", ("a", "b")), index - 1)
+            assert index and not client.take("v", session, leases.VolumeRecord("a", ("a", "b")), 0)
+            assert not client.give("v", session, leases.VolumeRecord("a", ("a", "b")), index - 1)
             other = client.create(30 * S)
-            assert not client.take("v", other, leases.Standing("a", ("a",)), index)
+            assert not client.take("v", other, leases.VolumeRecord("a", ("a",)), index)
             return client, session, index
 
         mine = Hub()
         client, session, index = mine.run(take, mine)
         assert "held, epoch 1, in sync: a (ONE COPY)" in run("status").output
         assert "still held" in run("fence", "a").output
-        assert mine.run(client.give, "v", session, leases.Standing("a", ("a",)), index)
+        assert mine.run(client.give, "v", session, leases.VolumeRecord("a", ("a",)), index)
         assert "say --yes" in run("fence", "a").output
         assert "b may take it" in run("fence", "a", "--yes").output
         assert "in sync: b" in run("status").output
@@ -278,7 +278,7 @@
 
 
 def seen(session="", *in_sync):
-    return leases.Lock(leases.Standing("a", in_sync or ("a", "b")), session, 3, 7)
+    return leases.Lock(leases.VolumeRecord("a", in_sync or ("a", "b")), session, 3, 7)
 
 
 def view_of(here="a"):
@@ -546,8 +546,8 @@
         client = WitnessClient(self.hub, self.network, self.witness.address, S, "operator")
         for volume in self.volumes:
             lock = client.lock(volume.name)
-            if "b" not in lock.standing.in_sync:
-                session, alone = client.create(10 * S), leases.Standing(lock.standing.home, ("b",))
+            if "b" not in lock.record.in_sync:
+                session, alone = client.create(10 * S), leases.VolumeRecord(lock.record.home, ("b",))
                 index = client.take(volume.name, session, alone, lock.index)
                 assert client.give(volume.name, session, alone, index)
         self.hub.sleep(2 * S)
@@ -694,7 +694,7 @@
             held[id(self), volume] = self._held[volume][1]
         return held.get((id(self), volume), 0)
 
-    monkeypatch.setattr(leases.Holding, "epoch", careless)
+    monkeypatch.setattr(leases.HeldLocks, "epoch", careless)
     monkeypatch.setattr(leases.Fence, "admits", lambda self, volume, epoch: True)
     assert 0 in broken(play("two-regions-return")) | broken(play("two-regions-witness"))
 
--- a/tests/test_standin_list.py
+++ b/tests/test_standin_list.py
@@ -26,10 +26,10 @@
 
 
 def asked(place, index=0):
-    url = f"http://{place[0]}:{place[1]}" + consul.target("shelf", index, 2_000_000)
+    url = f"http://{place[0]}:{place[1]}" + consul.query_target("shelf", index, 2_000_000)
     request = urllib.request.Request(url, headers={"User-Agent": "harriertrack/2a"})
     with urllib.request.urlopen(request, timeout=10) as answer:
-        return consul.members_of(answer.read()), int(answer.headers["X-Consul-Index"])
+        return consul.parse_members(answer.read()), int(answer.headers["X-Consul-Index"])
 
 
 @pytest.mark.real_time
