--- a/harriertrack/decisions/volume_locks.py
+++ b/harriertrack/decisions/volume_locks.py
@@ -26,7 +26,7 @@
     """A volume's key as read from the witness."""
 
     @property
-    def standing(self) -> SyncRecord:
+    def record(self) -> SyncRecord:
         """Return the record stored in the key."""
 
     @property
@@ -41,11 +41,11 @@
     CREATE = auto()  # there is no key, and this is the volume's home: create it, with both regions in sync
     ACQUIRE = auto()  # the lock is free, and this region may take it
     ACTIVATE = auto()  # this head has the lock, but does not act on the volume yet
-    MAINTAIN = auto()  # this head has the lock and active on the volume
+    MAINTAIN = auto()  # this head has the lock and is active on the volume
 
 
 class AcquiredAction(Enum):
-    """What to do before a head active on a volume whose lock it has."""
+    """What to do before a head acts on a volume whose lock it has acquired."""
 
     RELEASE = auto()  # this region does not hold all that was acknowledged
     RECORD_ALONE = auto()  # the regions may differ: first record only this one as in sync
