--- a/harriertrack/protocol/http.py
+++ b/harriertrack/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 through h11: one call and its whole answer, without I/O."""
+"""HTTP/1.1 through h11: one call and its complete answer, without I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class HttpError(Exception):
-    """The peer's HTTP is broken, or its answer too large."""
+    """The peer violated HTTP, or its answer is too large."""
 
 
 class HttpCall:
-    """One call: send `request`, feed what comes to `receive` until it returns True."""
+    """One call: send `request`, then pass received bytes to `receive` until it returns True."""
 
     def __init__(self, method: str, host: str, target: str, agent: str, body: bytes = b"") -> None:
         self._http = h11.Connection(h11.CLIENT)
@@ -29,7 +29,7 @@
         self.request = b"".join(self._http.send(event) or b"" for event in events)
 
     def receive(self, data: bytes) -> bool:
-        """Take bytes (b"" for the end); return whether the answer is whole. Raises HttpError."""
+        """Parse received bytes (b"" for the end); return whether the answer is complete. Raises HttpError."""
         try:
             self._http.receive_data(data)
             while True:
--- a/harriertrack/protocol/platform/__init__.py
+++ b/harriertrack/protocol/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: HTTP/1.1 of clients, shelfs and discovery without I/O; llhttp parses."""
+"""The platform's protocol: HTTP/1.1 with clients, nodes and discovery, without I/O; llhttp parses."""
 
-MAX_HEAD_BYTES = 16 << 10  # bytes of a message's head
-MAX_BODY_BYTES = 64 << 10  # bytes of a request's body
+MAX_HEAD_BYTES = 16 << 10  # of a message's head: request or status line and fields
+MAX_BODY_BYTES = 64 << 10  # of a request's body
--- a/harriertrack/protocol/platform/request_parser.py
+++ b/harriertrack/protocol/platform/request_parser.py
@@ -1,8 +1,8 @@
-"""What clients ask of a head: one request after another on a connection, read strictly.
+"""Client requests to a head: a strict parser of one request after another on a connection.
 
-A request is read whole and checked before anybody hears of it. What can't be read raises `BadRequest`; the
-connection is of no use after that. Nothing is told of a request that has more bytes right behind it: clients
-send one at a time, and what hides in such bytes must never be passed on.
+A request is read completely and validated before it is returned. Invalid input raises `BadRequest`, after
+which the connection can't be used. A request with more bytes right behind it is rejected too: clients send
+one at a time, and a request smuggled in such bytes must never be forwarded.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 VISIBLE = re.compile(rb"[!-~]{1,200}")
 TARGET = re.compile(rb"/[!-~]*")
-TOO_LONG = "a head of more than 16 KiB"
+HEAD_TOO_LONG = "a head of more than 16 KiB"
 READY_PATH = b"/-/ready"
 REASONS = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
@@ -30,7 +30,7 @@
 
 
 class BadRequest(Exception):
-    """A request that can't be taken; its connection ends with this answer."""
+    """An invalid request; its connection ends with an answer of this status."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSchema:
-    """What the requests of a class look like."""
+    """The form of the requests of a class."""
 
     writes: bool
     keyed: bool
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSchema:
-    """What requests may name and how large their figures may be."""
+    """The names that requests may use, and the limits of their numbers."""
 
     classes: dict[str, ClassSchema]
     plans: frozenset[str]
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessCheck:
-    """Somebody asks whether the head is ready."""
+    """A request for the readiness of the head."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformRequest:
-    """A client's request. `target` and `key` go to a shelf as they came; times are milliseconds."""
+    """A client's request. `target` and `key` are forwarded to a node unchanged; times are in milliseconds."""
 
     writes: bool
     target: bytes
@@ -81,70 +81,70 @@
     second_try: bool
 
 
-def _matched(form: re.Pattern[bytes], value: bytes | None, what: str) -> bytes:
+def _match(form: re.Pattern[bytes], value: bytes | None, what: str) -> bytes:
     if value is None or form.fullmatch(value) is None:
         raise BadRequest(400, f"{what} is missing or can't be read")
     return value
 
 
 class RequestParser:
-    """One client's connection. Feed `receive`; answer each `Asked` or `Ready` before the next one is read.
+    """Parses the requests of one connection; each has to be answered before the next one is read.
 
-    The methods `on_...` are called by the parser. What they find wrong they raise, which stops it: a client
-    that sends on at full speed must cost no more than what was read of it until then.
+    The parser calls the methods `on_...`; the errors that they raise stop it at once, so that a client that
+    keeps sending at full speed costs no more than the bytes read until then.
     """
 
-    def __init__(self, forms: RequestSchema) -> None:
-        self._forms = forms
+    def __init__(self, schema: RequestSchema) -> None:
+        self._schema = schema
         self._parser = httptools.HttpRequestParser(self)
-        self._bad: BadRequest | None = None
-        self._headed = self._complete = False
-        self._kept = True
-        self._fed = 0  # bytes of a head that is not whole ...
-        self._head = 0  # ... and of what of it was told
+        self._error: BadRequest | None = None
+        self._head_complete = self._complete = False
+        self._keep_alive = True
+        self._head_fed = 0  # bytes passed to the parser while the head is incomplete ...
+        self._head_bytes = 0  # ... and bytes of it that the parser has reported
         self._target = b""
         self._fields: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
 
     def receive(self, data: bytes) -> PlatformRequest | ReadinessCheck | None:
-        """Take bytes; return a request that is whole and right. Raises BadRequest."""
+        """Parse received bytes; return a request once it is complete and valid. Raises BadRequest."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            raise self._bad or BadRequest(400, str(error)) from error
-        if not self._headed:
-            self._fed += len(data)
-            if self._fed > MAX_HEAD_BYTES:  # the parser keeps a field until it ends
-                raise BadRequest(431, TOO_LONG)
-        return self._whole() if self._complete else None
+            raise self._error or BadRequest(400, str(error)) from error
+        if not self._head_complete:
+            self._head_fed += len(data)
+            if self._head_fed > MAX_HEAD_BYTES:  # the parser buffers a field until it ends
+                raise BadRequest(431, HEAD_TOO_LONG)
+        return self._parse() if self._complete else None
 
     def _stop(self, status: int, why: str) -> None:
-        self._bad = BadRequest(status, why)
-        raise self._bad
+        self._error = BadRequest(status, why)
+        raise self._error
 
-    def _take_head(self, size: int) -> None:
-        self._head += size
-        if self._head > MAX_HEAD_BYTES:
-            self._stop(431, TOO_LONG)
+    def _count_head(self, size: int) -> None:
+        self._head_bytes += size
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._stop(431, HEAD_TOO_LONG)
 
     def on_message_begin(self) -> None:
-        """A message begins: none may, before the last one has its answer."""
+        """Reject a message that begins before the previous one is answered."""
         if self._complete:
             self._stop(400, "bytes behind a request that has no answer yet")
 
     def on_url(self, target: bytes) -> None:
-        """Take a part of the target."""
-        self._take_head(len(target))
+        """Store a part of the target."""
+        self._count_head(len(target))
         self._target += target
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a field."""
-        self._take_head(len(name) + len(value))
+        """Store a field."""
+        self._count_head(len(name) + len(value))
         self._fields.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check what tells a body's length before any of it is kept."""
-        self._headed = True
+        """Check the fields that define the body's length before any of the body is stored."""
+        self._head_complete = True
         method, length = self._parser.get_method(), 0
         lengths = [value for name, value in self._fields if name == b"content-length"]
         if any(name == b"transfer-encoding" for name, _ in self._fields):
@@ -157,16 +157,16 @@
             self._stop(400, "a read with a body")
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body, which is no longer than was told."""
+        """Store a chunk of the body; its total length was checked with the fields."""
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """A request is whole."""
-        self._complete, self._kept = True, self._parser.should_keep_alive()
+        """Handle the end of a request."""
+        self._complete, self._keep_alive = True, self._parser.should_keep_alive()
 
-    def _whole(self) -> PlatformRequest | ReadinessCheck:
-        forms, method = self._forms, self._parser.get_method()
-        target = _matched(TARGET, self._target, "the target")
+    def _parse(self) -> PlatformRequest | ReadinessCheck:
+        schema, method = self._schema, self._parser.get_method()
+        target = _match(TARGET, self._target, "the target")
         path, _, query = target.partition(b"?")
         if path == READY_PATH and method == b"GET":
             return ReadinessCheck()
@@ -176,26 +176,26 @@
                 raise BadRequest(400, "a field is given twice")
             fields[name] = value
         class_name = path[1:].partition(b"/")[0].decode("latin-1")
-        form = forms.classes.get(class_name)
+        form = schema.classes.get(class_name)
         if form is None:
             raise BadRequest(404, "no such class")
         if method != (b"PUT" if form.writes else b"GET"):
             raise BadRequest(405, "reads use GET, writes use PUT")
         plan = fields.get(b"x-qos-policy", b"").decode("latin-1")
-        if plan not in forms.plans:
+        if plan not in schema.plans:
             raise BadRequest(400, "no such plan")
         objects = [item[7:] for item in query.split(b"&") if item.startswith(b"object=")]
         if len(objects) != 1:
             raise BadRequest(400, "object is missing or given twice")
         idempotency_key = fields.get(b"idempotency-key", b"")
         if form.keyed:
-            _matched(VISIBLE, idempotency_key, "Idempotency-Key")
+            _match(VISIBLE, idempotency_key, "Idempotency-Key")
         volume, units, shard, hosts = self._placement(fields.get(b"x-placement", b""))
         return PlatformRequest(
-            form.writes, target, _matched(ID, fields.get(b"x-trace-id"), "X-Trace-Id"),
+            form.writes, target, _match(ID, fields.get(b"x-trace-id"), "X-Trace-Id"),
             idempotency_key if form.keyed else b"", b"".join(self._body), class_name, plan,
-            _matched(ID, objects[0], "object").decode(), volume, units, shard, hosts,
-            int(_matched(COUNT, fields.get(b"x-expires-in-ms"), "X-Expires-In-Ms")),
+            _match(ID, objects[0], "object").decode(), volume, units, shard, hosts,
+            int(_match(COUNT, fields.get(b"x-expires-in-ms"), "X-Expires-In-Ms")),
             fields.get(b"x-second-try", b"") == b"1",
         )  # fmt: skip
 
@@ -206,36 +206,36 @@
             if name in given:
                 raise BadRequest(400, "X-Placement gives a figure twice")
             given[name] = value
-        volume = _matched(ID, given.get(b"volume"), "volume").decode()
-        units = float(_matched(NUMBER, given.get(b"units"), "units"))
-        shard = int(_matched(SIGNED, given.get(b"shard"), "shard"))
-        hosts = int(_matched(COUNT, given.get(b"hosts"), "hosts"))
-        if not 0 < units <= self._forms.max_units:
+        volume = _match(ID, given.get(b"volume"), "volume").decode()
+        units = float(_match(NUMBER, given.get(b"units"), "units"))
+        shard = int(_match(SIGNED, given.get(b"shard"), "shard"))
+        hosts = int(_match(COUNT, given.get(b"hosts"), "hosts"))
+        if not 0 < units <= self._schema.max_units:
             raise BadRequest(400, "units out of bounds")
-        if shard >= self._forms.shards or not 1 <= hosts <= self._forms.heads:
+        if shard >= self._schema.shards or not 1 <= hosts <= self._schema.heads:
             raise BadRequest(400, "shard or hosts out of bounds")
         return volume, units, shard, hosts
 
     def answer_head(self, status: int, length: int, retry_after_us: int = 0, close: bool = False) -> bytes:
-        """Return the head of the answer to what was read last; `close` ends the connection after it."""
+        """Return the head of the answer to the last request; `close` announces the end of the connection."""
         head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, REASONS.get(status, b"Error"), length)
         if retry_after_us > 0:
             head += b"Retry-After: %.3f\r\n" % (retry_after_us / 1e6)
-        if close or not self._kept:
+        if close or not self._keep_alive:
             head += b"Connection: close\r\n"
         return head + b"\r\n"
 
     def start_next(self) -> bool:
-        """Make ready for the next request after an answer; return whether the connection may have one."""
-        self._headed = self._complete = False
-        self._fed = self._head = 0
+        """Reset for the next request after an answer; return whether the connection may carry one."""
+        self._head_complete = self._complete = False
+        self._head_fed = self._head_bytes = 0
         self._target = b""
         self._fields, self._body = [], []
-        return self._kept
+        return self._keep_alive
 
 
 def closing_answer(status: int, why: str) -> bytes:
-    """Return an answer after which the connection ends, whatever was read of the request."""
+    """Return an answer that ends the connection, regardless of how much of the request was read."""
     body = why.encode("ascii", "replace") + b"\n"
     reason = REASONS.get(status, b"Error")
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s" % (
--- a/harriertrack/protocol/receive_buffer.py
+++ b/harriertrack/protocol/receive_buffer.py
@@ -6,34 +6,34 @@
 
 
 class ReceiveBuffer:
-    """What came in; parsers of all protocols take from its front."""
+    """A byte queue: received data is appended, and the parsers of all protocols consume it from the front."""
 
     def __init__(self) -> None:
         self._data = bytearray()
-        self._at = 0
+        self._offset = 0
 
     def __len__(self) -> int:
-        return len(self._data) - self._at
+        return len(self._data) - self._offset
 
     def add(self, data: bytes) -> None:
-        """Append what came in."""
-        if self._at:
-            del self._data[: self._at]
-            self._at = 0
+        """Append received bytes."""
+        if self._offset:
+            del self._data[: self._offset]
+            self._offset = 0
         self._data += data
 
     def peek(self, layout: struct.Struct) -> tuple | None:
-        """Read a fixed layout at the front without taking it; None if it is not all there."""
-        if len(self._data) - self._at < layout.size:
+        """Unpack a fixed layout at the front without consuming it; None if it is incomplete."""
+        if len(self._data) - self._offset < layout.size:
             return None
-        return layout.unpack_from(self._data, self._at)
+        return layout.unpack_from(self._data, self._offset)
 
     def skip(self, count: int) -> None:
-        """Take bytes off the front unread."""
-        self._at += count
+        """Drop bytes from the front."""
+        self._offset += count
 
     def consume(self, count: int) -> bytes:
-        """Take bytes off the front; the caller checked that they are there."""
-        at = self._at
-        self._at = at + count
-        return bytes(self._data[at : at + count])
+        """Remove bytes from the front and return them; the caller has checked that they are there."""
+        start = self._offset
+        self._offset = start + count
+        return bytes(self._data[start : start + count])
--- a/harriertrack/service/__init__.py
+++ b/harriertrack/service/__init__.py
@@ -1,1 +1,1 @@
-"""The head on the users' platform: an HTTP front and connections to nodes around the core of all fronts."""
+"""The head on the users' platform: an HTTP front and connections to nodes around the shared core."""
--- a/harriertrack/service/__main__.py
+++ b/harriertrack/service/__main__.py
@@ -1,7 +1,7 @@
 """`python -m harriertrack.service`: one head on the users' platform, in the foreground.
 
-SIGTERM and SIGHUP are blocked before the long imports and let through once their handlers stand: what comes
-in between stays pending, and is answered then as at any other time.
+SIGTERM and SIGHUP are blocked before the long imports and unblocked once their handlers are installed. A
+signal that arrives in between stays pending and is handled then.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 
 
 def log(event: str, **fields: object) -> None:
-    """Log one line; a log that can't be written is no reason to stop."""
+    """Log one line to standard error; errors of writing are ignored."""
     line = " ".join((event, *(f"{name}={value}" for name, value in fields.items())))
     with contextlib.suppress(OSError):
         os.write(2, line.encode("utf-8", "replace") + b"\n")
 
 
 @contextlib.contextmanager
-def let_through() -> Iterator[None]:
-    """Let the signals through meanwhile; after it none ends the process before it has ended by itself."""
+def signals_unblocked() -> Iterator[None]:
+    """Unblock the signals in the body, and block them again after it, so that none interrupts the exit."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     try:
         yield
@@ -43,18 +43,18 @@
 
 
 def main() -> int:
-    """Run the head until it is asked to leave; return the exit status."""
+    """Run the head until SIGTERM has shut it down; return the exit status."""
     try:
         configuration = read_configuration(os.environ)
     except ConfigurationError as error:
         log(f"harriertrack: {error}")
         return 2
-    # The first step that a start tells: one that stands still before it does so in Python or in an import.
+    # The first log line of a start: a start that hangs without it hangs in the interpreter or an import.
     log("starting", name=configuration.name, known=len(configuration.known))
     hub = Hub(seed=configuration.seed)
     head = PlatformHead(hub, SocketNetwork(hub), configuration, log)
 
-    def heard(number: int) -> None:
+    def handle_signal(number: int) -> None:
         if number == signal.SIGTERM:
             head.stop()
             return
@@ -65,7 +65,7 @@
 
     gc.collect()
     gc.freeze()
-    with on_signals(hub, SIGNALS, heard), let_through():
+    with on_signals(hub, SIGNALS, handle_signal), signals_unblocked():
         try:
             hub.run(head.run)
         except OSError as error:
--- a/harriertrack/service/configuration.py
+++ b/harriertrack/service/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a head: four variables and a JSON file, read whole and checked."""
+"""The configuration that the platform gives a head: four environment variables and a JSON file, validated."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 from harriertrack.protocol.platform.request_parser import ClassSchema, RequestSchema
 
 PREFIX = "PROXY_"
-MOST_FILE = 8 << 20  # bytes of the file
-MOST_WHY = 300  # characters of what is said of a mistake: one line of the log
-# How the descriptors are shared out, in hundredths: clients may hold a third for requests, as many again ask
-# once and stay, and some mean harm; a quarter is for nodes, of which some tens are used, and a few for
-# discovery, the listener, signals and logs.
-CLIENTS, NODES, LEAST_SPARE = 66, 25, 12
-# Clients hold at most a third of the descriptors for requests, those that asked once and stay among them:
-# some of that third has to be free for who comes next.
-ASKED = 25
-# Nodes answer with more than the protocol's page says (64 KiB): up to 400 KB were seen. One answer may take
-# such a part of the memory, so that what is out at once fits.
-LEAST_ANSWER, ANSWER_PARTS = 64 << 10, 64
+MAX_FILE_BYTES = 8 << 20  # of the configuration file
+MAX_MESSAGE_LENGTH = 300  # characters of an error message: it has to fit one line of the log
+# Shares of the file descriptors, in percent. Clients hold up to a third for requests; as many connections
+# again send one request and stay open, and some clients are malicious. A quarter is for nodes, of which some
+# tens are used. At least MIN_SPARE descriptors remain for discovery, the listener, signals and logs.
+CLIENT_PERCENT, NODE_PERCENT, MIN_SPARE = 66, 25, 12
+# Clients hold at most a third of the descriptors for requests, including connections that stay open after one
+# request: part of that third has to stay free for new clients.
+USED_CLIENT_PERCENT = 25
+# Nodes send larger answers than the protocol specifies (64 KiB): up to 400 KB were observed. One answer may
+# use this fraction of the memory, so that the answers of all concurrent attempts fit.
+MIN_ANSWER_BYTES, ANSWER_MEMORY_PARTS = 64 << 10, 64
 
 
 class ConfigurationError(Exception):
-    """The configuration can't be used; the text names the variable, or the file and the field."""
+    """The configuration is invalid; the message names the variable, or the file and the field."""
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the platform allows a head."""
+    """The resources that the platform grants a head."""
 
     sockets: Annotated[int, msgspec.Meta(ge=64, le=1 << 20)]
     cores: Annotated[float, msgspec.Meta(gt=0, le=1 << 20)] | None = None
     memory_mb: Annotated[float, msgspec.Meta(gt=0, le=1 << 30)] | None = None
 
 
-CORES, MEMORY_MB = 1.0, 192.0  # where the limits name none: a small machine
-# Where the settings name no largest request: the module holds no larger one (PAYLOAD_LARGEST).
-MOST_UNITS = 16
+DEFAULT_CORES, DEFAULT_MEMORY_MB = 1.0, 192.0  # if the limits give none: a small machine
+# If the settings give no largest request: the module accepts no larger one (PAYLOAD_LARGEST).
+DEFAULT_MAX_UNITS = 16
 
 
 class _File(msgspec.Struct, frozen=True):
@@ -60,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How much of everything the head holds at most; times are microseconds."""
+    """Limits of the head's connections, requests and answers; times are in microseconds."""
 
     client_connections: int
-    used_client_connections: int  # of these, those that have asked
+    used_client_connections: int  # of these, those that have sent a request
     node_connections: int
     open_requests: int
     dial_timeout_us: int
@@ -81,17 +81,17 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    version: int  # of the list that the head had last ...
-    known: list[Member]  # ... and its members, their starts in Unix time
+    version: int  # of the node list that the head had last ...
+    known: list[Member]  # ... and its members, with start times in Unix time
     settings: api.Settings
     schema: RequestSchema
     bounds: Bounds
     cores: float
-    deadlines: dict[str, int]  # of each class, the longest that a client waits
+    deadlines: dict[str, int]  # of each class, the longest time that a client waits
 
     def request_rules(self) -> RequestRules:
-        """Return what the core is told: requests come placed, so nothing is cut."""
-        # The settings name a window for classes of every effect; it binds keyed ones alone.
+        """Return the rules for the core: requests carry their placement, so they are never split."""
+        # The settings give a window for classes of every effect; it applies to keyed ones only.
         windows = {
             one.name: one.window_us if one.effect is api.Effect.KEYED else 0 for one in self.settings.classes
         }
@@ -111,12 +111,12 @@
         raise ValueError(f"{field}: {error}") from error
 
 
-def _whole(settings: dict[str, Any], group: str, key: str, default: int, least: int = 0) -> int:
-    """Return a figure; absent, null, and 0 where that may be, say that there is none. Raises ValueError."""
+def _integer(settings: dict[str, Any], group: str, key: str, default: int, minimum: int = 0) -> int:
+    """Return an integer setting; `default` if it is absent, null or a valid 0. Raises ValueError."""
     value = read_object("", settings, group).get(key)
     if value is None:
         return default
-    return int(read_number(f"{group}.{key}", value, least)) or default
+    return int(read_number(f"{group}.{key}", value, minimum)) or default
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
@@ -126,23 +126,23 @@
             raise ConfigurationError(f"{PREFIX + name} is not set")
     path = environment[PREFIX + "CONFIG"]
     try:
-        given = _file(path)
-        for field, value in (("NAME", given.name), ("LISTEN", given.listen)):
+        file = _file(path)
+        for field, value in (("NAME", file.name), ("LISTEN", file.listen)):
             if environment[PREFIX + field] != value:
                 raise ValueError(f"{field.lower()} is {value!r}, but {PREFIX + field} is not")
-        return _checked(given)
+        return _check(file)
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from error
-    except Exception as error:  # whatever the file holds, a running head goes on without it
+    except Exception as error:  # no content of the file may end a running head
         why = " ".join(str(error).split()) or type(error).__name__
-        raise ConfigurationError(f"{path}: {why[:MOST_WHY]}") from error
+        raise ConfigurationError(f"{path}: {why[:MAX_MESSAGE_LENGTH]}") from error
 
 
 def _file(path: str) -> _File:
     with Path(path).open("rb") as file:
-        text = file.read(MOST_FILE + 1)
-    if len(text) > MOST_FILE:
-        raise ValueError(f"more than {MOST_FILE} bytes")
+        text = file.read(MAX_FILE_BYTES + 1)
+    if len(text) > MAX_FILE_BYTES:
+        raise ValueError(f"more than {MAX_FILE_BYTES} bytes")
     return msgspec.json.decode(text, type=_File)
 
 
@@ -153,46 +153,47 @@
         raise ValueError(f"settings.{error}") from error
 
 
-def _forms(settings: dict[str, Any], told: api.Settings) -> RequestSchema:
+def _schema(settings: dict[str, Any], parsed: api.Settings) -> RequestSchema:
     classes = {
-        one.name: ClassSchema(one.writes, one.effect is api.Effect.KEYED) for one in told.classes
+        one.name: ClassSchema(one.writes, one.effect is api.Effect.KEYED) for one in parsed.classes
     }  # fmt: skip
-    # Where there are no plans, volumes have none.
-    plans = frozenset(one.name for one in told.plans) or frozenset(("",))
+    # Without plans in the settings, volumes have none.
+    plans = frozenset(one.name for one in parsed.plans) or frozenset(("",))
     named = read_object("", settings, "familyInfo").get("mostUnits")
-    most_units = told.most_units if named else MOST_UNITS
+    max_units = parsed.most_units if named else DEFAULT_MAX_UNITS
     return RequestSchema(
-        classes, plans, most_units, _whole(settings, "familyInfo", "slotsTotal", 1 << 20), told.heads
+        classes, plans, max_units, _integer(settings, "familyInfo", "slotsTotal", 1 << 20), parsed.heads
     )
 
 
-def _bounds(given: _File, told: api.Settings) -> Bounds:
-    settings, sockets = given.settings, given.limits.sockets
-    clients = sockets * CLIENTS // 100
-    memory = int((given.limits.memory_mb or MEMORY_MB) * (1 << 20))
+def _bounds(file: _File, parsed: api.Settings) -> Bounds:
+    settings, sockets = file.settings, file.limits.sockets
+    clients = sockets * CLIENT_PERCENT // 100
+    memory = int((file.limits.memory_mb or DEFAULT_MEMORY_MB) * (1 << 20))
     return Bounds(
-        clients, sockets * ASKED // 100, min(sockets * NODES // 100, sockets - clients - LEAST_SPARE),
-        _whole(settings, "permissions", "mostHeld", 1 << 20, least=1),
-        _whole(settings, "permissions", "dialTimeoutUs", 1_000_000),
-        _whole(settings, "permissions", "connIdleUs", 30_000_000),
-        _whole(settings, "safety", "askWithinUs", 0),
-        max(one.deadline_us for one in told.classes), max(LEAST_ANSWER, memory // ANSWER_PARTS),
+        clients, sockets * USED_CLIENT_PERCENT // 100,
+        min(sockets * NODE_PERCENT // 100, sockets - clients - MIN_SPARE),
+        _integer(settings, "permissions", "mostHeld", 1 << 20, minimum=1),
+        _integer(settings, "permissions", "dialTimeoutUs", 1_000_000),
+        _integer(settings, "permissions", "connIdleUs", 30_000_000),
+        _integer(settings, "safety", "askWithinUs", 0),
+        max(one.deadline_us for one in parsed.classes), max(MIN_ANSWER_BYTES, memory // ANSWER_MEMORY_PARTS),
     )  # fmt: skip
 
 
-def _checked(given: _File) -> Configuration:
-    """Turn the file into a configuration. Raises ValueError or TargetsError, which name the field."""
-    settings = _settings(given.settings)
+def _check(file: _File) -> Configuration:
+    """Validate the file into a configuration. Raises ValueError or TargetsError, which name the field."""
+    settings = _settings(file.settings)
     try:
-        known = members_of(given.known)
+        known = members_of(file.known)
     except TargetsError as error:
         raise ValueError(f"known: {error}") from error
     try:
-        forms, bounds = _forms(given.settings, settings), _bounds(given, settings)
+        schema, bounds = _schema(file.settings, settings), _bounds(file, settings)
     except ValueError as error:
         raise ValueError(f"settings.{error}") from error
     return Configuration(
-        given.name, _address("listen", given.listen), _address("discovery", given.discovery),
-        int(given.seed, 16), given.known.version, known, settings, forms, bounds,
-        given.limits.cores or CORES, {one.name: one.deadline_us for one in settings.classes},
+        file.name, _address("listen", file.listen), _address("discovery", file.discovery),
+        int(file.seed, 16), file.known.version, known, settings, schema, bounds,
+        file.limits.cores or DEFAULT_CORES, {one.name: one.deadline_us for one in settings.classes},
     )  # fmt: skip
--- a/harriertrack/service/discovery.py
+++ b/harriertrack/service/discovery.py
@@ -1,9 +1,9 @@
-"""The watch over discovery: one call after another; what comes is told to the module.
+"""Follows the node list: makes one call to discovery after another and reports changes to the module.
 
-A call that is overdue is followed by another, and stays open beside it: its turn may come yet.
+An overdue call is followed by another and stays open in parallel: the source may still answer it.
 
-What fails is told to the module too where the list is asked for: it says when to ask again. Where it is
-pushed the module has asked for nothing, and the watch asks anew by itself.
+Where the list is requested, failures are reported to the module too, which decides when to request it again.
+Where it is pushed, the module requests nothing, and the watch retries by itself.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from harriertrack.service.log import Log
 from harriertrack.service.storage_nodes import StorageNodes
 
-OVERDUE = "overdue"  # why a call is followed by another though it has not ended
+OVERDUE = "overdue"  # the reason logged when a call is followed by another before it has ended
 
 
 class Discovery:
-    """Follows the list while the module wants it, or for ever where it is pushed."""
+    """Follows the list while the module subscribes to it, or always where it is pushed."""
 
     def __init__(
         self,
@@ -49,41 +49,41 @@
         self._log_event = log
         self._task: Task | None = None
         self._called_at = 0  # when the last call began
-        self._resting = False  # no call is waited for: the next one is due later ...
+        self._waiting = False  # between two calls: the next one is due ...
         self._next_call_at = 0  # ... at this time
         self._resumed = Event(hub)
-        self._resumed_by: DiscoveryCall | None = None  # an answer that came late
-        self._module_waits = False  # it was told of a failure, and will say when to ask anew
+        self._resumed_by: DiscoveryCall | None = None  # the call whose answer arrived late
+        self._module_notified = False  # a failure was reported to it, and it decides when to request again
         self._open: OpenCalls[DiscoveryCall] = OpenCalls()
-        self._current: DiscoveryCall | None = None  # the call that is waited for
-        self.first_update = Event(hub)  # the source has answered in this life
+        self._current: DiscoveryCall | None = None  # the call in progress
+        self.first_update = Event(hub)  # set once the source has answered this incarnation of the head
 
     def subscribe(self, on: bool) -> None:
-        """Follow from now on, or stop: the module says so."""
-        self._module_waits = False
+        """Start or stop following the list, as the module decides."""
+        self._module_notified = False
         if self._watch.subscribe(on):
             if not on:
-                self._give_up_all()
+                self._abandon_all()
             self._start(on)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere now."""
+        """Use another address of discovery from now on."""
         if address != self._address:
             self._address = address
-            self._give_up_all()
+            self._abandon_all()
             self._log_event("discovery moved", to=f"{address[0]}:{address[1]}")
             if self._watch.restart(self._hub.now()):
                 self._start(True)
 
     def refresh(self) -> None:
-        """Call for what has changed, whatever call is under way: it may wait for news, or be silent.
+        """Request the changes now, even if a call is in progress: that one may be a long poll, or unanswered.
 
-        That one stays open: its answer may have come already, and counts.
+        It stays open, as its answer may already have been received and is then valid.
         """
         if not self._watch.refresh():
             return
         self._current = None
-        self._log_event("discovery asked", why="the head stood still")
+        self._log_event("discovery asked", why="the process was paused")
         self._start(True)
 
     def _start(self, on: bool) -> None:
@@ -94,135 +94,136 @@
             self._resumed_by = None
         self._task = self._scope.spawn("discovery", self._run) if on else None
 
-    def _give_up_all(self) -> None:
-        for made in self._open.clear():
-            made.give_up()
+    def _abandon_all(self) -> None:
+        for call in self._open.clear():
+            call.abandon()
 
     def _run(self) -> None:
-        """Follow; after a failure, until the module says when to go on or that has taken too long."""
+        """Follow the list; after a failure, wait for the module or at most the watch's own delay."""
         stream: Stream | None = None
         while True:
             why = self._follow(stream)
             if why == OVERDUE:
-                again_us = self._watch.handle_overdue(self._hub.now(), self._called_at)
+                delay_us = self._watch.handle_overdue(self._hub.now(), self._called_at)
             else:
-                again_us = self._watch.handle_failure(self._hub.now(), self._called_at)
-                self._tell_failure()
-            self._log.failed(why, self._called_at, again_us, self._watch.version)
-            stream = self._rest(again_us)
+                delay_us = self._watch.handle_failure(self._hub.now(), self._called_at)
+                self._report_failure()
+            self._log.log_failure(why, self._called_at, delay_us, self._watch.version)
+            stream = self._wait_next_call(delay_us)
             self._watch.subscribe(True)
 
-    def _tell_failure(self) -> None:
-        """Tell the module, where it follows the list, of one failure at a time.
+    def _report_failure(self) -> None:
+        """Report a failure to the module if it requests the list, one failure at a time.
 
-        Each makes it ask anew, on top of the watch's own calls.
+        Each report makes it request the list again, in addition to the watch's own calls.
         """
-        if not self._watch.pushed and not self._module_waits:
-            self._module_waits = True
+        if not self._watch.pushed and not self._module_notified:
+            self._module_notified = True
             self._core.list_failed()
 
-    def _rest(self, again_us: int) -> Stream | None:
-        """Wait until the next call is due, or a late answer comes; return the connection to make it on."""
-        self._resting, self._next_call_at = True, self._hub.now() + again_us
+    def _wait_next_call(self, delay_us: int) -> Stream | None:
+        """Wait until the next call is due or a late answer arrives; return the connection to call over."""
+        self._waiting, self._next_call_at = True, self._hub.now() + delay_us
         self._resumed.clear()
         try:
             while self._hub.now() < self._next_call_at and self._resumed_by is None:
                 self._wait_resumed()
         finally:
-            self._resting = False
-        made, self._resumed_by = self._resumed_by, None
-        return made.take_stream() if made is not None else None
+            self._waiting = False
+        call, self._resumed_by = self._resumed_by, None
+        return call.take_stream() if call is not None else None
 
     def _wait_resumed(self) -> None:
-        """Wait for a late answer until the next call is due, as known now."""
+        """Wait for a late answer until the next call is due, as currently scheduled."""
         with contextlib.suppress(DeadlineExceeded):
             self._resumed.wait(self._next_call_at)
 
     def _follow(self, stream: Stream | None) -> str:
         """Make one call after another until one fails or is overdue; return why."""
         while True:
-            made = self._begin(stream)
+            call = self._start_call(stream)
             try:
-                made.ended.wait(made.began + made.call.timeout_us)
+                call.done.wait(call.started_at + call.spec.timeout_us)
             except DeadlineExceeded:
-                if not made.over:
-                    return OVERDUE  # it stays open: who begins anew waits at the end of the source's queue
+                if not call.finished:
+                    return OVERDUE  # it stays open: a new call waits at the end of the source's queue
             except BaseException:
-                if made is self._current:
-                    made.give_up()
+                if call is self._current:
+                    call.abandon()
                 raise
             finally:
                 self._current = None
-            stream = made.take_stream()
-            if made.failure:
-                return made.failure
+            stream = call.take_stream()
+            if call.failure:
+                return call.failure
             if self._watch.state is WatchState.IDLE:
                 if stream is not None:
                     stream.close()
-                return "the whole list was asked for, and changes came"
-
-    def _begin(self, stream: Stream | None) -> DiscoveryCall:
-        made = self._current = DiscoveryCall(self._hub, self._watch.next_call(), self._address)
-        self._called_at = made.began
-        for surplus in self._open.add(made):
-            surplus.give_up()
-        made.start(self._scope, self._network, self._name, stream, self._ended)
-        return made
-
-    def _ended(self, made: DiscoveryCall) -> None:
-        """Take what a call has brought, also one that another has followed."""
-        late = made is not self._current
-        if not made.failure:
+                return "requested the full list but received changes"
+
+    def _start_call(self, stream: Stream | None) -> DiscoveryCall:
+        call = self._current = DiscoveryCall(self._hub, self._watch.next_call(), self._address)
+        self._called_at = call.started_at
+        for surplus in self._open.add(call):
+            surplus.abandon()
+        call.start(self._scope, self._network, self._name, stream, self._call_ended)
+        return call
+
+    def _call_ended(self, call: DiscoveryCall) -> None:
+        """Handle the end of a call, also of one that another call has followed."""
+        late = call is not self._current
+        if not call.failure:
             try:
-                self._take(made, late)
+                self._apply(call, late)
             except TargetsError as error:
-                made.failure = str(error)
-        if made.failure:
-            self._open.remove(made)
-            self._put_off(made, late)
-        self._core.list_call_ended(made.began, not made.failure)
+                call.failure = str(error)
+        if call.failure:
+            self._open.remove(call)
+            self._postpone(call, late)
+        self._core.list_call_ended(call.started_at, not call.failure)
         if late:
-            self._log.ended_late(made, len(self._open), self._watch.version)
-            self._go_on_from(made)
+            self._log.log_late_end(call, len(self._open), self._watch.version)
+            self._resume_on(call)
 
-    def _put_off(self, made: DiscoveryCall, late: bool) -> None:
-        """Make the next call later if the last one under way was turned down after it had waited."""
-        if late and self._resting and not len(self._open) and not self._watch.pushed:
+    def _postpone(self, call: DiscoveryCall, late: bool) -> None:
+        """Postpone the next call if the last open one was rejected after it had waited."""
+        if late and self._waiting and not len(self._open) and not self._watch.pushed:
             self._next_call_at += self._watch.handle_late_failure()
 
-    def _go_on_from(self, made: DiscoveryCall) -> None:
-        """Follow on the connection of an answer that came late, if no other call is under way."""
-        if self._resting and self._watch.state is WatchState.FOLLOWING:
-            self._resting, self._resumed_by = False, made
+    def _resume_on(self, call: DiscoveryCall) -> None:
+        """Follow the list on the connection of a late answer, if no other call is in progress."""
+        if self._waiting and self._watch.state is WatchState.FOLLOWING:
+            self._waiting, self._resumed_by = False, call
             self._resumed.set()
         else:
-            made.close()
+            call.close()
 
-    def _take(self, made: DiscoveryCall, late: bool) -> None:
-        assert made.answer is not None
-        targets = targets_of(made.answer.body)
-        # Read whole before any of it is taken.
+    def _apply(self, call: DiscoveryCall, late: bool) -> None:
+        assert call.answer is not None
+        targets = targets_of(call.answer.body)
+        # All entries are parsed before any of them is applied.
         members = [member.localised(self._wall_ahead_us) for member in members_of(targets)]
         if late:
             outcome = self._watch.handle_late_answer(targets.version, targets.full)
         else:
             outcome = self._watch.handle_answer(targets.version, targets.full, len(members))
-        for older in self._open.complete(made):
-            older.give_up()
-        counts_at = made.came_at
+        for older in self._open.complete(call):
+            older.abandon()
+        effective_at = call.answered_at
         if outcome is not UpdateOutcome.STALE:
-            # A head that was not heard for long, or stood still, begins no grace that is over already.
-            counts_at = self._watch.effective_at(made.began, made.came_at)
-            self._log.answered(made, self._watch.version)
+            # After a long silence or a pause of this process, the grace counts from the time of the change:
+            # none may start that is already over.
+            effective_at = self._watch.effective_at(call.started_at, call.answered_at)
+            self._log.log_recovery(call, self._watch.version)
             self.first_update.set()
         if outcome is UpdateOutcome.APPLY:
-            self._tell(members, targets.full, counts_at)
-
-    def _tell(self, members: list[Member], whole: bool, counts_at: int) -> None:
-        """Hand what changed to the module."""
-        news = self._nodes.replace(members) if whole else self._nodes.change(members)
-        if news is not None:
-            news.announced_at = counts_at
-        self._core.nodes_changed(news)
+            self._update_nodes(members, targets.full, effective_at)
+
+    def _update_nodes(self, members: list[Member], full: bool, effective_at: int) -> None:
+        """Report the changed nodes to the module."""
+        change = self._nodes.replace(members) if full else self._nodes.change(members)
+        if change is not None:
+            change.announced_at = effective_at
+        self._core.nodes_changed(change)
         for node in self._nodes.forget_gone():
             self._storage_nodes.node_removed(node)
--- a/harriertrack/service/discovery_call.py
+++ b/harriertrack/service/discovery_call.py
@@ -1,4 +1,4 @@
-"""One call to discovery: a task of its own, so that a call that is late hinders none that comes after it."""
+"""One call to discovery, in a task of its own, so that a late call does not delay the next one."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 
 class DiscoveryCall:
-    """A call under way; `ended` is set once it has been answered, has failed or was given up."""
+    """A call in progress; `done` is set once it was answered, failed or was abandoned."""
 
-    def __init__(self, hub: Hub, call: Call, address: tuple[str, int]) -> None:
-        self.call, self.began = call, hub.now()
-        self.ended = Event(hub)
+    def __init__(self, hub: Hub, spec: Call, address: tuple[str, int]) -> None:
+        self.spec, self.started_at = spec, hub.now()
+        self.done = Event(hub)
         self.answer: Answer | None = None
-        self.came_at = 0  # when the answer's last bytes came
-        self.failure = ""  # why there is no answer that can be used
-        self.over = False
+        self.answered_at = 0  # when the answer's last bytes were received
+        self.failure = ""  # why there is no usable answer
+        self.finished = False
         self._address = address
         self._stream: Stream | None = None
         self._task: Task | None = None
 
     def start(self, scope: Scope, network: Network, name: str, stream: Stream | None,
-              then: Callable[[DiscoveryCall], None]) -> None:  # fmt: skip
-        """Make the call, over a stream that is open or a new one; call `then` once it has ended by itself."""
+              on_end: Callable[[DiscoveryCall], None]) -> None:  # fmt: skip
+        """Make the call over an open stream or a new one; `on_end` runs unless the call is abandoned."""
         self._stream = stream
-        self._task = scope.spawn("discovery call", self._run, network, name, then)
+        self._task = scope.spawn("discovery call", self._run, network, name, on_end)
 
-    def give_up(self) -> None:
-        """Close the connection, and end without an answer if there is none yet."""
+    def abandon(self) -> None:
+        """Close the connection, and finish without an answer if there is none yet."""
         if self._task is not None:
             self._task.cancel()
         self.close()
-        self._end()
+        self._finish()
 
     def take_stream(self) -> Stream | None:
-        """Return the connection for another call, if it can carry one; close it otherwise."""
+        """Return the connection if it can carry another call; close it otherwise."""
         if self.answer is None or self.failure or not self.answer.reusable:
             self.close()
         stream, self._stream = self._stream, None
@@ -51,9 +51,9 @@
             self._stream.close()
             self._stream = None
 
-    def _run(self, network: Network, name: str, then: Callable[[DiscoveryCall], None]) -> None:
+    def _run(self, network: Network, name: str, on_end: Callable[[DiscoveryCall], None]) -> None:
         try:
-            self.answer = self._ask(network, name)
+            self.answer = self._exchange(network, name)
             if self.answer.status != 200:
                 self.failure = f"status {self.answer.status}"
         except (OSError, InvalidAnswer) as error:
@@ -61,21 +61,21 @@
         except BaseException:
             self.close()
             raise
-        then(self)
-        self._end()
+        on_end(self)
+        self._finish()
 
-    def _ask(self, network: Network, name: str) -> Answer:
+    def _exchange(self, network: Network, name: str) -> Answer:
         if self._stream is None:
             self._stream = network.connect(self._address, None, name)
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        target = target_of(self.call.since, self.call.wait_us)
+        target = target_of(self.spec.since, self.spec.wait_us)
         exchange = Exchange(b"GET", target, [(b"Host", host)], b"", MOST_LIST)
         self._stream.write(exchange.request)
         while (answer := exchange.receive(self._stream.read())) is None:
             pass
-        self.came_at = self._stream.came_at
+        self.answered_at = self._stream.came_at
         return answer
 
-    def _end(self) -> None:
-        self.over = True
-        self.ended.set()
+    def _finish(self) -> None:
+        self.finished = True
+        self.done.set()
--- a/harriertrack/service/front.py
+++ b/harriertrack/service/front.py
@@ -1,8 +1,8 @@
-"""The clients' side: connections are taken, requests read and handed to the core, answers sent.
+"""The client side: accepts connections, reads requests, hands them to the core and sends the answers.
 
-Bounds, parsing and framing only. One request at a time on a connection: while one is open, or its answer has
-not left, nothing more is read, and what a client sends behind it is not passed on. After a last answer what
-still comes is discarded.
+Only limits, parsing and framing are done here. A connection carries one request at a time: while a request is
+open, or its answer has not been sent, nothing more is read, and bytes that a client sends behind the request
+are never forwarded. After the last answer of a connection, further bytes are discarded.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 )
 from harriertrack.runtime.hub import Hub, Scope, Waiters
 from harriertrack.runtime.streams import Listener, Stream, StreamClosed
-from harriertrack.service.calls import Call, PlatformVolume
 from harriertrack.service.configuration import Configuration
-from harriertrack.service.log import Log, has_doubled
+from harriertrack.service.log import Log, is_power_of_two
+from harriertrack.service.pending import PendingRequest, PlatformVolume
 
-EXPIRY_CHECK_PERIOD_US = 250_000  # how often overdue connections are looked for
+EXPIRY_CHECK_PERIOD_US = 250_000  # how often overdue connections are checked for
 
 
 @dataclass(slots=True)
 class FrontCounts:
-    """What became of connections, for operators."""
+    """Counts of connections and how they ended, for operators."""
 
     accepted: int = 0
-    evicted: int = 0  # for want of room
-    bad_requests: int = 0  # requests that could not be taken
+    evicted: int = 0  # closed because the connection limit was reached
+    bad_requests: int = 0  # requests that were rejected as invalid
     overdue: int = 0
-    unanswered: int = 0  # closed here before anything was answered over them: each is priced as a refusal
+    unanswered: int = 0  # closed by the head before it sent any answer: each costs as much as a refusal
 
 
 class Front:
-    """All clients of a head."""
+    """All client connections of a head."""
 
     def __init__(
         self,
@@ -62,32 +62,32 @@
         log: Log,
     ) -> None:
         self.hub, self.core, self.shutdown = hub, core, shutdown
-        self.forms, self.deadlines = configuration.schema, configuration.deadlines
+        self.schema, self.deadlines = configuration.schema, configuration.deadlines
         self.connections: ClientConnections[ClientConnection] = ClientConnections(
             configuration.bounds.client_connections, configuration.bounds.used_client_connections
         )
-        self.open_requests: dict[bytes, Call] = {}  # by the client's id
+        self.open_requests: dict[bytes, PendingRequest] = {}  # by the client's trace id
         self.counts = FrontCounts()
         self._scope, self._log = scope, log
 
     def serve(self, listener: Listener) -> None:
-        """Take connections until the listener is closed (a task)."""
-        for taken in count(1):
+        """Accept connections until the listener is closed (a task)."""
+        for number in count(1):
             try:
-                self._take(listener.accept())
+                self._accept(listener.accept())
             except StreamClosed:
                 return
-            if taken % ACCEPTS_PER_ROUND == 0:
-                self.hub.sleep(0)  # a flood waits while what came over others has its turn
+            if number % ACCEPTS_PER_ROUND == 0:
+                self.hub.sleep(0)  # during a flood of connections, let the open ones be served in between
 
-    def take_waiting(self, listener: Listener) -> None:
-        """Take the connections that the system has made: closing the listener would reset them."""
+    def accept_pending(self, listener: Listener) -> None:
+        """Accept the connections in the system's backlog: closing the listener would reset them."""
         for _ in range(MAX_BACKLOG):
             if (stream := listener.accept_now()) is None:
                 return
-            self._take(stream)
+            self._accept(stream)
 
-    def _take(self, stream: Stream) -> None:
+    def _accept(self, stream: Stream) -> None:
         connection = ClientConnection(self, stream)
         self.counts.accepted += 1
         victim = self.connections.accept(connection, self.hub.now(), ClientConnection.silent)
@@ -97,12 +97,12 @@
         if victim is not connection:
             self._scope.spawn("client", connection.run)
 
-    def watch(self) -> None:
-        """End overdue connections, for ever (a task)."""
+    def close_expired(self) -> None:
+        """Close overdue connections periodically (a task)."""
         while True:
             self.hub.sleep(EXPIRY_CHECK_PERIOD_US)
             if not all(connection.silent() for connection in self.connections.expired(self.hub.now())):
-                self.hub.sleep(0)  # what has come is read first
+                self.hub.sleep(0)  # received bytes are read first
             for connection in self.connections.expired(self.hub.now()):
                 state = self.connections.state(connection)
                 self.counts.overdue += state is not ClientState.LINGERING
@@ -111,14 +111,14 @@
                 else:
                     self._close(connection)
 
-    def part(self) -> None:
-        """Close the connections over which nothing is asked; where something has come it is read first."""
+    def close_idle(self) -> None:
+        """Close the connections without a request; where bytes have been received they are read first."""
         for connection in self.connections.idle_connections(self.hub.now()):
             if connection.silent():
                 self._close(connection)
 
-    def refuse_half_read(self) -> None:
-        """Refuse the requests of which a part has come: the rest would come too late."""
+    def refuse_partial(self) -> None:
+        """Refuse partially received requests: the rest would arrive too late."""
         for connection in self.connections.partially_read():
             connection.refuse(503, "the head is leaving")
 
@@ -126,10 +126,10 @@
         self.counts.unanswered += not connection.answered
         connection.close()
 
-    def told_bad(self, error: BadRequest, peer: str) -> None:
-        """A request could not be taken: say so now and then, a flood of them must not flood the log."""
+    def report_bad_request(self, error: BadRequest, peer: str) -> None:
+        """Count an invalid request, and log it at powers of two so that a flood can't fill the log."""
         self.counts.bad_requests += 1
-        if has_doubled(self.counts.bad_requests):
+        if is_power_of_two(self.counts.bad_requests):
             self._log("bad request", why=str(error)[:120], peer=peer, so_far=self.counts.bad_requests)
 
 
@@ -138,104 +138,106 @@
 
     def __init__(self, front: Front, stream: Stream) -> None:
         self._front, self._stream = front, stream
-        self._http = RequestParser(front.forms)
+        self._http = RequestParser(front.schema)
         self._request: ClientRequest | None = None
-        self._changed = Waiters(front.hub)  # the answer has left, or the connection is closed
-        self._last = self._closed = False  # last: nothing more is taken over it
-        self.answered = False  # something was answered over it
+        self._changed = Waiters(front.hub)  # notified when the answer is sent or the connection is closed
+        self._final = self._closed = False  # final: no further request is accepted over it
+        self.answered = False  # an answer was sent over it
 
     def run(self) -> None:
         """Serve the connection until it ends (its task)."""
         try:
             self._serve()
-            if self._last:
+            if self._final:
                 self._discard()
         except OSError:
-            pass  # this connection alone suffers
+            pass  # affects this connection only
         finally:
-            self.leave()
+            self.abandon()
             self.close()
 
     def _serve(self) -> None:
-        """Take one request after another until the client ends, or its last answer is given."""
+        """Handle one request after another until the client closes or the final answer is sent."""
         try:
-            while not self._closed and (asked := self._read()) is not None:
-                if isinstance(asked, ReadinessCheck):
-                    self._tell_ready()
+            while not self._closed and (parsed := self._read()) is not None:
+                if isinstance(parsed, ReadinessCheck):
+                    self._answer_readiness()
                 else:
-                    self._take(asked)
-                while self._occupied:
+                    self._admit(parsed)
+                while self._is_busy:
                     self._changed.wait()
         except BadRequest as error:
-            self._front.told_bad(error, self._stream.peer)
+            self._front.report_bad_request(error, self._stream.peer)
             self.refuse(error.status, str(error))
 
     @property
-    def _occupied(self) -> bool:
-        """Whether a request is open, or its answer has not left; a client that has gone waits for neither."""
+    def _is_busy(self) -> bool:
+        """Whether a request is open or its answer is not sent yet; false once the client has disconnected."""
         state = self._front.connections.state(self)
         return not self._closed and state in (ClientState.BUSY, ClientState.SENDING)
 
     def _read(self) -> PlatformRequest | ReadinessCheck | None:
-        """Wait for a request that is whole; None for the end of the connection."""
+        """Wait for a complete request; return None at the end of the connection."""
         connections = self._front.connections
         while data := self._stream.read():
-            if self._last:  # what comes behind a last answer is not even parsed
+            if self._final:  # bytes behind a final answer are not even parsed
                 return None
-            asked = self._http.receive(data)
-            if asked is not None:
+            parsed = self._http.receive(data)
+            if parsed is not None:
                 connections.transition(self, ClientState.BUSY, self._front.hub.now())
-                return asked
+                return parsed
             if connections.state(self) in (ClientState.NEW, ClientState.IDLE):
                 connections.transition(self, ClientState.READING, self._front.hub.now())
         return None
 
     def _discard(self) -> None:
-        """Read on without use until the client ends too: closing over unread bytes takes the answer along."""
+        """Read and discard until the client closes too: closing with unread bytes would reset the connection
+        and lose the answer.
+        """
         left = LINGER_BYTES
         while left > 0 and (data := self._stream.read()):
             left -= len(data)
-        while left <= 0 and not self._closed:  # it sends without end: its time to linger is up soon
+        while left <= 0 and not self._closed:  # the client keeps sending: the linger timeout closes it soon
             self._changed.wait()
 
-    def _tell_ready(self) -> None:
-        leaves = self._front.shutdown.is_draining
-        status, body = (503, b"leaving\n") if leaves else (200, b"ready\n")
+    def _answer_readiness(self) -> None:
+        draining = self._front.shutdown.is_draining
+        status, body = (503, b"leaving\n") if draining else (200, b"ready\n")
         self._send(self._front.hub.now(), status, body)
 
-    def _take(self, asked: PlatformRequest) -> None:
+    def _admit(self, parsed: PlatformRequest) -> None:
         front = self._front
         now = front.hub.now()
-        call = Call(asked, self)
-        if call.client_left(now):
+        pending = PendingRequest(parsed, self)
+        if pending.client_has_left(now):
             self._closed = True
             return
-        other = front.open_requests.get(asked.trace_id)
+        other = front.open_requests.get(parsed.trace_id)
         if other is not None:
-            if not other.session.left(now):
+            if not other.session.has_left(now):
                 raise BadRequest(409, "a request with this id is open")
-            other.session.leave()
-        left = min(asked.expires_ms * 1000, front.deadlines[asked.class_name])
-        volume = Volume(PlatformVolume(asked.volume, asked.plan, asked.hosts))
-        kind = Kind.WRITE if asked.writes else Kind.READ
-        # The client counts from its sending: bytes that waited here unread have used up some of its time.
+            other.session.abandon()
+        left = min(parsed.expires_ms * 1000, front.deadlines[parsed.class_name])
+        volume = Volume(PlatformVolume(parsed.volume, parsed.plan, parsed.hosts))
+        kind = Kind.WRITE if parsed.writes else Kind.READ
+        # The client's deadline counts from when it sent the request: time in the receive queue is part of it.
         deadline = min(self._stream.came_at, now) + left
-        request = ClientRequest(volume, kind, 0, len(asked.body), asked.body, 0, call, deadline)
+        request = ClientRequest(volume, kind, 0, len(parsed.body), parsed.body, 0, pending, deadline)
         self._request = request
-        front.open_requests[asked.trace_id] = call
+        front.open_requests[parsed.trace_id] = pending
         front.core.accept_placed(
             now,
             request,
-            ClientPlacement(asked.class_name, asked.object, asked.shard, asked.units, asked.second_try),
+            ClientPlacement(parsed.class_name, parsed.object, parsed.shard, parsed.units, parsed.second_try),
         )
-        self._stream.watch_end(self.leave)
+        self._stream.watch_end(self.abandon)
 
-    def give(self, call: Call, request: ClientRequest) -> None:
-        """Send the one final answer."""
+    def send_answer(self, pending: PendingRequest, request: ClientRequest) -> None:
+        """Send the final answer."""
         if self._request is not request:
             return
         self._request = None
-        self._front.open_requests.pop(call.asked.trace_id, None)
+        self._front.open_requests.pop(pending.parsed.trace_id, None)
         self._stream.watch_end(None)
         match request.outcome:
             case Outcome.SERVED:
@@ -246,55 +248,55 @@
                 self._send(request.deadline, 500, b"")
 
     def _send(self, deadline: int, status: int, body: bytes, retry_after_us: int = 0) -> None:
-        """Send an answer that is awaited until a time; it is the last one if the head leaves."""
-        leaves = self._front.shutdown.is_draining
-        self._stream.write(self._http.answer_head(status, len(body), retry_after_us, close=leaves))
+        """Send an answer that the client waits for until `deadline`; it is the final one while draining."""
+        draining = self._front.shutdown.is_draining
+        self._stream.write(self._http.answer_head(status, len(body), retry_after_us, close=draining))
         self._stream.write(body)
-        kept = self._http.start_next()
-        self._send_off(deadline + MAX_LATENESS_US, last=leaves or not kept)
+        keep_alive = self._http.start_next()
+        self._start_sending(deadline + MAX_LATENESS_US, final=draining or not keep_alive)
 
     def refuse(self, status: int, why: str) -> None:
-        """Say why nothing more is taken over the connection."""
+        """Answer with an error that explains why the connection accepts no further request."""
         self._stream.write(closing_answer(status, why))
-        self._send_off(self._front.hub.now() + LINGER_US, last=True)
+        self._start_sending(self._front.hub.now() + LINGER_US, final=True)
 
-    def _send_off(self, until: int, last: bool) -> None:
-        """Let what is written leave, until a time at most."""
+    def _start_sending(self, until: int, final: bool) -> None:
+        """Send the written bytes, until the time `until` at most."""
         connections = self._front.connections
         if connections.state(self) is None:
             return
-        self.answered, self._last = True, last
+        self.answered, self._final = True, final
         connections.start_sending(self, until, self._front.hub.now())
         self._stream.push(self._sent)
         if connections.state(self) is ClientState.SENDING:
             self._stream.watch_end(self.close)
 
     def _sent(self) -> None:
-        """The last byte of an answer has left this process."""
-        if self._closed:  # as far as that went when it was closed
+        """Handle that the last byte of an answer has left this process."""
+        if self._closed:  # called by the close: not all bytes need have been sent
             return
         self._stream.watch_end(None)
-        if self._last:
+        if self._final:
             self._stream.shut_sending()
-        state = ClientState.LINGERING if self._last else ClientState.IDLE
+        state = ClientState.LINGERING if self._final else ClientState.IDLE
         self._front.connections.transition(self, state, self._front.hub.now())
         self._changed.notify()
 
-    def left(self, since: int) -> bool:
-        """Whether the client has gone; looks anew if the last look was before `since` (microseconds)."""
+    def has_left(self, since: int) -> bool:
+        """Whether the client has disconnected; polls if the last poll was before `since` (microseconds)."""
         return self._stream.ended(since)
 
     def silent(self) -> bool:
-        """Whether nothing has come over the connection that was not read, as of now."""
+        """Whether the connection holds no received bytes that are still unread."""
         return self._stream.silent()
 
-    def leave(self) -> None:
-        """The client has gone: if a request of it is open, nobody waits for its answer."""
+    def abandon(self) -> None:
+        """Abandon the open request, if there is one, as the client has disconnected."""
         request, self._request = self._request, None
         if request is not None:
-            call = request.requester
-            assert isinstance(call, Call)
-            self._front.open_requests.pop(call.asked.trace_id, None)
+            pending = request.requester
+            assert isinstance(pending, PendingRequest)
+            self._front.open_requests.pop(pending.parsed.trace_id, None)
             self._front.core.client_left(request)
             self._closed = True
             self._changed.notify()
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -1,4 +1,4 @@
-"""The platform's head: the core that all fronts share, between the platform's clients and storage nodes."""
+"""The platform's head: connects the shared core to the platform's clients and storage nodes."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 from harriertrack.runtime.heartbeat import Heartbeat
 from harriertrack.runtime.hub import DeadlineExceeded, Event, Hub, Scope
 from harriertrack.runtime.streams import Listener, Network
-from harriertrack.service.calls import Call
 from harriertrack.service.configuration import Configuration
 from harriertrack.service.discovery import Discovery
 from harriertrack.service.front import Front
 from harriertrack.service.log import Log
+from harriertrack.service.pending import PendingRequest
 from harriertrack.service.storage_nodes import StorageNodes
 
 REPORT_US = 5_000_000  # how often a line of counts is logged
-CHECK_PERIOD_US = 20_000  # how often a head that leaves looks whether it can end
+CHECK_PERIOD_US = 20_000  # how often a head that is shutting down checks whether it can end
 
 
-class NoPlaces:
-    """Clients say where their data lies: the head places and remembers nothing."""
+class NoPlacements:
+    """An empty placement map: clients name the shard of their data, so the head stores no placements."""
 
     def shard_of(self, volume: str, extent: int) -> int | None:
-        """Return nothing."""
+        """Return None: no placement is known."""
 
     def placed(self, volume: str) -> Iterator[tuple[int, int]]:
-        """Yield nothing."""
+        """Return an empty iterator."""
         return iter(())
 
     def place(self, placements: Iterable[tuple[str, int, int]]) -> None:
-        """Take nothing: a request that comes placed places nothing."""
+        """Raise RuntimeError: requests that carry their placement place no extents."""
         raise RuntimeError("the platform's requests place no extents")
 
     def left(self, volume: str) -> list[tuple[int, int]]:
-        """Return nothing."""
+        """Return an empty list."""
         return []
 
     def forgot(self, volume: str, extent: int, shard: int) -> None:
-        """Forget nothing."""
+        """Do nothing: there is no placement to forget."""
 
 
 class PlatformHead:
@@ -54,27 +54,27 @@
         self.hub, self.configuration = hub, configuration
         self._network, self._log = network, log
         self._alarm = Alarm(hub, self._flush, at_round_end=True)
-        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._look)
-        self._asked_to_leave = Event(hub)
+        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._check_standstill)
+        self._stop_requested = Event(hub)
         self.ready = Event(hub)
         self.shutdown = GracefulShutdown(configuration.bounds.longest_deadline_us)
         self.nodes = NodeList()
         self.module = module(configuration.settings, configuration.seed)
-        # A start comes as Unix time. The difference is fixed once: a step of the wall clock must not make
-        # known nodes look newly started.
+        # Start times of nodes are Unix times. The offset is fixed once: a step of the wall clock must not
+        # make known nodes look newly started.
         self._wall_ahead_us = hub.clock.wall() - hub.now()
         self.core: Core
 
     def run(self) -> None:
-        """Serve until `stop` is called and all is answered; raises OSError if it can't listen."""
+        """Serve until `stop` is called and all requests are answered; raises OSError if it can't listen."""
         hub, configuration = self.hub, self.configuration
         hub.enter_group(self)
         try:
             with hub.scope(configuration.name) as scope:
-                watching = self._set_up(scope)
+                watch = self._set_up(scope)
                 scope.spawn("report", self._report)
-                if watching.pushed:
-                    self._await_first_update(watching.startup_hold_us)
+                if watch.pushed:
+                    self._await_first_update(watch.startup_hold_us)
                 listener = self._network.listen(configuration.listen)
                 try:
                     self._serve(scope, listener)
@@ -91,17 +91,17 @@
         self.nodes.replace(known, restored=True)
         entries = [member.entry for member in self.nodes.members()]
         self.core = Core(
-            configuration.request_rules(), self.module, (), self, self.nodes, NoPlaces(), entries
+            configuration.request_rules(), self.module, (), self, self.nodes, NoPlacements(), entries
         )
         self.storage_nodes = StorageNodes(
             hub, self._network, scope, self.core, configuration.bounds, configuration.name, self._log
         )
-        told = configuration.settings
-        watching = DiscoveryWatch(
+        settings = configuration.settings
+        watch = DiscoveryWatch(
             configuration.bounds.ask_within_us,
             configuration.version,
-            not told.list_on_request,
-            told.drain_grace_us,
+            not settings.list_on_request,
+            settings.drain_grace_us,
             hub.now(),
             configuration.seed,
         )
@@ -112,7 +112,7 @@
             self.core,
             self.nodes,
             self.storage_nodes,
-            watching,
+            watch,
             configuration.discovery,
             self._wall_ahead_us,
             configuration.name,
@@ -121,50 +121,50 @@
         self.front = Front(hub, scope, self.core, configuration, self.shutdown, self._log)
         self.core.begin_standstill_checks(hub.now())
         self._heartbeat.start()
-        return watching
+        return watch
 
     def _serve(self, scope: Scope, listener: Listener) -> None:
-        """Take clients until it is asked to leave and has left."""
+        """Accept clients until `stop` is called and the shutdown is complete."""
         hub, configuration, bounds = self.hub, self.configuration, self.configuration.bounds
         scope.spawn("front", self.front.serve, listener)
-        scope.spawn("callers", self.front.watch)
-        scope.spawn("storage_nodes", self.storage_nodes.watch)
+        scope.spawn("callers", self.front.close_expired)
+        scope.spawn("storage_nodes", self.storage_nodes.close_expired)
         self.ready.set()
         self._log("ready", name=configuration.name, nodes=len(self.nodes), cores=configuration.cores,
                   callers=bounds.client_connections, ways=bounds.node_connections,
                   longest_us=bounds.longest_deadline_us)  # fmt: skip
-        self._asked_to_leave.wait()
-        while not self._part(listener):
+        self._stop_requested.wait()
+        while not self._advance_shutdown(listener):
             hub.sleep(CHECK_PERIOD_US)
         self.report()
 
-    def _part(self, listener: Listener) -> bool:
-        """Do what is due while it leaves; return whether it has left."""
-        front, leaving = self.front, self.shutdown
-        phase = leaving.advance(self.hub.now(), len(front.connections))
-        if leaving.is_draining:
-            front.take_waiting(listener)
+    def _advance_shutdown(self, listener: Listener) -> bool:
+        """Do what the current phase of the shutdown requires; return whether it is complete."""
+        front, shutdown = self.front, self.shutdown
+        phase = shutdown.advance(self.hub.now(), len(front.connections))
+        if shutdown.is_draining:
+            front.accept_pending(listener)
             listener.close()
-            front.part()
-            phase = leaving.advance(self.hub.now(), len(front.connections))
+            front.close_idle()
+            phase = shutdown.advance(self.hub.now(), len(front.connections))
         if phase is Phase.CLOSING:
             self.core.fail_open()
-            front.refuse_half_read()
+            front.refuse_partial()
         return phase is Phase.ENDED
 
     def _await_first_update(self, startup_hold_us: int) -> None:
-        """Follow a pushed list, and take no client before it is here: it counts from the first moment on.
+        """Follow a pushed list, and accept no client before its first update: it applies from the start.
 
-        The list that the last life had does not tell what has come to the agent since.
+        The saved list of the previous incarnation lacks what the agent has received since.
         """
         self.discovery.subscribe(True)
         try:
             self.discovery.first_update.wait(self.hub.now() + startup_hold_us)
         except DeadlineExceeded:
-            self._log("list not heard", why="discovery is silent: the last life's list is used")
+            self._log("list not heard", why="discovery does not answer: using the saved list")
 
     def _report(self) -> None:
-        """Log what became of requests, attempts and connections so far, for ever (a task)."""
+        """Log the counts of requests, attempts and connections periodically (a task)."""
         while True:
             self.hub.sleep(REPORT_US)
             self.report()
@@ -172,7 +172,7 @@
     def report(self) -> None:
         """Log one line of counts."""
         core, front, storage_nodes = self.core.counts, self.front, self.storage_nodes
-        # With a prefix: an end that is new must not bear the name of another count.
+        # The prefix keeps a result that is added later from colliding with another count.
         ends = {f"ended_{result.name.lower()}": count for result, count in storage_nodes.counts.ends.items()}
         self._log(
             "counts",
@@ -200,53 +200,53 @@
         )
 
     def stop(self) -> None:
-        """Leave: take what still comes for a while, answer all, and end."""
+        """Shut down: accept requests for a while longer, answer all of them, and end."""
         if self.shutdown.begin(self.hub.now()):
             self._log("leaving", open=self.core.open_requests)
             self.report()
-            self._asked_to_leave.set()
-            self.discovery.first_update.set()  # nobody waits for a head that leaves to be ready
+            self._stop_requested.set()
+            self.discovery.first_update.set()  # a head that shuts down does not wait for the list
 
-    def reconfigure(self, fresh: Configuration) -> None:
-        """Follow a new configuration as far as a running head can: where discovery is."""
+    def reconfigure(self, new: Configuration) -> None:
+        """Apply a new configuration as far as a running head can: the address of discovery."""
         before = self.configuration
-        if (fresh.settings, fresh.listen, fresh.name) != (before.settings, before.listen, before.name):
-            self._log("configuration", why="a running head follows discovery alone")
-        self.discovery.change_address(fresh.discovery)
+        if (new.settings, new.listen, new.name) != (before.settings, before.listen, before.name):
+            self._log("configuration", why="a running head applies only the address of discovery")
+        self.discovery.change_address(new.discovery)
 
-    # -- what the core asks for
+    # -- the interface that the core calls
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt, unless its client has gone since its connection was last polled."""
-        call, now = attempt.part.request.requester, self.hub.now()
-        assert isinstance(call, Call)
-        if call.client_left(now):
-            self.hub.at_end_of_round(lambda: self._client_left(now, call, attempt))
+        """Start an attempt, unless its client has disconnected since its connection was last polled."""
+        pending, now = attempt.part.request.requester, self.hub.now()
+        assert isinstance(pending, PendingRequest)
+        if pending.client_has_left(now):
+            self.hub.at_end_of_round(lambda: self._client_left(now, pending, attempt))
         else:
             self.storage_nodes.send(attempt)
 
-    def _client_left(self, now: int, call: Call, attempt: Attempt) -> None:
-        call.session.leave()
+    def _client_left(self, now: int, pending: PendingRequest, attempt: Attempt) -> None:
+        pending.session.abandon()
         self.core.attempt_ended(now, attempt, api.Result.MOOT)
 
     def call_off(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
+        """Cancel an attempt."""
         self.storage_nodes.call_off(attempt)
 
     def answer(self, request: ClientRequest) -> None:
-        """Hand a final answer to whoever asked."""
+        """Hand a final answer to the requester."""
         request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
-        """Follow the node list, or stop."""
+        """Start or stop following the node list."""
         self.discovery.subscribe(on)
 
     def ask_list(self) -> None:
-        """Ask for the node list now."""
+        """Request the node list now."""
         self.discovery.refresh()
 
     def wake_at(self, when: int) -> None:
-        """Flush the core at a time."""
+        """Flush the core at the time `when`."""
         self._alarm.wake_at(when)
 
     def soon(self) -> None:
@@ -254,10 +254,10 @@
         self._alarm.soon()
 
     def note(self, text: str) -> None:
-        """Log a line of the module."""
+        """Log a message of the module."""
         self._log("module", text=text)
 
-    def _look(self) -> None:
+    def _check_standstill(self) -> None:
         self.core.check_standstill(self.hub.now())
 
     def _flush(self) -> None:
--- a/harriertrack/service/log.py
+++ b/harriertrack/service/log.py
@@ -1,4 +1,4 @@
-"""What a head logs: one line an event, and recurring events no more often than helps."""
+"""The log of a head: one line per event, and rate limits for recurring events."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
         """Log an event with its fields."""
 
 
-def has_doubled(count: int) -> bool:
-    """Whether to log the so-many-th event of a kind: when their number has doubled. No flood fills a log."""
+def is_power_of_two(count: int) -> bool:
+    """Whether to log event number `count` of a kind: at powers of two, so that a flood can't fill the log."""
     return count & (count - 1) == 0
 
 
-class Interval:
-    """Lets an event be logged once in a while."""
+class LogInterval:
+    """Limits how often an event is logged: once per interval."""
 
     def __init__(self, hub: Hub, interval_us: int) -> None:
         self._hub, self._interval_us = hub, interval_us
         self._logged_at = hub.now() - interval_us
 
-    def is_over(self) -> bool:
-        """Whether the last event of which this was asked or told is so long ago; it begins anew if so."""
+    def allow(self) -> bool:
+        """Return whether the interval is over since the last logged event; if so, start the next one."""
         if self._hub.now() - self._logged_at < self._interval_us:
             return False
-        self.begin()
+        self.restart()
         return True
 
-    def begin(self) -> None:
-        """An event is logged now."""
+    def restart(self) -> None:
+        """Start the interval now, as an event is logged."""
         self._logged_at = self._hub.now()
--- a/harriertrack/service/storage_nodes.py
+++ b/harriertrack/service/storage_nodes.py
@@ -1,7 +1,7 @@
-"""The nodes' side: each attempt of the module goes over a connection of its own for as long as it lasts.
+"""The node side: each attempt of the module has a connection to itself for as long as it lasts.
 
-What an attempt's end proves follows from how far it came: until the last byte of the request has left this
-process it never ran. Nothing is sent again here.
+What the end of an attempt proves depends on its progress: until the last byte of the request has left this
+process, the request has not run. Nothing is retried here.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from harriertrack.protocol.platform.exchange import Answer, Exchange, InvalidAnswer
 from harriertrack.runtime.hub import DeadlineExceeded, Hub, Scope
 from harriertrack.runtime.streams import Network, Stream
-from harriertrack.service.calls import Call
 from harriertrack.service.configuration import Bounds
-from harriertrack.service.log import Log, has_doubled
+from harriertrack.service.log import Log, is_power_of_two
+from harriertrack.service.pending import PendingRequest
 
-LOOK_US = 500_000  # how often idle connections are looked through
+IDLE_CHECK_PERIOD_US = 500_000  # how often connections are checked for their idle timeout
 PERCENT = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?")
 
 
 @dataclass(slots=True)
-class Beside:
-    """What a node told beside its answer; `used_percent` is the meter's figure plus one, 0 for none."""
+class AnswerReport:
+    """Load that a node reports with an answer; `used_percent` is its meter reading plus one, 0 for none."""
 
     used_percent: int = 0
     elsewhere: float = 0.0
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class NodeCounts:
-    """What became of connections and answers, for operators."""
+    """Counts of connections, answers and ends of attempts, for operators."""
 
     dialled: int = 0
     invalid_answers: int = 0
@@ -45,8 +45,8 @@
     ends: dict[api.Result, int] = field(default_factory=dict)
 
 
-def result_of(answer: Answer) -> api.Result:
-    """Return what a whole answer says of its attempt."""
+def attempt_result(answer: Answer) -> api.Result:
+    """Return the result of the attempt that a complete answer belongs to."""
     if answer.status == 200:
         return api.Result.OK
     if answer.status in (503, 504) and answer.fields.get(b"x-never-ran") == b"1":
@@ -54,10 +54,10 @@
     return api.Result.ERROR
 
 
-def beside_of(answer: Answer) -> Beside:
-    """Return what can be read of what came beside an answer."""
+def read_report(answer: Answer) -> AnswerReport:
+    """Read the load figures of an answer; malformed ones count as absent."""
     used = answer.fields.get(b"x-iops-used") or b""
-    return Beside(int(float(used)) + 1 if PERCENT.fullmatch(used) else 0)
+    return AnswerReport(int(float(used)) + 1 if PERCENT.fullmatch(used) else 0)
 
 
 class StorageNodes:
@@ -74,17 +74,17 @@
         self._connection_of: dict[Attempt, NodeConnection] = {}
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt over an idle connection that is still good, else over a new one."""
+        """Start an attempt over an idle connection that is still usable, else over a new one."""
         now, member = self.hub.now(), attempt.member
-        assert isinstance(member, Member), "the core was given the list of members"
+        assert isinstance(member, Member), "the core uses the list of members"
         entry = member.entry
         while (connection := self.pool.pick(entry.node, now)) is not None:
-            if connection.fit:
+            if connection.is_usable:
                 break
             connection.close()
         if connection is None and not self.pool.has_capacity:
             self.counts.no_capacity += 1
-            # Not sent, for want of this head's own descriptors: that says nothing of the node.
+            # Not sent because this head is out of descriptors, which says nothing about the node.
             self.hub.at_end_of_round(lambda: self.core.attempt_ended(now, attempt, api.Result.MOOT))
             return
         if connection is None:
@@ -94,7 +94,7 @@
             if victim is not None:
                 victim.close()
             self._connection_of[attempt] = connection
-            connection.offer(attempt)
+            connection.assign(attempt)
             self._scope.spawn(entry.node, connection.run)
         else:
             self._connection_of[attempt] = connection
@@ -102,41 +102,43 @@
             connection.start(attempt)
 
     def call_off(self, attempt: Attempt) -> None:
-        """Nobody waits for an attempt any more: its connection is closed, or if it is not up yet kept."""
+        """Cancel an attempt: its connection is closed, or kept if it is still being established."""
         connection = self._connection_of.pop(attempt, None)
         if connection is not None:
             connection.call_off()
 
-    def ended(self, attempt: Attempt, result: api.Result, at: int, answer: Answer | None = None) -> None:
-        """Tell the core an attempt's outcome, which came at a time."""
+    def attempt_ended(
+        self, attempt: Attempt, result: api.Result, at: int, answer: Answer | None = None
+    ) -> None:
+        """Report the result of an attempt, which was known at the time `at`, to the core."""
         self._connection_of.pop(attempt, None)
         self.counts.ends[result] = self.counts.ends.get(result, 0) + 1
         if answer is not None and result is api.Result.OK:
-            self.core.attempt_ended(at, attempt, result, answer.body, beside_of(answer))
+            self.core.attempt_ended(at, attempt, result, answer.body, read_report(answer))
         else:
             self.core.attempt_ended(at, attempt, result)
 
     def report_invalid_answer(self, node: str, why: str) -> None:
-        """An answer could not be read: say so now and then."""
+        """Count an answer that could not be parsed and log it at powers of two."""
         self.counts.invalid_answers += 1
-        if has_doubled(self.counts.invalid_answers):
+        if is_power_of_two(self.counts.invalid_answers):
             self._log("spoilt answer", shelf=node, why=why[:120], so_far=self.counts.invalid_answers)
 
     def node_removed(self, node: str) -> None:
-        """A node is gone from the list: nothing more goes over its idle connections."""
+        """Close the idle connections to a node that was removed from the list."""
         for connection in self.pool.idle_connections(node):
             connection.close()
 
-    def watch(self) -> None:
-        """Close connections that have idled for long, for ever (a task)."""
+    def close_expired(self) -> None:
+        """Close connections whose idle timeout has passed, periodically (a task)."""
         while True:
-            self.hub.sleep(LOOK_US)
+            self.hub.sleep(IDLE_CHECK_PERIOD_US)
             for connection in self.pool.expired(self.hub.now()):
                 connection.close()
 
 
 class NodeConnection:
-    """One connection to a node."""
+    """One connection to a storage node."""
 
     def __init__(self, owner: StorageNodes, node: str, address: tuple[str, int]) -> None:
         self._owner, self._node, self._address = owner, node, address
@@ -144,78 +146,78 @@
         self._attempt: Attempt | None = None
         self._exchange: Exchange | None = None
         self._closed = False
-        self._open = False  # a request went out over it, of which the answer is not whole
+        self._request_open = False  # a request was sent over it and its answer is not complete
 
     @property
-    def fit(self) -> bool:
-        """Whether it can carry a request: it is open, and nothing has come that belongs to none."""
+    def is_usable(self) -> bool:
+        """Whether it can carry a request: it is open and holds no unread bytes that belong to none."""
         return self._stream is not None and self._stream.silent()
 
-    def offer(self, attempt: Attempt) -> None:
-        """Take an attempt before the connection is up."""
+    def assign(self, attempt: Attempt) -> None:
+        """Assign an attempt before the connection is established."""
         self._attempt = attempt
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt's request if it may still begin, else keep the connection."""
+        """Send an attempt's request if it may still begin; otherwise return the connection to the pool."""
         assert self._stream is not None
         owner = self._owner
         self._attempt = attempt
-        call = attempt.part.request.requester
-        assert isinstance(call, Call)
-        asked = call.asked
+        pending = attempt.part.request.requester
+        assert isinstance(pending, PendingRequest)
+        parsed = pending.parsed
         left = max(1, (attempt.times_out_at - owner.hub.now()) // 1000)
         headers = [
-            (b"Host", b"api.internal"), (b"X-Trace-Id", asked.trace_id), (b"X-Expires-In-Ms", b"%d" % left),
+            (b"Host", b"api.internal"), (b"X-Trace-Id", parsed.trace_id), (b"X-Expires-In-Ms", b"%d" % left),
         ]  # fmt: skip
-        if asked.key:
-            headers.append((b"Idempotency-Key", asked.key))
+        if parsed.key:
+            headers.append((b"Idempotency-Key", parsed.key))
         self._exchange = Exchange(
-            b"PUT" if asked.writes else b"GET",
-            asked.target,
+            b"PUT" if parsed.writes else b"GET",
+            parsed.target,
             headers,
-            asked.body,
+            parsed.body,
             owner.bounds.answer_bytes,
         )
-        # Looked at last: the process may have stood still since this was decided.
+        # Checked last: the process may have been stopped since the attempt was decided.
         if not owner.core.may_begin(owner.hub.now(), attempt):
-            self._keep(attempt)
+            self._return_unused(attempt)
             return
-        self._open = True
+        self._request_open = True
         self._stream.write(self._exchange.request)
         self._stream.push(lambda: owner.core.attempt_sent(attempt, owner.hub.now()))
 
-    def _keep(self, attempt: Attempt) -> None:
-        """Let an attempt go that may not begin: nothing was sent, and the connection can carry another."""
+    def _return_unused(self, attempt: Attempt) -> None:
+        """Drop an attempt that may not begin: nothing was sent, so the connection can carry another."""
         self._attempt = self._exchange = None
         now = self._owner.hub.now()
         self._owner.pool.transition(self, ConnectionState.IDLE, now)
-        self._owner.hub.at_end_of_round(lambda: self._owner.ended(attempt, api.Result.MOOT, now))
+        self._owner.hub.at_end_of_round(lambda: self._owner.attempt_ended(attempt, api.Result.MOOT, now))
 
     def run(self) -> None:
-        """Dial, then take answers until the connection ends (its task)."""
+        """Connect, then receive answers until the connection ends (its task)."""
         owner, hub = self._owner, self._owner.hub
         try:
             deadline = hub.now() + owner.bounds.dial_timeout_us
             self._stream = owner.network.connect(self._address, deadline, owner.name)
             if self._closed:
                 return
-            self._up()
-            while self._take(self._stream.read()):
+            self._connected()
+            while self._receive(self._stream.read()):
                 pass
         except InvalidAnswer as error:
             owner.report_invalid_answer(self._node, str(error))
-            self._lost(api.Result.ERROR)
+            self._fail_attempt(api.Result.ERROR)
         except (OSError, DeadlineExceeded):
-            pass  # this connection alone suffers
+            pass  # affects this connection only
         finally:
             self.close()
-            self._lost(api.Result.RESET)
+            self._fail_attempt(api.Result.RESET)
 
-    def _up(self) -> None:
-        """The connection is up: send its attempt if that may still begin, else keep the connection."""
+    def _connected(self) -> None:
+        """Send the assigned attempt if it may still begin; otherwise the new connection becomes idle."""
         owner, now = self._owner, self._owner.hub.now()
         if self._attempt is not None and not self._may_begin(now, self._attempt):
-            self._lost(api.Result.MOOT)
+            self._fail_attempt(api.Result.MOOT)
         if self._attempt is None:
             owner.pool.transition(self, ConnectionState.IDLE, now)
         else:
@@ -223,55 +225,59 @@
             self.start(self._attempt)
 
     def _may_begin(self, now: int, attempt: Attempt) -> bool:
-        """Whether an attempt may still be sent; its client may have gone while the connection came up."""
-        call = attempt.part.request.requester
-        assert isinstance(call, Call)
-        if call.client_left(now):
-            call.session.leave()
+        """Whether an attempt may still be sent; its client may have disconnected during the connect."""
+        pending = attempt.part.request.requester
+        assert isinstance(pending, PendingRequest)
+        if pending.client_has_left(now):
+            pending.session.abandon()
         return self._owner.core.may_begin(now, attempt)
 
-    def _take(self, data: bytes) -> bool:
-        """Take bytes; return whether the connection goes on."""
+    def _receive(self, data: bytes) -> bool:
+        """Handle received bytes; return whether the connection stays open."""
         owner = self._owner
-        if not data or self._exchange is None or self._attempt is None:  # an end, or bytes of no answer
+        if (
+            not data or self._exchange is None or self._attempt is None
+        ):  # end of stream, or bytes without a request
             owner.counts.surplus += bool(data)
             return False
         assert self._stream is not None
         answer = self._exchange.receive(data)
         if answer is None:
             return True
-        if self._attempt.state is AttemptState.DIALING:  # before its request has left: it never ran
-            self._lost(api.Result.FULL if result_of(answer) is api.Result.FULL else api.Result.RESET)
+        if self._attempt.state is AttemptState.DIALING:  # the request was not fully sent: it never ran
+            self._fail_attempt(
+                api.Result.FULL if attempt_result(answer) is api.Result.FULL else api.Result.RESET
+            )
             return False
-        self._open = False
+        self._request_open = False
         attempt, self._attempt, self._exchange = self._attempt, None, None
         at = max(attempt.sent_at, self._stream.came_at)
-        owner.ended(attempt, result_of(answer), at, answer)
+        owner.attempt_ended(attempt, attempt_result(answer), at, answer)
         if not answer.reusable:
             owner.counts.surplus += 1
             return False
         owner.pool.transition(self, ConnectionState.IDLE, owner.hub.now())
         return True
 
-    def _lost(self, result: api.Result) -> None:
-        """The connection is over; what that proves of its attempt, the core knows from how far it came."""
+    def _fail_attempt(self, result: api.Result) -> None:
+        """End the attempt with the connection; the core derives what that proves from the attempt's state."""
         attempt, self._attempt, self._exchange = self._attempt, None, None
         if attempt is not None:
-            self._owner.ended(attempt, result, self._owner.hub.now())
+            self._owner.attempt_ended(attempt, result, self._owner.hub.now())
 
     def call_off(self) -> None:
-        """Nobody waits for the attempt any more."""
+        """Cancel the attempt, and close the connection if it is established."""
         self._attempt = self._exchange = None
         if self._stream is not None:
             self.close()
 
     def close(self) -> None:
-        """Close the connection, with a reset where a request is open: nothing of that may come any more.
+        """Close the connection, with a reset if a request is open: no more of that request may be delivered.
 
-        What this process or its system still holds of it would reach the node whenever that reads, or once
-        a cut between them is over.
+        Without the reset, bytes still buffered in this process or its system would reach the node once it
+        reads again, or once a network partition between them is over.
         """
         self._closed = True
         self._owner.pool.remove(self)
         if self._stream is not None:
-            self._stream.abort() if self._open else self._stream.close()
+            self._stream.abort() if self._request_open else self._stream.close()
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -167,13 +167,13 @@
         old, fresh, same = RawClient(site), RawClient(site), site.request(trace="00000000000000aa")
         old.send(same)
         site.until(lambda: site.shelfs[1].got)
-        site.script, take = (lambda got: answer(b"fresh")), ClientConnection._take
+        site.script, take = (lambda got: answer(b"fresh")), ClientConnection._admit
 
         def takes(caller, asked):
             end(old)
             take(caller, asked)
 
-        monkeypatch.setattr(ClientConnection, "_take", takes)
+        monkeypatch.setattr(ClientConnection, "_admit", takes)
         fresh.send(same)
         assert fresh.until_answered()[2] == b"fresh"
         assert site.head.core.counts.clients_left == 1 and not site.head.front.open_requests
