--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -1,4 +1,4 @@
-"""The end of a client's connection, forced at each instant of its request's life, by the client or by the head."""
+"""The end of a client's connection, forced at each stage of its request, by the client or by the head."""
 
 import contextlib
 import os
@@ -16,42 +16,42 @@
 from harriertrack.runtime.streams import SocketNetwork
 from harriertrack.standin.platform import MUTE, RESET, Outage, PlatformDiscovery, PlatformShelf, answer
 from tests.endings.loopback import PLACES, LoopbackSite, RawClient, caller_states, slow_reader
-from tests.test_platform import MS, VOLUME, Hears, Site
+from tests.test_platform import MS, VOLUME, RecordingScheduler, Site
 from tests.test_platform_process import config, start
 
 ENDS = pytest.mark.parametrize("end", [RawClient.close, RawClient.reset, RawClient.half_close])
 LARGE = b"x" * 65536
 READY = b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 S = 1_000 * MS
-SMALL = 64  # descriptors: 42 places for clients, 16 of them for such that have asked
+SMALL = 64  # descriptors: 42 for clients, 16 of them for clients that have sent a request
 
 
-class Holds(Hears):
-    """Hears nothing while it is told to hold; `acts` is called as it hears of requests."""
+class HoldingScheduler(RecordingScheduler):
+    """Withholds events from the module while `holding`; `on_request` is called when requests arrive."""
 
-    holds, acts = False, None
+    holding, on_request = False, None
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.unheard = []
+        self.withheld = []
 
     def handle(self, now, events):
-        events, self.unheard = [*self.unheard, *events], []
-        if self.holds:
-            self.unheard = events
+        events, self.withheld = [*self.withheld, *events], []
+        if self.holding:
+            self.withheld = events
             return []
-        if self.acts is not None and any(isinstance(event, api.RequestArrived) for event in events):
-            self.acts()
+        if self.on_request is not None and any(isinstance(event, api.RequestArrived) for event in events):
+            self.on_request()
         return super().handle(now, events)
 
     def release(self, head):
-        """Hear all that was held back."""
-        self.holds = False
-        head.core.list_failed()  # any event: the module is called
+        """Handle the withheld events."""
+        self.holding = False
+        head.core.list_failed()  # any event, so that the module is called
 
 
 def pump(client, most=1 << 20):
-    """Send until the system takes no more, at most so much; return how much it took."""
+    """Send until the system accepts no more, at most `most` bytes; return how many it accepted."""
     sent = 0
     try:
         while sent < most:
@@ -61,12 +61,12 @@
     return sent
 
 
-# -- the client ends it
+# -- closed by the client
 
 
 @ENDS
-def test_an_attempt_that_is_out_is_given_up_when_its_client_ends_though_bytes_lie_unread(tmp_path, end):
-    """Bytes behind the open request are not read; the end has to show behind them all the same."""
+def test_sent_attempt_is_cancelled_when_its_client_disconnects_behind_unread_bytes(tmp_path, end):
+    """Bytes behind the open request are not read; the disconnect has to be detected behind them."""
 
     def act(site):
         site.script = lambda got: MUTE
@@ -83,8 +83,8 @@
 
 @ENDS
 @pytest.mark.parametrize("behind", [b"", b"z" * 9000, b"GET /look HTTP/1.1\r\n\r\n" * 300])
-def test_what_a_client_sends_before_it_goes_is_not_taken(tmp_path, end, behind):
-    """The head finds the request and the end at once."""
+def test_request_sent_right_before_a_disconnect_is_not_accepted(tmp_path, end, behind):
+    """The head receives the request and the disconnect at the same time."""
 
     def act(site):
         for _ in range(20):
@@ -101,39 +101,39 @@
 @ENDS
 @pytest.mark.parametrize("tried", [0, 1])
 @pytest.mark.parametrize("behind", [0, 4096])
-def test_what_the_module_holds_is_not_sent_once_its_client_has_ended(tmp_path, end, tried, behind):
-    """Before the first attempt, and between two."""
+def test_request_held_by_the_module_is_not_sent_after_its_client_disconnected(tmp_path, end, tried, behind):
+    """Before the first attempt, and between two attempts."""
 
     def act(site):
         module = site.head.module
 
-        def breaks(_got):
-            module.holds = True
+        def hold_and_reset(_got):
+            module.holding = True
             return RESET
 
-        site.script, module.holds = breaks, not tried
+        site.script, module.holding = hold_and_reset, not tried
         client = RawClient(site)
         client.send(site.request())
-        heard = [api.RequestArrived, api.AttemptEnded][tried]
-        site.until(lambda: any(isinstance(event, heard) for event in module.unheard))
+        awaited = [api.RequestArrived, api.AttemptEnded][tried]
+        site.until(lambda: any(isinstance(event, awaited) for event in module.withheld))
         client.send(b"x" * behind)
         end(client)
-        site.until(lambda: any(isinstance(event, api.ClientLeft) for event in module.unheard))
+        site.until(lambda: any(isinstance(event, api.ClientLeft) for event in module.withheld))
         module.release(site.head)
-        site.until(lambda: not module.unheard)
+        site.until(lambda: not module.withheld)
         site.hub.sleep(20 * MS)
         assert len(site.shelfs[1].got) == tried and site.head.core.open_requests == 0
 
-    LoopbackSite(tmp_path, module=Holds).run(act)
+    LoopbackSite(tmp_path, module=HoldingScheduler).run(act)
 
 
 @ENDS
-def test_an_end_that_comes_while_the_head_is_busy_is_seen_before_anything_is_sent(tmp_path, end):
-    """The last poll is old when the module speaks: the client is looked at anew."""
+def test_disconnect_while_the_head_is_busy_is_detected_before_anything_is_sent(tmp_path, end):
+    """The last poll is old when the module decides, so the client has to be polled again."""
 
     def act(site):
         clients = [RawClient(site) for _ in range(10)]
-        for client in clients:  # these leave idle connections to the node
+        for client in clients:  # these requests leave idle connections to the node
             client.send(site.request())
         for client in clients:
             assert client.until_answered()[0] == 200
@@ -144,7 +144,7 @@
                 end(clients.pop())
             time.sleep(0.04)
 
-        site.head.module.acts = leave
+        site.head.module.on_request = leave
         for client in list(clients):
             client.send(site.request())
         site.until(lambda: site.head.core.counts.clients_left == 10)
@@ -155,11 +155,11 @@
             and not site.head.front.open_requests
         )
 
-    LoopbackSite(tmp_path, module=Holds).run(act)
+    LoopbackSite(tmp_path, module=HoldingScheduler).run(act)
 
 
 @ENDS
-def test_the_same_id_over_a_new_connection_is_served_though_the_old_ones_end_was_not_polled(
+def test_same_trace_id_is_served_over_a_new_connection_before_the_disconnect_was_polled(
     tmp_path, end, monkeypatch
 ):
     def act(site):
@@ -167,13 +167,13 @@
         old, fresh, same = RawClient(site), RawClient(site), site.request(trace="00000000000000aa")
         old.send(same)
         site.until(lambda: site.shelfs[1].got)
-        site.script, take = (lambda got: answer(b"fresh")), ClientConnection._admit
+        site.script, admit = (lambda got: answer(b"fresh")), ClientConnection._admit
 
-        def takes(caller, asked):
+        def admit_after_end(connection, parsed):
             end(old)
-            take(caller, asked)
+            admit(connection, parsed)
 
-        monkeypatch.setattr(ClientConnection, "_admit", takes)
+        monkeypatch.setattr(ClientConnection, "_admit", admit_after_end)
         fresh.send(same)
         assert fresh.until_answered()[2] == b"fresh"
         assert site.head.core.counts.clients_left == 1 and not site.head.front.open_requests
@@ -181,10 +181,10 @@
     LoopbackSite(tmp_path).run(act)
 
 
-# -- the head ends it
+# -- closed by the head
 
 
-def test_a_request_in_pieces_of_one_byte_is_served(tmp_path):
+def test_request_sent_byte_by_byte_is_served(tmp_path):
     def act(site):
         client = RawClient(site)
         for byte in site.request(True, body="goal"):
@@ -203,8 +203,8 @@
 
 
 @pytest.mark.parametrize("kind", BAD)
-def test_the_error_for_a_client_that_sends_on_arrives_though_it_reads_only_then(tmp_path, kind, monkeypatch):
-    """The time to linger is over once the test says so: a machine that stands still must not end it."""
+def test_error_arrives_at_a_client_that_keeps_sending_and_reads_late(tmp_path, kind, monkeypatch):
+    """The linger timeout is long and ended by the test: a pause of the machine must not end it early."""
     said, status = BAD[kind]
     lingers = {**dict(client_connections.STATE_TIMEOUTS), ClientState.LINGERING: 100 * S}
     monkeypatch.setattr(client_connections, "STATE_TIMEOUTS", tuple(lingers.items()))
@@ -216,8 +216,8 @@
             pump(client, LINGER_BYTES // part)
             site.until(lambda: client.unacknowledged() == 0)
         site.until(lambda: caller_states(site) == [ClientState.LINGERING])
-        (caller,) = site.head.front.connections._state
-        site.until(caller.silent)
+        (connection,) = site.head.front.connections._state
+        site.until(connection.silent)
         site.hub.clock.leap(100 * S)
         site.until(lambda: site.head.front.counts.bad_requests and not len(site.head.front.connections))
         assert not client.was_reset()
@@ -227,7 +227,7 @@
     LoopbackSite(tmp_path).run(act)
 
 
-def test_a_client_that_sends_without_end_is_answered_read_for_a_bounded_part_and_closed(tmp_path):
+def test_endless_sender_is_answered_read_up_to_a_limit_and_closed(tmp_path):
     def act(site):
         client, began, sent = RawClient(site), site.hub.now(), 0
         client.send(BAD["60 MB"][0])
@@ -242,7 +242,7 @@
     LoopbackSite(tmp_path).run(act)
 
 
-def test_a_last_answer_arrives_though_bytes_lie_unread_behind_its_request(tmp_path):
+def test_last_answer_arrives_despite_unread_bytes_behind_its_request(tmp_path):
     def act(site):
         client = RawClient(site)
         client.send(site.request(Connection="close"))
@@ -254,7 +254,7 @@
     LoopbackSite(tmp_path).run(act)
 
 
-def test_half_a_request_is_answered_in_time_though_more_of_it_lies_unread(tmp_path, monkeypatch):
+def test_partial_request_is_answered_in_time_despite_unread_bytes(tmp_path, monkeypatch):
     longest = ((ClientState.READING, 50 * MS), (ClientState.LINGERING, 50 * MS))
     monkeypatch.setattr("harriertrack.decisions.client_connections.STATE_TIMEOUTS", longest)
 
@@ -273,7 +273,7 @@
     LoopbackSite(tmp_path).run(act)
 
 
-def test_connections_that_linger_keep_no_newcomer_out(tmp_path):
+def test_lingering_connections_block_no_new_ones(tmp_path):
     def act(site):
         most = site.head.front.connections.limit
         bad = [RawClient(site) for _ in range(most)]
@@ -290,7 +290,7 @@
     LoopbackSite(tmp_path, sockets=SMALL).run(act)
 
 
-def test_an_answer_that_is_read_slowly_is_neither_evicted_nor_closed_as_idle(tmp_path, monkeypatch):
+def test_slowly_read_answer_is_neither_evicted_nor_closed_as_idle(tmp_path, monkeypatch):
     monkeypatch.setattr(
         "harriertrack.decisions.client_connections.STATE_TIMEOUTS", ((ClientState.IDLE, 20 * MS),)
     )
@@ -311,7 +311,7 @@
     site.run(act)
 
 
-def test_an_answer_that_nobody_reads_is_given_up_when_it_is_worth_nothing(tmp_path, monkeypatch):
+def test_unread_answer_is_abandoned_once_it_is_too_late(tmp_path, monkeypatch):
     monkeypatch.setattr("harriertrack.service.front.MAX_LATENESS_US", 100 * MS)
     site = LoopbackSite(tmp_path)
     site.script = lambda got: answer(LARGE)
@@ -327,7 +327,7 @@
     site.run(act)
 
 
-def test_an_answer_takes_one_call_to_send_and_its_request_one_to_read(tmp_path):
+def test_one_system_call_reads_a_request_and_one_sends_its_answer(tmp_path):
     class Counted:
         def __init__(self, sock):
             self._sock, self.calls = sock, []
@@ -339,8 +339,8 @@
     def act(site):
         client = RawClient(site)
         site.until(lambda: len(site.head.front.connections))
-        (caller,) = site.head.front.connections._state
-        counted = caller._stream._sock = Counted(caller._stream._sock)
+        (connection,) = site.head.front.connections._state
+        counted = connection._stream._sock = Counted(connection._stream._sock)
         for _ in range(3):
             client.send(site.request())
             assert client.until_answered()[0] == 200
@@ -350,13 +350,13 @@
 
 
 @pytest.mark.parametrize("kind", ["new", "reading", "idle"])
-def test_what_has_just_come_is_read_before_its_connection_is_closed_as_overdue(tmp_path, kind, monkeypatch):
+def test_received_bytes_are_read_before_their_connection_is_closed_as_overdue(tmp_path, kind, monkeypatch):
     longest = tuple((state, 50 * MS) for state in (ClientState.NEW, ClientState.READING, ClientState.IDLE))
     monkeypatch.setattr("harriertrack.decisions.client_connections.STATE_TIMEOUTS", longest)
 
     def act(site):
-        client, callers = RawClient(site), site.head.front.connections
-        rest, overdue = site.request(), callers.expired
+        client, connections = RawClient(site), site.head.front.connections
+        rest, overdue = site.request(), connections.expired
         if kind == "idle":
             client.send(site.request())
             assert client.until_answered()[0] == 200
@@ -365,31 +365,31 @@
             rest = rest[40:]
         sends = [lambda: client.send(rest)]
 
-        def looks(now):
+        def send_then_check(now):
             if overdue(now) and sends:
                 sends.pop()()
             return overdue(now)
 
-        callers.expired = looks
+        connections.expired = send_then_check
         assert client.until_answered()[0] == 200 and not sends
 
     LoopbackSite(tmp_path).run(act)
 
 
-def test_a_connection_over_which_a_request_has_come_is_not_closed_for_a_newcomer(tmp_path):
+def test_connection_with_an_unread_request_is_not_evicted_for_a_new_one(tmp_path):
     def act(site):
         clients = [RawClient(site) for _ in range(site.head.front.connections.used_limit)]
         for client in clients:
             client.send(site.request())
             assert client.until_answered()[0] == 200
-        first, callers = clients[0], site.head.front.connections
-        came = callers.accept
+        first, connections = clients[0], site.head.front.connections
+        accept = connections.accept
 
-        def comes(*args):
+        def send_then_accept(*args):
             first.send(site.request())
-            return came(*args)
+            return accept(*args)
 
-        callers.accept = comes
+        connections.accept = send_then_accept
         fresh = RawClient(site)
         fresh.send(site.request())
         assert first.until_answered()[0] == fresh.until_answered()[0] == 200
@@ -398,18 +398,18 @@
     LoopbackSite(tmp_path, sockets=SMALL).run(act)
 
 
-def test_a_flood_of_connections_waits_while_what_came_over_others_has_its_turn(tmp_path):
+def test_requests_are_served_during_a_flood_of_new_connections(tmp_path):
     def act(site):
         client, seen = RawClient(site), []
         client.send(READY)
         assert client.until_answered()[0] == 200
         send, counts = site.head.storage_nodes.send, site.head.front.counts
 
-        def sends(attempt):
+        def recording_send(attempt):
             seen.append(counts.accepted)
             send(attempt)
 
-        site.head.storage_nodes.send = sends
+        site.head.storage_nodes.send = recording_send
         flood = [RawClient(site) for _ in range(200)]
         client.send(site.request())
         assert client.until_answered()[0] == 200 and seen[0] <= 3 * ACCEPTS_PER_ROUND
@@ -419,36 +419,36 @@
 
 
 @pytest.mark.real_time
-def test_idle_clients_fill_their_places_alone_while_discovery_is_down(tmp_path):
-    """A head as a process that has just the descriptors it is told: discovery, nodes and readiness get theirs."""
+def test_idle_clients_use_only_their_share_of_descriptors_while_discovery_is_down(tmp_path):
+    """The head is a process limited to its configured descriptors: discovery, nodes and readiness keep their share."""
     hub = Hub()
     net, place = SocketNetwork(hub), PLACES.next()
     shelf, discovery = PlatformShelf(hub, net, lambda got: answer(b"goal")), PlatformDiscovery(hub, net)
     discovery.set("s0", shelf.address, 0)
     discovery.outage = Outage.SILENT
     given = config(place, discovery)
-    given["limits"]["sockets"], held = SMALL, []
+    given["limits"]["sockets"], descriptors = SMALL, []
     site = SimpleNamespace(
-        hub=hub, place=place, number=0, until=lambda holds: LoopbackSite.until(site, holds, 30 * S)
+        hub=hub, place=place, number=0, until=lambda condition: LoopbackSite.until(site, condition, 30 * S)
     )
 
-    def tried(data):
+    def send_once(data):
         client = RawClient(site)
         client.send(data)
-        held.append(len(os.listdir(f"/proc/{site.process.pid}/fd")))
+        descriptors.append(len(os.listdir(f"/proc/{site.process.pid}/fd")))
         site.until(lambda: client.receive() and (client.ended or b"\r\n\r\n" in client.received))
         return int(client.received.split(b" ")[1]) if client.received else 0
 
     def answered(data):
-        """Ask over new connections until one gets an answer: none of the others may be closed for it at first."""
-        while not (status := tried(data)):
+        """Send over new connections until one is answered: at first no other connection may be evictable."""
+        while not (status := send_once(data)):
             pass
         return status
 
-    def asks():
+    def request_bytes():
         return Site.request(site, **{"X-Placement": f"volume={VOLUME},units=1,shard=0,hosts=2"})
 
-    def listens():
+    def is_listening():
         with socket.socket() as probe:
             return not probe.connect_ex(place)
 
@@ -459,19 +459,21 @@
             process = site.process = start(tmp_path, given)
             try:
                 resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SMALL, SMALL))
-                site.until(listens)
+                site.until(is_listening)
                 idle = [RawClient(site) for _ in range(2 * SMALL)]
                 for client in idle[::2]:
                     with contextlib.suppress(ConnectionError):
-                        client.send(asks())
-                assert answered(READY) == answered(asks()) == 200
+                        client.send(request_bytes())
+                assert answered(READY) == answered(request_bytes()) == 200
                 idle += [RawClient(site) for _ in range(2 * SMALL)]
-                asked = len(discovery.calls)
+                calls = len(discovery.calls)
                 discovery.outage = Outage.NONE
                 discovery.reset()
-                site.until(lambda: len(discovery.calls) > asked + 1)  # one was answered
-                assert answered(asks()) == 200
-                assert max(held) < SMALL  # never all: 42 for clients, 10 for nodes, the rest for all else
+                site.until(lambda: len(discovery.calls) > calls + 1)  # the previous one was answered
+                assert answered(request_bytes()) == 200
+                assert (
+                    max(descriptors) < SMALL
+                )  # some stay free: 42 are for clients, 10 for nodes, the rest for everything else
             finally:
                 process.kill()
                 assert "Traceback" not in process.communicate()[1]
--- a/tests/endings/test_list_ends.py
+++ b/tests/endings/test_list_ends.py
@@ -1,6 +1,6 @@
-"""How the list's calls end, and a head that stands still meanwhile: what is drained gets nothing after its grace.
+"""Faulty ends of calls to discovery and pauses of the head: a drained node gets no request after its grace.
 
-The plays on the list's clock (tests/test_platform_clock.py) hold each of these against the platform's terms.
+The helpers of tests/test_platform_clock.py check each case against the rules of the platform.
 """
 
 import json
@@ -14,37 +14,37 @@
 from tests.test_platform import MS
 from tests.test_platform_clock import ASKED, BOTH, S, drain, kept_the_rule, played, site_of
 
-SHORT_US = 400 * MS  # a grace
+SHORT_US = 400 * MS  # a short grace of a drain
 
 
 def open_stream(site):
     return list(site.discovery._streams)[-1]
 
 
-def break_off(site, body, end):
+def truncate(site, body, end):
     """Send half of an answer, then end the connection."""
-    stream, whole = open_stream(site), answer(body)
-    stream.write(whole[: len(whole) - len(body) // 2])
+    stream, complete = open_stream(site), answer(body)
+    stream.write(complete[: len(complete) - len(body) // 2])
     site.hub.sleep(1 * MS)
     end(stream)
     raise ConnectionResetError
 
 
-def come_late(site, body):
+def delay(site, body):
     site.hub.sleep(1 * S)
     return body
 
 
-def come_twice(site, body):
+def duplicate(site, body):
     open_stream(site).write(answer(body))
     return body
 
 
-TROUBLES = {
-    "broken off by a close": lambda site, body: break_off(site, body, lambda stream: stream.close()),
-    "broken off by a reset": lambda site, body: break_off(site, body, lambda stream: stream.abort()),
-    "late": come_late,
-    "answered twice": come_twice,
+FAULTS = {
+    "broken off by a close": lambda site, body: truncate(site, body, lambda stream: stream.close()),
+    "broken off by a reset": lambda site, body: truncate(site, body, lambda stream: stream.abort()),
+    "late": delay,
+    "answered twice": duplicate,
     "no list": lambda site, body: b"{",
     "an entry that can't be read": lambda site, body: body.replace(b'"cell": 1', b'"cell": "x"'),
 }
@@ -52,11 +52,9 @@
 
 @BOTH
 @pytest.mark.parametrize("times", [1, 2])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_an_answer_that_ends_badly_delays_its_change_by_no_more_than_the_rules_allow(
-    tmp_path, way, trouble, times
-):
-    """It brings the drain, at one call or two in a row; the next call is answered."""
+@pytest.mark.parametrize("fault", FAULTS)
+def test_faulty_answer_delays_its_change_by_no_more_than_the_rules_allow(tmp_path, way, fault, times):
+    """The faulty answer, at one call or two consecutive ones, carries the drain; the next call is answered."""
 
     def act(site):
         left = [None] * times
@@ -65,25 +63,26 @@
             if b"terminating" not in body or not left:
                 return body
             left.pop()
-            return TROUBLES[trouble](site, body)
+            return FAULTS[fault](site, body)
 
         site.discovery.spoil = spoil
-        # What was never written whole counts when it could be reached; the agent's after each bad answer.
-        told_at = drain(site) + (
-            ANNOUNCED_AFTER_US if way == ASKED or trouble == "late" else times * 300 * MS
+        # If no complete answer was sent, the drain counts once the source could have been reached again; with
+        # the agent, it counts after the faulty answers.
+        effective_at = drain(site) + (
+            ANNOUNCED_AFTER_US if way == ASKED or fault == "late" else times * 300 * MS
         )
-        kept_the_rule(site, told_at)
-        assert not left or trouble in ("late", "answered twice")
+        kept_the_rule(site, effective_at)
+        assert not left or fault in ("late", "answered twice")
 
     played(site_of(tmp_path, way, drainGraceUs=SHORT_US), act)
 
 
 @BOTH
 @pytest.mark.parametrize("outage", [Outage.SILENT, Outage.FAILING])
-def test_a_silent_watch_is_opened_anew_in_time_though_the_calls_after_it_fail(tmp_path, way, outage):
+def test_silent_watch_is_replaced_in_time_though_the_next_calls_fail(tmp_path, way, outage):
     def act(site):
         site.discovery.set("s0", site.shelfs[0].address, 0)
-        site.hub.sleep(10 * MS)  # a call of the watch has just begun: its silence shows as late as can be
+        site.hub.sleep(10 * MS)  # a call has just begun: its silence is detected as late as possible
         site.discovery.fall_silent()
         silent_at = site.hub.now()
         site.discovery.outage = outage
@@ -96,15 +95,15 @@
 
 
 @BOTH
-def test_whole_lists_and_repeated_changes_are_taken_as_changes(tmp_path, way):
-    """Each answer is the whole list; what is in it twice or again is no news, and a start is not lost."""
+def test_full_lists_and_repeated_changes_are_applied_as_changes(tmp_path, way):
+    """Each answer is the full list; duplicate or repeated entries are no change, and a node's start is not lost."""
 
     def act(site):
         site.discovery.spoil = lambda _body: json.dumps(site.discovery.listed()).encode()
         address = site.shelfs[1].address
         drained_at = drain(site)
         site.hub.sleep(300 * MS)
-        drain(site)  # the same change again begins no other grace
+        drain(site)  # the same change again starts no new grace
         kept_the_rule(site, drained_at)
         site.discovery.set("s1", address, 1, "in_service", started_ms=site.hub.now() // 1000)
         site.hub.sleep(50 * MS)
@@ -114,7 +113,7 @@
 
 
 @BOTH
-def test_a_node_that_comes_again_by_its_name_after_its_end_serves_and_is_drained_again(tmp_path, way):
+def test_node_that_returns_under_its_name_serves_and_is_drained_again(tmp_path, way):
     def act(site):
         address = site.shelfs[1].address
         site.discovery.set("s1", address, 1, "terminated")
@@ -131,7 +130,7 @@
 
 @BOTH
 @pytest.mark.parametrize("drained_us", [0, 2 * S, 4 * S])
-def test_a_drain_right_after_a_new_configuration_is_acted_on(tmp_path, way, drained_us):
+def test_drain_right_after_a_new_configuration_is_applied(tmp_path, way, drained_us):
     """The old address accepts nothing, and closes what is open after 1.5 s."""
 
     def act(site):
@@ -151,8 +150,8 @@
 
 @BOTH
 @pytest.mark.parametrize("drained_us", [0, 600 * MS])
-def test_a_head_that_stood_still_counts_a_grace_from_when_the_list_came(tmp_path, way, drained_us):
-    """In simulated time; clients ask all the time."""
+def test_paused_head_counts_a_grace_from_when_the_list_arrived(tmp_path, way, drained_us):
+    """In simulated time; clients keep sending."""
 
     def act(site):
         site.hub.freeze(site.head, 1 * S)
@@ -164,10 +163,10 @@
 
 @pytest.mark.real_time
 @BOTH
-def test_a_stopped_process_sends_nothing_to_a_node_that_was_drained_meanwhile(tmp_path, way):
-    """On waking the list's bytes and the clients' are all in its sockets.
+def test_stopped_process_sends_nothing_to_a_node_drained_in_the_meantime(tmp_path, way):
+    """When it resumes, the bytes of the list and of the clients are all in its sockets.
 
-    It is idle as it is stopped: one that is stopped in the middle of a round goes on with what it had found.
+    It is idle when it is stopped: a process stopped in the middle of a round continues with what it had polled.
     """
     grace_us = 200 * MS
 
@@ -184,17 +183,17 @@
         for number, stream in enumerate(streams, 50):
             stream.write(f"{REQUEST}{number:016x}\r\n\r\n".encode())
             assert b" 200 " in stream.read(site.hub.now() + 5 * S)
-        site.until(lambda: site.state() == "S")  # it has nothing to do
+        site.until(lambda: site.state() == "S")  # it is idle
         site.send(signal.SIGSTOP)
         site.until(lambda: site.state() == "T")
-        told_at = site.hub.now()
+        effective_at = site.hub.now()
         site.old.set("s0", site.shelf.address, 0, "terminating")
         for number, stream in enumerate(streams, 100):
             stream.write(f"{REQUEST.replace(': 250', ': 2900')}{number:016x}\r\n\r\n".encode())
-        site.until(lambda: site.hub.now() > told_at + 2 * grace_us + 100 * MS)
+        site.until(lambda: site.hub.now() > effective_at + 2 * grace_us + 100 * MS)
         site.send(signal.SIGCONT)
         for stream in streams:
             assert b" 503 " in stream.read(site.hub.now() + 5 * S)
-        assert max(got.when for got in site.shelf.got) <= told_at
+        assert max(got.when for got in site.shelf.got) <= effective_at
 
     play(tmp_path, act)
--- a/tests/endings/test_standstill.py
+++ b/tests/endings/test_standstill.py
@@ -23,7 +23,7 @@
 from tests.endings.loopback import LoopbackSite, RawClient
 from tests.endings.test_start_and_reload import REQUEST, play
 from tests import test_platform_clock as platform_clock
-from tests.test_platform import MS, SETTINGS, Hears
+from tests.test_platform import MS, SETTINGS, RecordingScheduler
 from tests.test_platform_clock import ASKED, BOTH, S, drain, kept_the_rule, site_of
 
 GRACE_US = 400 * MS
@@ -115,7 +115,7 @@
     played(site_of(tmp_path, way, drainGraceUs=GRACE_US), act)
 
 
-class Standing(Hears):
+class Standing(RecordingScheduler):
     """The module; while it handles the next events the process stands still."""
 
     stand = None
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's head on the virtual clock: clients, shelfs and discovery in memory, played by stand-ins."""
+"""The platform's head on the virtual clock, with in-memory stand-ins of clients, nodes and discovery."""
 
 import copy
 import json
@@ -41,8 +41,8 @@
 }  # fmt: skip
 
 
-class Hears(Scheduler):
-    """The module itself; keeps the events that it was told."""
+class RecordingScheduler(Scheduler):
+    """The module, recording the events that it receives."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -57,9 +57,9 @@
 
 
 class Site:
-    """A head, two shelfs, discovery; `run` plays a test in simulated time."""
+    """A head, two nodes and discovery; `run` runs a test in simulated time."""
 
-    def __init__(self, tmp_path, sockets=256, known=True, module=Hears, **settings):
+    def __init__(self, tmp_path, sockets=256, known=True, module=RecordingScheduler, **settings):
         self.hub, self.net, self.place = self.surroundings()
         self.script = lambda got: answer(b"body of " + got.line.split("=")[1][:16].encode())
         self.shelfs = [PlatformShelf(self.hub, self.net, lambda got: self.script(got)) for _ in range(2)]
@@ -76,7 +76,7 @@
         self.module = module
         self.head = PlatformHead(self.hub, self.net, self.configuration(), self.note, module)
         self.number = 0
-        self.begin = lambda: None  # a task beside the head's start
+        self.begin = lambda: None  # a task that runs in parallel to the head's start
 
     def surroundings(self):
         """Return the hub, the network and the address that the head listens on."""
@@ -126,7 +126,7 @@
         return (line + fields + "\r\n").encode() + body
 
     def ask(self, request, stream=None, within=3000 * MS):
-        """Send a request; return (status, fields, body), None for a close without an answer."""
+        """Send a request; return (status, fields, body), or None if it is closed without an answer."""
         stream = stream or self.connect()
         stream.write(request)
         return self.answered(stream, within)
@@ -144,7 +144,7 @@
     return Site(tmp_path)
 
 
-def test_a_request_goes_to_its_shard_and_the_body_back_unchanged_over_kept_connections(site):
+def test_requests_reach_their_shard_and_bodies_return_unchanged_over_reused_connections(site):
     site.script = lambda got: answer(bytes(range(256)), extra=b"X-Iops-Used: 85\r\n")
 
     def act(site):
@@ -166,7 +166,7 @@
     site.run(act)
 
 
-SPOILT = {
+INVALID_ANSWERS = {
     "noise": b"\x00\x01 noise \r\n\r\n",
     "head that never ends": b"HTTP/1.1 200 OK\r\nX: " + b"y" * 40_000,
     "3 GB": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nab",
@@ -177,15 +177,14 @@
 }
 
 
-@pytest.mark.parametrize("kind", SPOILT)
-def test_a_spoilt_answer_may_have_run_and_its_connection_is_closed_at_once(site, kind):
-    site.script = lambda got: SPOILT[kind]
+@pytest.mark.parametrize("kind", INVALID_ANSWERS)
+def test_invalid_answer_may_have_run_and_its_connection_is_closed_at_once(site, kind):
+    site.script = lambda got: INVALID_ANSWERS[kind]
 
     def act(site):
         status, _, _ = site.ask(site.request(True))
-        assert (
-            status == 500
-        )  # a keyed write that may have run is never called refused outside its rack's window
+        # A keyed write that may have run is never reported as refused outside the window of its rack.
+        assert status == 500
         site.hub.sleep(10 * MS)
         shelf = site.shelfs[1]
         assert set(site.head.module.results()) == {api.Result.ERROR}
@@ -203,7 +202,7 @@
     (RESET, api.Result.RESET),
     (MUTE, api.Result.TIMEOUT),
 ])  # fmt: skip
-def test_what_an_attempts_end_proves(site, said, result):
+def test_result_that_the_end_of_an_attempt_proves(site, said, result):
     site.script = lambda got: said
 
     def act(site):
@@ -215,7 +214,7 @@
     site.run(act)
 
 
-def test_a_refused_connection_proves_that_nothing_ran(site):
+def test_refused_connection_proves_that_nothing_ran(site):
     def act(site):
         site.shelfs[1].close()
         assert site.ask(site.request(True))[0] == 503
@@ -224,12 +223,12 @@
     site.run(act)
 
 
-def test_good_answers_with_more_around_them_are_served_but_the_connection_is_not_used_again(site):
+def test_valid_answer_with_surplus_bytes_is_served_but_its_connection_is_not_reused(site):
     good = answer(b"good")
 
     def act(site):
-        for number, said in enumerate((good + good, good + b"noise", b"HTTP/1.1 103 Early\r\n\r\n" + good)):
-            site.script = lambda got, said=said: said
+        for number, sent in enumerate((good + good, good + b"noise", b"HTTP/1.1 103 Early\r\n\r\n" + good)):
+            site.script = lambda got, sent=sent: sent
             assert site.ask(site.request())[2] == b"good"
             site.hub.sleep(10 * MS)
             assert len(site.shelfs[1].ended) == min(number + 1, 2)
@@ -237,11 +236,11 @@
     site.run(act)
 
 
-def test_what_comes_late_behind_an_answer_never_answers_the_next_request(site):
+def test_late_duplicate_answer_never_answers_the_next_request(site):
     def act(site):
         site.script = lambda got: answer(b"first")
         assert site.ask(site.request())[2] == b"first"
-        site.shelfs[1].streams[0].write(answer(b"first"))  # once more, in a packet of its own
+        site.shelfs[1].streams[0].write(answer(b"first"))  # a duplicate in a separate packet
         site.script = lambda got: answer(b"second")
         assert site.ask(site.request())[2] == b"second"
         assert site.shelfs[1].connections == 2
@@ -249,12 +248,12 @@
     site.run(act)
 
 
-def test_an_idle_connection_is_not_used_when_its_shelf_may_have_closed_it(site):
+def test_idle_connection_that_its_node_may_have_closed_is_not_used(site):
     def act(site):
         site.ask(site.request())
         site.shelfs[1].streams[0].close()
         assert site.ask(site.request())[0] == 200
-        site.hub.sleep(2_500 * MS)  # of the 3 s that the settings name
+        site.hub.sleep(2_500 * MS)  # of the idle timeout of 3 s in the settings
         assert len(site.head.storage_nodes.pool) == 0
         assert site.ask(site.request())[0] == 200
         assert site.shelfs[1].connections == 3 and set(site.head.module.results()) == {api.Result.OK}
@@ -262,7 +261,7 @@
     site.run(act)
 
 
-def test_unreadable_figures_beside_an_answer_are_as_if_absent(site):
+def test_malformed_load_figures_of_an_answer_count_as_absent(site):
     def act(site):
         for text in (b"nan", b"-3", b"1e9", b"99999999999", b"", b"12\r\nX-Iops-Used: 13"):
             site.script = lambda got, text=text: answer(b"x", extra=b"X-Iops-Used: " + text + b"\r\n")
@@ -303,7 +302,7 @@
 
 
 @pytest.mark.parametrize("kind", BAD)
-def test_a_bad_request_gets_an_error_at_once_and_is_never_passed_on(site, kind):
+def test_invalid_request_gets_an_error_at_once_and_is_never_forwarded(site, kind):
     def act(site):
         said = site.ask(site.request(True, **BAD[kind]), within=100 * MS)
         assert said is not None and 400 <= said[0] < 600
@@ -315,7 +314,7 @@
     site.run(act)
 
 
-def test_an_id_that_is_open_is_an_error_for_the_second_and_harmless_for_the_first(site):
+def test_second_request_with_an_open_trace_id_is_refused_without_harm_to_the_first(site):
     def act(site):
         first, same = site.connect(), "00000000000000aa"
         site.shelfs[1].delay_us = 50 * MS
@@ -328,12 +327,12 @@
     site.run(act)
 
 
-def test_silent_clients_and_half_requests_end_within_three_seconds_and_hinder_nobody(tmp_path):
+def test_silent_clients_and_partial_requests_end_within_three_seconds_and_block_no_other(tmp_path):
     def act(site):
         silent = [site.connect() for _ in range(60)]
         silent[0].write(site.request()[:40])
         site.hub.sleep(600 * MS)
-        late = [site.connect() for _ in range(40)]  # now there are no places left: the oldest silent ones go
+        late = [site.connect() for _ in range(40)]  # over the limit: the oldest silent ones are evicted
         assert site.ask(site.request())[0] == 200
         site.hub.sleep(2_400 * MS)
         assert len(site.head.front.connections) <= 1
@@ -344,7 +343,7 @@
     Site(tmp_path, sockets=160).run(act)
 
 
-def test_the_attempt_of_a_client_that_leaves_is_called_off(site):
+def test_attempt_of_a_disconnected_client_is_cancelled(site):
     def act(site):
         site.script = lambda got: MUTE
         stream = site.connect()
@@ -358,40 +357,44 @@
     site.run(act)
 
 
-def test_time_that_bytes_waited_in_a_head_that_stood_still_is_the_clients(site):
+def test_time_in_the_receive_queue_of_a_paused_head_counts_against_the_deadline(site):
     def act(site):
         stream = site.connect()
         site.hub.sleep(10 * MS)
         site.hub.freeze(site.head, 200 * MS)
         stream.write(site.request())
         assert site.answered(stream)[0] == 200
-        (ask,) = [event for event in site.head.module.events if isinstance(event, api.RequestArrived)]
-        assert 270 * MS < ask.time_left_us <= 281 * MS
+        (request,) = [event for event in site.head.module.events if isinstance(event, api.RequestArrived)]
+        assert 270 * MS < request.time_left_us <= 281 * MS
 
     site.run(act)
 
 
-def test_a_deadline_is_no_longer_than_its_class_allows(site):
+def test_deadline_is_limited_by_its_class(site):
     def act(site):
         site.ask(site.request(**{"X-Expires-In-Ms": "999999999"}))
-        (ask,) = [event for event in site.head.module.events if isinstance(event, api.RequestArrived)]
-        assert ask.time_left_us <= 1500 * MS  # the module takes the longest for what a first try has
+        (request,) = [event for event in site.head.module.events if isinstance(event, api.RequestArrived)]
+        assert (
+            request.time_left_us <= 1500 * MS
+        )  # the module treats the longest deadline as that of a first try
 
     site.run(act)
 
 
-def test_discovery_is_watched_without_a_gap_and_a_drain_reaches_the_module_at_once(site):
+def test_discovery_is_polled_without_a_gap_and_a_drain_reaches_the_module_at_once(site):
     def act(site):
         site.hub.sleep(6_000 * MS)
         calls = site.discovery.calls
         assert [call[1] for call in calls[:2]] == [
             "/api/targets?since=3&timeout_ms=0", "/api/targets?since=3&timeout_ms=2500",
         ]  # fmt: skip
-        assert calls[2][0] - calls[1][0] < 2_600 * MS  # the next follows its answer
+        assert calls[2][0] - calls[1][0] < 2_600 * MS  # the next call follows its answer
         site.discovery.set("s1", site.shelfs[1].address, 1, "terminating")
         site.hub.sleep(1 * MS)
-        news = [event for event in site.head.module.events if isinstance(event, api.NodesChanged)]
-        assert [(entry.node, entry.state) for entry in news[-1].entries] == [("s1", api.NodeState.DRAINING)]
+        changes = [event for event in site.head.module.events if isinstance(event, api.NodesChanged)]
+        assert [(entry.node, entry.state) for entry in changes[-1].entries] == [
+            ("s1", api.NodeState.DRAINING)
+        ]
         site.discovery.set("s1", site.shelfs[1].address, 1, "terminated")
         site.hub.sleep(1 * MS)
         assert site.head.nodes.find("s1") is None
@@ -399,79 +402,79 @@
     site.run(act)
 
 
-def kinds(site):
+def list_kinds(site):
     return [event.kind for event in site.head.module.events if isinstance(event, api.NodesChanged)]
 
 
 @pytest.mark.parametrize(
     "spoil", [lambda body: body[:-9], lambda body: b"[]", lambda body: body.replace(b"in_service", b"odd")]
 )
-def test_a_list_that_cannot_be_read_is_a_failed_call_and_the_old_one_stays(site, spoil):
+def test_malformed_list_is_a_failed_call_and_the_old_list_stays(site, spoil):
     def act(site):
         site.discovery.spoil = spoil
         site.discovery.set("s0", site.shelfs[0].address, 0, started_ms=1)
         site.hub.sleep(100 * MS)
-        assert kinds(site)[-1] is api.ListKind.FAILED and site.ask(site.request())[0] == 200
+        assert list_kinds(site)[-1] is api.ListKind.FAILED and site.ask(site.request())[0] == 200
         site.discovery.spoil = None
-        site.hub.sleep(3_000 * MS)  # the module asks again
-        assert kinds(site)[-1] is api.ListKind.CHANGES
+        site.hub.sleep(3_000 * MS)  # the module requests the list again
+        assert list_kinds(site)[-1] is api.ListKind.CHANGES
 
     site.run(act)
 
 
-def test_a_source_that_began_anew_is_asked_for_its_whole_list(site):
+def test_restarted_source_is_asked_for_its_full_list(site):
     def act(site):
         site.discovery.version = 1
         site.discovery._changes.notify()
         site.hub.sleep(6_000 * MS)
-        assert kinds(site)[-1] is api.ListKind.CHANGES or kinds(site)[-1] is api.ListKind.FULL
+        assert list_kinds(site)[-1] is api.ListKind.CHANGES or list_kinds(site)[-1] is api.ListKind.FULL
         assert "/api/targets" in [call[1] for call in site.discovery.calls]
         assert site.head.discovery._watch.version == 1
 
     site.run(act)
 
 
-def test_a_new_configuration_moves_the_watch_at_once_and_harms_no_open_request(site):
+def test_new_discovery_address_is_used_at_once_without_harm_to_open_requests(site):
     def act(site):
-        fresh = PlatformDiscovery(site.hub, site.net, version=7, servers=site.discovery.servers)
-        fresh.start(site.scope)
+        new_source = PlatformDiscovery(site.hub, site.net, version=7, servers=site.discovery.servers)
+        new_source.start(site.scope)
         site.shelfs[1].delay_us = 100 * MS
         stream = site.connect()
         stream.write(site.request())
         site.hub.sleep(10 * MS)
         site.discovery.close()
-        site.given["discovery"] = f"127.0.0.1:{fresh.address[1]}"
+        site.given["discovery"] = f"127.0.0.1:{new_source.address[1]}"
         before = len(site.discovery.calls)
         site.head.reconfigure(site.configuration())
         site.hub.sleep(5 * MS)
-        assert [call[1] for call in fresh.calls][0].startswith("/api/targets?since=")
+        assert [call[1] for call in new_source.calls][0].startswith("/api/targets?since=")
         assert site.answered(stream)[0] == 200
         site.hub.sleep(5_000 * MS)
-        assert len(site.discovery.calls) == before and api.ListKind.FAILED not in kinds(site)
+        assert len(site.discovery.calls) == before and api.ListKind.FAILED not in list_kinds(site)
 
     site.run(act)
 
 
-def test_a_head_that_leaves_serves_until_shortly_before_the_kill_and_answers_what_is_open(site):
+def test_head_in_shutdown_serves_until_shortly_before_the_kill_and_answers_open_requests(site):
     def act(site):
         stream, began = site.connect(), site.hub.now()
         site.ask(site.request(), stream)
         site.head.stop()
         site.hub.sleep(2_000 * MS)
-        status, fields, _ = site.ask(site.request(), stream)  # clients keep what is open
+        status, fields, _ = site.ask(site.request(), stream)  # clients keep their open connections
         assert status == 200 and "connection" not in fields
         site.script = lambda got: MUTE
         while site.head.shutdown.phase is Phase.LAME_DUCK:
             site.hub.sleep(5 * MS)
         assert site.answered(stream, 10 * MS) is None  # it was idle
         assert site.head.shutdown.phase is Phase.ENDED
-        # Longest deadline 2.5 s and 0.7 s: it has to be over before that.
+        # The kill comes 0.7 s after the longest deadline of 2.5 s: the shutdown has to be over before.
         assert site.hub.now() - began < 3_200 * MS
 
     site.run(act)
 
 
-def test_what_is_open_when_a_head_ends_is_answered(site):
+def test_requests_open_at_the_end_of_a_shutdown_are_answered(site):
     def act(site):
         began = site.hub.now()
         site.script = lambda got: MUTE
@@ -485,7 +488,7 @@
     site.run(act)
 
 
-def test_a_kept_connection_is_asked_to_leave_in_the_last_moments(site):
+def test_answers_close_their_connections_in_the_last_phase_of_a_shutdown(site):
     def act(site):
         site.shelfs[1].delay_us = DRAIN_US // 2
         site.head.stop()
@@ -514,14 +517,14 @@
     (lambda given: given["settings"].update(permissions={"mostHeld": 0}), "settings.permissions.mostHeld"),
     (lambda given: given.update(discovery="host:80"), "discovery"),
 ])  # fmt: skip
-def test_a_configuration_that_cannot_be_is_refused_by_its_field(site, change, said):
+def test_invalid_configuration_is_rejected_with_its_field(site, change, said):
     change(site.given)
     with pytest.raises(ConfigurationError, match="config.json") as caught:
         site.configuration()
     assert said in str(caught.value)
 
 
-def test_no_answer_is_waited_for_after_its_time(site):
+def test_no_answer_is_awaited_past_its_deadline(site):
     site.script = lambda got: MUTE
 
     def act(site):
@@ -534,7 +537,7 @@
     site.run(act)
 
 
-def test_an_answer_larger_than_the_protocols_page_says_is_passed_on_within_the_memory(site):
+def test_answer_larger_than_the_protocol_specifies_is_forwarded_up_to_the_memory_limit(site):
     def act(site):
         site.script = lambda got: answer(b"x" * 400_000)
         assert site.ask(site.request())[2] == b"x" * 400_000
@@ -544,20 +547,20 @@
     site.run(act)
 
 
-def test_a_shelf_that_never_comes_up_is_given_up_after_the_settings_time_and_never_ran(site):
+def test_dial_times_out_as_configured_and_its_request_never_ran(site):
     site.net._delay = lambda name, address: 400 * MS if address == site.shelfs[1].address else 100
 
     def act(site):
         began = site.hub.now()
         assert site.ask(site.request(True, **{"X-Expires-In-Ms": "2400"}))[0] == 503
         assert set(site.head.module.results()) == {api.Result.CONNECT_FAILED}
-        assert 250 * MS <= site.hub.now() - began <= 520 * MS  # one dial of 250 ms and, once more, another
+        assert 250 * MS <= site.hub.now() - began <= 520 * MS  # two dials of 250 ms each
         assert not site.shelfs[1].got
 
     site.run(act)
 
 
-def test_a_connection_that_comes_up_late_makes_no_shelf_slow(site):
+def test_slow_connect_does_not_count_as_node_latency(site):
     site.net._delay = lambda name, address: 80 * MS if address == site.shelfs[1].address else 100
 
     def act(site):
@@ -566,12 +569,12 @@
         (took,) = [
             event.elapsed_us for event in site.head.module.events if isinstance(event, api.AttemptEnded)
         ]
-        assert took < site.hub.now() - began - 60 * MS  # coming up is no time of the shelf's
+        assert took < site.hub.now() - began - 60 * MS  # the connect does not count as the node's time
 
     site.run(act)
 
 
-def test_clients_that_leave_while_a_connection_comes_up_prove_nothing_of_the_shelf(site):
+def test_clients_that_disconnect_during_a_connect_prove_nothing_about_the_node(site):
     site.net._delay = lambda name, address: 80 * MS if address == site.shelfs[1].address else 100
 
     def act(site):
@@ -582,23 +585,25 @@
             stream.close()
             site.hub.sleep(20 * MS)
         assert site.head.module.results() == [api.Result.MOOT] * 3 and not site.shelfs[1].got
-        assert not [fields for event, fields in site.notes if event == "module"]  # none is held unreachable
+        assert not [
+            fields for event, fields in site.notes if event == "module"
+        ]  # no node is considered unreachable
         assert site.ask(site.request())[0] == 200
 
     site.run(act)
 
 
-def test_where_no_connection_to_shelfs_is_left_a_request_ends_and_the_head_lives(site):
+def test_request_is_refused_while_all_node_connections_are_in_use(site):
     def act(site):
         site.head.storage_nodes.pool.limit = 1
         site.script = lambda got: MUTE
-        holds = site.connect()
-        holds.write(site.request())
+        blocking = site.connect()
+        blocking.write(site.request())
         site.hub.sleep(10 * MS)
         second = site.request(**{"X-Placement": f"volume={VOLUME},units=1,shard=0,hosts=2"})
-        assert site.ask(second, within=100 * MS)[0] == 503  # nothing was sent, and it is told at once
+        assert site.ask(second, within=100 * MS)[0] == 503  # nothing was sent, and the refusal is immediate
         assert site.head.storage_nodes.counts.no_capacity >= 1 and not site.shelfs[0].got
-        assert site.answered(holds)[0] in (500, 503)
+        assert site.answered(blocking)[0] in (500, 503)
         site.script = lambda got: answer(b"again")
         assert site.ask(second.replace(b"X-Trace-Id: 0", b"X-Trace-Id: f"))[2] == b"again"
 
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -32,7 +32,7 @@
             "seed": "1f", "limits": {"sockets": 256}, "known": discovery.listed(), "settings": SETTINGS}  # fmt: skip
 
 
-def test_only_what_a_head_needs_is_imported():
+def test_imports_only_what_a_head_needs():
     code = "import sys, harriertrack.service.__main__; print(' '.join(sys.modules))"
     loaded = set(
         subprocess.run(
@@ -46,29 +46,31 @@
     assert not loaded & (unwanted - {"threading"})
 
 
-@pytest.mark.parametrize(("spoil", "said"), [
+@pytest.mark.parametrize(("change", "expected"), [
     (lambda given: given["limits"].update(sockets=3), "limits.sockets"),
     (lambda given: given.update(settings={}), "lanes"),
 ])  # fmt: skip
-def test_a_bad_configuration_is_one_line_and_status_2(tmp_path, spoil, said):
+def test_invalid_configuration_logs_one_line_and_exits_with_status_2(tmp_path, change, expected):
     hub = Hub()
     place, discovery = Places().next(), PlatformDiscovery(hub, SocketNetwork(hub))
     given = config(place, discovery)
-    spoil(given)
+    change(given)
     process = start(tmp_path, given)
-    _, told = process.communicate(timeout=30)
-    assert process.returncode == 2 and said in told and "config.json" in told and told.count("\n") == 1
+    _, output = process.communicate(timeout=30)
+    assert (
+        process.returncode == 2 and expected in output and "config.json" in output and output.count("\n") == 1
+    )
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(place)
 
 
 @pytest.mark.real_time
-def test_it_serves_follows_its_configuration_and_leaves(tmp_path):
+def test_head_serves_reloads_its_configuration_and_shuts_down(tmp_path):
     hub = Hub()
     net, place = SocketNetwork(hub), Places().next()
     shelf = PlatformShelf(hub, net, lambda got: answer(b"goal"), delay_us=1000)
-    discovery, fresh = PlatformDiscovery(hub, net), PlatformDiscovery(hub, net)
-    for one in (discovery, fresh):
+    discovery, new_discovery = PlatformDiscovery(hub, net), PlatformDiscovery(hub, net)
+    for one in (discovery, new_discovery):
         one.set("s0", shelf.address, 0)
     given = config(place, discovery)
     request = (
@@ -81,42 +83,42 @@
         head, body, _ = read_message(stream, b"", hub.now() + 5_000_000)
         return int(head.split(b" ")[1]), body
 
-    def connected():
+    def connect_to_head():
         until = time.monotonic() + 30
         while True:
             try:
                 return net.connect(place)
             except ConnectionRefusedError:
-                assert time.monotonic() < until, "it does not listen"
+                assert time.monotonic() < until, "the head does not listen"
                 hub.sleep(20_000)
 
     def main():
         with hub.scope("test") as scope:
-            for one in (shelf, discovery, fresh):
+            for one in (shelf, discovery, new_discovery):
                 one.start(scope)
             process = start(tmp_path, given)
             try:
-                stream = connected()
+                stream = connect_to_head()
                 assert ask(stream, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")[0] == 200
                 assert ask(stream, f"{request}{1:016x}\r\n\r\n") == (200, b"goal")
-                given["discovery"] = f"127.0.0.1:{fresh.address[1]}"
+                given["discovery"] = f"127.0.0.1:{new_discovery.address[1]}"
                 (tmp_path / "config.json").write_text("{")
-                process.send_signal(signal.SIGHUP)  # can't be read: the old one stays
+                process.send_signal(signal.SIGHUP)  # malformed: the previous one stays in force
                 assert ask(stream, f"{request}{2:016x}\r\n\r\n") == (200, b"goal")
                 (tmp_path / "config.json").write_text(json.dumps(given))
                 process.send_signal(signal.SIGHUP)
                 until = time.monotonic() + 30
-                while not fresh.calls:
-                    assert time.monotonic() < until, "it does not follow"
+                while not new_discovery.calls:
+                    assert time.monotonic() < until, "the head does not call the new address of discovery"
                     hub.sleep(10_000)
                 process.send_signal(signal.SIGTERM)
                 assert ask(stream, f"{request}{3:016x}\r\n\r\n") == (200, b"goal")
                 while process.poll() is None:
-                    assert time.monotonic() < until, "it does not end"
+                    assert time.monotonic() < until, "the head does not exit"
                     hub.sleep(20_000)
                 assert process.returncode == 0
-                told = process.stderr.read()
-                assert "configuration not taken" in told and "Traceback" not in told
+                output = process.stderr.read()
+                assert "configuration not taken" in output and "Traceback" not in output
             finally:
                 process.kill()
                 process.wait()
