--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -50,13 +50,13 @@
     Fault("a zone that is out stays out", "zones", f"{ZONES}.resume", "ZoneState(word.stage, now", "ZoneState(word.stage, now + 10**9"),
     Fault("a head alone leaves a zone", "zones", f"{ZONES}.summarize", "if not any(sight.responding for sight in seen.sights) and len(seen.sights) != 1:", "if False:"),
     Fault("a fence opens in doubt", "closes", f"{CLOSING}.fences:Fence.state", "reading.high < after[0].at_us", "reading.low < after[0].at_us"),
-    Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.closes_to_purge", "min(reading.low, sure_until)", "min(reading.high, sure_until)"),
+    Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.closes_to_purge", "min(reading.low, confirmed_until)", "min(reading.high, confirmed_until)"),
     Fault("slices are done untrimmed", "closes", f"{CLOSING}.sweeps:Sweep.done_slices", "if not extents", "if True"),
     Fault("one clock moves all", "closes", f"{CLOSING}.clocks:majority_interval", "if depth == enough and low is None:", "if depth >= enough:"),
-    Fault("any number may be away", "rollouts", f"{ROLLOUT}.rollout:Rollout._name", "select_next_away(wanted, self.away_heads(named, members), self.plan, members)", "wanted"),
-    Fault("a stage ends unheard", "rollouts", f"{ROLLOUT}.rollout:Rollout._unripe", "if missing > int(self.plan.missing * len(named)) or not heard:", "if not heard:"),
+    Fault("any number may be away", "rollouts", f"{ROLLOUT}.rollout:Rollout._name_heads", "select_next_away(wanted, self.away_heads(named, members), self.plan, members)", "wanted"),
+    Fault("a stage ends unheard", "rollouts", f"{ROLLOUT}.rollout:Rollout._unmet_condition", "if missing > int(self.plan.missing * len(named)) or not running:", "if not running:"),
     Fault("two versions change at once", "rollouts", f"{ROLLOUT}.rollout:blocking_version", "if running is not None:", "if False:"),
-    Fault("a version is never taken back", "rollouts", f"{ROLLOUT}.rollout:Rollout._back", "VersionState.REVERTING", "VersionState.ADVANCING"),
+    Fault("a version is never taken back", "rollouts", f"{ROLLOUT}.rollout:Rollout._continue_rollback", "VersionState.REVERTING", "VersionState.ADVANCING"),
     Fault("weights have no bound on bytes", "scores", "membership.fleet.topics:Topics.pass_time", "min(self._rate, self._spare + self._rate * max(0, now - self._at) / 1e6)", "10.0**9"),
 )  # fmt: skip
 
