--- a/harriertrack/protocol/platform/exchange.py
+++ b/harriertrack/protocol/platform/exchange.py
@@ -54,7 +54,7 @@
     def receive(self, data: bytes) -> Answer | None:
         """Parse bytes, b"" for the end; return the answer once it is complete. Raises InvalidAnswer."""
         if not data:
-            raise InvalidAnswer("the connection ended inside an answer")
+            raise InvalidAnswer("the connection ended before the answer was complete")
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -73,7 +73,7 @@
     def on_message_begin(self) -> None:
         """Reject a message that follows the complete answer: it belongs to no request."""
         if self._complete:
-            raise InvalidAnswer("more than an answer")
+            raise InvalidAnswer("bytes behind a complete answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a field."""
--- a/harriertrack/service/discovery_call.py
+++ b/harriertrack/service/discovery_call.py
@@ -53,7 +53,7 @@
 
     def _run(self, network: Network, name: str, on_end: Callable[[DiscoveryCall], None]) -> None:
         try:
-            self.answer = self._exchange(network, name)
+            self.answer = self._send_request(network, name)
             if self.answer.status != 200:
                 self.failure = f"status {self.answer.status}"
         except (OSError, InvalidAnswer) as error:
@@ -64,7 +64,7 @@
         on_end(self)
         self._finish()
 
-    def _exchange(self, network: Network, name: str) -> Answer:
+    def _send_request(self, network: Network, name: str) -> Answer:
         if self._stream is None:
             self._stream = network.connect(self._address, None, name)
         host = f"{self._address[0]}:{self._address[1]}".encode()
--- a/harriertrack/service/front.py
+++ b/harriertrack/service/front.py
@@ -194,10 +194,12 @@
         """Read and discard until the client closes too: closing with unread bytes would reset the connection
         and lose the answer.
         """
-        left = LINGER_BYTES
-        while left > 0 and (data := self._stream.read()):
-            left -= len(data)
-        while left <= 0 and not self._closed:  # the client keeps sending: the linger timeout closes it soon
+        remaining = LINGER_BYTES
+        while remaining > 0 and (data := self._stream.read()):
+            remaining -= len(data)
+        while (
+            remaining <= 0 and not self._closed
+        ):  # the client keeps sending: the linger timeout closes it soon
             self._changed.wait()
 
     def _answer_readiness(self) -> None:
@@ -217,11 +219,11 @@
             if not other.session.has_left(now):
                 raise BadRequest(409, "a request with this id is open")
             other.session.abandon()
-        left = min(parsed.expires_ms * 1000, front.deadlines[parsed.class_name])
+        time_left_us = min(parsed.expires_ms * 1000, front.deadlines[parsed.class_name])
         volume = Volume(PlatformVolume(parsed.volume, parsed.plan, parsed.hosts))
         kind = Kind.WRITE if parsed.writes else Kind.READ
         # The client's deadline counts from when it sent the request: time in the receive queue is part of it.
-        deadline = min(self._stream.came_at, now) + left
+        deadline = min(self._stream.came_at, now) + time_left_us
         request = ClientRequest(volume, kind, 0, len(parsed.body), parsed.body, 0, pending, deadline)
         self._request = request
         front.open_requests[parsed.trace_id] = pending
--- a/harriertrack/service/storage_nodes.py
+++ b/harriertrack/service/storage_nodes.py
@@ -165,9 +165,10 @@
         pending = attempt.part.request.requester
         assert isinstance(pending, PendingRequest)
         parsed = pending.parsed
-        left = max(1, (attempt.times_out_at - owner.hub.now()) // 1000)
+        time_ms = max(1, (attempt.times_out_at - owner.hub.now()) // 1000)
         headers = [
-            (b"Host", b"api.internal"), (b"X-Trace-Id", parsed.trace_id), (b"X-Expires-In-Ms", b"%d" % left),
+            (b"Host", b"api.internal"), (b"X-Trace-Id", parsed.trace_id),
+            (b"X-Expires-In-Ms", b"%d" % time_ms),
         ]  # fmt: skip
         if parsed.key:
             headers.append((b"Idempotency-Key", parsed.key))
--- a/tests/endings/test_attempt_ends.py
+++ b/tests/endings/test_attempt_ends.py
@@ -74,13 +74,13 @@
     LoopbackSite(tmp_path).run(act)
 
 
-def send_to_blocked_node(site, kept=SMALL):
-    """Send a request that its node does not read; the head's system buffers `kept` bytes of it (0: all).
+def send_to_blocked_node(site, buffered=SMALL):
+    """Send a request that its node does not read; the head's system buffers `buffered` bytes of it (0: all).
 
     Return (client, the node's end of the connection).
     """
     node = RawNode(site)
-    node.small_buffers(kept)
+    node.small_buffers(buffered)
     client = RawClient(site)
     client.send(site.request(True, body=LARGE))
     node_end = node.accept()
@@ -89,15 +89,15 @@
 
 
 @ENDS
-@pytest.mark.parametrize("kept", [SMALL, 0], ids=["in the process", "in the system"])
-def test_last_byte_of_a_request_is_never_sent_after_its_client_disconnected(tmp_path, end, kept):
+@pytest.mark.parametrize("buffered", [SMALL, 0], ids=["in the process", "in the system"])
+def test_last_byte_of_a_request_is_never_sent_after_its_client_disconnected(tmp_path, end, buffered):
     def act(site):
-        client, node_end = send_to_blocked_node(site, kept)
+        client, node_end = send_to_blocked_node(site, buffered)
         end(client)
         site.until(lambda: site.head.core.counts.clients_left)
         node_end.until_ended()
         assert node_end.broken and len(node_end.received) < len(LARGE)
-        assert site.head.module.results() == [api.Result.MOOT if kept else api.Result.CANCELLED]
+        assert site.head.module.results() == [api.Result.MOOT if buffered else api.Result.CANCELLED]
         assert len(site.head.storage_nodes.pool) == 0
 
     LoopbackSite(tmp_path).run(act)
@@ -127,18 +127,18 @@
 EARLY_ANSWERS = {"full": NEVER_RAN, "failed": answer(b"", 500), "stray": answer(b"of another request")}
 
 
-@pytest.mark.parametrize("said", EARLY_ANSWERS)
-def test_answer_before_the_last_byte_of_its_request_proves_that_it_never_ran(tmp_path, said):
+@pytest.mark.parametrize("kind", EARLY_ANSWERS)
+def test_answer_before_the_last_byte_of_its_request_proves_that_it_never_ran(tmp_path, kind):
     """Such an answer belongs to another request and is not served, and the rest of the request is not sent."""
 
     def act(site):
         client, node_end = send_to_blocked_node(site)
-        node_end.send(EARLY_ANSWERS[said])
+        node_end.send(EARLY_ANSWERS[kind])
         assert client.until_answered()[0] == 503
         node_end.until_ended()
         assert node_end.broken and len(node_end.received) < len(LARGE)
         assert site.head.module.results()[0] is (
-            api.Result.FULL if said == "full" else api.Result.CONNECT_FAILED
+            api.Result.FULL if kind == "full" else api.Result.CONNECT_FAILED
         )
         assert len(site.head.storage_nodes.pool) <= 1  # that of the next attempt
 
@@ -264,18 +264,18 @@
 
 
 @pytest.mark.parametrize("end", [RawClient.close, RawClient.reset])
-@pytest.mark.parametrize("said", BROKEN_ANSWERS)
-def test_truncated_answer_may_have_run_and_is_never_served(tmp_path, said, end):
+@pytest.mark.parametrize("kind", BROKEN_ANSWERS)
+def test_truncated_answer_may_have_run_and_is_never_served(tmp_path, kind, end):
     def act(site):
         node, client = RawNode(site), RawClient(site)
         client.send(site.request(True))
         node_end = node.accept()
         node_end.until_asked()
-        if BROKEN_ANSWERS[said]:
-            node_end.send(BROKEN_ANSWERS[said])
+        if BROKEN_ANSWERS[kind]:
+            node_end.send(BROKEN_ANSWERS[kind])
         end(node_end)
-        result = api.Result.ERROR if said == "no length" else api.Result.RESET
-        if said == "no length" and end is RawClient.reset:  # depends on what the head's system reports first
+        result = api.Result.ERROR if kind == "no length" else api.Result.RESET
+        if kind == "no length" and end is RawClient.reset:  # depends on what the head's system reports first
             site.until(lambda: site.head.module.results())
             (result,) = site.head.module.results()
             assert not result.never_ran
@@ -456,14 +456,14 @@
     LoopbackSite(tmp_path, permissions={**SETTINGS["permissions"], "dialTimeoutUs": DIAL_US}).run(act)
 
 
-@pytest.mark.parametrize("said", [WITHOUT_LENGTH, b"noise\r\n\r\n"])
-def test_next_attempt_begins_once_the_connection_of_the_previous_one_is_closed(tmp_path, said):
+@pytest.mark.parametrize("response", [WITHOUT_LENGTH, b"noise\r\n\r\n"])
+def test_next_attempt_begins_once_the_connection_of_the_previous_one_is_closed(tmp_path, response):
     def act(site):
         node, client = RawNode(site), RawClient(site)
         client.send(site.request(True))
         first = node.accept()
         first.until_asked()
-        first.send(said)
+        first.send(response)
         second = node.accept()
         first.receive()
         assert first.ended
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -164,7 +164,7 @@
 ):
     def act(site):
         site.script = lambda got: MUTE
-        old, fresh, same = RawClient(site), RawClient(site), site.request(trace="00000000000000aa")
+        old, new_client, same = RawClient(site), RawClient(site), site.request(trace="00000000000000aa")
         old.send(same)
         site.until(lambda: site.shelfs[1].got)
         site.script, admit = (lambda got: answer(b"fresh")), ClientConnection._admit
@@ -174,8 +174,8 @@
             admit(connection, parsed)
 
         monkeypatch.setattr(ClientConnection, "_admit", admit_after_end)
-        fresh.send(same)
-        assert fresh.until_answered()[2] == b"fresh"
+        new_client.send(same)
+        assert new_client.until_answered()[2] == b"fresh"
         assert site.head.core.counts.clients_left == 1 and not site.head.front.open_requests
 
     LoopbackSite(tmp_path).run(act)
@@ -205,13 +205,13 @@
 @pytest.mark.parametrize("kind", BAD)
 def test_error_arrives_at_a_client_that_keeps_sending_and_reads_late(tmp_path, kind, monkeypatch):
     """The linger timeout is long and ended by the test: a pause of the machine must not end it early."""
-    said, status = BAD[kind]
+    data, status = BAD[kind]
     lingers = {**dict(client_connections.STATE_TIMEOUTS), ClientState.LINGERING: 100 * S}
     monkeypatch.setattr(client_connections, "STATE_TIMEOUTS", tuple(lingers.items()))
 
     def act(site):
         client = RawClient(site)
-        client.send(said)
+        client.send(data)
         for part in (2, 4):
             pump(client, LINGER_BYTES // part)
             site.until(lambda: client.unacknowledged() == 0)
@@ -280,10 +280,10 @@
         for client in bad:
             client.send(BAD["unreadable"][0])
         site.until(lambda: caller_states(site) == [ClientState.LINGERING] * most)
-        fresh = [RawClient(site) for _ in range(8)]
-        for client in fresh:
+        new_clients = [RawClient(site) for _ in range(8)]
+        for client in new_clients:
             client.send(site.request())
-        assert [client.until_answered()[0] for client in fresh] == [200] * 8
+        assert [client.until_answered()[0] for client in new_clients] == [200] * 8
         assert len(site.head.front.connections) == most
         assert all(client.until_answered()[0] == 400 for client in bad)
 
@@ -390,9 +390,9 @@
             return accept(*args)
 
         connections.accept = send_then_accept
-        fresh = RawClient(site)
-        fresh.send(site.request())
-        assert first.until_answered()[0] == fresh.until_answered()[0] == 200
+        new_client = RawClient(site)
+        new_client.send(site.request())
+        assert first.until_answered()[0] == new_client.until_answered()[0] == 200
         assert clients[1].until_ended() == b""
 
     LoopbackSite(tmp_path, sockets=SMALL).run(act)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -193,7 +193,7 @@
     site.run(act)
 
 
-@pytest.mark.parametrize(("said", "result"), [
+@pytest.mark.parametrize(("response", "result"), [
     (answer(b"", 500), api.Result.ERROR),
     (NEVER_RAN, api.Result.FULL),
     (answer(b"", 503), api.Result.ERROR),
@@ -202,12 +202,12 @@
     (RESET, api.Result.RESET),
     (MUTE, api.Result.TIMEOUT),
 ])  # fmt: skip
-def test_result_that_the_end_of_an_attempt_proves(site, said, result):
-    site.script = lambda got: said
+def test_result_that_the_end_of_an_attempt_proves(site, response, result):
+    site.script = lambda got: response
 
     def act(site):
         status, _, _ = site.ask(site.request(True))
-        assert site.head.module.results()[0] in (result, api.Result.CANCELLED if said == MUTE else result)
+        assert site.head.module.results()[0] in (result, api.Result.CANCELLED if response == MUTE else result)
         assert status == (503 if result.never_ran else 500)
         assert site.head.core.open_requests == 0 and not site.head.front.open_requests
 
@@ -304,8 +304,8 @@
 @pytest.mark.parametrize("kind", BAD)
 def test_invalid_request_gets_an_error_at_once_and_is_never_forwarded(site, kind):
     def act(site):
-        said = site.ask(site.request(True, **BAD[kind]), within=100 * MS)
-        assert said is not None and 400 <= said[0] < 600
+        response = site.ask(site.request(True, **BAD[kind]), within=100 * MS)
+        assert response is not None and 400 <= response[0] < 600
         site.hub.sleep(1000 * MS)
         assert not site.shelfs[0].got and not site.shelfs[1].got
         assert site.head.core.counts.accepted == 0 and len(site.head.front.connections) == 0
@@ -507,7 +507,7 @@
     site.run(act)
 
 
-@pytest.mark.parametrize(("change", "said"), [
+@pytest.mark.parametrize(("change", "expected"), [
     (lambda given: given["limits"].update(sockets="many"), "limits.sockets"),
     (lambda given: given.update(listen="somewhere"), "listen"),
     (lambda given: given.pop("known"), "known"),
@@ -517,11 +517,11 @@
     (lambda given: given["settings"].update(permissions={"mostHeld": 0}), "settings.permissions.mostHeld"),
     (lambda given: given.update(discovery="host:80"), "discovery"),
 ])  # fmt: skip
-def test_invalid_configuration_is_rejected_with_its_field(site, change, said):
+def test_invalid_configuration_is_rejected_with_its_field(site, change, expected):
     change(site.given)
     with pytest.raises(ConfigurationError, match="config.json") as caught:
         site.configuration()
-    assert said in str(caught.value)
+    assert expected in str(caught.value)
 
 
 def test_no_answer_is_awaited_past_its_deadline(site):
@@ -566,10 +566,10 @@
     def act(site):
         began = site.hub.now()
         assert site.ask(site.request())[0] == 200
-        (took,) = [
+        (elapsed_us,) = [
             event.elapsed_us for event in site.head.module.events if isinstance(event, api.AttemptEnded)
         ]
-        assert took < site.hub.now() - began - 60 * MS  # the connect does not count as the node's time
+        assert elapsed_us < site.hub.now() - began - 60 * MS  # the connect does not count as the node's time
 
     site.run(act)
 
