--- a/harriertrack/decisions/requests/part_retry_queue.py
+++ b/harriertrack/decisions/requests/part_retry_queue.py
@@ -1,4 +1,4 @@
-"""Parts that wait on a hint."""
+"""Parts that wait for a retry hint to pass."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 
 
 class PartRetryQueue:
-    """What waits, and in which lane."""
+    """The waiting parts, in lanes by volume, shard and class."""
 
     def __init__(self, state: CoreState, placement: Placement) -> None:
         self._state, self._placement = state, placement
         self.patience: RetryQueue[Part] = RetryQueue(state.rules.patience)
-        # Of classes in order, by extent: where those wait that the module refused.
+        # Ordered classes, by extent: the lanes of the refused parts that wait.
         self.in_order: dict[tuple[str, int], dict[int, LaneKey]] = {}
 
     def enqueue(self, now: int, part: Part, hint: int | None) -> None:
-        """Let a part wait: refused with a hint, or None: behind others."""
-        if (
-            not part.places_extent or not part.may_have_effect
-        ):  # else its extent is placed where it may have run, or not yet
+        """Queue a part: refused with a hint, or behind other parts if the hint is None."""
+        # A part that places its extent and may have run keeps its turn: the extent may be placed there yet.
+        if not part.places_extent or not part.may_have_effect:
             self._placement.withdraw(part)
         state = self._state
         part.state = next_part_state(part.state, PartStep.QUEUE)
@@ -30,33 +29,33 @@
             part.has_waited = True
             state.counts.waited += 1
             state.schedule(state.last_answer(part.request), part)
-        place, key = part.lane, (part.request.volume.settings.name, part.extent)
+        lane, key = part.lane, (part.request.volume.settings.name, part.extent)
         if part.class_name in state.in_order:
-            line = self.in_order.setdefault(key, {})
-            place = next(iter(line.values()), place)
-            line[part.number] = place
+            lanes = self.in_order.setdefault(key, {})
+            lane = next(iter(lanes.values()), lane)
+            lanes[part.number] = lane
         part.hint_us = hint or 0
-        if not part.open_attempts:  # else an attempt could not be called off: it waits for that one's end
-            self.patience.add(now, part, part.number, place, hint)
+        if not part.open_attempts:  # else an attempt could not be cancelled: it is queued when that ends
+            self.patience.add(now, part, part.number, lane, hint)
 
     def remove(self, part: Part) -> None:
-        """A part that waited is offered again, or over."""
+        """Remove a part that is submitted again or finished."""
         self.patience.discard(part)
         if part.class_name in self._state.in_order:
             key = (part.request.volume.settings.name, part.extent)
-            if (line := self.in_order.get(key)) is not None:
-                line.pop(part.number, None)
-                if not line:
+            if (lanes := self.in_order.get(key)) is not None:
+                lanes.pop(part.number, None)
+                if not lanes:
                     del self.in_order[key]
 
     def attempts_ended(self, now: int, part: Part) -> None:
-        """The last attempt of a part that waits is over: now its hint counts."""
+        """Queue a waiting part with its hint, now that its last attempt ended."""
         if part not in self.patience:
             self.patience.add(now, part, part.number, part.lane, part.hint_us)
 
     def lane_ahead(self, part: Part) -> LaneKey | None:
-        """Return where those wait that a part of a class in order must not overtake; None: there are none."""
+        """Return the lane of the waiting parts that a part of an ordered class must not overtake, if any."""
         if part.class_name not in self._state.in_order:
             return None
-        line = self.in_order.get((part.request.volume.settings.name, part.extent))
-        return next(iter(line.values())) if line else None
+        lanes = self.in_order.get((part.request.volume.settings.name, part.extent))
+        return next(iter(lanes.values())) if lanes else None
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -329,7 +329,7 @@
     (region_behind_catches_up, fault("a region of an older generation catches up", where=f"{REGIONAL}.same_generation",
                                               right="theirs == self._generation(volume)", wrong="True")),
     (region_was_down, fault("the log of missed extents is not purged", where="decisions.catchup:CatchUp.note_purged",
-                              right="self.log.purged(self.volume, gone)", wrong="pass")),
+                              right="self.log.purged(self.volume, is_purged)", wrong="pass")),
     (relayed_read, fault("a relayed read is answered across a close", where=f"{REGIONAL}.closed",
                                       right="self._refuse(request, CLOSED)", wrong="pass")),
 ]  # fmt: skip
