--- a/harriertrack/decisions/volume_locks.py
+++ b/harriertrack/decisions/volume_locks.py
@@ -3,7 +3,7 @@
 Pure: the answers are passed in.
 
 Each read leads to at most one write at the witness; the answer to that write is evaluated here again. The
-head never active on an intended change, only on the latest answer of the witness.
+head never acts on an intended change, only on the latest answer of the witness.
 """
 
 from __future__ import annotations
