--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -245,14 +245,14 @@
     Fault(
         "a session counts from its answer",
         "witness-lock",
-        f"{LEASES}:Session.granted",
+        f"{LEASES}:Session.record_grant",
         "asked_at + self.safe_us",
         "asked_at + 3 * self.safe_us",
     ),
     Fault(
         "an epoch outlives its session",
         "witness-lock",
-        f"{LEASES}:Holding.epoch",
+        f"{LEASES}:HeldLocks.epoch",
         " or not self.session.valid(now)",
         "",
     ),
@@ -444,8 +444,8 @@
     Fault(
         "a note of a life before counts",
         "weights-restart",
-        f"{VIEW}.take_topic",
-        "row.record.life != Life(note.started, note.instance)",
+        f"{VIEW}.apply_topic_note",
+        "row.record.process != ProcessInstance(note.started, note.instance)",
         "False",
         newest=True,
     ),
@@ -459,8 +459,8 @@
     Fault(
         "an older note takes a newer one's place",
         "weights-restart",
-        f"{VIEW}.take_topic",
-        "known is not None and note.newness <= known.newness",
+        f"{VIEW}.apply_topic_note",
+        "known is not None and note.precedence <= known.precedence",
         "False",
     ),
     Fault(
@@ -474,8 +474,8 @@
         "a head that stood still has a windfall",
         "weights-hung",
         f"{SCORING}.damping:DampedWeight.move",
-        "min(us, 2 * rules.look_us)",
-        "us",
+        "min(elapsed_us, 2 * rules.look_us)",
+        "elapsed_us",
     ),
     Fault(
         "another version's scorer is asked on",
@@ -487,15 +487,15 @@
     Fault(
         "who lost its vote is heard",
         "weights-hung",
-        f"{SCORING}.scorer_guard:ScorerGuard._lose",
-        "self.scores, self._kept = {}, None",
+        f"{SCORING}.scorer_guard:ScorerGuard._suspend",
+        "self.scores, self._reference = {}, None",
         "pass",
     ),
     Fault(
         "an answer that hung counts",
         "weights-hung",
         f"{SCORING}.scorer_guard:ScorerGuard.handle_answers",
-        "self._go(ScorerState.SUSPENDED)\n        return False",
+        "self._transition(ScorerState.SUSPENDED)\n        return False",
         "self.state = ScorerState.PENDING",
     ),
     Fault(
@@ -693,13 +693,13 @@
     Fault(
         "a relapse costs no more",
         "weights",
-        f"{SCORING}.scorer_guard:ScorerGuard._lose",
+        f"{SCORING}.scorer_guard:ScorerGuard._suspend",
         "2 ** min(self.suspensions, 20)",
         "1",
         2,
     ),
     Fault(
-        "a cold node is a favourite", "weights", f"{SCORING}.damping:weight_ceiling", "sight.cold or ", "", 2
+        "a cold node is a favourite", "weights", f"{SCORING}.damping:weight_ceiling", "node.cold or ", "", 2
     ),
     Fault(
         "who has no vote is asked",
