--- a/harriertrack/gateway/nvme.py
+++ b/harriertrack/gateway/nvme.py
@@ -83,7 +83,7 @@
     """An I/O command and the requests that it consists of; it completes once all are answered."""
 
     queue: Queue
-    asked: Asked
+    parsed: Asked
     sqe: Sqe
     data: bytes
     open: set[ClientRequest] = field(default_factory=set)
@@ -106,7 +106,7 @@
 
     def __init__(self, front: NvmeFront, stream: Stream) -> None:
         self._front, self._stream = front, stream
-        self._nvme = ControllerConnection(front.limits, front.asked)
+        self._nvme = ControllerConnection(front.limits, front.requested_bytes)
         self.controller: Controller | None = None
         self.number = -1
         self.origin, self.volume, self.chosen, self.counted = Origin.CLIENT, "", False, False
@@ -187,29 +187,29 @@
         match self.controller.admin(sqe, now, data):
             case Done(cqe):
                 self.complete(cqe)
-            case Told(told):
+            case Told(payload):
                 # No more than fits in the host's buffer; it requests the rest with an offset.
-                self._nvme.complete_read(sqe.cid, told[: sqe.length])
-            case AbortAsked() as asked:
-                queue = front.queue(self.controller, asked.queue)
-                done = queue is not None and queue.abort(asked.target)
-                self.complete(Cqe(asked.cid, dw0=0 if done else 1))
+                self._nvme.complete_read(sqe.cid, payload[: sqe.length])
+            case AbortAsked() as abort:
+                queue = front.queue(self.controller, abort.queue)
+                done = queue is not None and queue.abort(abort.target)
+                self.complete(Cqe(abort.cid, dw0=0 if done else 1))
         if self.controller.queues_end:
             front.end_io(self.controller)
 
     def _connect(self, sqe: Sqe, data: bytes) -> None:
         front = self._front
-        asked = Connect.read(sqe, data)
-        got = asked if isinstance(asked, Cqe) else front.subsystem.connect(asked, front.hub.now())
-        if isinstance(got, Cqe) or isinstance(asked, Cqe):
-            assert isinstance(got, Cqe)
-            self.complete(got)
+        connect = Connect.read(sqe, data)
+        result = connect if isinstance(connect, Cqe) else front.subsystem.connect(connect, front.hub.now())
+        if isinstance(result, Cqe) or isinstance(connect, Cqe):
+            assert isinstance(result, Cqe)
+            self.complete(result)
             return
-        self.controller, self.number = got, asked.queue
-        self._nvme.depth, self._nvme.flow_off = asked.entries, asked.flow_off
+        self.controller, self.number = result, connect.queue
+        self._nvme.depth, self._nvme.flow_off = connect.entries, connect.flow_off
         front.register_queue(self)
-        self.complete(Cqe(sqe.cid, dw0=got.cntlid))
-        front.note("client opened", peer=self._stream.peer, host=got.host, queue=asked.queue)
+        self.complete(Cqe(sqe.cid, dw0=result.cntlid))
+        front.note("client opened", peer=self._stream.peer, host=result.host, queue=connect.queue)
 
     def abort(self, cid: int) -> bool:
         """End a command for an Abort; return whether it was open."""
@@ -227,11 +227,11 @@
     def _io(self, sqe: Sqe, data: bytes) -> None:
         front, controller = self._front, self.controller
         assert controller is not None
-        asked = read_io(sqe, data, controller.namespaces, front.limits.most_transfer)
-        if isinstance(asked, Cqe):
-            self.complete(asked)
+        parsed = read_io(sqe, data, controller.namespaces, front.limits.most_transfer)
+        if isinstance(parsed, Cqe):
+            self.complete(parsed)
             return
-        command = _Command(self, asked, sqe, data)
+        command = _Command(self, parsed, sqe, data)
         requests = front.requests_of(command, self._stream.came_at)
         if not requests:  # nothing to deallocate
             self.complete(Cqe(sqe.cid))
@@ -256,9 +256,9 @@
         if command.worst is not None:
             self.complete(self._front.completion_of(cid, command.worst))
             return
-        if command.asked.opcode in (Io.READ, Io.COMPARE):
+        if command.parsed.opcode in (Io.READ, Io.COMPARE):
             data = request.bytes_read()
-            if command.asked.opcode is Io.READ:
+            if command.parsed.opcode is Io.READ:
                 self._nvme.complete_read(cid, data)
                 self.push()
                 return
@@ -296,7 +296,7 @@
         )
         self._queues: dict[tuple[int, int], Queue] = {}
         self.patience_us = settings.patience_us
-        self.asked = AskedBytes(reception.settings.limits.held_bytes)
+        self.requested_bytes = AskedBytes(reception.settings.limits.held_bytes)
 
     def serve(self, listener: Listener) -> None:
         """Accept hosts until the listener is closed (the front's task)."""
@@ -315,8 +315,8 @@
                 if lost_at is not None and lost_at <= now:
                     self.note("keep alive lost", host=controller.host)
                     admin.close()
-                elif controller.traits.ana and (told := controller.ana_became(self._access(now))):
-                    admin.complete(told)
+                elif controller.traits.ana and (event := controller.ana_became(self._access(now))):
+                    admin.complete(event)
 
     def _access(self, now: int) -> Mapping[int, Ana]:
         regional = self.reception.regional
@@ -357,14 +357,14 @@
 
     def requests_of(self, command: _Command, arrived_at: int) -> list[ClientRequest]:
         """Return the requests that a command consists of."""
-        asked, kind = command.asked, KINDS[command.asked.opcode]
-        nsids = list(self._names) if asked.nsid == ALL_NAMESPACES else [asked.nsid]
+        parsed, kind = command.parsed, KINDS[command.parsed.opcode]
+        nsids = list(self._names) if parsed.nsid == ALL_NAMESPACES else [parsed.nsid]
         volumes = [self.reception.core.volumes[self._names[nsid]] for nsid in nsids]
-        pieces = asked.ranges if asked.opcode is Io.DATASET else ((asked.offset, asked.length),)
-        data = command.data if asked.opcode is Io.WRITE else b""
+        pieces = parsed.ranges if parsed.opcode is Io.DATASET else ((parsed.offset, parsed.length),)
+        data = command.data if parsed.opcode is Io.WRITE else b""
         return [
             ClientRequest(
-                volume, kind, offset, length, data, FUA if asked.fua else 0, command, arrived_at=arrived_at
+                volume, kind, offset, length, data, FUA if parsed.fua else 0, command, arrived_at=arrived_at
             )
             for volume in volumes
             for offset, length in pieces
