--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -258,7 +258,7 @@
         client, session, index = mine.run(take, mine)
         assert "held, epoch 1, in sync: a (ONE COPY)" in run("status").output
         assert "still held" in run("fence", "a").output
-        assert mine.run(client.give, "v", session, leases.VolumeRecord("a", ("a",)), index)
+        assert mine.run(client.release_lock, "v", session, leases.VolumeRecord("a", ("a",)), index)
         assert "say --yes" in run("fence", "a").output
         assert "b may take it" in run("fence", "a", "--yes").output
         assert "in sync: b" in run("status").output
