--- a/harriertrack/decisions/fleet/budget_shares.py
+++ b/harriertrack/decisions/fleet/budget_shares.py
@@ -1,7 +1,7 @@
-"""What one head has of all budgets, as its module and its links ask for it.
+"""A head's shares of all budgets, as its scheduler module and its links use them.
 
-A budget that is used for the first time is opened then, at its fixed part; which of them there are, and how
-much they are in all, is told at the start, and anew in service. Pure: time is handed in.
+A budget is opened at its fixed part when it is first used. Which budgets exist, and their totals, is
+configured at start and may be changed in service. Pure: time is handed in.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class BudgetKind(Enum):
-    """What is divided."""
+    """Kinds of budgets that heads divide."""
 
-    LIMITS = "limits"  # of volumes' plans, in units
-    ATTEMPTS = "attempts"  # further ones, beyond each head's own share of its requests
-    TRIALS = "trials"  # of a node that is silent
-    COLD = "cold"  # units for a node that has just started
+    LIMITS = "limits"  # of volumes, by their plans, in units
+    ATTEMPTS = "attempts"  # further attempts, beyond each head's own share of its requests
+    TRIALS = "trials"  # trial attempts at a silent node
+    COLD = "cold"  # units sent to a cold node
     LIST_CALLS = "list-calls"
-    TAKEOVERS = "takeovers"  # of volumes by the region that is not their home, and back
-    CONNECTIONS = "connections"  # new ones, to a node
-    LINKS = "links"  # connections that are open to a node at a time
+    TAKEOVERS = "takeovers"  # of volumes by a region that is not their home, and back
+    CONNECTIONS = "connections"  # new connections to a node
+    LINKS = "links"  # connections open to a node at a time
 
 
 BUDGET_UNITS = {
@@ -39,26 +39,28 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetSpec:
-    """One kind of budget: the part that is fixed, and the whole where no plan or rule says it."""
+    """One kind of budget: its fixed part, and its total unless plans or rules define that."""
 
     fixed: float
     rate: float = 0.0
     burst: float = 0.0
 
 
-def budget_name(use: BudgetKind, of: str = "") -> str:
-    """Return what a budget is called between heads."""
-    return f"{use.value}/{of}" if of else use.value
+def budget_name(kind: BudgetKind, of: str = "") -> str:
+    """Return a budget's name in messages between heads."""
+    return f"{kind.value}/{of}" if of else kind.value
 
 
 class BudgetShares:
-    """One head's portions."""
+    """One head's shares of all budgets."""
 
     def __init__(self, rules: BudgetRules, ledgers: int, name: str, instance: int, heads: int,
                  specs: Mapping[BudgetKind, BudgetSpec], now: int) -> None:  # fmt: skip
         self.rules, self.heads, self.specs = rules, heads, dict(specs)
         self.holders = [LeaseHolder(number, name, instance, rules, now) for number in range(ledgers)]
-        self.on_wake: Callable[[], None] = lambda: None  # something is in use that was not: asks are due
+        self.on_wake: Callable[[], None] = lambda: (
+            None
+        )  # called when a budget was opened or changed: requests are due
 
     def __iter__(self) -> Iterator[tuple[str, BudgetShare]]:
         for holder in self.holders:
@@ -66,150 +68,150 @@
                 yield name, held.share
 
     def update_totals(self, now: int, before: Mapping[str, Plan], plans: Mapping[str, Plan],
-               divided: Mapping[BudgetKind, BudgetSpec]) -> None:  # fmt: skip
-        """Go by other wholes from now on, those of plans and the others: of what is in use, and what will be.
+                      specs: Mapping[BudgetKind, BudgetSpec]) -> None:  # fmt: skip
+        """Apply changed totals of plans and specs to all budgets, open ones and those opened later.
 
-        The parts that are fixed can't change: larger ones would be used before shares are lowered for them.
-        Raises ValueError for that, and for another list of what is divided.
+        Fixed parts can't change: larger ones would be used before the shares are lowered for them. Raises
+        ValueError for that, and for another set of budgets.
         """
-        if {use: one.fixed for use, one in divided.items()} != self._fixed():
-            raise ValueError("what is divided, and the part of it that is fixed, can't change")
+        if {kind: one.fixed for kind, one in specs.items()} != self._fixed():
+            raise ValueError("the set of divided budgets and their fixed parts can't change in service")
         changed = {}
-        for name in sorted(set(before) | set(plans)) if BudgetKind.LIMITS in divided else ():
-            was, told = before.get(name, Plan(name)), plans.get(name, Plan(name))
-            says = budget_name(BudgetKind.LIMITS, name)
-            changed[says] = (was.limit, was.limit_burst), (told.limit, told.limit_burst)
-        for use, one in divided.items():
-            was_one = self.specs[use]
-            if use not in (BudgetKind.LIMITS, BudgetKind.COLD):  # told whenever it is asked for
-                changed[use.value] = (was_one.rate, was_one.burst), (one.rate, one.burst)
-        self.specs = dict(divided)
+        for name in sorted(set(before) | set(plans)) if BudgetKind.LIMITS in specs else ():
+            old_plan, new_plan = before.get(name, Plan(name)), plans.get(name, Plan(name))
+            source = budget_name(BudgetKind.LIMITS, name)
+            changed[source] = (
+                (old_plan.limit, old_plan.limit_burst),
+                (new_plan.limit, new_plan.limit_burst),
+            )
+        for kind, one in specs.items():
+            old_spec = self.specs[kind]
+            if kind not in (BudgetKind.LIMITS, BudgetKind.COLD):  # COLD is given its total at each use
+                changed[kind.value] = (old_spec.rate, old_spec.burst), (one.rate, one.burst)
+        self.specs = dict(specs)
         for holder in self.holders:
-            for says, (old, new) in changed.items():
+            for source, (old, new) in changed.items():
                 if old != new:
-                    holder.update_source(now, says, old, new)
+                    holder.update_source(now, source, old, new)
         self.on_wake()
 
     def _fixed(self) -> dict[BudgetKind, float]:
-        return {use: one.fixed for use, one in self.specs.items()}
+        return {kind: one.fixed for kind, one in self.specs.items()}
 
-    def _open(self, now: int, use: BudgetKind, of: str, rate: float, burst: float, hosts: int,
+    def _open(self, now: int, kind: BudgetKind, of: str, rate: float, burst: float, hosts: int,
               plan: str = "") -> BudgetShare | None:  # fmt: skip
-        divided = self.specs.get(use)
-        if divided is None or hosts < 2 or rate <= 0:
+        spec = self.specs.get(kind)
+        if spec is None or hosts < 2 or rate <= 0:
             return None
-        name = budget_name(use, of)
+        name = budget_name(kind, of)
         holder = self.holders[ledger_for(name, len(self.holders))]
-        fresh = name not in holder.budgets
-        one_by_one = use not in (BudgetKind.LIMITS, BudgetKind.COLD, BudgetKind.LINKS)
-        whole = BudgetTotal(rate, burst, hosts, divided.fixed, float(one_by_one), use is BudgetKind.LINKS,
-                      budget_name(use, plan))  # fmt: skip
-        portion = holder.open(now, name, whole)
-        if fresh:
+        opened = name not in holder.budgets
+        one_by_one = kind not in (BudgetKind.LIMITS, BudgetKind.COLD, BudgetKind.LINKS)
+        total = BudgetTotal(rate, burst, hosts, spec.fixed, float(one_by_one), kind is BudgetKind.LINKS,
+                            budget_name(kind, plan))  # fmt: skip
+        share = holder.open(now, name, total)
+        if opened:
             self.on_wake()
-        elif use is BudgetKind.COLD:  # the rules say it, to whoever asks
-            holder.update_total(now, name, whole)
-        return portion
+        elif kind is BudgetKind.COLD:  # its total comes from the rules, with each call
+            holder.update_total(now, name, total)
+        return share
 
-    # -- for the module
+    # -- for the scheduler module
 
     def limit(self, now: int, ask: Arrived, plan: Plan) -> Bucket | None:
-        """Count what a request asks of its volume's limit; return what this head has of that."""
+        """Count a request against its volume's limit; return this head's share of the limit."""
         hosts = ask.hosts or self.heads
-        portion = self._open(
-            now, BudgetKind.LIMITS, ask.volume, plan.limit, plan.limit_burst, hosts, plan.name
-        )
-        if portion is not None and not ask.tried:
-            portion.record_demand(ask.units)
-        return portion
+        share = self._open(now, BudgetKind.LIMITS, ask.volume, plan.limit, plan.limit_burst, hosts, plan.name)
+        if share is not None and not ask.tried:
+            share.record_demand(ask.units)
+        return share
 
     def further(self, now: int, draw: bool) -> bool:
-        """Return whether an attempt beyond the head's own share may be made; `draw`: it is."""
-        portion = self._simple(now, BudgetKind.ATTEMPTS)
-        if portion is None:
+        """Return whether a further attempt beyond the head's own share is allowed; `draw`: spend one."""
+        share = self._open_configured(now, BudgetKind.ATTEMPTS)
+        if share is None:
             return False
         if not draw:
-            portion.record_demand(1.0)
-        if portion.now(now) < 1.0:
+            share.record_demand(1.0)
+        if share.now(now) < 1.0:
             return False
-        portion.level -= 1.0 if draw else 0.0
+        share.level -= 1.0 if draw else 0.0
         return True
 
     def trial(self, now: int, node: str) -> bool:
-        """Return whether this head may try a silent node now, and count it."""
-        return not self._one(now, self._simple(now, BudgetKind.TRIALS, node), False)
+        """Return whether this head may make a trial attempt at a silent node now, and count it."""
+        return not self._wait_or_spend(now, self._open_configured(now, BudgetKind.TRIALS, node), False)
 
     def cold(self, now: int, node: str, rate: float, units: float) -> float:
-        """Count units asked of a cold node; return this head's part of what it bears, `rate` a second."""
-        portion = self._open(now, BudgetKind.COLD, node, rate, rate, self.heads)
-        if portion is None:
+        """Count units requested for a cold node; return this head's part of the node's `rate` per second."""
+        share = self._open(now, BudgetKind.COLD, node, rate, rate, self.heads)
+        if share is None:
             return rate / self.heads
-        portion.record_demand(units)
-        portion.now(now)
-        return portion.rate
+        share.record_demand(units)
+        share.now(now)
+        return share.rate
 
     # -- for the head
 
-    def _simple(self, now: int, use: BudgetKind, of: str = "") -> BudgetShare | None:
-        divided = self.specs.get(use)
-        if divided is None:
+    def _open_configured(self, now: int, kind: BudgetKind, of: str = "") -> BudgetShare | None:
+        spec = self.specs.get(kind)
+        if spec is None:
             return None
-        return self._open(now, use, of, divided.rate, divided.burst, self.heads)
+        return self._open(now, kind, of, spec.rate, spec.burst, self.heads)
 
     def connection_wait(self, now: int, node: str, again: bool = False) -> int:
-        """Return how long until a connection to a node may be opened, and count it if that is now (0).
+        """Return how long until a connection to a node may be opened; if that is now (0), count it.
 
-        `again`: it was asked for before, and waits.
+        `again`: a repeated call for a connection that waits; its demand is counted already.
         """
-        return self._one(now, self._simple(now, BudgetKind.CONNECTIONS, node), again)
+        return self._wait_or_spend(now, self._open_configured(now, BudgetKind.CONNECTIONS, node), again)
 
     def list_call_wait(self, now: int, again: bool = False) -> int:
         """Return the same for a call for the node list."""
-        return self._one(now, self._simple(now, BudgetKind.LIST_CALLS), again)
+        return self._wait_or_spend(now, self._open_configured(now, BudgetKind.LIST_CALLS), again)
 
     def takeover_wait(self, now: int) -> int:
         """Return the same for a volume that is to change regions.
 
-        One that waits is counted each time: it waits for seconds, and what a head asked for is forgotten
-        within one.
+        Every call counts as demand: a volume may wait for seconds, and measured demand fades within one.
         """
-        return self._one(now, self._simple(now, BudgetKind.TAKEOVERS), False)
+        return self._wait_or_spend(now, self._open_configured(now, BudgetKind.TAKEOVERS), False)
 
-    def _one(self, now: int, portion: BudgetShare | None, again: bool) -> int:
-        if portion is None:
+    def _wait_or_spend(self, now: int, share: BudgetShare | None, again: bool) -> int:
+        if share is None:
             return 0
         if not again:
-            portion.record_demand(1.0)
-        wait = portion.wait(now, 1.0)
+            share.record_demand(1.0)
+        wait = share.wait(now, 1.0)
         if not wait:
-            portion.level -= 1.0
+            share.level -= 1.0
         return wait
 
     def acquire_link(self, now: int, node: str) -> bool:
-        """Take one of the links that may be open to a node, if one is to be had."""
-        portion = self._simple(now, BudgetKind.LINKS, node)
-        return portion is None or portion.acquire(now)
+        """Acquire one of the links that may be open to a node; return whether one was free."""
+        share = self._open_configured(now, BudgetKind.LINKS, node)
+        return share is None or share.acquire(now)
 
     def add_link_waiters(self, now: int, node: str, more: int) -> None:
-        """Hear that so many more, or fewer, wait for a link to a node."""
-        if (portion := self._simple(now, BudgetKind.LINKS, node)) is not None:
-            portion.waiters += more
+        """Add to the number of callers that wait for a link to a node; negative: fewer."""
+        if (share := self._open_configured(now, BudgetKind.LINKS, node)) is not None:
+            share.waiters += more
 
     def release_link(self, now: int, node: str) -> None:
-        """Take one back."""
-        if (portion := self._simple(now, BudgetKind.LINKS, node)) is not None:
-            portion.release()
+        """Release one link to a node."""
+        if (share := self._open_configured(now, BudgetKind.LINKS, node)) is not None:
+            share.release()
 
     def excess_links(self, now: int) -> list[tuple[str, int]]:
-        """Return to which nodes more links are open than this head has now, and how many more."""
+        """Return the nodes with more open links than this head's share now, and the excess."""
         if BudgetKind.LINKS not in self.specs:
             return []
         found = []
-        for name, portion in self:
-            if portion.total.concurrent:
-                portion.now(now)
-                if portion.excess:
-                    found.append((name.partition("/")[2], portion.excess))
+        for name, share in self:
+            if share.total.concurrent:
+                share.now(now)
+                if share.excess:
+                    found.append((name.partition("/")[2], share.excess))
         return found
 
     @property
--- a/harriertrack/decisions/fleet/budgets.py
+++ b/harriertrack/decisions/fleet/budgets.py
@@ -1,18 +1,20 @@
-"""Budgets of a fleet: what all heads together keep to, a rate with its burst or a number at a time.
+"""Budgets of a fleet: limits on what all heads together may use, either a rate with a burst or a concurrency.
 
-A part of each is fixed: every head has it, whoever else is there. The rest moves: a *ledger* (ledger.py),
-kept by one head in a *term* under the witness's lock, grants *shares* of it to *holders* (holder.py). Each
-has one *lease* on all it was granted; a *tenure* is the time for which that was renewed without a gap.
+A part of each budget is fixed: every head always has its even share of that part. The rest is movable: a
+*ledger* (ledger.py), run by one head for a *term* under a lock of the witness, grants *shares* of it to
+*holders* (holder.py). Each holder has one *lease* that covers all its shares; a *tenure* is a span in which
+that lease was renewed without a gap.
 
-Why the sum holds (docs/budgets.md has the argument in full):
+Why the total is never exceeded (docs/budgets.md has the argument in full):
 
-- a lease counts from when its holder asked, by the holder's clock less the stated error, and from when the
-  ask came, by the ledger's clock plus that error: it ends for the holder first;
-- what a share is lowered by is given to nobody before its holder said that it let go, or its lease is over;
-- a term grants nothing before all leases of former terms are over;
-- tokens are handed on with the share that they belong to, and nothing else makes any.
+- a lease starts, for its holder, when the request was sent, by the holder's clock less the stated error; for
+  the ledger, when the request arrived, by the ledger's clock plus that error: it ends for the holder first;
+- what is taken from a share is granted to another holder only after the first one confirmed the lower share
+  or its lease expired;
+- a new term grants nothing before all leases of earlier terms have expired;
+- tokens move together with the share that they belong to, and are created in no other way.
 
-Rates are units a second of whatever is divided; times are microseconds of the local clock.
+Rates are units per second of whatever is divided; times are microseconds of the local clock.
 """
 
 from __future__ import annotations
@@ -24,62 +26,63 @@
 
 from harriertrack.decisions.bucket import Bucket
 
-FLOAT_TOLERANCE = 1e-6  # of one: what floating point may add up to
-PAGE_BYTES = 960  # bytes of claims or shares that fit one datagram
-ENTRY_BYTES = 44  # of one, beside its budget's name
+FLOAT_TOLERANCE = 1e-6  # of one token: accumulated rounding error
+PAGE_BYTES = 960  # bytes of claims or share updates that fit one datagram
+ENTRY_BYTES = 44  # of one entry, without its budget's name
 
 
 def paginate(names: Iterable[str]) -> Iterator[list[str]]:
-    """Divide budgets over datagrams; there is one at least."""
+    """Split budget names into lists that each fit one datagram; yields at least one list."""
     page: list[str] = []
-    room = PAGE_BYTES
+    free = PAGE_BYTES
     for name in names:
         size = len(name.encode()) + ENTRY_BYTES
-        if size > room and page:
+        if size > free and page:
             yield page
-            page, room = [], PAGE_BYTES
+            page, free = [], PAGE_BYTES
         page.append(name)
-        room -= size
+        free -= size
     yield page
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetRules:
-    """The figures of the mechanism."""
+    """Parameters of leases, ledgers and terms."""
 
     lease_us: int = 1_000_000
     ask_us: int = 300_000  # how often a lease is renewed
-    quick_us: int = 50_000  # how soon news follows on news
-    round_us: int = 50_000  # how often a ledger divides anew, while something changed
-    clock_error: float = 0.001  # how far a clock's rate may be off, as a part of it
-    term_us: int = 10_000_000  # the witness's session
-    patience_us: int = 2_000_000  # without a word from a term, after which heads try to hold the next one
-    contenders: int = 5  # how many heads do
-    weight: float = 1.0  # of this head, when there is not enough for all
+    quick_us: int = 50_000  # shortest time between two requests
+    round_us: int = 50_000  # how often a ledger redistributes shares while something has changed
+    clock_error: float = 0.001  # bound on the error of a clock's rate, as a fraction
+    term_us: int = 10_000_000  # length of the session at the witness
+    patience_us: int = 2_000_000  # without a message of the term before heads compete for the lock
+    contenders: int = 5  # how many heads compete
+    weight: float = 1.0  # of this head when demand exceeds the total
 
     def granter_lease_us(self, lease_us: int) -> int:
-        """Return how long after an ask its lease may last, by the clock of who granted it."""
+        """Return the longest time after a request that its lease may last, by the granting head's clock."""
         return int(lease_us * (1 + self.clock_error)) + 1
 
     @property
     def settling_us(self) -> int:
-        """Return how long after the last head was told a lower whole all together surely keep to it.
+        """Return how long after the last head received a lower total the sum is sure to be within it.
 
-        Whoever renews its lease says so with that, and hears of its lower share with the next renewal; who
-        loses more messages than that has its lease end. Without losses it takes two datagrams and a round.
+        A holder reports the lower total with a renewal and receives its lower share with the next one; the
+        lease of a holder that loses more messages than that expires. Without losses it takes two datagrams
+        and one round.
         """
         return self.ask_us + self.round_us + 2 * self.granter_lease_us(self.lease_us)
 
     def holder_lease_us(self, lease_us: int) -> int:
-        """Return how long after it asked a holder relies on its lease, by its own clock."""
+        """Return how long after its request a holder may rely on the lease, by its own clock."""
         return int(lease_us * (1 - self.clock_error))
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Term:
-    """For how long one head keeps a ledger: the witness's count of them, and a random number.
+    """One head's period as the owner of a ledger: the lock's epoch at the witness and a random number.
 
-    A witness that was restored from a backup counts from an earlier number.
+    The nonce tells terms apart when a witness restored from a backup repeats earlier epochs.
     """
 
     epoch: int
@@ -88,23 +91,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What a holder says of one budget."""
+    """A holder's report on one budget."""
 
     budget: str
-    movable: float  # of it may move, as the holder is told
-    demand: float  # by the holder, beyond its fixed part
-    version: int  # of the share that it has now
-    released: float  # tokens that it gave back when it took that version
+    movable: float  # movable part of the total that the holder is configured with
+    demand: float  # beyond its fixed part
+    version: int  # of the share that the holder has applied
+    released: float  # tokens given back when it applied that version
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A holder renews its lease, and says what changed."""
+    """A holder's request to renew its lease, with claims for the budgets that changed."""
 
     ledger: int
     term: Term
     holder: str
-    instance: int  # the process
+    instance: int  # identifies the process
     tenure: int
     sequence: int
     lease_us: int
@@ -114,17 +117,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareUpdate:
-    """What a ledger says of one budget to a holder."""
+    """The share of one budget that a ledger grants to a holder."""
 
     budget: str
     version: int
     rate: float
-    tokens: float  # that come with this version
+    tokens: float  # granted along with this version
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A ledger answers an ask, and renews the lease with it, or tells news (`answers` 0), and does not."""
+    """An answer, which renews the lease, or an unsolicited update (`in_reply_to` 0), which does not."""
 
     ledger: int
     term: Term
@@ -138,43 +141,39 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetTotal:
-    """A budget as a head is told it: the whole, a second and at once, over how many heads, the fixed part."""
+    """A budget as configured at a head: its rate and burst for all hosts together, and the fixed part."""
 
-    rate: float  # or the number at a time
+    rate: float  # units per second, or the number that may be in use at a time
     burst: float
     hosts: int
     fixed: float
-    min_burst: float = (
-        0.0  # of things that are used one by one: so much each head may save up whatever its part
-    )
-    concurrent: bool = (
-        False  # a number at a time: what is taken comes back when it is given back, not with time
-    )
-    source: str = ""  # who says it, the same for all budgets that change together: a plan, the rules
+    min_burst: float = 0.0  # of each head whatever its part, for budgets that are spent in whole units
+    concurrent: bool = False  # limits a number in use: refilled by releases, not by time
+    source: str = ""  # plan or setting that defines it; shared by all budgets that change together
 
     @property
     def movable(self) -> float:
-        """Return how much of it moves between heads, a second or at a time."""
+        """Return the part that moves between heads, per second or at a time."""
         return (1 - self.fixed) * self.rate
 
 
 def ledger_for(budget: str, ledgers: int) -> int:
-    """Return which ledger keeps a budget."""
+    """Return the number of the ledger that a budget belongs to."""
     return crc32(budget.encode()) % ledgers
 
 
 @dataclass(slots=True)
 class Lease:
-    """Until when a holder may use what it was granted."""
+    """Time until which a holder may use its granted shares."""
 
     expires_at: int = 0
 
 
 class BudgetShare(Bucket):
-    """What a head has of a budget now: its fixed part, and its share while the lease lasts.
+    """A head's part of a budget: its fixed part, and its leased share while the lease is valid.
 
-    Its store is filled by the clock less the stated error: a fast clock must not make units. It looks at the
-    lease by itself, so that a head which stood still uses nothing on waking that has ended meanwhile.
+    The bucket is refilled by the clock less the stated error, so that a fast clock creates no units. Every
+    use checks the lease: a head that was suspended must not spend an expired share when it resumes.
     """
 
     __slots__ = (
@@ -182,89 +181,89 @@
     )  # fmt: skip
 
     def __init__(
-        self, at: int, whole: BudgetTotal, lease: Lease, clock_error: float, age_us: int = 0
+        self, at: int, total: BudgetTotal, lease: Lease, clock_error: float, age_us: int = 0
     ) -> None:
-        """Begin with the fixed part; `age_us`: for how long the head surely used none of it."""
+        """Start with the fixed part; `age_us`: for how long the head is known to have used none of it."""
         super().__init__(at)
-        self.total, self.lease, self.leased, self.clock_factor = whole, lease, 0.0, 1 - clock_error
-        self.requested = self.requested_squares = 0.0  # asked of it since it was last measured
-        self.waiters = 0  # of a number at a time: who would take one
-        self._set(0.0)
-        self.level = self.most if whole.concurrent else min(self.most, self.rate * age_us / 1e6)
-
-    def _set(self, share: float) -> None:
-        whole, self.leased = self.total, share
-        # A share that was granted of a larger whole comes to no more than all that moves of a lowered one.
-        used = min(share, whole.movable)
-        part = whole.fixed / whole.hosts + (used / whole.rate if whole.rate > 0 else 0.0)
-        if whole.concurrent:
-            self.rate, self.most = 0.0, whole.rate * part
+        self.total, self.lease, self.leased, self.clock_factor = total, lease, 0.0, 1 - clock_error
+        self.requested = self.requested_squares = 0.0  # since demand was last measured
+        self.waiters = 0  # of a concurrency budget: callers waiting for one
+        self._resize(0.0)
+        self.level = self.most if total.concurrent else min(self.most, self.rate * age_us / 1e6)
+
+    def _resize(self, leased: float) -> None:
+        total, self.leased = self.total, leased
+        # A share granted from a larger total counts for at most the movable part of the lowered total.
+        used = min(leased, total.movable)
+        part = total.fixed / total.hosts + (used / total.rate if total.rate > 0 else 0.0)
+        if total.concurrent:
+            self.rate, self.most = 0.0, total.rate * part
         else:
             self.rate, self.most = (
-                self.clock_factor * whole.rate * part,
-                max(whole.burst * part, whole.min_burst),
+                self.clock_factor * total.rate * part,
+                max(total.burst * part, total.min_burst),
             )
 
     def record_demand(self, units: float) -> None:
-        """Count what is asked of it, whatever becomes of that."""
+        """Count requested units, whether or not they are granted."""
         self.requested += units
         self.requested_squares += units * units
 
     def now(self, now: int) -> float:
-        """Fill up to the present and return the level."""
+        """Refill up to the present and return the level."""
         if self.leased and now >= self.lease.expires_at:
             self.drop_leased(now)
         return super().now(now)
 
     def drop_leased(self, now: int) -> None:
-        """Let the share go: the lease is over, or holds no more; what came with it is gone too."""
+        """Drop the leased share and its tokens, as of the lease's expiry if that has passed."""
         if self.leased:
             super().now(max(self.at, min(now, self.lease.expires_at)))
             before = self.most
-            self._set(0.0)
+            self._resize(0.0)
             self.level = (
                 self.level + self.most - before if self.total.concurrent else min(self.level, self.most)
             )
 
-    def set_total(self, now: int, whole: BudgetTotal) -> None:
-        """Go by another whole from now on: the store keeps its level, up to what fits a smaller one."""
+    def set_total(self, now: int, total: BudgetTotal) -> None:
+        """Apply a changed total: the level stays, capped at the new capacity."""
         self.now(now)
-        before, self.total = self.most, whole
-        self._set(self.leased)
-        self.level = self.level + self.most - before if whole.concurrent else min(self.level, self.most)
+        before, self.total = self.most, total
+        self._resize(self.leased)
+        self.level = self.level + self.most - before if total.concurrent else min(self.level, self.most)
 
-    # -- of a number at a time
+    # -- concurrency budgets
 
     @property
     def in_use(self) -> float:
-        """Return how much is taken now."""
+        """Return the number in use."""
         return self.most - self.level
 
     @property
     def excess(self) -> int:
-        """Return how much is to be given back at once: its share has ended."""
+        """Return how many are in use beyond the present share, to be released at once."""
         return max(0, math.ceil(-self.level - FLOAT_TOLERANCE))
 
-    def can_shrink_to(self, share: float) -> bool:
-        """Whether it can let its share become this: of a number at a time only what is free can go."""
-        return not self.total.concurrent or self.leased - share <= self.level + FLOAT_TOLERANCE
+    def can_shrink_to(self, leased: float) -> bool:
+        """Whether the share can be lowered to this; of a concurrency budget only what is free can go."""
+        return not self.total.concurrent or self.leased - leased <= self.level + FLOAT_TOLERANCE
 
     def acquire(self, now: int) -> bool:
-        """Take one if there is one."""
+        """Acquire one if one is free."""
         if self.now(now) < 1.0 - FLOAT_TOLERANCE:
             return False
         self.level -= 1.0
         return True
 
     def release(self) -> None:
-        """Give one back."""
+        """Release one."""
         self.level = min(self.most, self.level + 1.0)
 
-    def set_leased(self, now: int, share: float, tokens: float) -> float:
-        """Take another share, with tokens if it is larger; return those that go if it is smaller."""
+    def set_leased(self, now: int, leased: float, tokens: float) -> float:
+        """Apply another share, adding tokens if it is larger; return the released ones if it is smaller."""
         self.now(now)
         before, level = self.most, self.level
-        self._set(share)
+        self._resize(leased)
         if self.total.concurrent:
             self.level = level + self.most - before
             return 0.0
--- a/harriertrack/decisions/fleet/held_budget.py
+++ b/harriertrack/decisions/fleet/held_budget.py
@@ -1,4 +1,4 @@
-"""One budget that a head uses: what it has of it, what it could use, and what the ledger knows of that.
+"""One budget that a head uses: its share, its measured demand, and the claim state known to the ledger.
 
 Pure: time is handed in.
 """
@@ -10,13 +10,15 @@
 
 from harriertrack.decisions.fleet.budgets import FLOAT_TOLERANCE, BudgetShare, BudgetTotal
 
-RISE_US = 150_000  # time constants of what is asked of a budget: quickly up, as far as that is no chance,
-FALL_US = 500_000  # and slowly down, for demand that swings is to leave shares where they are
-SURE = 2.0  # standard deviations of a quick reading that are put down to chance
-IDLE = 1e-3  # of a whole: less demand is none
+# Time constants of measured demand: it rises quickly, as far as the rise is significant, and falls slowly, so
+# that fluctuating demand leaves the shares where they are.
+RISE_US = 150_000
+FALL_US = 500_000
+SIGNIFICANCE = 2.0  # standard deviations of the quick mean that are attributed to chance
+NO_DEMAND = 1e-3  # of the total rate: less demand counts as none
 
-ClaimState = tuple[float, int, float, float]  # wanted, version, released, and how much may move
-RateAndBurst = tuple[float, float]  # of a whole: its rate and its burst
+ClaimState = tuple[float, int, float, float]  # demand, version, released tokens, movable part of the total
+RateAndBurst = tuple[float, float]  # of a total
 
 
 @dataclass(slots=True)
@@ -25,38 +27,36 @@
 
     share: BudgetShare
     measured_at: int
-    recent_rate: float = 0.0  # asked for a second, lately
-    steady_rate: float = 0.0  # ... and for longer
-    recent_squares: float = 0.0  # the sum of squares a second, lately
+    recent_rate: float = 0.0  # demand per second, quick mean
+    steady_rate: float = 0.0  # demand per second, slow mean
+    recent_squares: float = 0.0  # sum of squared requests per second, quick mean
     version: int = 0
-    released: float = 0.0  # tokens, by taking this version
-    pending_total: BudgetTotal | None = (
-        None  # what is told now; its rate is not used before the ledger knows it
-    )
-    confirmed: ClaimState = field(init=False)  # as the ledger confirmed
-    last_sent: ClaimState = field(init=False)  # ... as sent last
+    released: float = 0.0  # tokens given back by applying this version
+    pending_total: BudgetTotal | None = None  # configured; a higher rate waits until the ledger confirmed it
+    confirmed: ClaimState = field(init=False)  # by the ledger
+    last_sent: ClaimState = field(init=False)
     sent_at: int = 0
 
     def __post_init__(self) -> None:
         self.reset_confirmed()
 
     def reset_confirmed(self) -> None:
-        """Begin with a ledger that knows nothing of it."""
+        """Start over with a ledger that has no state of this budget."""
         self.confirmed = self.last_sent = (-1.0, 0, 0.0, self.share.total.movable)
 
     @property
     def total(self) -> BudgetTotal:
-        """Return the whole as the head is told it."""
+        """Return the total as configured at this head."""
         return self.pending_total or self.share.total
 
-    def set_total(self, now: int, whole: BudgetTotal) -> None:
-        """Go by another whole: at once by what is less, by more once the ledger knows."""
-        at_once = replace(whole, rate=min(whole.rate, self.share.total.rate))
-        self.pending_total = whole if at_once != whole else None
+    def set_total(self, now: int, total: BudgetTotal) -> None:
+        """Apply a changed total: a lower rate at once, a higher one once the ledger confirmed it."""
+        at_once = replace(total, rate=min(total.rate, self.share.total.rate))
+        self.pending_total = total if at_once != total else None
         self.share.set_total(now, at_once)
 
     def confirm(self, now: int, state: ClaimState) -> None:
-        """The ledger knows what was said."""
+        """Record that the ledger received this state."""
         self.confirmed = state
         if self.pending_total is not None and state[3] == self.pending_total.movable:
             self.share.set_total(now, self.pending_total)
@@ -64,33 +64,33 @@
 
     @property
     def demand(self) -> float:
-        """Return what could be used a second beyond the fixed part."""
-        whole = self.share.total
-        if whole.concurrent:
+        """Return what could be used per second beyond the fixed part."""
+        total = self.share.total
+        if total.concurrent:
             now = self.share.in_use + self.share.waiters
-            return max(0.0, max(now, self.steady_rate) - whole.rate * whole.fixed / whole.hosts)
-        # An exponential mean of arrivals at random has the variance of their squares by twice its time.
-        surely = self.recent_rate - SURE * math.sqrt(self.recent_squares * 1e6 / (2 * RISE_US))
-        demand = self.recent_rate if surely > self.steady_rate else self.steady_rate
-        if demand < IDLE * whole.rate:
+            return max(0.0, max(now, self.steady_rate) - total.rate * total.fixed / total.hosts)
+        # The variance of an exponential mean of random arrivals: their squares over twice its time constant.
+        lower_bound = self.recent_rate - SIGNIFICANCE * math.sqrt(self.recent_squares * 1e6 / (2 * RISE_US))
+        demand = self.recent_rate if lower_bound > self.steady_rate else self.steady_rate
+        if demand < NO_DEMAND * total.rate:
             return 0.0
-        return max(0.0, demand - whole.rate * whole.fixed / whole.hosts)
+        return max(0.0, demand - total.rate * total.fixed / total.hosts)
 
     def measure(self, now: int) -> None:
-        """Follow what is asked for."""
+        """Update the means of demand with what was requested since the last call."""
         passed = now - self.measured_at
         if passed <= 0:
             return
-        portion, gain = self.share, 1 - math.exp(-passed / RISE_US)
-        rate, squares = portion.requested * 1e6 / passed, portion.requested_squares * 1e6 / passed
-        if portion.total.concurrent:
-            rate = portion.in_use + portion.waiters
-            rate = 0.0 if rate < FLOAT_TOLERANCE and self.steady_rate < IDLE * portion.total.rate else rate
-        portion.requested, portion.requested_squares, self.measured_at = 0.0, 0.0, now
+        share, gain = self.share, 1 - math.exp(-passed / RISE_US)
+        rate, squares = share.requested * 1e6 / passed, share.requested_squares * 1e6 / passed
+        if share.total.concurrent:
+            rate = share.in_use + share.waiters
+            rate = 0.0 if rate < FLOAT_TOLERANCE and self.steady_rate < NO_DEMAND * share.total.rate else rate
+        share.requested, share.requested_squares, self.measured_at = 0.0, 0.0, now
         self.recent_rate += gain * (rate - self.recent_rate)
         self.recent_squares += gain * (squares - self.recent_squares)
         self.steady_rate += (1 - math.exp(-passed / FALL_US)) * (rate - self.steady_rate)
 
     def claim_state(self) -> ClaimState:
-        """Return what the ledger should know."""
+        """Return the state that the ledger should have."""
         return self.demand, self.version, self.released, self.total.movable
--- a/harriertrack/decisions/fleet/holder.py
+++ b/harriertrack/decisions/fleet/holder.py
@@ -1,8 +1,8 @@
-"""A head's part in one ledger: what it holds of each budget, what it could use, and how it asks.
+"""A head's side of one ledger: its lease, its shares and demand by budget, and the requests that it sends.
 
-It knows one term at a time, and drops everything when it turns to another or when its lease ends; dropping is
-always safe. Only budgets that are in use cost anything. Pure: `asks` says what is to be sent, `granted` takes
-answers and news.
+It follows one term at a time, and drops all shares when it switches to another term or when its lease
+expires; dropping is always safe. Only budgets that are in use cost messages. Pure: `due_requests` returns
+what to send, `apply_grant` takes answers and updates.
 """
 
 from __future__ import annotations
@@ -23,75 +23,77 @@
 )
 from harriertrack.decisions.fleet.held_budget import ClaimState, HeldBudget, RateAndBurst
 
-MORE = 0.1  # of what was told last: so much more is wanted before it is told, and only if it is not held
-LESS = 0.3  # ... and so much less than what is needed of it
+RISE_REPORTED = 0.1  # higher demand is reported from this part above the last report, unless already held
+FALL_REPORTED = 0.3  # lower demand is reported from this part below the last report or the share
 
 
 class LeaseHolder:
-    """All that one head holds of one ledger."""
+    """All shares that one head holds of one ledger."""
 
-    def __init__(self, number: int, name: str, instance: int, rules: BudgetRules, born: int) -> None:
+    def __init__(self, number: int, name: str, instance: int, rules: BudgetRules, now: int) -> None:
         self.number, self.name, self.instance, self.rules, self.started_at = (
             number,
             name,
             instance,
             rules,
-            born,
+            now,
         )
         self.lease = Lease()
         self.term: Term | None = None
         self.tenure = 1
         self.budgets: dict[str, HeldBudget] = {}
-        self.last_contact = born  # when a term said something last
+        self.last_contact = now  # time of the latest message of the term
         self.lapses = 0
-        # What the store of a whole that was changed would hold if nobody used it, by who says it: what is
-        # opened after the change gets no more than what was open kept.
-        self._idle: dict[str, Bucket] = {}
-        self._asked: dict[int, tuple[int, list[tuple[str, ClaimState]]]] = {}
-        self._number = self._tenure_at = 0
-        self._next_ask = self._next_quick = born
+        # By source, the level of an unused bucket of a total that was changed: a share that is opened after
+        # the change starts with no more than an open one would have kept.
+        self._idle_buckets: dict[str, Bucket] = {}
+        self._sent_requests: dict[int, tuple[int, list[tuple[str, ClaimState]]]] = {}
+        self._sequence = self._tenure_started_at = 0
+        self._next_renewal = self._next_check = now
 
     # -- use
 
-    def open(self, now: int, budget: str, whole: BudgetTotal) -> BudgetShare:
-        """Return the head's part of a budget, for use from now on."""
+    def open(self, now: int, budget: str, total: BudgetTotal) -> BudgetShare:
+        """Return the head's part of a budget, opening it on first use."""
         held = self.budgets.get(budget)
         if held is None:
-            portion = BudgetShare(now, whole, self.lease, self.rules.clock_error, now - self.started_at)
-            held = self.budgets[budget] = HeldBudget(portion, now)
-            idle = self._idle.get(whole.source)
-            if idle is not None and not whole.concurrent:
-                portion.level = min(portion.level, idle.now(now) * whole.fixed / whole.hosts)
+            share = BudgetShare(now, total, self.lease, self.rules.clock_error, now - self.started_at)
+            held = self.budgets[budget] = HeldBudget(share, now)
+            idle = self._idle_buckets.get(total.source)
+            if idle is not None and not total.concurrent:
+                share.level = min(share.level, idle.now(now) * total.fixed / total.hosts)
         return held.share
 
-    def update_source(self, now: int, says: str, before: RateAndBurst, after: RateAndBurst) -> None:
-        """Go by another rate and burst of all that `says` stands for: what is in use, and what will be."""
-        slow = 1 - self.rules.clock_error
-        idle = self._idle.setdefault(says, Bucket(self.started_at, slow * before[0], before[1]))
+    def update_source(self, now: int, source: str, before: RateAndBurst, after: RateAndBurst) -> None:
+        """Apply a changed rate and burst to all budgets of a source, open ones and those opened later."""
+        clock_factor = 1 - self.rules.clock_error
+        idle = self._idle_buckets.setdefault(
+            source, Bucket(self.started_at, clock_factor * before[0], before[1])
+        )
         level = min(idle.now(now), after[1])
-        idle.rate, idle.most, idle.level = slow * after[0], after[1], level
+        idle.rate, idle.most, idle.level = clock_factor * after[0], after[1], level
         for name, held in self.budgets.items():
-            if held.total.source == says and after[0] > 0:  # else nobody asks for it, and it is forgotten
+            if held.total.source == source and after[0] > 0:  # at 0 it gets no requests and is dropped
                 self.update_total(now, name, replace(held.total, rate=after[0], burst=after[1]))
 
-    def update_total(self, now: int, budget: str, whole: BudgetTotal) -> None:
-        """Take another whole of one budget that is in use; what is told again is nothing new."""
+    def update_total(self, now: int, budget: str, total: BudgetTotal) -> None:
+        """Apply another total of one open budget; an unchanged one has no effect."""
         held = self.budgets[budget]
-        if whole != held.total:
-            held.set_total(now, whole)
-            self._next_quick = min(self._next_quick, now)
+        if total != held.total:
+            held.set_total(now, total)
+            self._next_check = min(self._next_check, now)
 
     def lease_valid(self, now: int) -> bool:
-        """Whether the lease lasts."""
+        """Whether the lease is valid."""
         return now < self.lease.expires_at
 
     # -- terms
 
     def observe_term(self, now: int, term: Term) -> bool:
-        """Hear of a term; return whether it is the one to ask now.
+        """Record a term that was announced; return whether requests go to it now.
 
-        A later one replaces an earlier one at once. An earlier number is of a witness that was restored, or
-        of a head that does not know yet that its time is over: its turn comes once the present one is silent.
+        A later epoch replaces an earlier one at once. A lower epoch comes from a restored witness, or from a
+        head whose term has ended without its knowledge: it is followed once the present term is silent.
         """
         if term == self.term:
             self.last_contact = now
@@ -100,89 +102,90 @@
         if self.term is not None and term.epoch <= self.term.epoch and not silent:
             return False
         self._drop(now)
-        self.term, self.last_contact, self._next_ask = term, now, now
+        self.term, self.last_contact, self._next_renewal = term, now, now
         return True
 
     def _drop(self, now: int) -> None:
-        """Let go of all that was granted."""
+        """Drop all granted shares and start a new tenure."""
         for held in self.budgets.values():
             held.share.drop_leased(now)
             held.version, held.released = 0, 0.0
             held.reset_confirmed()
         self.lease.expires_at = 0
         self.tenure += 1
-        self._tenure_at = 0
-        self._asked.clear()
+        self._tenure_started_at = 0
+        self._sent_requests.clear()
 
-    def _look(self, now: int) -> None:
-        """Notice that the lease is over, or that none came of this tenure: for the ledger it may be over."""
+    def _check_lease(self, now: int) -> None:
+        """Drop all if the lease expired, or if this tenure got none in time: the ledger may have ended it."""
         if self.lease.expires_at:
             if not self.lease_valid(now):
                 self.lapses += 1
                 self._drop(now)
-        elif self._tenure_at and now > self._tenure_at + self.rules.lease_us:
+        elif self._tenure_started_at and now > self._tenure_started_at + self.rules.lease_us:
             self._drop(now)
 
-    # -- asks
+    # -- requests
 
     def due_requests(self, now: int) -> list[LeaseRequest]:
-        """Return what is to be sent now."""
-        self._look(now)
-        if now < self._next_quick:
+        """Return the requests to send now."""
+        self._check_lease(now)
+        if now < self._next_check:
             return []
-        self._next_quick = now + self.rules.quick_us
+        self._next_check = now + self.rules.quick_us
         for held in self.budgets.values():
             held.measure(now)
-        self._forget(now)
+        self._close_idle(now)
         if self.term is None:
             return []
-        due = now >= self._next_ask
-        news = [name for name, held in self.budgets.items() if self._is_news(now, held, due)]
-        if not news and not (due and self._holds()):
+        due = now >= self._next_renewal
+        changed = [name for name, held in self.budgets.items() if self._must_report(now, held, due)]
+        if not changed and not (due and self._holds_shares()):
             return []
-        self._next_ask = now + self.rules.ask_us
-        return [self._ask(now, self.term, page) for page in paginate(news)]
+        self._next_renewal = now + self.rules.ask_us
+        return [self._request(now, self.term, page) for page in paginate(changed)]
 
-    def _holds(self) -> bool:
+    def _holds_shares(self) -> bool:
         return any(held.share.leased or held.version for held in self.budgets.values())
 
-    def _is_news(self, now: int, held: HeldBudget, due: bool) -> bool:
+    def _must_report(self, now: int, held: HeldBudget, due: bool) -> bool:
         state = held.claim_state()
-        known = (
-            held.last_sent if now < held.sent_at + self.rules.ask_us else held.confirmed
-        )  # else it may be lost
+        # A report that was not answered within the renewal interval may be lost.
+        known = held.last_sent if now < held.sent_at + self.rules.ask_us else held.confirmed
         if state[1:] != held.confirmed[1:]:
             return state[1:] != known[1:]
-        wanted, told, share = state[0], known[0], held.share.leased
-        if told < 0 or wanted > told:
-            return wanted > max(share, told * (1 + MORE))
-        # Less is told with the next ask. While there is not enough for all, it changes nothing until it is
-        # less than the share.
-        return due and wanted < told and wanted <= (1 - LESS) * min(told, share)
-
-    def _ask(self, now: int, term: Term, page: list[str]) -> LeaseRequest:
-        self._number += 1
-        self._tenure_at = self._tenure_at or now
-        claims, told = [], []
+        demand, reported, leased = state[0], known[0], held.share.leased
+        if reported < 0 or demand > reported:
+            return demand > max(leased, reported * (1 + RISE_REPORTED))
+        # Lower demand waits for the next renewal. While demand exceeds the total, it changes nothing until it
+        # is below the share.
+        return due and demand < reported and demand <= (1 - FALL_REPORTED) * min(reported, leased)
+
+    def _request(self, now: int, term: Term, page: list[str]) -> LeaseRequest:
+        self._sequence += 1
+        self._tenure_started_at = self._tenure_started_at or now
+        claims, sent = [], []
         for name in page:
             held = self.budgets[name]
             held.last_sent, held.sent_at = state, _ = held.claim_state(), now
-            told.append((name, state))
-            wanted, version, released, moving = state
-            claims.append(Claim(name, moving, wanted, version, released))
-        self._asked[self._number] = (now, told)
-        for number in [one for one, (at, _) in self._asked.items() if at < now - self.rules.lease_us]:
-            del self._asked[number]
-        return LeaseRequest(self.number, term, self.name, self.instance, self.tenure, self._number,
+            sent.append((name, state))
+            demand, version, released, movable = state
+            claims.append(Claim(name, movable, demand, version, released))
+        self._sent_requests[self._sequence] = (now, sent)
+        for sequence in [
+            one for one, (at, _) in self._sent_requests.items() if at < now - self.rules.lease_us
+        ]:
+            del self._sent_requests[sequence]
+        return LeaseRequest(self.number, term, self.name, self.instance, self.tenure, self._sequence,
                    self.rules.lease_us, self.rules.weight, tuple(claims))  # fmt: skip
 
-    def _forget(self, now: int) -> None:
-        """Drop what is idle: nobody wants it, nothing is held of it, and its store is full."""
+    def _close_idle(self, now: int) -> None:
+        """Close budgets without demand or share whose bucket is full."""
         idle = []
         for name, held in self.budgets.items():
-            portion = held.share
-            if held.recent_rate < 1e-6 * portion.total.rate and not portion.leased and not held.demand:
-                if held.claim_state()[1:] == held.confirmed[1:] and portion.now(now) >= portion.most:
+            share = held.share
+            if held.recent_rate < 1e-6 * share.total.rate and not share.leased and not held.demand:
+                if held.claim_state()[1:] == held.confirmed[1:] and share.now(now) >= share.most:
                     idle.append(name)
         for name in idle:
             del self.budgets[name]
@@ -190,16 +193,16 @@
     # -- grants
 
     def apply_grant(self, now: int, grant: Grant) -> bool:
-        """Take an answer or news; return whether something is to be confirmed."""
-        self._look(now)
+        """Apply an answer or an update; return whether there is a change to confirm."""
+        self._check_lease(now)
         if (grant.term, grant.instance, grant.tenure) != (self.term, self.instance, self.tenure):
             return False
         self.last_contact = now
-        if (asked := self._asked.pop(grant.in_reply_to, None)) is not None:
-            sent_at, told = asked
+        if (request := self._sent_requests.pop(grant.in_reply_to, None)) is not None:
+            sent_at, claims = request
             lease_us = min(grant.lease_us, self.rules.lease_us)
             self.lease.expires_at = max(self.lease.expires_at, sent_at + self.rules.holder_lease_us(lease_us))
-            for name, state in told:
+            for name, state in claims:
                 if (held := self.budgets.get(name)) is not None:
                     held.confirm(now, state)
         if not self.lease_valid(now):
@@ -208,13 +211,13 @@
         for share in grant.shares:
             held = self.budgets.get(share.budget)
             if held is None or share.version <= held.version or not held.share.can_shrink_to(share.rate):
-                continue  # what can't be let go of yet is told again with the next answer
+                continue  # a share that can't be lowered yet is sent again with the next answer
             held.version, changed = share.version, True
             held.released = held.share.set_leased(now, share.rate, max(0.0, share.tokens))
         if changed:
-            self._next_quick = now
+            self._next_check = now
         return changed
 
     def wake_at(self) -> int | None:
-        """Return when `asks` is to be called next; None while nothing is in use."""
-        return self._next_quick if self.budgets else None
+        """Return when to call `due_requests` next; None while no budget is open."""
+        return self._next_check if self.budgets else None
--- a/harriertrack/decisions/fleet/ledger.py
+++ b/harriertrack/decisions/fleet/ledger.py
@@ -1,7 +1,8 @@
-"""The ledger of a term: who holds which share, what is on its way, and what each is to hold next.
+"""The ledger of a term: shares by holder, changes not yet confirmed, and the division that follows from them.
 
-Of each share counts the most that its holder may have, until it said otherwise or its lease is over. One
-change of a share is under way at a time. Pure: `ask` answers an ask, `round` returns what is to be told.
+A share counts with the most that its holder may have, until the holder confirmed less or its lease expired.
+Each share has at most one unconfirmed change. Pure: `handle_request` answers a request, `rebalance` returns
+updates to send.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 )
 from harriertrack.decisions.fleet.max_min import Claimant, divide
 
-MOST_OVER = 4096  # holders whose leases ended that are remembered: what they say late is not believed
-LEAST = 1e-9  # of a whole: less is nothing
+MAX_EXPIRED = 4096  # expired tenures that are remembered, to reject their late requests
+MIN_CHANGE = 1e-9  # of a total: smaller changes count as none
 
-HolderId = tuple[str, int]  # name and process
+HolderId = tuple[str, int]  # name and process instance
 
 
 @dataclass(slots=True)
 class Holding:
-    """What one holder has of one budget."""
+    """One holder's entry for one budget."""
 
     holder: HolderId
     total: float = 0.0
     demand: float = 0.0
-    granted: float = 0.0  # granted last
-    committed: float = 0.0  # the most that it may have
+    granted: float = 0.0  # rate of the latest version
+    committed: float = 0.0  # highest rate that the holder may still use
     version: int = 0
-    confirmed: int = 0
-    tokens: float = 0.0  # that go with the latest version
+    confirmed: int = 0  # latest version that the holder applied
+    tokens: float = 0.0  # granted along with the latest version
 
 
 @dataclass(slots=True)
@@ -45,134 +46,132 @@
     """A holder in its present tenure."""
 
     tenure: int
-    last_sequence: int = 0  # of its latest ask
+    last_sequence: int = 0  # of its latest request
     expires_at: int = 0
     weight: float = 1.0
     holdings: dict[str, Holding] = field(default_factory=dict)
-    unconfirmed: dict[str, None] = field(
-        default_factory=dict
-    )  # budgets with a change that it has not confirmed
+    unconfirmed: dict[str, None] = field(default_factory=dict)  # budgets with an unconfirmed change
 
 
 @dataclass(slots=True)
 class BudgetAccount:
-    """One budget."""
+    """All holdings of one budget."""
 
     holdings: dict[HolderId, Holding] = field(default_factory=dict)
-    free_tokens: float = 0.0  # that go with what nobody holds
+    free_tokens: float = 0.0  # that belong to the unassigned part
 
     @property
     def total(self) -> float:
-        """Return what may move: the least that anybody is told, so that a lower whole holds at once."""
-        return min((slip.total for slip in self.holdings.values()), default=0.0)
+        """Return the lowest movable total that any holder reported, so that a lower one applies at once."""
+        return min((holding.total for holding in self.holdings.values()), default=0.0)
 
     @property
     def committed(self) -> float:
-        """Return what all holders together may have."""
-        return sum(slip.committed for slip in self.holdings.values())
+        """Return the highest rate that all holders together may still use."""
+        return sum(holding.committed for holding in self.holdings.values())
 
 
 class Ledger:
     """All budgets of one ledger in one term."""
 
     def __init__(self, number: int, term: Term, opens_at: int, rules: BudgetRules) -> None:
-        """Begin knowing nobody; nothing is granted before `opens_at`, when all earlier leases are over."""
+        """Start without holders; nothing is granted before `opens_at`, when earlier leases have expired."""
         self.number, self.term, self.opens_at, self.rules = number, term, opens_at, rules
         self.tenancies: dict[HolderId, Tenancy] = {}
         self.accounts: dict[str, BudgetAccount] = {}
         self.moves = 0
-        self._over: dict[HolderId, int] = {}  # the tenures that ended without a word, latest last
+        self._expired: dict[HolderId, int] = {}  # tenures that ended by expiry, latest last
         self._changed: dict[str, None] = {}
         self._next_round = opens_at
 
-    # -- asks
+    # -- requests
 
-    def handle_request(self, now: int, ask: LeaseRequest) -> Grant | None:
-        """Take what a holder says, and answer it.
+    def handle_request(self, now: int, request: LeaseRequest) -> Grant | None:
+        """Apply a holder's claims and return the answer.
 
-        None if it speaks of another term or of a tenure that is over, or was overtaken by a later ask.
+        None if the request is of another term or an ended tenure, or if a later one arrived before it.
         """
-        holder = (ask.holder, ask.instance)
-        if ask.term != self.term or ask.tenure <= self._over.get(holder, 0):
+        holder = (request.holder, request.instance)
+        if request.term != self.term or request.tenure <= self._expired.get(holder, 0):
             return None
-        tenant = self.tenancies.get(holder)
-        if tenant is not None and tenant.tenure != ask.tenure:
-            if ask.tenure < tenant.tenure:
+        tenancy = self.tenancies.get(holder)
+        if tenancy is not None and tenancy.tenure != request.tenure:
+            if request.tenure < tenancy.tenure:
                 return None
-            self._free(holder)  # it let go of all that it had
-            tenant = None
-        if tenant is None:
-            tenant = self.tenancies[holder] = Tenancy(ask.tenure)
-        if ask.sequence <= tenant.last_sequence:
+            self._free(holder)  # a new tenure starts without shares
+            tenancy = None
+        if tenancy is None:
+            tenancy = self.tenancies[holder] = Tenancy(request.tenure)
+        if request.sequence <= tenancy.last_sequence:
             return None
-        tenant.last_sequence = ask.sequence
-        lease_us = min(ask.lease_us, self.rules.lease_us)
-        tenant.expires_at = max(tenant.expires_at, now + self.rules.granter_lease_us(lease_us))
-        tenant.weight = max(ask.weight, 1e-3)
-        for claim in ask.claims:
-            self._claim(holder, tenant, claim)
-        news = dict.fromkeys(claim.budget for claim in ask.claims)
-        news.update(tenant.unconfirmed)
-        first = next(paginate(news))  # what does not fit is told with the next
-        return self._grant(holder, tenant, ask.sequence, lease_us, first)
-
-    def _claim(self, holder: HolderId, tenant: Tenancy, claim: Claim) -> None:
+        tenancy.last_sequence = request.sequence
+        lease_us = min(request.lease_us, self.rules.lease_us)
+        tenancy.expires_at = max(tenancy.expires_at, now + self.rules.granter_lease_us(lease_us))
+        tenancy.weight = max(request.weight, 1e-3)
+        for claim in request.claims:
+            self._claim(holder, tenancy, claim)
+        budgets = dict.fromkeys(claim.budget for claim in request.claims)
+        budgets.update(tenancy.unconfirmed)
+        first = next(paginate(budgets))  # the rest is sent with the next answer
+        return self._grant(holder, tenancy, request.sequence, lease_us, first)
+
+    def _claim(self, holder: HolderId, tenancy: Tenancy, claim: Claim) -> None:
         account = self.accounts.setdefault(claim.budget, BudgetAccount())
-        slip = tenant.holdings.get(claim.budget)
-        if slip is None:
-            slip = Holding(holder, version=claim.version, confirmed=claim.version)
-            tenant.holdings[claim.budget] = account.holdings[holder] = slip
-        if (slip.total, slip.demand) != (claim.movable, claim.demand):
-            slip.total, slip.demand = claim.movable, claim.demand
+        holding = tenancy.holdings.get(claim.budget)
+        if holding is None:
+            holding = Holding(holder, version=claim.version, confirmed=claim.version)
+            tenancy.holdings[claim.budget] = account.holdings[holder] = holding
+        if (holding.total, holding.demand) != (claim.movable, claim.demand):
+            holding.total, holding.demand = claim.movable, claim.demand
             self._changed[claim.budget] = None
-        if slip.confirmed < claim.version == slip.version:
-            slip.confirmed, slip.committed = slip.version, slip.granted
+        if holding.confirmed < claim.version == holding.version:
+            holding.confirmed, holding.committed = holding.version, holding.granted
             account.free_tokens += max(0.0, claim.released)
-            tenant.unconfirmed.pop(claim.budget, None)
+            tenancy.unconfirmed.pop(claim.budget, None)
             self._changed[claim.budget] = None
 
     def _grant(
-        self, holder: HolderId, tenant: Tenancy, answers: int, lease_us: int, names: list[str]
+        self, holder: HolderId, tenancy: Tenancy, in_reply_to: int, lease_us: int, names: list[str]
     ) -> Grant:
-        slips = ((name, tenant.holdings[name]) for name in names)
-        shares = tuple(ShareUpdate(name, one.version, one.granted, one.tokens) for name, one in slips)
-        return Grant(self.number, self.term, *holder, tenant.tenure, answers, lease_us, shares)
+        holdings = ((name, tenancy.holdings[name]) for name in names)
+        shares = tuple(ShareUpdate(name, one.version, one.granted, one.tokens) for name, one in holdings)
+        return Grant(self.number, self.term, *holder, tenancy.tenure, in_reply_to, lease_us, shares)
 
     # -- time
 
     def wake_at(self) -> int | None:
-        """Return when `round` is to be called; None while nothing is to be done."""
-        ends = min((tenant.expires_at for tenant in self.tenancies.values()), default=None)
+        """Return when to call `rebalance`; None while there is nothing to do."""
+        expiry = min((tenancy.expires_at for tenancy in self.tenancies.values()), default=None)
         if self._changed:
-            return max(self._next_round, self.opens_at) if ends is None else min(ends, self._next_round)
-        return ends
+            return max(self._next_round, self.opens_at) if expiry is None else min(expiry, self._next_round)
+        return expiry
 
     def rebalance(self, now: int) -> list[Grant]:
-        """Let go of who is gone, divide anew what changed, and return what is to be told unasked."""
-        for holder in [holder for holder, tenant in self.tenancies.items() if tenant.expires_at <= now]:
-            self._over.pop(holder, None)
-            self._over[holder] = self.tenancies[holder].tenure
+        """Drop holders whose leases expired, divide changed budgets again, and return updates to send."""
+        for holder in [holder for holder, tenancy in self.tenancies.items() if tenancy.expires_at <= now]:
+            self._expired.pop(holder, None)
+            self._expired[holder] = self.tenancies[holder].tenure
             self._free(holder)
-            if len(self._over) > MOST_OVER:
-                del self._over[next(iter(self._over))]
+            if len(self._expired) > MAX_EXPIRED:
+                del self._expired[next(iter(self._expired))]
         if now < max(self._next_round, self.opens_at) or not self._changed:
             return []
         self._next_round = now + self.rules.round_us
         changed, self._changed = self._changed, {}
-        news: dict[HolderId, list[str]] = {}
+        updates: dict[HolderId, list[str]] = {}
         for name in changed:
             for holder in self._divide(name):
-                news.setdefault(holder, []).append(name)
-        return list(self._pages(news))
+                updates.setdefault(holder, []).append(name)
+        return list(self._pages(updates))
 
-    def _pages(self, news: dict[HolderId, list[str]]) -> Iterator[Grant]:
-        for holder, names in news.items():
-            tenant = self.tenancies[holder]
+    def _pages(self, updates: dict[HolderId, list[str]]) -> Iterator[Grant]:
+        for holder, names in updates.items():
+            tenancy = self.tenancies[holder]
             for page in paginate(names):
-                yield self._grant(holder, tenant, 0, self.rules.lease_us, page)
+                yield self._grant(holder, tenancy, 0, self.rules.lease_us, page)
 
     def _free(self, holder: HolderId) -> None:
-        """Count nothing of a holder any more: its lease is over, or it said that it holds nothing."""
+        """Remove all holdings of a holder whose lease expired or that started a new tenure."""
         for name in self.tenancies.pop(holder).holdings:
             account = self.accounts[name]
             del account.holdings[holder]
@@ -182,50 +181,51 @@
                 del self.accounts[name]
                 self._changed.pop(name, None)
 
-    # -- dividing
+    # -- division
 
     def _divide(self, name: str) -> list[HolderId]:
-        """Move shares of one budget toward what is fair; return whose changed."""
+        """Move shares of one budget toward the fair division; return the holders whose share changed."""
         account = self.accounts.get(name)
         if account is None:
             return []
-        whole, slips = account.total, list(account.holdings.values())
-        weights = [self.tenancies[slip.holder].weight for slip in slips]
-        wishes = [
-            Claimant(slip.granted, slip.demand, weight) for slip, weight in zip(slips, weights, strict=True)
+        total, holdings = account.total, list(account.holdings.values())
+        weights = [self.tenancies[one.holder].weight for one in holdings]
+        claimants = [
+            Claimant(one.granted, one.demand, weight) for one, weight in zip(holdings, weights, strict=True)
         ]
-        targets, changed = divide(whole, wishes), []
-        settled = [slip.confirmed == slip.version for slip in slips]
-        free = max(0.0, whole - account.committed)
-        lowered = account.committed > whole * (1 + LEAST)  # the whole was: what is under way is overtaken too
+        targets, changed = divide(total, claimants), []
+        settled = [holding.confirmed == holding.version for holding in holdings]
+        free = max(0.0, total - account.committed)
+        # After the total was lowered, unconfirmed changes are replaced too.
+        lowered = account.committed > total * (1 + MIN_CHANGE)
         raised: list[tuple[float, Holding]] = []
-        for slip, target, still in zip(slips, targets, settled, strict=True):
-            if target < slip.granted - LEAST * whole and (still or lowered):
-                self._change(name, slip, target)
-                changed.append(slip.holder)
-            elif not still:
-                continue  # asked for again once the present change is confirmed
-            elif target > slip.granted + LEAST * whole:
-                raised.append((target - slip.granted, slip))
-            elif not slip.demand and not slip.granted and not slip.committed:
-                del account.holdings[slip.holder]  # nothing of it is left
-                del self.tenancies[slip.holder].holdings[name]
+        for holding, target, is_settled in zip(holdings, targets, settled, strict=True):
+            if target < holding.granted - MIN_CHANGE * total and (is_settled or lowered):
+                self._change(name, holding, target)
+                changed.append(holding.holder)
+            elif not is_settled:
+                continue  # considered again once the present change is confirmed
+            elif target > holding.granted + MIN_CHANGE * total:
+                raised.append((target - holding.granted, holding))
+            elif not holding.demand and not holding.granted and not holding.committed:
+                del account.holdings[holding.holder]
+                del self.tenancies[holding.holder].holdings[name]
         short = sum(more for more, _ in raised)
         part = min(1.0, free / short) if short > 0 else 0.0
         taken = part * short
-        if part > LEAST:
+        if part > MIN_CHANGE:
             handed = account.free_tokens * min(1.0, taken / free) if free > 0 else 0.0
             account.free_tokens -= handed
-            for more, slip in raised:
-                self._change(name, slip, slip.granted + part * more, handed * more / short)
-                slip.committed = slip.granted
-                changed.append(slip.holder)
+            for more, holding in raised:
+                self._change(name, holding, holding.granted + part * more, handed * more / short)
+                holding.committed = holding.granted
+                changed.append(holding.holder)
         if not account.holdings:
             del self.accounts[name]
         return changed
 
-    def _change(self, name: str, slip: Holding, rate: float, tokens: float = 0.0) -> None:
-        slip.granted, slip.tokens = max(0.0, rate), tokens
-        slip.version += 1
+    def _change(self, name: str, holding: Holding, rate: float, tokens: float = 0.0) -> None:
+        holding.granted, holding.tokens = max(0.0, rate), tokens
+        holding.version += 1
         self.moves += 1
-        self.tenancies[slip.holder].unconfirmed[name] = None
+        self.tenancies[holding.holder].unconfirmed[name] = None
--- a/tests/live/test_wholes.py
+++ b/tests/live/test_wholes.py
@@ -94,7 +94,7 @@
 
     def update_source(self, now, says, before, after):
         super().update_source(now, says, before, after)
-        self._idle.clear()
+        self._idle_buckets.clear()
 
 
 class FullStore(BudgetShare):
--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -38,8 +38,8 @@
 FAULTS = (
     Fault("the dead are never found", "views", f"{SWIM}.suspecting:Suspects.run_out", "return over", "self.first_at = now + 10**9\n    return []"),
     Fault("nobody objects", "views", f"{SWIM}.words:Words._of_me", "self.take(now, member.renamed(incarnation=record.incarnation + 1))", "pass"),
-    Fault("a share is lent before it is back", "budgets", f"{LEDGER}:BudgetAccount.committed", "slip.committed", "slip.granted"),
-    Fault("a term opens at once", "budgets", f"{TERMS}.handle_acquire", "now + earlier", "now"),
+    Fault("a share is lent before it is back", "budgets", f"{LEDGER}:BudgetAccount.committed", "holding.committed", "holding.granted"),
+    Fault("a term opens at once", "budgets", f"{TERMS}.handle_acquire", "now + earlier_us", "now"),
     Fault("a ledger ends leases early", "budgets", f"{BUDGETS}:BudgetRules.granter_lease_us", "lease_us * (1 + self.clock_error)", "lease_us * 0.2"),
     Fault("a share never lapses", "budgets", f"{HOLDER}._drop", "held.share.drop_leased(now)", "pass"),
     Fault("a restored record is left", "record", f"{KEEPING}:put_back", "there.revision >= known.revision", "True"),
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -374,8 +374,8 @@
 
 class CountsFromTheAnswer(LeaseHolder):
     def apply_grant(self, now, grant):
-        if grant.in_reply_to in self._asked:
-            self._asked[grant.in_reply_to] = (now, self._asked[grant.in_reply_to][1])
+        if grant.in_reply_to in self._sent_requests:
+            self._sent_requests[grant.in_reply_to] = (now, self._sent_requests[grant.in_reply_to][1])
         return super().apply_grant(now, grant)
 
 
