--- a/harriertrack/decisions/fleet/__init__.py
+++ b/harriertrack/decisions/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet of heads decides together. Pure, as all decisions; nothing here is loaded by a head alone."""
+"""Decisions that the heads of a fleet make together. Pure; not loaded by a head without a fleet."""
--- a/harriertrack/decisions/fleet/changes/__init__.py
+++ b/harriertrack/decisions/fleet/changes/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet agrees should run: one record of versions of named things; all changes are users of it."""
+"""The record of changes: versions of named things, and which heads of the fleet are to run them."""
--- a/harriertrack/decisions/fleet/changes/operations.py
+++ b/harriertrack/decisions/fleet/changes/operations.py
@@ -1,8 +1,8 @@
-"""What may be done to the record: operators propose, pause, resume and abort; who decides brings about.
+"""Operations on the record: operators propose, pause, resume and abort versions; the decider rolls them out.
 
-Each function takes a record and returns the next one, or raises why it can't be. Two who change it at once:
-whoever keeps it takes one of the two records; the other is made anew from that one, and `propose` then tells
-how far the thing has moved on (`Conflict`).
+Each function takes a record and returns the next one, or raises the reason for refusing. Of two concurrent
+changes the witness accepts one; the other is made again from the new record, and `propose` then reports how
+far the thing has changed (`ChangeConflict`).
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from harriertrack.decisions.fleet.changes.record import Record, Version, kind_of
 from harriertrack.decisions.fleet.changes.version_state import VersionState, check_transition
 
-MAX_NAME_BYTES = 64  # bytes of a thing's name: it rides on notes
-MAX_BODY_BYTES = 64 << 10  # bytes: eight things with a history stay below what a key of the witness holds
+MAX_NAME_BYTES = 64  # a thing's name is carried in gossip notes
+MAX_BODY_BYTES = 64 << 10  # eight things with a history stay below the limit of a witness key
 MAX_THINGS = 64
 
 
 class ChangeRefused(Exception):
-    """It can't be done, whoever asks; the message says why."""
+    """The operation is not possible; the message gives the reason."""
 
 
 class ChangeConflict(ChangeRefused):
-    """The thing has moved on since what the change was made from."""
+    """The thing has changed since the version that the change was made from."""
 
     def __init__(self, thing: str, base: int, now: Version | None, difference: list[str], why: str) -> None:
         super().__init__(why)
@@ -32,55 +32,57 @@
 
 
 class OutdatedTerm(ChangeRefused):
-    """A later term has decided since."""
+    """A later term has changed the record since."""
 
 
 def difference(before: str, after: str) -> list[str]:
-    """Return what lines differ, in unified form without heads."""
+    """Return the lines that differ, as a unified diff without headers."""
     lines = difflib.unified_diff(before.splitlines(), after.splitlines(), lineterm="", n=0)
     return [line for line in lines if not line.startswith(("---", "+++"))]
 
 
 def propose(record: Record, thing: str, base: int, body: str, by: str, at_ms: int, why: str, plan: str = "",
             although: str = "") -> Record:  # fmt: skip
-    """Ask for a new version of a thing, made from the one in force, number `base` (0: there is none).
+    """Add a proposed version of a thing, made from the version in force, number `base` (0: there is none).
 
-    `although`: why content that was stopped before is tried again. Raises Conflict, Refused.
+    `although`: why content that was stopped before is tried again. Raises ChangeConflict, ChangeRefused.
     """
     try:
         kind_of(thing)
     except ValueError:
-        raise ChangeRefused(f"{thing}: nothing of that kind can change") from None
+        raise ChangeRefused(f"{thing}: there is no such kind of thing") from None
     if not thing.isprintable() or " " in thing or len(thing.encode()) > MAX_NAME_BYTES:
-        raise ChangeRefused(f"{thing!r}: no name of at most {MAX_NAME_BYTES} bytes without blanks")
+        raise ChangeRefused(
+            f"{thing!r}: not a printable name of at most {MAX_NAME_BYTES} bytes without spaces"
+        )
     if not why.strip():
-        raise ChangeRefused(f"{thing}: why is needed")
+        raise ChangeRefused(f"{thing}: a reason (why) is required")
     if len(body.encode()) > MAX_BODY_BYTES:
         raise ChangeRefused(f"{thing}: {len(body.encode())} bytes, more than {MAX_BODY_BYTES}")
-    known, holds, going = record.versions_of(thing), record.in_force(thing), record.in_progress(thing)
+    known, in_force, current = record.versions_of(thing), record.in_force(thing), record.in_progress(thing)
     if not known and len(record.things()) >= MAX_THINGS:
-        raise ChangeRefused(f"{thing}: {MAX_THINGS} things have versions already")
-    if going is not None:
-        said = f"{thing}: version {going.number} by {going.by} is {going.standing.value}"
-        raise ChangeConflict(thing, base, going, difference(going.body, body), said)
-    if base != (holds.number if holds is not None else 0):
-        at = holds.number if holds is not None else 0
-        said = f"{thing}: made from version {base}, but {at} is in force"
+        raise ChangeRefused(f"{thing}: the limit of {MAX_THINGS} things is reached")
+    if current is not None:
+        message = f"{thing}: version {current.number} by {current.by} is {current.standing.value}"
+        raise ChangeConflict(thing, base, current, difference(current.body, body), message)
+    if base != (in_force.number if in_force is not None else 0):
+        latest = in_force.number if in_force is not None else 0
+        message = f"{thing}: made from version {base}, but {latest} is in force"
         raise ChangeConflict(
-            thing, base, holds, difference(holds.body if holds is not None else "", body), said
+            thing, base, in_force, difference(in_force.body if in_force is not None else "", body), message
         )
-    if holds is not None and holds.body == body:
-        raise ChangeRefused(f"{thing}: version {holds.number} in force says the same")
+    if in_force is not None and in_force.body == body:
+        raise ChangeRefused(f"{thing}: version {in_force.number} in force has the same content")
     stopped = next((one for one in known if one.standing is VersionState.STOPPED and one.body == body), None)
     if stopped is not None and not although.strip():
-        raise ChangeRefused(f"{thing}: version {stopped.number} said the same and was stopped: "
+        raise ChangeRefused(f"{thing}: version {stopped.number} had the same content and was stopped: "
                             f"{stopped.reason}; say why it is tried again")  # fmt: skip
     number = max((one.number for one in known), default=0) + 1
-    told = f"{why} (although {stopped.number} was stopped: {although})" if stopped is not None else why
-    return record.with_versions([Version(thing, number, base, body, by, at_ms, told, plan, since_ms=at_ms)])
+    reason = f"{why} (although {stopped.number} was stopped: {although})" if stopped is not None else why
+    return record.with_versions([Version(thing, number, base, body, by, at_ms, reason, plan, since_ms=at_ms)])
 
 
-def _held(record: Record, thing: str, number: int) -> Version:
+def _find_version(record: Record, thing: str, number: int) -> Version:
     one = record.find(thing, number)
     if one is None:
         raise ChangeRefused(f"{thing}: no version {number}")
@@ -90,56 +92,57 @@
 def set_state(record: Record, epoch: int, thing: str, number: int, standing: VersionState, at_ms: int,
               reason: str, stage: int | None = None,
               heads: Iterable[str] | None = None) -> Record:  # fmt: skip
-    """Take a version one step further, as who decides in term `epoch`.
+    """Change a version's state, as the decider of term `epoch`.
 
-    A version that comes in force replaces the one that was. Raises Outdated, Refused, IllegalStep.
+    A version that comes into force replaces the earlier one. Raises OutdatedTerm, ChangeRefused,
+    IllegalTransition.
     """
     if epoch < record.epoch:
-        raise OutdatedTerm(f"term {record.epoch} has decided since term {epoch}")
-    one = _held(record, thing, number)
+        raise OutdatedTerm(f"term {record.epoch} has changed the record since term {epoch}")
+    one = _find_version(record, thing, number)
     check_transition(one.standing, standing)
-    named = one.heads if heads is None else tuple(heads)
+    targets = one.heads if heads is None else tuple(heads)
     if standing in (VersionState.IN_FORCE, VersionState.STOPPED, VersionState.ABORTED):
-        named = ()
-    stepped = replace(one, standing=standing, since_ms=at_ms, reason=reason, heads=named,
+        targets = ()
+    changed = replace(one, standing=standing, since_ms=at_ms, reason=reason, heads=targets,
                       stage=one.stage if stage is None else stage)  # fmt: skip
-    before = record.in_force(thing) if standing is VersionState.IN_FORCE else None
-    fresh = [stepped]
-    if before is not None:
-        fresh.append(replace(before, standing=VersionState.REPLACED, since_ms=at_ms, reason=f"by {number}"))
+    earlier = record.in_force(thing) if standing is VersionState.IN_FORCE else None
+    fresh = [changed]
+    if earlier is not None:
+        fresh.append(replace(earlier, standing=VersionState.REPLACED, since_ms=at_ms, reason=f"by {number}"))
     return record.with_versions(fresh, epoch)
 
 
 def set_state_as_operator(
     record: Record, thing: str, standing: VersionState, by: str, at_ms: int, why: str
 ) -> Record:
-    """Pause, resume or abort what is under way, as an operator; nobody else's term is touched by it.
+    """Pause, resume or abort the version in progress, as an operator; leaves the record's epoch as it is.
 
-    `standing`: PAUSED, GOING (resume) or ABORTED, which takes a version back first if heads run it. Raises
-    Refused, IllegalStep.
+    `standing`: PAUSED, ADVANCING (resume) or ABORTED, which first reverts a version that heads run. Raises
+    ChangeRefused, IllegalTransition.
     """
     one = record.in_progress(thing)
     if one is None:
-        raise ChangeRefused(f"{thing}: nothing is under way")
+        raise ChangeRefused(f"{thing}: no version is in progress")
     if not why.strip():
-        raise ChangeRefused(f"{thing}: why is needed")
+        raise ChangeRefused(f"{thing}: a reason (why) is required")
     if standing is VersionState.ABORTED and one.standing in (VersionState.ADVANCING, VersionState.PAUSED):
         standing = VersionState.REVERTING
     elif standing is VersionState.ADVANCING and one.standing is not VersionState.PAUSED:
         raise ChangeRefused(f"{thing}: version {one.number} is not paused")
     elif standing not in (VersionState.PAUSED, VersionState.ADVANCING, VersionState.ABORTED):
-        raise ChangeRefused(f"{thing}: {standing.value} is not for operators to say")
+        raise ChangeRefused(f"{thing}: {standing.value} is not for operators to set")
     check_transition(one.standing, standing)
     return record.with_versions([replace(one, standing=standing, since_ms=at_ms, reason=f"{why} ({by})")])
 
 
 def raise_level(record: Record, epoch: int, level: int) -> Record:
-    """Let all use what a later program brought, as who decides; a level never falls.
+    """Enable the features of a later program for all heads, as the decider; a level never falls.
 
-    Raises Outdated, Refused.
+    Raises OutdatedTerm, ChangeRefused.
     """
     if epoch < record.epoch:
-        raise OutdatedTerm(f"term {record.epoch} has decided since term {epoch}")
+        raise OutdatedTerm(f"term {record.epoch} has changed the record since term {epoch}")
     if level <= record.level:
-        raise ChangeRefused(f"level {record.level} holds already")
+        raise ChangeRefused(f"level {record.level} is in force already")
     return record.with_versions([], epoch, level)
--- a/harriertrack/decisions/fleet/changes/record.py
+++ b/harriertrack/decisions/fleet/changes/record.py
@@ -1,10 +1,10 @@
-"""The record: numbered versions of named things, each with who, when and why, and who is to run which.
+"""The record: numbered versions of named things, each with author, time and reason, and the heads to run it.
 
 A *thing* is named by its kind and, where there are several, a name: `settings`, `program`, `calendar/tokyo`,
-`scorer/fill`. Of each at most one version is in force and at most one under way. The record is a value: every
-change makes a new one with the next *revision*, and whoever keeps it (the witness) takes it only in place of
-the one that it was made from. What decides does so under the *epoch* of its term; an earlier term's steps are
-turned down for good once a later one's was taken.
+`scorer/fill`. Each thing has at most one version in force and at most one in progress. The record is an
+immutable value: every change makes a new one with the next *revision*, and the witness, which stores it,
+accepts that only in place of the record it was made from. The decider writes under the *epoch* of its term;
+changes of an earlier term are refused for good once one of a later term was accepted.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 from harriertrack.decisions.fleet.changes.version_state import ACTIVE, FINISHED, IN_PROGRESS, VersionState
 
-ALL_HEADS = "*"  # in place of names: every head
+ALL_HEADS = "*"  # in place of head names
 
 
 class Kind(Enum):
-    """What can change."""
+    """Kinds of things that can change."""
 
     SETTINGS = "settings"
     PROGRAM = "program"
@@ -28,7 +28,7 @@
 
 
 def kind_of(thing: str) -> Kind:
-    """Return what a thing is. Raises ValueError for a name of no kind."""
+    """Return the kind of a thing. Raises ValueError if the name has none."""
     return Kind(thing.partition("/")[0])
 
 
@@ -37,31 +37,31 @@
     """One version of a thing."""
 
     thing: str
-    number: int  # from 1, never used twice
-    base: int  # the version in force that it was made from; 0: there was none
-    body: str  # what the thing's user reads
+    number: int  # from 1, never reused
+    base: int  # the version in force that it was made from; 0: none
+    body: str  # content, parsed by the thing's user
     by: str
     at_ms: int  # since 1970, when it was proposed
     why: str
-    plan: str = ""  # how it is brought about, for who does; "": as is usual
+    plan: str = ""  # rollout plan, for the decider; "": the usual one
     standing: VersionState = VersionState.PROPOSED
-    since_ms: int = 0  # since 1970, when that last changed
-    reason: str = ""  # why it stands there
+    since_ms: int = 0  # since 1970, when the state last changed
+    reason: str = ""  # why it is in this state
     stage: int = 0
-    heads: tuple[str, ...] = ()  # who is to run it while it is not in force; (ALL,): everybody
+    heads: tuple[str, ...] = ()  # to run it while it is not in force; (ALL_HEADS,): every head
 
     def targets(self, head: str) -> bool:
-        """Whether a head is among those that are to run it in this stage."""
+        """Whether a head is among those that are to run it at this stage."""
         return head in self.heads or self.heads == (ALL_HEADS,)
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """All versions that matter; replaced, never changed."""
+    """All versions that are kept; immutable."""
 
     revision: int = 0
-    epoch: int = 0  # the latest term that decided anything
-    level: int = 0  # what all who vote understand: nobody uses what came with a later program
+    epoch: int = 0  # of the latest term that changed it
+    level: int = 0  # feature level that all voting heads support; later features are unused
     versions: tuple[Version, ...] = ()
 
     def versions_of(self, thing: str) -> list[Version]:
@@ -69,48 +69,48 @@
         return [one for one in self.versions if one.thing == thing]
 
     def things(self) -> list[str]:
-        """Return what has versions, by name."""
+        """Return the names of all things with versions."""
         return sorted({one.thing for one in self.versions})
 
     def in_force(self, thing: str) -> Version | None:
-        """Return the version that holds for everybody who is not named by one under way."""
+        """Return the version for all heads that are not targets of one in progress."""
         return next((one for one in self.versions_of(thing) if one.standing is VersionState.IN_FORCE), None)
 
     def in_progress(self, thing: str) -> Version | None:
-        """Return the version that is being brought about, or taken back."""
+        """Return the version that is being rolled out or reverted, or is proposed."""
         return next((one for one in self.versions_of(thing) if one.standing in IN_PROGRESS), None)
 
     def find(self, thing: str, number: int) -> Version | None:
-        """Return a version by its number, if it is still remembered."""
+        """Return a version by its number, if it is still kept."""
         return next((one for one in self.versions_of(thing) if one.number == number), None)
 
     def version_for(self, thing: str, head: str) -> Version | None:
-        """Return the version of a thing that a head is to run; None: what it was started with."""
-        going = self.in_progress(thing)
-        if going is not None and going.standing in ACTIVE and going.targets(head):
-            return going
+        """Return the version of a thing that a head is to run; None: what the head was started with."""
+        current = self.in_progress(thing)
+        if current is not None and current.standing in ACTIVE and current.targets(head):
+            return current
         return self.in_force(thing)
 
     def with_versions(self, versions: Iterable[Version], epoch: int = 0, level: int = 0) -> Record:
-        """Return the next record, with these versions in place of those of the same thing and number."""
+        """Return the next record, in which these versions replace those of the same thing and number."""
         fresh = {(one.thing, one.number): one for one in versions}
-        kept = [fresh.pop((one.thing, one.number), one) for one in self.versions]
+        known = [fresh.pop((one.thing, one.number), one) for one in self.versions]
         return replace(
             self, revision=self.revision + 1, epoch=max(self.epoch, epoch), level=max(self.level, level),
-            versions=_pruned([*kept, *fresh.values()]),
+            versions=_prune([*known, *fresh.values()]),
         )  # fmt: skip
 
 
-MAX_FINISHED_VERSIONS = 8  # versions of a thing that are over, newest last
+MAX_FINISHED_VERSIONS = 8  # kept of each thing, newest last
 
 
-def _pruned(versions: list[Version]) -> tuple[Version, ...]:
-    over: dict[str, int] = {}
+def _prune(versions: list[Version]) -> tuple[Version, ...]:
+    finished: dict[str, int] = {}
     kept = []
     for one in reversed(versions):
         if one.standing in FINISHED:
-            over[one.thing] = over.get(one.thing, 0) + 1
-            if over[one.thing] > MAX_FINISHED_VERSIONS:
+            finished[one.thing] = finished.get(one.thing, 0) + 1
+            if finished[one.thing] > MAX_FINISHED_VERSIONS:
                 continue
         kept.append(one)
     return tuple(reversed(kept))
--- a/harriertrack/decisions/fleet/changes/version_state.py
+++ b/harriertrack/decisions/fleet/changes/version_state.py
@@ -1,4 +1,4 @@
-"""How far a version of something has come, from being proposed to being in force or taken back."""
+"""The state machine of a version, from proposed to in force or reverted."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class VersionState(Enum):
-    """What holds of a version."""
+    """State of a version."""
 
-    PROPOSED = "proposed"  # asked for; nobody is to run it yet
-    ADVANCING = "going"  # the heads that the version names are to run it, ever more of them
-    PAUSED = "paused"  # the same heads run it, and no more until somebody says so
-    REVERTING = "back"  # the heads that it still names have not gone back to the one in force
-    IN_FORCE = "in force"  # all are to run it
-    REPLACED = "replaced"  # it was in force until a later one was
-    STOPPED = "stopped"  # it was found to be worse; the same content is refused without a word
-    ABORTED = "aborted"  # an operator took it back
+    PROPOSED = "proposed"  # requested; no head is to run it yet
+    ADVANCING = "going"  # the heads named by the version are to run it; more are added by stages
+    PAUSED = "paused"  # the same heads run it; no more are added until it is resumed
+    REVERTING = "back"  # the heads still named have not returned to the version in force
+    IN_FORCE = "in force"  # all heads are to run it
+    REPLACED = "replaced"  # was in force until a later version was
+    STOPPED = "stopped"  # found to be worse; the same content is refused unless a reason is given
+    ABORTED = "aborted"  # reverted by an operator
 
 
 TRANSITIONS: dict[VersionState, frozenset[VersionState]] = {
@@ -36,15 +36,15 @@
 )
 ACTIVE = frozenset(
     {VersionState.ADVANCING, VersionState.PAUSED, VersionState.REVERTING}
-)  # by the heads that the version names
+)  # states in which the named heads run the version
 FINISHED = frozenset({VersionState.REPLACED, VersionState.STOPPED, VersionState.ABORTED})
 
 
 class IllegalTransition(Exception):
-    """A version can't go from where it stands to there."""
+    """A version can't change from its state to the requested one."""
 
 
 def check_transition(before: VersionState, after: VersionState) -> None:
-    """Raise IllegalStep unless a version may go from one standing to the other."""
+    """Raise IllegalTransition unless a version may change from one state to the other."""
     if after not in TRANSITIONS[before]:
         raise IllegalTransition(f"from {before.value} to {after.value}")
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -270,7 +270,7 @@
         "a second version under way",
         "changes-two",
         f"{WRITING}:propose",
-        "if going is not None:",
+        "if current is not None:",
         "if False:",
     ),
     Fault("the old watch is not cancelled", "watch-moves", f"{LIST}._start", "self._task.cancel()", "pass"),
@@ -604,7 +604,7 @@
         "who is not named runs it",
         "rollout-decider",
         "decisions.fleet.changes.record:Record.version_for",
-        " and going.targets(head)",
+        " and current.targets(head)",
         "",
     ),
     Fault(
@@ -618,7 +618,7 @@
         "what was turned down counts as run",
         "rollout-falls",
         f"{FOLLOWING}.mark_rejected",
-        "mine.rejected, mine.reason = number, why",
+        "mine.rejected, mine.reason = number, reason",
         "mine.running = number",
     ),
     Fault(
