--- a/harriertrack/decisions/fleet/zones/__init__.py
+++ b/harriertrack/decisions/fleet/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving zones that fail and returning, as a fleet: what is seen, what is decided, what a head is told."""
+"""How a fleet leaves failed zones and returns to them: observations, decisions and their effect on a head."""
--- a/harriertrack/decisions/fleet/zones/evacuation.py
+++ b/harriertrack/decisions/fleet/zones/evacuation.py
@@ -1,17 +1,17 @@
-"""The fleet's word on each zone: used, out, tried by a few, or used again by ever more heads.
+"""The fleet's decision on each zone: in use, out, tried by a few heads, or used again by more and more heads.
 
-One head decides, from what all of them see; who that is, and that there is one at most, is the business of
-the terms (terms.py). What it tells apart:
+One head decides, based on the observations of all heads; terms (terms.py) ensure that there is at most one
+decider. It distinguishes:
 
-- a zone that failed: nearly all nodes there, as all heads together see them, answer nothing;
-- a head that is cut off itself: nothing answers it anywhere, and its word does not count;
-- one bad node, lost answers everywhere, a slow or overloaded zone: most nodes there answer something;
-- heads that see a zone differently: it stays, and each head helps itself, as without a word;
-- a zone that still serves more than is lost there (cost.py): leaving it would cost more than it saves;
-- what is everywhere: if all zones fail at once none is left, and the last one never is.
+- a failed zone: nearly all its nodes are silent, in the observations of all heads together;
+- a head that is cut off itself: it gets answers from no zone, and its report does not count;
+- one bad node, answers lost everywhere, a slow or overloaded zone: most of the zone's nodes still answer;
+- heads whose observations of a zone differ: it stays in use, and each head avoids silent nodes by itself;
+- a zone that still serves more requests than are lost there (cost.py): leaving costs more than it saves;
+- a failure of all zones at once: none is left, and the last zone in use never is.
 
-A zone that is out is tried by a few heads for all, and comes back head by head, each treating its nodes as
-just started; it steps back when it hurts, and waits longer after each relapse. Pure.
+A zone that is out is tried by a few heads on behalf of all, and returns head by head, each treating its nodes
+as cold; a return is slowed or reverted when nodes are silent, and waits longer after each relapse. Pure.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class ZoneState:
-    """A zone, as who decides holds it."""
+    """The decider's state of a zone."""
 
     stage: ZoneStage = ZoneStage.IN
     since: int = 0
@@ -37,20 +37,20 @@
     failed_since: int | None = None
     stepped_at: int = 0
     left_at: int = 0
-    returned_at: int = 0  # when its latest return began
+    returned_at: int = 0  # start of its latest return
     reason: str = ""
-    operator_hold: str = ""  # an operator's: "out", or "in" for no automatic leaving
+    operator_hold: str = ""  # "out", or "in": never left automatically
 
 
 @dataclass(slots=True)
-class _Seen:
-    at: int
-    sights: tuple[ZoneObservation, ...]
+class _Report:
+    received_at: int
+    observations: tuple[ZoneObservation, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneSummary:
-    """What all heads that count see of a zone."""
+    """Sum of all valid observations of a zone."""
 
     responding: int = 0
     silent: int = 0
@@ -59,66 +59,70 @@
 
     @property
     def silent_share(self) -> float:
-        """Return which part of the nodes asked answer nothing."""
+        """Return the silent part of the nodes that got requests."""
         return self.silent / (self.responding + self.silent) if self.responding + self.silent else 0.0
 
 
 class Evacuation:
-    """Decides on all zones, while its head may."""
+    """Decides on all zones while its head is the decider."""
 
     def __init__(self, rules: ZoneRules) -> None:
         self.rules = rules
         self.zones: dict[str, ZoneState] = {}
-        self._seen: dict[str, _Seen] = {}
-
-    def record_report(self, now: int, head: str, sights: tuple[ZoneObservation, ...]) -> None:
-        """A head says what it sees."""
-        self._seen[head] = _Seen(now, sights)
-
-    def resume(self, now: int, words: Iterable[ZoneDecision]) -> None:
-        """Go on from what the one who decided before said last."""
-        for word in words:
-            back_at = now - word.warm_us
-            self.zones[word.zone] = ZoneState(
-                word.stage, back_at, word.share, word.trial_round, relapses=1, stepped_at=now,
-                left_at=now - word.left_us, returned_at=back_at, reason=word.reason,
+        self._reports: dict[str, _Report] = {}
+
+    def record_report(self, now: int, head: str, observations: tuple[ZoneObservation, ...]) -> None:
+        """Record a head's observations."""
+        self._reports[head] = _Report(now, observations)
+
+    def resume(self, now: int, decisions: Iterable[ZoneDecision]) -> None:
+        """Continue from the last decisions of the previous decider."""
+        for one in decisions:
+            returned_at = now - one.warm_us
+            self.zones[one.zone] = ZoneState(
+                one.stage, returned_at, one.share, one.trial_round, relapses=1, stepped_at=now,
+                left_at=now - one.left_us, returned_at=returned_at, reason=one.reason,
             )  # fmt: skip
 
-    def apply_holds(self, now: int, wishes: Mapping[str, str]) -> None:
-        """Take what operators wish: zone to "out", "in" (never left by itself), or "" for no wish.
+    def apply_holds(self, now: int, holds: Mapping[str, str]) -> None:
+        """Apply operators' holds: by zone "out", "in" (never left automatically), or "" for none.
 
-        The last zone that is in use is not left by a wish either, as long as it is that.
+        While a zone is the last one in use, a hold does not take it out either.
         """
-        for name, wish in wishes.items():
+        for name, hold in holds.items():
             zone = self.zones.get(name)
-            if zone is None or zone.operator_hold == wish or (wish == "out" and not self._others(zone)):
+            if (
+                zone is None
+                or zone.operator_hold == hold
+                or (hold == "out" and not self._others_in_use(zone))
+            ):
                 continue
-            before, zone.operator_hold = zone.operator_hold, wish
-            if wish == "out":
+            before, zone.operator_hold = zone.operator_hold, hold
+            if hold == "out":
                 self._change(now, zone, ZoneStage.OUT, 0.0, "an operator's wish")
             elif before == "out":
                 self._change(now, zone, ZoneStage.TRYING, 0.0, "an operator's wish to return")
                 zone.trial_round += 1
-            elif wish == "in" and zone.stage is not ZoneStage.IN:
+            elif hold == "in" and zone.stage is not ZoneStage.IN:
                 self._change(now, zone, ZoneStage.IN, 1.0, "an operator's wish")
 
     def summarize(self, now: int) -> dict[str, ZoneSummary]:
-        """Return what is seen of each zone by the heads that are not cut off themselves."""
+        """Sum the observations of each zone over all heads that are not cut off themselves."""
         found: dict[str, ZoneSummary] = {}
-        for head, seen in list(self._seen.items()):
-            if seen.at < now - self.rules.fresh_us:
-                del self._seen[head]
+        for head, report in list(self._reports.items()):
+            if report.received_at < now - self.rules.fresh_us:
+                del self._reports[head]
                 continue
-            if not any(sight.responding for sight in seen.sights) and len(seen.sights) != 1:
-                continue  # nothing answers it anywhere
-            for sight in seen.sights:
-                one = found.get(sight.zone, ZoneSummary())
-                found[sight.zone] = ZoneSummary(one.responding + sight.responding, one.silent + sight.silent,
-                                                one.heads + 1, one.load + sight)  # fmt: skip
+            if not any(one.responding for one in report.observations) and len(report.observations) != 1:
+                continue  # no zone answers it
+            for one in report.observations:
+                total = found.get(one.zone, ZoneSummary())
+                found[one.zone] = ZoneSummary(total.responding + one.responding, total.silent + one.silent,
+                                                total.heads + 1, total.load + one)  # fmt: skip
         return found
 
     def cost(self, name: str, sums: Mapping[str, ZoneSummary]) -> Cost:
-        """Return what leaving a zone costs, as it is with the others now."""
+        """Return the cost of leaving a zone, given the present load of the others."""
         others = (
             other for other, zone in self.zones.items() if other != name and zone.stage is ZoneStage.IN
             and sums.get(other, ZoneSummary()).silent_share < self.rules.gone
@@ -129,7 +133,7 @@
 
     def decide(self, now: int, zones: Iterable[str], heads: int,
                starts: Mapping[str, Collection[int]] = MappingProxyType({})) -> None:  # fmt: skip
-        """Look at every zone; `starts`: when its nodes started, as the list says."""
+        """Update every zone; `starts`: start times of its nodes from the node list."""
         sums = self.summarize(now)
         known = {name: sums.get(name, ZoneSummary()) for name in zones}
         for name in known:
@@ -156,7 +160,7 @@
                 case ZoneStage.RETURNING:
                     self._returning(now, zone, seen, name in failing and self.cost(name, sums).worthwhile)
 
-    def _others(self, zone: ZoneState) -> bool:
+    def _others_in_use(self, zone: ZoneState) -> bool:
         return any(one is not zone and one.stage is ZoneStage.IN for one in self.zones.values())
 
     def _in(self, now: int, zone: ZoneState, fails: bool, seen: ZoneSummary) -> None:
@@ -167,7 +171,11 @@
             return
         if zone.failed_since is None:
             zone.failed_since = now
-        if now >= zone.failed_since + self.rules.gone_us and self._others(zone) and not zone.operator_hold:
+        if (
+            now >= zone.failed_since + self.rules.gone_us
+            and self._others_in_use(zone)
+            and not zone.operator_hold
+        ):
             self._leave(
                 now,
                 zone,
@@ -175,9 +183,9 @@
             )
 
     def _leave(self, now: int, zone: ZoneState, why: str) -> None:
-        # A use that was longer than the time out before it was worth it: the next wait is the shortest again.
-        paid = now - zone.returned_at >= zone.returned_at - zone.left_at
-        zone.relapses = 1 if paid else zone.relapses + 1
+        # If the zone was used for longer than it had been out before, the next wait starts at the shortest.
+        paid_off = now - zone.returned_at >= zone.returned_at - zone.left_at
+        zone.relapses = 1 if paid_off else zone.relapses + 1
         zone.failed_since = None
         self._change(now, zone, ZoneStage.OUT, 0.0, why)
 
@@ -195,14 +203,16 @@
     def _trying(self, now: int, zone: ZoneState, seen: ZoneSummary, heads: int) -> None:
         rules = self.rules
         if seen.responding and 1 - seen.silent_share >= rules.answers and now >= zone.since + rules.gone_us:
-            first = min(1.0, max(rules.first, rules.tries / max(1, heads)))  # who tries goes on
+            first = min(
+                1.0, max(rules.first, rules.tries / max(1, heads))
+            )  # the heads that made trials continue
             self._change(now, zone, ZoneStage.RETURNING, first, f"{seen.responding} nodes answer")
             zone.stepped_at = zone.returned_at = now
         elif now >= zone.since + rules.turn_us:
             zone.since = now
             zone.trial_round += 1
         elif not seen.responding + seen.silent and now >= max(zone.since, zone.stepped_at) + rules.step_us:
-            # Nobody has asked there: of heads that ask seldom it takes more to try.
+            # No head sent requests there: with low traffic more heads have to make trials.
             zone.stepped_at = now
             zone.share = min(rules.first, max(2 * zone.share, rules.tries / max(1, heads)))
 
@@ -225,7 +235,7 @@
             zone.left_at = now
 
     def decisions(self, now: int) -> tuple[ZoneDecision, ...]:
-        """Return the word on every zone that is not simply in use."""
+        """Return the decision on every zone that is not fully in use."""
         return tuple(
             ZoneDecision(name, zone.stage, zone.share, zone.trial_round, zone.reason,
                  now - zone.since if zone.stage is ZoneStage.RETURNING else 0, zone.operator_hold == "out",
--- a/harriertrack/decisions/fleet/zones/evidence.py
+++ b/harriertrack/decisions/fleet/zones/evidence.py
@@ -1,8 +1,8 @@
-"""What one head sees of each zone: how many of the nodes that it used lately answer, and how many do not.
+"""One head's observation of each zone: how many of the nodes that it used lately answer, and how many do not.
 
-A node answers if any answer came in the window, whatever it said: full, late and refusing nodes are there. It
-does not if nothing came for a while though it was asked more than once. Counted are nodes, so that one bad
-node of eight says little of its zone. Pure.
+A node answers if any answer arrived within the window, whatever its result: full, late and refusing nodes are
+up. It is silent if it got more than one request and no answer for a while. Nodes are counted rather than
+requests, so that one bad node of eight says little about its zone. Pure.
 """
 
 from __future__ import annotations
@@ -13,58 +13,58 @@
 
 from harriertrack.decisions.interface import Arrived, Ended, Event, NodeEntry, Result, Send
 
-WINDOW_US = 2_000_000  # what was seen before is forgotten
-SILENT_US = 500_000  # without an answer, after which a node that was asked does not answer
-ASKED = 2  # times
-MOST_ZONES = 16  # in one report: those with the most trouble
-SLOT_US = 250_000  # counts are of the two whole slots before
-GAIN = 0.2  # weight of one answer in what a node's answers take
-BEST_UP = 0.003  # the best rises by this part with each answer: a node may have slowed for good
-MOST_OPEN = 4096  # new objects that are remembered until they are answered
+WINDOW_US = 2_000_000  # older observations are ignored
+SILENT_US = 500_000  # without an answer to a request, after which a node counts as silent
+MIN_REQUESTS = 2  # to a node before it can count as silent
+MAX_ZONES = 16  # in one report: those with the most silent nodes
+SLOT_US = 250_000  # counts cover the two complete slots before
+GAIN = 0.2  # weight of one answer in a node's mean answer time
+BEST_UP = 0.003  # the best time rises by this part with each answer: a node may have become slower for good
+MAX_OPEN = 4096  # new objects that are remembered until they are answered
 ANSWERS = (Result.OK, Result.ERROR, Result.FULL)
-NOTHING = (Result.CANCELLED, Result.MOOT)  # say nothing of the node
+IGNORED = (Result.CANCELLED, Result.MOOT)  # say nothing about the node
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneObservation:
-    """What a head sees of a zone: nodes that answer, nodes that do not, and requests that say so."""
+    """A head's observation of a zone: nodes that answer, silent nodes, and the requests this is based on."""
 
     zone: str
     responding: int
     silent: int
     requests: int
-    served: int = 0  # requests that it answered well, in half a second
-    movable: int = 0  # ... that were new objects: they could have gone elsewhere
-    reserved: int = 0  # ... and of plans with a reservation
-    wasted: int = 0  # attempts at nodes that do not answer, in half a second
-    busy: int = 0  # percent: how much longer than at best its answers take, of their whole time
+    served: int = 0  # successful answers, in half a second
+    movable: int = 0  # of these, new objects, which could have gone elsewhere
+    reserved: int = 0  # of those, by plans with a reservation
+    wasted: int = 0  # attempts at silent nodes, in half a second
+    busy: int = 0  # percent of the answer time beyond the best answer time
 
 
 @dataclass(slots=True)
 class _Node:
     zone: str
-    heard_at: int = -WINDOW_US
-    asked_since: int = -1  # the first request since it was heard; -1: none
-    asked: int = 0
-    lost: int = 0  # of those, that ended without an answer
-    latest: int = -WINDOW_US  # when it was asked last
-    takes: float = 0.0  # us, mean of its answers
-    best: float = 0.0
+    answered_at: int = -WINDOW_US
+    unanswered_since: int = -1  # the first request since its last answer; -1: none
+    requests: int = 0  # since its last answer
+    lost: int = 0  # of those, ended without an answer
+    latest: int = -WINDOW_US  # time of the latest request
+    mean_us: float = 0.0  # of its answer times
+    best_us: float = 0.0
 
-    def bad(self, now: int) -> bool:
-        """Whether it does not answer."""
-        silent = self.asked_since >= 0 and now - self.asked_since > SILENT_US
-        return self.asked >= ASKED and (silent or self.lost >= ASKED)
+    def is_silent(self, now: int) -> bool:
+        """Whether the node does not answer."""
+        silent = self.unanswered_since >= 0 and now - self.unanswered_since > SILENT_US
+        return self.requests >= MIN_REQUESTS and (silent or self.lost >= MIN_REQUESTS)
 
-    def took(self, us: int) -> None:
-        """It answered after so long."""
-        self.takes += GAIN * (us - self.takes) if self.takes else us
-        self.best = min(self.takes, self.best * (1 + BEST_UP)) if self.best else self.takes
+    def record_answer(self, us: int) -> None:
+        """Update the answer times with one answer."""
+        self.mean_us += GAIN * (us - self.mean_us) if self.mean_us else us
+        self.best_us = min(self.mean_us, self.best_us * (1 + BEST_UP)) if self.best_us else self.mean_us
 
 
 @dataclass(slots=True)
 class _Zone:
-    """What was counted of a zone: served, moved, reserved and wasted, by slot."""
+    """Counts of a zone by slot: served, movable, reserved and wasted."""
 
     slots: deque[tuple[int, list[int]]] = field(default_factory=lambda: deque(maxlen=3))
 
@@ -74,27 +74,27 @@
             self.slots.append((number, [0, 0, 0, 0]))
         self.slots[-1][1][what] += 1
 
-    def lately(self, now: int) -> list[int]:
+    def last_slots(self, now: int) -> list[int]:
         number = now // SLOT_US
         counted = [counts for slot, counts in self.slots if number - 2 <= slot < number]
         return [sum(column) for column in zip(*counted, strict=True)] if counted else [0, 0, 0, 0]
 
 
-SERVED, MOVED, RESERVED, WASTED = range(4)
+SERVED, MOVABLE, RESERVED, WASTED = range(4)
 
 
 class Evidence:
-    """One head's."""
+    """What one head observes of all zones."""
 
     def __init__(self, reserving: Collection[str] = ()) -> None:
-        """Begin; `reserving`: the plans with a reservation."""
+        """`reserving`: names of the plans with a reservation."""
         self._nodes: dict[str, _Node] = {}
         self._zones: dict[str, _Zone] = {}
         self._reserving = frozenset(reserving)
-        self._new: dict[int, bool] = {}  # new objects under way, and whether their plans reserve
+        self._new_objects: dict[int, bool] = {}  # in progress, and whether their plans have a reservation
 
     def set_nodes(self, entries: Iterable[NodeEntry]) -> None:
-        """Take the list, as it is told by those who keep it."""
+        """Apply the node list as announced, without the overlay of zone decisions."""
         fresh = {entry.node: entry.zone for entry in entries}
         for name in self._nodes.keys() - fresh.keys():
             del self._nodes[name]
@@ -103,46 +103,46 @@
         self._zones = {zone: self._zones.get(zone, _Zone()) for zone in fresh.values()}
 
     def record_send(self, now: int, send: Send) -> None:
-        """A request goes to a node."""
+        """Record an attempt sent to a node."""
         if (node := self._nodes.get(send.node)) is not None:
-            if node.bad(now):
+            if node.is_silent(now):
                 self._zones[node.zone].count(now, WASTED)
-            node.asked += 1
+            node.requests += 1
             node.latest = now
-            if node.asked_since < 0:
-                node.asked_since = now
+            if node.unanswered_since < 0:
+                node.unanswered_since = now
 
     def record_result(self, now: int, event: Ended) -> None:
-        """An attempt ended."""
+        """Record the end of an attempt."""
         node = self._nodes.get(event.node)
-        if node is None or event.result in NOTHING:
+        if node is None or event.result in IGNORED:
             return
         if event.result in ANSWERS:
-            node.heard_at, node.asked_since, node.asked, node.lost = now, -1, 0, 0
+            node.answered_at, node.unanswered_since, node.requests, node.lost = now, -1, 0, 0
             if event.result is Result.OK:
-                self._served(now, node, event)
+                self._record_success(now, node, event)
         else:
             node.lost += 1
 
-    def _served(self, now: int, node: _Node, event: Ended) -> None:
-        node.took(max(1, event.elapsed_us))
+    def _record_success(self, now: int, node: _Node, event: Ended) -> None:
+        node.record_answer(max(1, event.elapsed_us))
         zone = self._zones[node.zone]
         zone.count(now, SERVED)
-        reserves = self._new.pop(event.request, None)
+        reserves = self._new_objects.pop(event.request, None)
         if reserves is not None:
-            zone.count(now, MOVED)
+            zone.count(now, MOVABLE)
             if reserves:
                 zone.count(now, RESERVED)
 
-    def record_arrival(self, ask: Arrived) -> None:
-        """A request came."""
-        if ask.shard < 0:
-            while len(self._new) >= MOST_OPEN:
-                del self._new[next(iter(self._new))]  # of those that were refused nobody tells
-            self._new[ask.request] = ask.plan in self._reserving
+    def record_arrival(self, request: Arrived) -> None:
+        """Record the arrival of a request."""
+        if request.shard < 0:
+            while len(self._new_objects) >= MAX_OPEN:
+                del self._new_objects[next(iter(self._new_objects))]  # no event reports refused requests
+            self._new_objects[request.request] = request.plan in self._reserving
 
     def follow(self, now: int, events: Iterable[Event], actions: Iterable[object]) -> None:
-        """See what a module heard and did."""
+        """Observe the events and actions of a module."""
         for event in events:
             if isinstance(event, Ended):
                 self.record_result(now, event)
@@ -153,39 +153,43 @@
                 self.record_send(now, action)
 
     def forget_zone(self, zone: str) -> None:
-        """Drop what was seen of a zone: it is used no more, or again, and that says nothing of it now."""
+        """Drop all observations of a zone whose use has stopped or resumed: they no longer apply."""
         for name, node in self._nodes.items():
             if node.zone == zone:
                 self._nodes[name] = _Node(zone)
 
     def reachable_zones(self, now: int, part: float) -> set[str]:
-        """Return the zones of whose nodes, of those that were asked lately, such a part answered just now."""
-        asked: dict[str, int] = {}
-        heard: dict[str, int] = {}
+        """Return the zones where at least this part of the lately requested nodes answered just now."""
+        requested: dict[str, int] = {}
+        answered: dict[str, int] = {}
         for node in self._nodes.values():
             if node.latest >= now - WINDOW_US:
-                asked[node.zone] = asked.get(node.zone, 0) + 1
-                heard[node.zone] = heard.get(node.zone, 0) + (node.heard_at > now - SILENT_US)
-        return {zone for zone, number in asked.items() if heard[zone] >= max(1.0, part * number)}
+                requested[node.zone] = requested.get(node.zone, 0) + 1
+                answered[node.zone] = answered.get(node.zone, 0) + (node.answered_at > now - SILENT_US)
+        return {zone for zone, number in requested.items() if answered[zone] >= max(1.0, part * number)}
 
     def report(self, now: int) -> tuple[ZoneObservation, ...]:
-        """Return what is seen now, the zones with the most trouble first."""
+        """Return the present observations, zones with the most silent nodes first."""
         found: dict[str, list[int]] = {}
         busy: dict[str, list[float]] = {}
         for node in self._nodes.values():
             if node.latest < now - WINDOW_US:
                 continue
-            bad = node.bad(now)
-            if bad or node.heard_at >= now - WINDOW_US:
+            is_silent = node.is_silent(now)
+            if is_silent or node.answered_at >= now - WINDOW_US:
                 sums = found.setdefault(node.zone, [0, 0, 0])
-                sums[bad] += 1
-                sums[2] += node.asked
-                busy.setdefault(node.zone, []).append(1 - node.best / node.takes if node.takes else 0.0)
-        sights = []
-        for zone, (good, silent, requests) in found.items():
-            served, moved, reserved, wasted = self._zones[zone].lately(now)
+                sums[is_silent] += 1
+                sums[2] += node.requests
+                busy.setdefault(node.zone, []).append(
+                    1 - node.best_us / node.mean_us if node.mean_us else 0.0
+                )
+        observations = []
+        for zone, (responding, silent, requests) in found.items():
+            served, movable, reserved, wasted = self._zones[zone].last_slots(now)
             percent = round(100 * sum(busy[zone]) / len(busy[zone]))
-            sights.append(
-                ZoneObservation(zone, good, silent, requests, served, moved, reserved, wasted, percent)
+            observations.append(
+                ZoneObservation(
+                    zone, responding, silent, requests, served, movable, reserved, wasted, percent
+                )
             )
-        return tuple(sorted(sights, key=lambda one: (-one.silent, one.zone))[:MOST_ZONES])
+        return tuple(sorted(observations, key=lambda one: (-one.silent, one.zone))[:MAX_ZONES])
--- a/harriertrack/decisions/fleet/zones/overlay.py
+++ b/harriertrack/decisions/fleet/zones/overlay.py
@@ -1,4 +1,4 @@
-"""The list as one head's module is told it under the fleet's word. Pure."""
+"""The node list as one head's scheduler module sees it under the fleet's decisions on zones. Pure."""
 
 from __future__ import annotations
 
@@ -10,38 +10,40 @@
 
 
 class Overlay:
-    """The list as one head's module is told it: nodes of zones that it does not use are gone for it.
+    """Changes the node list for the module: nodes of zones that the head does not use count as removed.
 
-    Of a zone that is used again the nodes are cold, since when the list says that they started; where it does
-    not say that they did while the zone was left, since the fleet's first tries were answered. Not since this
-    head uses them: they warm by others' work as well. A zone that this head reaches it keeps until it does so
-    no longer, whatever the others see, but for an operator's wish.
+    When a zone is used again its nodes are cold: from their start by the list if they started while the zone
+    was left, else from the time when the fleet's first trials were answered. The time when this head uses
+    them again does not count, because requests of other heads warm them as well. A zone that this head can
+    reach stays in use until it can't, whatever the other heads observe, unless an operator took it out.
     """
 
     def __init__(self) -> None:
         self._unused: set[str] = set()
-        self._kept: set[str] = set()  # zones that are left, and that this head reached all the time
-        self._under: set[str] = set()  # zones that had a word
-        self._left: dict[str, int] = {}  # zones that this head does not use, and when the fleet left them
-        self._again: dict[str, int] = {}  # zones that are used again, and since when their nodes warm
+        self._kept_in_use: set[str] = set()  # zones left by the fleet that this head has reached all the time
+        self._decided: set[str] = set()  # zones that had a decision before
+        self._left_at: dict[str, int] = {}  # when the fleet left each zone that this head does not use
+        self._warming_since: dict[str, int] = {}  # since when the nodes of each zone used again have warmed
 
-    def apply_decisions(self, now: int, words: Iterable[ZoneDecision], me: str, present: Iterable[str],
+    def apply_decisions(self, now: int, decisions: Iterable[ZoneDecision], me: str, present: Iterable[str],
                         tries: int, reached: Collection[str] = ()) -> bool:  # fmt: skip
-        """Take the words that hold, and what this head reaches; return whether to tell the list anew."""
-        names, told = list(present), {word.zone: word for word in words}
-        unused = {zone for zone, word in told.items() if not uses_zone(word, me, names, tries)}
-        # Who was let in again by a word goes by it: what it sees of its first tries is no ground to stay.
-        may_keep = {zone for zone in told if not told[zone].by_operator and zone in reached}
-        self._kept = {zone for zone in may_keep if zone in self._kept or zone not in self._under}
-        self._under = set(told)
-        unused -= self._kept
+        """Apply valid decisions and the zones this head reaches; return whether the list changed."""
+        names, by_zone = list(present), {one.zone: one for one in decisions}
+        unused = {zone for zone, one in by_zone.items() if not uses_zone(one, me, names, tries)}
+        # A head that a decision let in again follows it: its own first trials are no reason to stay.
+        may_stay = {zone for zone in by_zone if not by_zone[zone].by_operator and zone in reached}
+        self._kept_in_use = {
+            zone for zone in may_stay if zone in self._kept_in_use or zone not in self._decided
+        }
+        self._decided = set(by_zone)
+        unused -= self._kept_in_use
         if unused == self._unused:
             return False
         for zone in unused - self._unused:
-            self._left[zone] = now - told[zone].left_us
-            self._again.pop(zone, None)
+            self._left_at[zone] = now - by_zone[zone].left_us
+            self._warming_since.pop(zone, None)
         for zone in self._unused - unused:
-            self._again[zone] = now - (told[zone].warm_us if zone in told else 0)
+            self._warming_since[zone] = now - (by_zone[zone].warm_us if zone in by_zone else 0)
         self._unused = unused
         return True
 
@@ -51,12 +53,12 @@
         return frozenset(self._unused)
 
     def visible_entry(self, entry: NodeEntry) -> NodeEntry:
-        """Return an entry as the module is told it."""
+        """Return an entry as the module sees it."""
         zone = entry.zone
-        if entry.state is not NodeState.UP or (zone not in self._unused and zone not in self._again):
+        if entry.state is not NodeState.UP or (zone not in self._unused and zone not in self._warming_since):
             return entry
         if zone in self._unused:
             return replace(entry, state=NodeState.GONE)
-        if entry.started_us > self._left[zone] or entry.started_us >= self._again[zone]:
+        if entry.started_us > self._left_at[zone] or entry.started_us >= self._warming_since[zone]:
             return entry
-        return replace(entry, started_us=self._again[zone])
+        return replace(entry, started_us=self._warming_since[zone])
--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -48,7 +48,7 @@
           "newer = found is not None"),
     Fault("what is newer is not fetched", "record", f"{FOLLOWING}.observe_revision", "if revision > max(self.highest_seen, self.record.revision):", "if False:"),
     Fault("a zone that is out stays out", "zones", f"{ZONES}.resume", "ZoneState(word.stage, now", "ZoneState(word.stage, now + 10**9"),
-    Fault("a head alone leaves a zone", "zones", f"{ZONES}.summarize", "if not any(sight.responding for sight in seen.sights) and len(seen.sights) != 1:", "if False:"),
+    Fault("a head alone leaves a zone", "zones", f"{ZONES}.summarize", "if not any(one.responding for one in report.observations) and len(report.observations) != 1:", "if False:"),
     Fault("a fence opens in doubt", "closes", f"{CLOSING}.fences:Fence.stance", "reading.high < after[0].at_us", "reading.low < after[0].at_us"),
     Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.due", "min(reading.low, sure_until)", "min(reading.high, sure_until)"),
     Fault("slices are done untrimmed", "closes", f"{CLOSING}.sweeps:Sweep.done", "if not extents", "if True"),
