--- a/tests/changes/test_changes_carrier.py
+++ b/tests/changes/test_changes_carrier.py
@@ -1,4 +1,4 @@
-"""The record of changes over heads: days in simulated time, the door, and what operators do."""
+"""The record of changes across heads: simulated days, writes through the witness, and operator commands."""
 
 import msgspec
 import pytest
@@ -28,12 +28,12 @@
     return recorder.records
 
 
-def test_all_heads_come_to_one_record_through_a_cut_a_restart_and_a_restored_witness():
+def test_all_heads_converge_on_one_record_through_a_partition_a_restart_and_a_restored_witness():
     records = day()
     assert rules.check(records) == []
     last = {one.head: one.revision for one in records if isinstance(one, rec.WentBy)}
     assert len(last) == 6 and len(set(last.values())) == 1
-    assert max(last.values()) >= 5, "put back above what the witness had lost, and one more"
+    assert max(last.values()) >= 5, "written back above the lost revision, and one more"
 
 
 def test_the_rules_find_a_fleet_that_leaves_a_restored_witness_as_it_is(monkeypatch):
@@ -53,7 +53,7 @@
     assert 2 in {one.rule for one in rules.check(day())}
 
 
-def test_the_rules_find_heads_that_take_nothing_from_each_other_or_the_keeper(monkeypatch):
+def test_the_rules_find_heads_that_ignore_announcements_and_the_witness(monkeypatch):
     monkeypatch.setattr(Changes, "_told", lambda *_: None)
     monkeypatch.setattr(Changes, "heard", lambda *_: None)
     assert 4 in {one.rule for one in rules.check(day())}
@@ -80,7 +80,7 @@
     ([went(3, "b", 1), rec.TookVersion(t=4, head="b", thing="settings", version=2, why="no")], []),
     ([went(3, "b", 1), rec.Proposed(t=4, thing="settings", version=2, standing="proposed")], [5, 5]),
 ])  # fmt: skip
-def test_what_the_rules_find_and_nothing_else(more, broken):
+def test_the_rules_find_exactly_these_breaches(more, broken):
     assert [one.rule for one in rules.check([*BEGUN, *more])] == broken
 
 
@@ -106,22 +106,22 @@
     return lambda record: propose(record, "settings", base, body, "ann", 1, "a reason")
 
 
-def test_of_two_who_propose_at_once_one_wins_and_the_other_is_told_the_difference():
+def test_of_two_concurrent_proposals_one_wins_and_the_other_gets_the_difference():
     def main(client):
-        def first_another(record):
+        def after_another(record):
             if not record.versions:
                 keeping.write(client, proposal("theirs"))
             return proposal("mine")(record)
 
-        with pytest.raises(ChangeConflict) as told:
-            keeping.write(client, first_another)
-        assert told.value.difference[1:] == ["-theirs", "+mine"]
+        with pytest.raises(ChangeConflict) as conflict:
+            keeping.write(client, after_another)
+        assert conflict.value.difference[1:] == ["-theirs", "+mine"]
         assert keeping.read(client).record.in_progress("settings").body == "theirs"
 
     World().play(main)
 
 
-def test_a_writer_that_is_never_first_gives_up_and_says_so():
+def test_a_writer_that_always_loses_the_race_gives_up_with_an_error():
     def main(client):
         tries = []
 
@@ -137,7 +137,7 @@
     World().play(main)
 
 
-def test_a_damaged_record_is_told_and_put_back_whole_but_never_over_a_newer_one():
+def test_a_damaged_record_is_reported_and_written_back_but_never_over_a_newer_one():
     def main(client):
         known = keeping.write(client, proposal("one")).record
         client.put(PATH, b"rubbish")
@@ -159,7 +159,7 @@
         check_head(head('(heads 4)(fleet "a" (listen "127.0.0.1" 7946) (changes))'), "x")
 
 
-def test_operators_hear_of_files_and_settings_that_can_not_be(tmp_path):
+def test_operators_get_an_error_for_unreadable_files(tmp_path):
     from harriertrack.cli.main import main
 
     found = CliRunner().invoke(
@@ -178,7 +178,7 @@
     assert found.exit_code == 2 and "can't be read" in found.output
 
 
-def test_a_note_has_room_for_what_a_member_runs_and_stays_within_its_bytes():
+def test_a_note_lists_running_versions_within_its_size_limit():
     from harriertrack.decisions.fleet.changes.follower import AppliedVersion
     from harriertrack.membership.fleet.messages import MOST_NOTE
     from harriertrack.membership.fleet.telling import About, about_of
@@ -194,7 +194,7 @@
     assert len(data) <= MOST_NOTE and told.record == 1 << 40 and told.runs["settings"] == 3
 
 
-def test_a_note_of_a_member_that_follows_no_record_is_what_it_was():
+def test_a_note_of_a_member_without_a_record_has_no_new_fields():
     from harriertrack.membership.fleet.telling import About
 
     assert set(msgspec.msgpack.decode(msgspec.msgpack.encode(About()))) == {
--- a/tests/changes/test_record.py
+++ b/tests/changes/test_record.py
@@ -26,18 +26,18 @@
     return set_state(record, 1, thing, 1, VersionState.IN_FORCE, 2, "all run it")
 
 
-def test_of_two_changes_made_from_one_version_the_second_is_told_the_difference():
+def test_the_second_of_two_changes_from_one_version_gets_the_difference():
     record = propose(in_force("limit 4\nburst 8"), "settings", 1, "limit 5\nburst 8", "ann", 3, "more")
-    with pytest.raises(ChangeConflict) as told:
+    with pytest.raises(ChangeConflict) as conflict:
         propose(record, "settings", 1, "limit 6\nburst 8", "bob", 3, "more still")
-    assert told.value.difference == ["@@ -1 +1 @@", "-limit 5", "+limit 6"]
+    assert conflict.value.difference == ["@@ -1 +1 @@", "-limit 5", "+limit 6"]
     record = set_state(record, 1, "settings", 2, VersionState.IN_FORCE, 4, "")
     with pytest.raises(ChangeConflict, match="made from version 1, but 2 is in force"):
         propose(record, "settings", 1, "limit 6", "bob", 5, "more still")
     assert record.find("settings", 1).standing is VersionState.REPLACED  # type: ignore[union-attr]
 
 
-def test_what_was_stopped_is_refused_until_somebody_says_why():
+def test_stopped_content_is_refused_unless_a_reason_is_given():
     record = propose(in_force(), "settings", 1, "b", "ann", 3, "try")
     record = set_state(record, 2, "settings", 2, VersionState.ADVANCING, 4, "", 1, ["h1"])
     record = set_state(record, 2, "settings", 2, VersionState.REVERTING, 5, "failures of class read")
@@ -48,7 +48,7 @@
     assert again.in_progress("settings").number == 3  # type: ignore[union-attr]
 
 
-def test_an_earlier_term_decides_nothing_once_a_later_one_has():
+def test_an_earlier_term_changes_nothing_once_a_later_one_has():
     record = propose(in_force(), "settings", 1, "b", "ann", 3, "try")
     record = set_state(record, 5, "settings", 2, VersionState.ADVANCING, 4, "", 1, ["h1"])
     with pytest.raises(OutdatedTerm):
@@ -58,7 +58,7 @@
     assert raise_level(record, 5, 1).level == 1
 
 
-def test_who_is_to_run_what_follows_stage_and_way_back():
+def test_the_version_for_a_head_follows_the_stage_and_the_revert():
     record = propose(in_force(), "settings", 1, "b", "ann", 3, "try")
     assert record.version_for("settings", "h1").number == 1  # type: ignore[union-attr]
     record = set_state(record, 1, "settings", 2, VersionState.ADVANCING, 4, "", 1, ["h1"])
@@ -80,14 +80,14 @@
         set_state_as_operator(record, "settings", VersionState.IN_FORCE, "ann", 4, "now")
     aborted = set_state_as_operator(record, "settings", VersionState.ABORTED, "ann", 4, "no")
     assert aborted.in_progress("settings") is None
-    going = set_state(record, 1, "settings", 2, VersionState.ADVANCING, 4, "", 1, ["h1"])
-    paused = set_state_as_operator(going, "settings", VersionState.PAUSED, "ann", 5, "lunch")
+    advancing = set_state(record, 1, "settings", 2, VersionState.ADVANCING, 4, "", 1, ["h1"])
+    paused = set_state_as_operator(advancing, "settings", VersionState.PAUSED, "ann", 5, "lunch")
     assert set_state_as_operator(paused, "settings", VersionState.ADVANCING, "ann", 6, "back").in_progress(
         "settings"
     ).heads == ("h1",)  # type: ignore[union-attr]
 
 
-def test_no_step_leads_out_of_what_is_over_and_illegal_ones_raise():
+def test_finished_states_have_no_transitions_and_illegal_ones_raise():
     for before in VersionState:
         for after in VersionState:
             if after not in TRANSITIONS[before]:
@@ -98,7 +98,7 @@
     )
 
 
-def test_history_is_bounded_and_numbers_are_never_used_twice():
+def test_history_is_bounded_and_numbers_are_never_reused():
     record, numbers = in_force(), [1]
     for turn in range(3 * MAX_FINISHED_VERSIONS):
         base = record.in_force("settings").number  # type: ignore[union-attr]
@@ -109,21 +109,21 @@
     assert len(record.versions) == MAX_FINISHED_VERSIONS + 1
 
 
-def test_a_record_survives_its_bytes_and_spoilt_bytes_are_found():
+def test_a_record_round_trips_and_damaged_bytes_are_detected():
     record = propose(in_force(), "calendar/tokyo", 0, "x", "ann", 3, "first")
     data = encode(record)
     assert decode(data) == record
     for at in (0, 10, 17, len(data) // 2, len(data) - 1):
-        spoilt = bytearray(data)
-        spoilt[at] ^= 1
+        damaged = bytearray(data)
+        damaged[at] ^= 1
         with pytest.raises(DamagedRecord):
-            decode(bytes(spoilt))
+            decode(bytes(damaged))
     with pytest.raises(DamagedRecord):
         decode(data[:-5])
     assert digest_of(data) != digest_of(encode(record.with_versions([])))
 
 
-def test_a_reader_passes_over_what_a_later_program_appends():
+def test_a_reader_ignores_fields_of_a_later_program():
     import msgspec
     import xxhash
 
@@ -134,7 +134,7 @@
     assert decode(f"{xxhash.xxh64_hexdigest(fresh)}\n".encode() + fresh) == in_force()
 
 
-def test_a_head_takes_whole_or_turns_down_whole_and_keeps_what_ran():
+def test_a_head_applies_or_rejects_a_version_completely_and_keeps_the_earlier_one():
     head = Follower("h1")
     head.observe_revision(0, 2)
     assert head.start_fetch(0) and not head.start_fetch(0)
@@ -163,7 +163,7 @@
     )
 
 
-def test_a_fetch_that_brings_nothing_is_tried_again_ever_later_and_an_older_record_is_not_followed():
+def test_failed_fetches_back_off_and_an_older_record_is_not_followed():
     head = Follower("h1")
     head.observe_revision(0, 5)
     pauses = []
@@ -180,7 +180,7 @@
     assert not head.finish_fetch(now, Record(1), 9) and head.witness_behind and head.record is newer
 
 
-def test_heads_that_hear_of_two_records_of_one_revision_keep_the_same_one():
+def test_heads_choose_the_same_one_of_two_records_with_one_revision():
     one, other = in_force("a"), in_force("b")
     heads = [Follower("h1"), Follower("h2")]
     for head, order in zip(heads, ([(one, 1), (other, 2)], [(other, 2), (one, 1)]), strict=True):
@@ -189,7 +189,7 @@
     assert heads[0].record == heads[1].record == other
 
 
-def test_the_copy_on_disk_is_replaced_whole(tmp_path):
+def test_the_copy_on_disk_is_replaced_atomically(tmp_path):
     cache = ChangesCache(str(tmp_path / "state"))
     assert cache.read() is None
     cache.write(encode(in_force("a")))
