--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -1,4 +1,4 @@
-"""Budgets in running heads: datagrams, the witness, the module's part, what operators see, days that break rules."""
+"""Budgets in running heads: datagrams, the witness, the scheduler module, operator output, days that break rules."""
 
 import json
 import subprocess
@@ -56,12 +56,12 @@
 # -- the codec
 
 TERM = Term(3, 9)
-ASK = LeaseRequest(0, TERM, "a", 7, 2, 5, S, 1.5, (Claim("limits/v", 10.0, 4.0, 2, 0.5),))
+REQUEST = LeaseRequest(0, TERM, "a", 7, 2, 5, S, 1.5, (Claim("limits/v", 10.0, 4.0, 2, 0.5),))
 GRANT = Grant(1, TERM, "a", 7, 2, 5, S, (ShareUpdate("limits/v", 3, 2.5, 0.0),))
 
 
-@pytest.mark.parametrize("said", [ASK, GRANT, (Kind.TERM, 4, TERM), (Kind.VACATED, 0, TERM)])
-def test_what_is_said_is_read_back_and_is_garbage_to_members_without_budgets(said):
+@pytest.mark.parametrize("said", [REQUEST, GRANT, (Kind.TERM, 4, TERM), (Kind.VACATED, 0, TERM)])
+def test_datagrams_round_trip_and_are_malformed_to_members_without_budgets(said):
     data = budgeting.encode("f", said)
     assert budgeting.decode("f", data) == said
     with pytest.raises(MalformedDatagram):
@@ -72,8 +72,8 @@
 
 @given(st.binary(max_size=1500), st.integers(0, 200), st.integers(0, 255))
 @settings(max_examples=300, deadline=None)
-def test_any_bytes_are_read_or_refused(tail, at, byte):
-    good = bytearray(budgeting.encode("f", ASK))
+def test_any_bytes_are_decoded_or_rejected(tail, at, byte):
+    good = bytearray(budgeting.encode("f", REQUEST))
     good[at % len(good)] = byte
     for data in (budgeting.MARK + tail, bytes(good), bytes(good[: at % len(good)])):
         try:
@@ -82,11 +82,11 @@
             continue
         for claim in said.claims if isinstance(said, LeaseRequest) else ():
             assert claim.movable >= 0 and claim.demand >= 0 and claim.version >= 0, (
-                "no number that could do harm"
+                "no negative number is accepted"
             )
 
 
-def test_later_versions_add_fields_and_too_new_ones_are_told():
+def test_added_fields_are_ignored_and_too_new_versions_are_rejected():
     raw = msgspec.msgpack.decode(budgeting.encode("f", GRANT)[1:])
     assert budgeting.decode("f", budgeting.MARK + msgspec.msgpack.encode([*raw, "more"])) == GRANT
     with pytest.raises(budgeting.TooNew):
@@ -94,15 +94,15 @@
 
 
 @pytest.mark.parametrize("said", [
-    ASK, GRANT, (Kind.TERM, 4, TERM), budgeting.Seen("a", ()), budgeting.Told(TERM, ()),
+    REQUEST, GRANT, (Kind.TERM, 4, TERM), budgeting.Seen("a", ()), budgeting.Told(TERM, ()),
     budgeting.Report("t", "a", b"x"), budgeting.Ruling("t", TERM, b"x"),
 ])  # fmt: skip
-def test_what_the_later_version_of_rehearsals_says_is_read_by_this_one(said):
+def test_datagrams_of_the_simulated_later_version_are_read(said):
     data = later(budgeting.encode("f", said))
     assert data != budgeting.encode("f", said) and budgeting.decode("f", data) == said
 
 
-def test_asks_and_grants_of_many_long_names_fit_datagrams():
+def test_requests_and_grants_of_many_long_names_fit_datagrams():
     portions = BudgetShares(BudgetRules(), 1, "n" * 64, 1 << 61, 9, {BudgetKind.LIMITS: BudgetSpec(0.1)}, 0)
     (holder,) = portions.holders
     holder.observe_term(0, Term(1 << 40, 1 << 61))
@@ -110,16 +110,16 @@
     for number in range(300):
         portions.limit(0, api.Arrived(1, "c", "p", f"v{number:0>120}", "", 0, 9e9, S, 9), plan)
     ledger = Ledger(0, holder.term, 0, BudgetRules())
-    asks = holder.due_requests(100_000)
+    requests = holder.due_requests(100_000)
     assert (
-        sum(len(ask.claims) for ask in asks) == 300
-        and max(len(budgeting.encode("f" * 64, a)) for a in asks) <= MOST_BYTES
+        sum(len(one.claims) for one in requests) == 300
+        and max(len(budgeting.encode("f" * 64, one)) for one in requests) <= MOST_BYTES
     )
-    for ask in asks:
-        assert len(budgeting.encode("f" * 64, ledger.handle_request(100_000, ask))) <= MOST_BYTES
-    news = ledger.rebalance(200_000)
-    assert sum(len(one.shares) for one in news) == 300
-    assert max(len(budgeting.encode("f" * 64, one)) for one in news) <= MOST_BYTES
+    for request in requests:
+        assert len(budgeting.encode("f" * 64, ledger.handle_request(100_000, request))) <= MOST_BYTES
+    updates = ledger.rebalance(200_000)
+    assert sum(len(one.shares) for one in updates) == 300
+    assert max(len(budgeting.encode("f" * 64, one)) for one in updates) <= MOST_BYTES
 
 
 # -- settings
@@ -128,7 +128,7 @@
 TWO = "(heads 4)"
 
 
-def test_budgets_are_read_and_written_back_and_a_head_without_loads_nothing_of_them():
+def test_budget_settings_round_trip_and_a_head_without_them_loads_no_budget_modules():
     one = head(TWO + FLEET % "(budget limits (fixed 0.5)) (budget connections (whole 9) (burst 3))")
     text = written("head", one)
     assert '(budget "limits"' in text and '(witness "127.0.0.1" 8500)' in text
@@ -153,59 +153,59 @@
     ("(budget limits) (ask 900ms)", "ask"),
     ("(budget limits) (term 1s)", "term"),
 ])  # fmt: skip
-def test_budgets_that_can_not_be_are_told_with_their_field(text, why):
+def test_invalid_budget_settings_are_reported_with_their_field(text, why):
     with pytest.raises(SettingsError, match=why):
         head(TWO + FLEET % text)
 
 
-def test_a_fixed_part_that_could_never_send_the_largest_request_is_told():
+def test_a_fixed_part_too_small_for_the_largest_request_is_reported():
     plans = (PlanSettings(name="p", rate=1000, limit=100, limit_burst=100),)
     run(lambda heads: None, count=1, plans=plans, fixed=0.9)
     from harriertrack.config.settings import check_head
 
     def check(heads):
-        spoilt = msgspec.structs.replace(
+        invalid = msgspec.structs.replace(
             heads.sites[0].head.settings,
             plans=(PlanSettings(name="p", rate=1000, limit=100, limit_burst=20),),
         )
         with pytest.raises(SettingsError, match="limit-burst"):
-            check_head(spoilt, "x")
+            check_head(invalid, "x")
 
     run(check, count=1, plans=plans, fixed=0.9)
 
 
-# -- the module's part
+# -- the scheduler module
 
 
-class Counting:
-    """Portions that say what a test wants."""
+class RecordingShares:
+    """Budget shares with a given number of tokens that record each call."""
 
     def __init__(self, tokens=0, part=0.0):
-        self.tokens, self.part, self.asked = tokens, part, []
+        self.tokens, self.part, self.calls = tokens, part, []
 
     def limit(self, now, ask, plan):
-        self.asked.append(("limit", ask.volume, ask.units))
+        self.calls.append(("limit", ask.volume, ask.units))
 
     def further(self, now, draw):
-        self.asked.append(("further", draw))
+        self.calls.append(("further", draw))
         self.tokens -= draw
         return self.tokens + draw > 0
 
     def trial(self, now, node):
-        self.asked.append(("trial", node))
+        self.calls.append(("trial", node))
         self.tokens -= 1
         return self.tokens >= 0
 
     def cold(self, now, node, rate, units):
-        self.asked.append(("cold", node, rate))
+        self.calls.append(("cold", node, rate))
         return self.part
 
 
 def module(portions=None, **more):
     classes = (api.RequestClass("read", 300_000, 900_000, effect=api.Effect.SAFE),)
     plans = (api.Plan("p", limit=100.0, limit_burst=20.0),)
-    told = api.Settings(4, classes, plans, max_attempts=9, **more)
-    one = Scheduler(told, 1, portions=portions)
+    configured = api.Settings(4, classes, plans, max_attempts=9, **more)
+    one = Scheduler(configured, 1, portions=portions)
     nodes = [api.NodeEntry(f"n{number}", number, started_us=-10 * S) for number in range(2)]
     one.handle(0, [api.NodesChanged(api.ListKind.FULL, nodes)])
     return one
@@ -215,20 +215,20 @@
     return api.Arrived(number, "read", "p", "v", "", shard, units, 900_000, 4)
 
 
-def test_a_module_uses_its_portion_of_a_limit_in_place_of_an_even_part():
+def test_a_module_uses_its_share_of_a_limit_instead_of_an_even_part():
     portions = BudgetShares(BudgetRules(), 1, "a", 1, 4, {BudgetKind.LIMITS: BudgetSpec(0.4)}, 0)
     one = module(portions)
     one.handle(10 * S, [arrived(1)])
-    ((name, portion),) = portions
-    assert name == "limits/v" and portion.requested == 4
-    assert one._volumes["v", "p"].limit is portion and portion.most == pytest.approx(20 * 0.1)
-    portion.set_leased(10 * S, 60.0, 12.0)
+    ((name, share),) = portions
+    assert name == "limits/v" and share.requested == 4
+    assert one._volumes["v", "p"].limit is share and share.most == pytest.approx(20 * 0.1)
+    share.set_leased(10 * S, 60.0, 12.0)
     portions.holders[0].lease.expires_at = 20 * S
     sent = [one for one in one.handle(10 * S + 1000, [arrived(2), arrived(3)]) if isinstance(one, api.Send)]
-    assert len(sent) >= 2 and portion.level < 14 - 8 + 1, "what it sends is drawn from the portion"
+    assert len(sent) >= 2 and share.level < 14 - 8 + 1, "sent requests are drawn from the share"
 
 
-def test_further_attempts_past_the_own_share_are_drawn_from_the_fleets():
+def test_further_attempts_beyond_the_own_share_are_drawn_from_the_fleet_budget():
     def tries(portions):
         one = module(portions, budget_window_us=10 * S, budget_share=0.0)
         sent, actions, number, now = 0, one.handle(S, [arrived(1)]), 0, S
@@ -239,11 +239,11 @@
             number, actions = number + 1, one.handle(now, [event])
         return sent
 
-    assert tries(None) == 1 and tries(Counting(0)) == 1
-    assert tries(Counting(3)) == 4, "one of its own, and what is to be had"
+    assert tries(None) == 1 and tries(RecordingShares(0)) == 1
+    assert tries(RecordingShares(3)) == 4, "one of its own, and the available tokens"
 
 
-def test_a_cold_node_gets_this_heads_part_of_what_it_bears():
+def test_a_cold_node_gets_this_heads_share_of_its_rate():
     def sent(portions):
         one = module(
             portions, cold_units=40.0, cold_share=0.25, warm_us=8 * S, fall_us=2 * S, fall_multiple=2.0
@@ -252,16 +252,16 @@
         actions = [one.handle(S + step * 20_000, [arrived(step, units=1.0)]) for step in range(60)]
         return sum(isinstance(action, api.Send) for batch in actions for action in batch)
 
-    portions = Counting(part=0.0)
-    none, even, much = sent(portions), sent(None), sent(Counting(part=80.0))
+    portions = RecordingShares(part=0.0)
+    none, even, much = sent(portions), sent(None), sent(RecordingShares(part=80.0))
     assert (
         none < even < much
-        and portions.asked[0][:2] == ("cold", "n0")
-        or portions.asked[1][:2] == ("cold", "n0")
+        and portions.calls[0][:2] == ("cold", "n0")
+        or portions.calls[1][:2] == ("cold", "n0")
     )
 
 
-def test_a_silent_node_is_tried_as_often_as_the_fleet_may():
+def test_trials_of_a_silent_node_keep_to_the_fleet_budget():
     def tries(portions):
         one = module(portions)
         sent = 0
@@ -277,24 +277,28 @@
         return sent
 
     assert tries(None) >= 8
-    assert tries(Counting(3)) <= 3 and tries(Counting(0)) == 0, "none are to be had, none are made"
+    assert tries(RecordingShares(3)) <= 3 and tries(RecordingShares(0)) == 0, (
+        "without tokens there are no trials"
+    )
 
 
-def test_a_head_alone_saves_up_for_one_thing_at_least():
+def test_a_small_fixed_part_still_saves_up_one_whole_token():
     divided = {BudgetKind.TRIALS: BudgetSpec(0.2, 4.0, 4.0)}
     portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 200, divided, 0)
     assert not portions.trial(S, "n0")
     assert portions.trial(260 * S, "n0") and not portions.trial(261 * S, "n0")
 
 
-def test_links_and_list_calls_wait_for_their_turn():
+def test_connections_and_list_calls_wait_for_tokens():
     divided = {
         BudgetKind.CONNECTIONS: BudgetSpec(0.5, 8.0, 8.0),
         BudgetKind.LIST_CALLS: BudgetSpec(0.5, 8.0, 8.0),
     }
     portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 4, divided, 0)
     assert portions.connection_wait(S, "n0") == 0 and portions.connection_wait(S, "n1") == 0
-    assert portions.connection_wait(S, "n0") == pytest.approx(S, rel=0.01), "one a second is this head's"
+    assert portions.connection_wait(S, "n0") == pytest.approx(S, rel=0.01), (
+        "this head's fixed part is one per second"
+    )
     assert portions.connection_wait(2 * S, "n0", again=True) == 0
     assert portions.list_call_wait(S) == 0 and portions.list_call_wait(S) > 0
     assert BudgetShares(BudgetRules(), 1, "a", 1, 4, {}, 0).connection_wait(S, "n0") == 0
@@ -308,7 +312,7 @@
 
 
 class Heads:
-    """Heads of a fleet that divides, with a witness."""
+    """Heads of a fleet with budgets, and a witness."""
 
     def __init__(self, hub, scope, count=3, fixed=0.2, plans=None, more=(), **figures):
         self.hub, self.net, self.datagrams = hub, MemoryNetwork(hub), MemoryDatagrams(hub)
@@ -332,7 +336,7 @@
     def seat(self, number):
         return self.sites[number].head.fleet.together.budgets._seats[0]
 
-    def keepers(self):
+    def owners(self):
         return [number for number in range(len(self.sites)) if not self.sites[number].task.done
                 and self.seat(number).candidate.holds_term(self.hub.now())]  # fmt: skip
 
@@ -355,49 +359,49 @@
     hub.run(main)
 
 
-def test_one_head_keeps_the_ledger_and_hands_it_on_when_it_leaves():
+def test_one_head_owns_the_ledger_and_gives_it_back_when_it_leaves():
     def test(heads):
         heads.hub.sleep(6 * S)
-        (first,) = heads.keepers()
+        (first,) = heads.owners()
         assert heads.told(first).ledgers[0].epoch == 1
         assert {heads.seat(number).holder.term.epoch for number in range(3)} == {1}
         heads.sites[first].head.stop()
         heads.hub.sleep(1_500_000)
         assert heads.sites[first].task.done
-        (second,) = heads.keepers()
-        assert second != first and heads.told(second).ledgers[0].epoch == 2, "sooner than a session ends"
+        (second,) = heads.owners()
+        assert second != first and heads.told(second).ledgers[0].epoch == 2, "before a session would expire"
 
     run(test)
 
 
-def test_a_dark_witness_ends_the_term_and_its_return_begins_one():
+def test_an_unreachable_witness_ends_the_term_and_its_return_starts_another():
     def test(heads):
         heads.hub.sleep(6 * S)
-        (keeper,) = heads.keepers()
+        (owner,) = heads.owners()
         heads.witness.down = True
         heads.hub.sleep(3 * S)
-        assert heads.keepers() == []
-        assert "fleet budgets: term over" in [event for event, _ in heads.sites[keeper].notes]
+        assert heads.owners() == []
+        assert "fleet budgets: term over" in [event for event, _ in heads.sites[owner].notes]
         assert any(event == "fleet budgets: no witness" for site in heads.sites for event, _ in site.notes)
         heads.witness.down = False
         heads.hub.sleep(5 * S)
-        assert len(heads.keepers()) == 1
+        assert len(heads.owners()) == 1
 
     run(test)
 
 
-def test_a_witness_restored_under_a_living_keeper_ends_its_term():
+def test_a_witness_restored_under_a_live_owner_ends_its_term():
     def test(heads):
         kept = heads.witness.kept()
         heads.hub.sleep(6 * S)
-        (keeper,) = heads.keepers()
-        before = heads.seat(keeper).candidate.ledger
-        heads.witness.take_up(kept)  # it knows no session and no lock
+        (owner,) = heads.owners()
+        before = heads.seat(owner).candidate.ledger
+        heads.witness.take_up(kept)  # without sessions and locks
         heads.hub.sleep(S)
-        assert heads.seat(keeper).candidate.ledger is not before
+        assert heads.seat(owner).candidate.ledger is not before
         heads.hub.sleep(8 * S)
-        (keeper,) = heads.keepers()
-        ledger = heads.seat(keeper).candidate.ledger
+        (owner,) = heads.owners()
+        ledger = heads.seat(owner).candidate.ledger
         assert ledger.term != before.term and ledger.term.epoch == 1
 
     run(test)
@@ -422,27 +426,27 @@
             and portion.fixed == pytest.approx(20)
         )
         assert portion.share > 100 and portion.wanted == pytest.approx(130, rel=0.2)
-        (keeper,) = heads.keepers()
-        (ledger,) = heads.told(keeper).ledgers
+        (owner,) = heads.owners()
+        (ledger,) = heads.told(owner).ledgers
         (slip,) = ledger.slips
         assert (slip.holder, slip.there, slip.counted) == ("h1", True, pytest.approx(portion.share))
         assert ledger.movable == {"limits/shared": pytest.approx(160)}
         hub.sleep(10 * S)
-        assert heads.told(1).portions == [] and heads.told(keeper).ledgers[0].slips == [], (
-            "idle, and forgotten"
+        assert heads.told(1).portions == [] and heads.told(owner).ledgers[0].slips == [], (
+            "idle budgets are closed"
         )
 
     run(test)
 
 
-def test_garbage_and_strangers_harm_no_head():
+def test_malformed_and_foreign_datagrams_harm_no_head():
     def test(heads):
         hub = heads.hub
         hub.sleep(6 * S)
         rng, port = hub.random, heads.datagrams.bind(("127.0.0.1", 0), lambda *one: None)
         for _ in range(1500):
             data = bytearray(
-                budgeting.encode("fleet" if rng.random() < 0.7 else "other", rng.choice((ASK, GRANT)))
+                budgeting.encode("fleet" if rng.random() < 0.7 else "other", rng.choice((REQUEST, GRANT)))
             )
             if rng.random() < 0.5:
                 data[rng.randrange(1, len(data))] = rng.randrange(256)
@@ -453,12 +457,12 @@
         hub.sleep(2 * S)
         counts = [heads.told(number).counts for number in range(3)]
         assert sum(one["garbage"] for one in counts) > 100 and sum(one["strangers"] for one in counts) > 50
-        assert len(heads.keepers()) == 1 and not [site for site in heads.sites if site.task.done]
+        assert len(heads.owners()) == 1 and not [site for site in heads.sites if site.task.done]
 
     run(test)
 
 
-def test_two_ledgers_are_kept_and_every_use_is_wired():
+def test_two_ledgers_have_owners_and_every_kind_of_budget_is_wired():
     more = (BudgetSettings(name=BudgetUse.CONNECTIONS, fixed=0.5, whole=400, burst=100),
             BudgetSettings(name=BudgetUse.LIST_CALLS, fixed=0.5, whole=400, burst=100),
             BudgetSettings(name=BudgetUse.ATTEMPTS, fixed=0.5, whole=40, burst=40))  # fmt: skip
@@ -481,7 +485,7 @@
     run(test, more=more, ledgers=2)
 
 
-def test_links_open_at_a_time_are_divided_and_closed_when_the_lease_ends():
+def test_open_links_are_divided_and_closed_when_the_lease_expires():
     more = (BudgetSettings(name=BudgetUse.LINKS, fixed=0.5, whole=8),)
 
     def test(heads):
@@ -501,11 +505,13 @@
             }
 
         before = used()
-        assert before == {"n0": 2, "n1": 2} and len(links) == 4, "one of each node's is a share"
+        assert before == {"n0": 2, "n1": 2} and len(links) == 4, (
+            "one link per node comes from the leased share"
+        )
         heads.datagrams._fate = lambda *_: ()
         hub.sleep(4 * S)
         if head.fleet.together.budgets._seats[0].candidate.ledger is None:
-            assert used() == {"n0": 1, "n1": 1} and len(links) == 2, "the fixed part alone"
+            assert used() == {"n0": 1, "n1": 1} and len(links) == 2, "only the fixed part"
         heads.datagrams._fate = lambda *_: (100,)
         hub.sleep(4 * S)
         for export in ("disk", "shared"):
@@ -520,12 +526,12 @@
 FACTS = rec.BudgetFacts(t=0, budget="b", rate=10.0, burst=5.0, moving=8.0, slack=0.5)
 
 
-def asked(t, holder="a", number=1, tenure=1, applied=(), term=(1, 1), instance=1):
+def requested_share(t, holder="a", number=1, tenure=1, applied=(), term=(1, 1), instance=1):
     return rec.AskedShare(t=t, holder=holder, instance=instance, ledger=0, term=term, tenure=tenure, number=number,
                           applied=list(applied))  # fmt: skip
 
 
-def granted(t, rate, holder="a", answers=1, version=1, tenure=1, term=(1, 1), instance=1):
+def granted_share(t, rate, holder="a", answers=1, version=1, tenure=1, term=(1, 1), instance=1):
     return rec.GrantedShare(t=t, holder=holder, instance=instance, ledger=0, term=term, tenure=tenure, answers=answers,
                             lease_us=S, shares=[("b", version, rate)])  # fmt: skip
 
@@ -535,20 +541,20 @@
 
 
 @pytest.mark.parametrize(("broken", "records"), [
-    ([], [asked(0), granted(1, 8.0), asked(2 * S, "b"), granted(2 * S, 8.0, "b")]),
-    ([1], [asked(0), granted(1, 8.0), asked(S // 2, "b"), granted(S // 2, 1.0, "b")]),
-    ([1], [asked(0), granted(1, 8.5)]),
-    ([1], [asked(0), granted(1, 8.0), granted(2, 2.0, answers=0, version=2), asked(3, "b"), granted(4, 6.0, "b")]),
-    ([], [asked(0), granted(1, 8.0), granted(2, 2.0, answers=0, version=2), asked(3, number=2, applied=[("b", 2)]),
-          asked(3, "b"), granted(4, 6.0, "b")]),
-    ([], [asked(0), granted(1, 8.0), asked(2, tenure=2), asked(3, "b"), granted(4, 8.0, "b")]),
-    ([1], [asked(0), granted(1, 8.0), asked(2, tenure=2, instance=2), granted(4, 8.0, tenure=2, instance=2)]),
-    ([], [asked(0), granted(1, 8.0), asked(2, term=(2, 1)), asked(3, "b", term=(2, 1)), granted(4, 8.0, "b", term=(2, 1))]),
+    ([], [requested_share(0), granted_share(1, 8.0), requested_share(2 * S, "b"), granted_share(2 * S, 8.0, "b")]),
+    ([1], [requested_share(0), granted_share(1, 8.0), requested_share(S // 2, "b"), granted_share(S // 2, 1.0, "b")]),
+    ([1], [requested_share(0), granted_share(1, 8.5)]),
+    ([1], [requested_share(0), granted_share(1, 8.0), granted_share(2, 2.0, answers=0, version=2), requested_share(3, "b"), granted_share(4, 6.0, "b")]),
+    ([], [requested_share(0), granted_share(1, 8.0), granted_share(2, 2.0, answers=0, version=2), requested_share(3, number=2, applied=[("b", 2)]),
+          requested_share(3, "b"), granted_share(4, 6.0, "b")]),
+    ([], [requested_share(0), granted_share(1, 8.0), requested_share(2, tenure=2), requested_share(3, "b"), granted_share(4, 8.0, "b")]),
+    ([1], [requested_share(0), granted_share(1, 8.0), requested_share(2, tenure=2, instance=2), granted_share(4, 8.0, tenure=2, instance=2)]),
+    ([], [requested_share(0), granted_share(1, 8.0), requested_share(2, term=(2, 1)), requested_share(3, "b", term=(2, 1)), granted_share(4, 8.0, "b", term=(2, 1))]),
     ([], [drawn(0, 5.0), drawn(S // 2, 5.0), drawn(S, 5.4)]),
     ([2], [drawn(0, 5.0), drawn(S // 2, 5.6)]),
     ([2], [drawn(0, 0.0), drawn(99 * S, 5.6)]),
 ])  # fmt: skip
-def test_the_rules_find_what_is_too_much_and_nothing_else(broken, records):
+def test_the_rules_find_exactly_the_excess(broken, records):
     assert [one.rule for one in rules.check([FACTS, *records])] == broken
 
 
@@ -559,22 +565,22 @@
     return recorder.records
 
 
-def test_a_day_grants_shares_and_one_without_a_protection_breaks_its_rules(monkeypatch):
+def test_a_day_grants_shares_and_without_a_safeguard_breaks_the_rules(monkeypatch):
     records = day("budget-jump")
     most = max(rate for one in records if isinstance(one, rec.GrantedShare) for _, _, rate in one.shares)
     whole = next(one.moving for one in records if isinstance(one, rec.BudgetFacts))
     assert 0.8 * whole < most <= whole * (1 + 1e-6)
 
-    def at_once(self, name, slip, rate, tokens=0.0, change=Ledger._change):
-        change(self, name, slip, rate, tokens)
-        slip.committed = slip.granted
+    def free_at_once(self, name, holding, rate, tokens=0.0, change=Ledger._change):
+        change(self, name, holding, rate, tokens)
+        holding.committed = holding.granted
 
-    monkeypatch.setattr(Ledger, "_change", at_once)
-    broken = day("budget-partition")  # with lost messages while demand jumps
+    monkeypatch.setattr(Ledger, "_change", free_at_once)
+    broken = day("budget-partition")  # with lost messages while demand moves
     assert 1 in {one.rule for one in rules.check(broken)}
 
 
-def test_heads_that_make_units_break_the_limit_at_the_nodes(monkeypatch):
+def test_heads_that_create_tokens_break_the_limit_at_the_nodes(monkeypatch):
     from harriertrack.decisions.fleet.holder import LeaseHolder
 
     def fills(self, now, grant, take=LeaseHolder.apply_grant):
@@ -588,7 +594,7 @@
     assert 7 in {one.rule for one in checker.check(day("budget-jump"))}
 
 
-def test_a_day_without_budgets_has_no_witness_to_lose():
+def test_a_day_without_budgets_has_no_witness_to_fail():
     from harriertrack.config.sexp import read_text
 
     with pytest.raises(SettingsError, match="witness"):
@@ -599,7 +605,7 @@
 
 
 @pytest.mark.real_time
-def test_a_witness_process_keeps_its_state_and_tells_bad_places(tmp_path):
+def test_a_witness_process_keeps_its_state_and_reports_invalid_addresses(tmp_path):
     place, state = "{}:{}".format(*Places().next()), tmp_path / "state"
     import urllib.request
 
@@ -638,7 +644,7 @@
 
 @pytest.mark.real_time
 @pytest.mark.timeout(200)
-def test_operators_see_who_holds_what_over_processes(tmp_path):
+def test_operators_see_shares_and_ledgers_of_processes(tmp_path):
     path = tmp_path / "small.sexp"
     path.write_text(
         """(fleet-day "small" (processes 3) (shelves 1) (rate 20) (volumes 1) (hosts 3) (limit 1) (limit-burst 400)
@@ -654,7 +660,7 @@
         until, shares, lent = time.monotonic() + 80, 0.0, []
         while not (shares and lent):
             assert time.monotonic() < until and playing.poll() is None
-            told = [asked_budgets(kept / f"head{number}.sexp") for number in range(3)]
+            told = [budgets_document(kept / f"head{number}.sexp") for number in range(3)]
             shares = sum(one["share"] for each in told if each for one in each["portions"])
             lent = [ledger["slips"] for each in told if each for ledger in each["ledgers"] if ledger["slips"]]
         text = subprocess.run([*COMMAND, "fleet", "budgets", "--settings", str(kept / "head1.sexp"), "--volume", "vol0"],
@@ -665,13 +671,13 @@
         playing.communicate(timeout=60)
 
 
-def asked_budgets(path):
+def budgets_document(path):
     done = subprocess.run([*COMMAND, "fleet", "budgets", "--settings", str(path), "--json"], capture_output=True, text=True,
                           timeout=30)  # fmt: skip
     return json.loads(done.stdout) if done.returncode == 0 else None
 
 
-def test_figures_reach_the_rules_and_have_one_set_of_defaults():
+def test_settings_reach_the_rules_and_share_their_defaults():
     settings = BudgetsSettings(witness=("h", 1), budgets=(BudgetSettings(name=BudgetUse.LIMITS),))
     assert carrier.rules_of(settings) == BudgetRules()
     assert carrier.rules_of(msgspec.structs.replace(settings, contenders=2, weight=3.0)) == BudgetRules(
@@ -679,23 +685,25 @@
     )
 
 
-def test_a_keeper_whom_most_do_not_reach_gives_the_ledger_up():
+def test_an_owner_that_most_heads_do_not_reach_gives_the_ledger_up():
     def test(heads):
         hub = heads.hub
         hub.sleep(8 * S)
-        (keeper,) = heads.keepers()
-        alone = {f"h{keeper}"}  # it reaches the witness, and none of the others
+        (owner,) = heads.owners()
+        alone = {f"h{owner}"}  # it reaches the witness, but no other head
         heads.datagrams._fate = lambda source, target, _size: (
             () if (source in alone) != (target in alone) else (100,)
         )
         hub.sleep(40 * S)
-        (other,) = heads.keepers()
-        assert other != keeper and "fleet budgets: outnumbered" in [
-            event for event, _ in heads.sites[keeper].notes
+        (other,) = heads.owners()
+        assert other != owner and "fleet budgets: outnumbered" in [
+            event for event, _ in heads.sites[owner].notes
         ]
-        asks = [seat.keeper if not seat.mine else "itself" for seat in map(heads.seat, range(4))]
-        assert sum(one is not None for one in asks) >= 3, "the others have somebody to ask"
+        sources = [seat.keeper if not seat.mine else "itself" for seat in map(heads.seat, range(4))]
+        assert sum(one is not None for one in sources) >= 3, "the others have an owner to send requests to"
         hub.sleep(20 * S)
-        assert heads.keepers() == [other], "the one that is alone sees fewer, and does not take it back"
+        assert heads.owners() == [other], (
+            "the isolated head sees fewer heads and does not acquire the lock again"
+        )
 
     run(test, count=4)
