--- a/harriertrack/decisions/fleet/budget_shares.py
+++ b/harriertrack/decisions/fleet/budget_shares.py
@@ -118,12 +118,14 @@
 
     # -- for the scheduler module
 
-    def limit(self, now: int, ask: Arrived, plan: Plan) -> Bucket | None:
+    def limit(self, now: int, request: Arrived, plan: Plan) -> Bucket | None:
         """Count a request against its volume's limit; return this head's share of the limit."""
-        hosts = ask.hosts or self.heads
-        share = self._open(now, BudgetKind.LIMITS, ask.volume, plan.limit, plan.limit_burst, hosts, plan.name)
-        if share is not None and not ask.tried:
-            share.record_demand(ask.units)
+        hosts = request.hosts or self.heads
+        share = self._open(
+            now, BudgetKind.LIMITS, request.volume, plan.limit, plan.limit_burst, hosts, plan.name
+        )
+        if share is not None and not request.tried:
+            share.record_demand(request.units)
         return share
 
     def further(self, now: int, draw: bool) -> bool:
--- a/harriertrack/decisions/fleet/holder.py
+++ b/harriertrack/decisions/fleet/holder.py
@@ -177,7 +177,7 @@
         ]:
             del self._sent_requests[sequence]
         return LeaseRequest(self.number, term, self.name, self.instance, self.tenure, self._sequence,
-                   self.rules.lease_us, self.rules.weight, tuple(claims))  # fmt: skip
+                            self.rules.lease_us, self.rules.weight, tuple(claims))  # fmt: skip
 
     def _close_idle(self, now: int) -> None:
         """Close budgets without demand or share whose bucket is full."""
--- a/harriertrack/decisions/fleet/terms.py
+++ b/harriertrack/decisions/fleet/terms.py
@@ -163,7 +163,7 @@
         return self.ledger
 
     def holder_silent(self, now: int) -> bool:
-        """Whether the lock's holder has been silent for longer than a dead holder would keep the lock."""
+        """Whether the lock's holder has been silent for longer than the lock of a dead holder would last."""
         since = max(self._found_since, self._last_contact)
         return self._found_epoch > 0 and now >= since + self.rules.term_us + self.rules.patience_us
 
--- a/harriertrack/decisions/fleet/zones/cost.py
+++ b/harriertrack/decisions/fleet/zones/cost.py
@@ -2,7 +2,7 @@
 
 Data stored in a zone can't move: while the zone is left, requests for them are refused. Only new objects can
 go elsewhere. How many more of them the other zones can serve is estimated from the requests they serve and
-from how much longer than at best their answers take: a node that is busy for a part b of its time serves s,
+from how much their answer times exceed the best ones: a node that is busy for a part b of its time serves s,
 and would serve s (1 - b) / b more. The estimate is bounded, as it is poor where few requests queue. Pure.
 """
 
@@ -28,9 +28,9 @@
 
     def __add__(self, other: Load | ZoneObservation) -> Load:
         """Return the sum with another load, or with one more head's observation."""
-        waiting = other.busy_weighted if isinstance(other, Load) else other.served * other.busy
+        weighted = other.busy_weighted if isinstance(other, Load) else other.served * other.busy
         return Load(self.served + other.served, self.movable + other.movable, self.reserved + other.reserved,
-                    self.wasted + other.wasted, self.busy_weighted + waiting)  # fmt: skip
+                    self.wasted + other.wasted, self.busy_weighted + weighted)  # fmt: skip
 
     @property
     def spare(self) -> float:
--- a/harriertrack/decisions/fleet/zones/evacuation.py
+++ b/harriertrack/decisions/fleet/zones/evacuation.py
@@ -118,52 +118,55 @@
             for one in report.observations:
                 total = found.get(one.zone, ZoneSummary())
                 found[one.zone] = ZoneSummary(total.responding + one.responding, total.silent + one.silent,
-                                                total.heads + 1, total.load + one)  # fmt: skip
+                                              total.heads + 1, total.load + one)  # fmt: skip
         return found
 
-    def cost(self, name: str, sums: Mapping[str, ZoneSummary]) -> Cost:
+    def cost(self, name: str, summaries: Mapping[str, ZoneSummary]) -> Cost:
         """Return the cost of leaving a zone, given the present load of the others."""
         others = (
             other for other, zone in self.zones.items() if other != name and zone.stage is ZoneStage.IN
-            and sums.get(other, ZoneSummary()).silent_share < self.rules.gone
+            and summaries.get(other, ZoneSummary()).silent_share < self.rules.gone
         )  # fmt: skip
         return leaving_cost(
-            sums.get(name, ZoneSummary()).load, [sums.get(other, ZoneSummary()).load for other in others]
+            summaries.get(name, ZoneSummary()).load,
+            [summaries.get(other, ZoneSummary()).load for other in others],
         )
 
     def decide(self, now: int, zones: Iterable[str], heads: int,
                starts: Mapping[str, Collection[int]] = MappingProxyType({})) -> None:  # fmt: skip
         """Update every zone; `starts`: start times of its nodes from the node list."""
-        sums = self.summarize(now)
-        known = {name: sums.get(name, ZoneSummary()) for name in zones}
+        summaries = self.summarize(now)
+        known = {name: summaries.get(name, ZoneSummary()) for name in zones}
         for name in known:
             self.zones.setdefault(name, ZoneState(since=now))
         needed = min(self.rules.heads, max(1, heads))
         failing = {
             name
-            for name, seen in known.items()
-            if seen.silent_share >= self.rules.gone and seen.heads >= needed
+            for name, summary in known.items()
+            if summary.silent_share >= self.rules.gone and summary.heads >= needed
         }
         everywhere = len(failing) == len(known)
-        for name, seen in known.items():
+        for name, summary in known.items():
             zone = self.zones[name]
             if zone.operator_hold == "out":
                 continue
             match zone.stage:
                 case ZoneStage.IN:
-                    fails = name in failing and not everywhere and self.cost(name, sums).worthwhile
-                    self._in(now, zone, fails, seen)
+                    fails = name in failing and not everywhere and self.cost(name, summaries).worthwhile
+                    self._update_in(now, zone, fails, summary)
                 case ZoneStage.OUT:
-                    self._out(now, zone, starts.get(name, ()))
+                    self._update_out(now, zone, starts.get(name, ()))
                 case ZoneStage.TRYING:
-                    self._trying(now, zone, seen, heads)
+                    self._update_trying(now, zone, summary, heads)
                 case ZoneStage.RETURNING:
-                    self._returning(now, zone, seen, name in failing and self.cost(name, sums).worthwhile)
+                    self._update_returning(
+                        now, zone, summary, name in failing and self.cost(name, summaries).worthwhile
+                    )
 
     def _others_in_use(self, zone: ZoneState) -> bool:
         return any(one is not zone and one.stage is ZoneStage.IN for one in self.zones.values())
 
-    def _in(self, now: int, zone: ZoneState, fails: bool, seen: ZoneSummary) -> None:
+    def _update_in(self, now: int, zone: ZoneState, fails: bool, summary: ZoneSummary) -> None:
         if not fails:
             zone.failed_since = None
             if zone.relapses and now >= zone.since + self.rules.calm_us:
@@ -179,7 +182,8 @@
             self._leave(
                 now,
                 zone,
-                f"{seen.silent} of {seen.responding + seen.silent} nodes silent, {seen.heads} heads",
+                f"{summary.silent} of {summary.responding + summary.silent} nodes silent, "
+                f"{summary.heads} heads",
             )
 
     def _leave(self, now: int, zone: ZoneState, why: str) -> None:
@@ -189,7 +193,7 @@
         zone.failed_since = None
         self._change(now, zone, ZoneStage.OUT, 0.0, why)
 
-    def _out(self, now: int, zone: ZoneState, starts: Collection[int]) -> None:
+    def _update_out(self, now: int, zone: ZoneState, starts: Collection[int]) -> None:
         wait = min(self.rules.wait_us << min(max(zone.relapses - 1, 0), 16), self.rules.most_wait_us)
         started = sum(at > zone.since for at in starts)
         if zone.relapses <= 1 and started >= max(1.0, self.rules.answers * len(starts)):
@@ -200,29 +204,38 @@
             return
         zone.trial_round += 1
 
-    def _trying(self, now: int, zone: ZoneState, seen: ZoneSummary, heads: int) -> None:
+    def _update_trying(self, now: int, zone: ZoneState, summary: ZoneSummary, heads: int) -> None:
         rules = self.rules
-        if seen.responding and 1 - seen.silent_share >= rules.answers and now >= zone.since + rules.gone_us:
+        if (
+            summary.responding
+            and 1 - summary.silent_share >= rules.answers
+            and now >= zone.since + rules.gone_us
+        ):
             first = min(
                 1.0, max(rules.first, rules.tries / max(1, heads))
             )  # the heads that made trials continue
-            self._change(now, zone, ZoneStage.RETURNING, first, f"{seen.responding} nodes answer")
+            self._change(now, zone, ZoneStage.RETURNING, first, f"{summary.responding} nodes answer")
             zone.stepped_at = zone.returned_at = now
         elif now >= zone.since + rules.turn_us:
             zone.since = now
             zone.trial_round += 1
-        elif not seen.responding + seen.silent and now >= max(zone.since, zone.stepped_at) + rules.step_us:
+        elif (
+            not summary.responding + summary.silent
+            and now >= max(zone.since, zone.stepped_at) + rules.step_us
+        ):
             # No head sent requests there: with low traffic more heads have to make trials.
             zone.stepped_at = now
             zone.share = min(rules.first, max(2 * zone.share, rules.tries / max(1, heads)))
 
-    def _returning(self, now: int, zone: ZoneState, seen: ZoneSummary, fails: bool) -> None:
+    def _update_returning(self, now: int, zone: ZoneState, summary: ZoneSummary, fails: bool) -> None:
         rules = self.rules
         if fails:
-            self._leave(now, zone, f"again {seen.silent} of {seen.responding + seen.silent} nodes silent")
+            self._leave(
+                now, zone, f"again {summary.silent} of {summary.responding + summary.silent} nodes silent"
+            )
         elif now >= zone.stepped_at + rules.step_us:
             zone.stepped_at = now
-            if seen.silent_share >= rules.hurts:
+            if summary.silent_share >= rules.hurts:
                 zone.share = max(rules.first / 2, zone.share / 2)
             elif zone.share >= 1.0:
                 self._change(now, zone, ZoneStage.IN, 1.0, "all heads use it")
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -376,7 +376,7 @@
     Fault(
         "a zone is left at once",
         "zones",
-        f"{ZONES}._in",
+        f"{ZONES}._update_in",
         "now >= zone.failed_since + self.rules.gone_us",
         "now >= zone.failed_since",
         2,
--- a/tests/live/test_budget_totals.py
+++ b/tests/live/test_budget_totals.py
@@ -1,4 +1,4 @@
-"""Totals that change while heads divide them: a lowered one is kept in a bounded time, a raised one adds no burst."""
+"""Totals that change while heads divide them: a lowered one is met in a bounded time, a raised one adds no burst."""
 
 from dataclasses import replace
 
@@ -84,9 +84,9 @@
 class KeepsFirstClaim(Ledger):
     """Divides the total of the first claim."""
 
-    def _claim(self, holder, tenant, claim):
-        known = tenant.holdings.get(claim.budget)
-        super()._claim(holder, tenant, replace(claim, movable=known.total) if known is not None else claim)
+    def _claim(self, holder, tenancy, claim):
+        known = tenancy.holdings.get(claim.budget)
+        super()._claim(holder, tenancy, replace(claim, movable=known.total) if known is not None else claim)
 
 
 class OpensFullBuckets(LeaseHolder):
@@ -272,8 +272,8 @@
         Plan("gold", limit=200.0, limit_burst=40.0),
         Plan("tin", limit=10.0, limit_burst=5.0),
     )
-    ask = Arrived(1, "read", "gold", "v0", "", 0, 1.0, S)
-    one, other = mine.limit(0, ask, gold), mine.limit(0, replace(ask, volume="v1"), tin)
+    arrival = Arrived(1, "read", "gold", "v0", "", 0, 1.0, S)
+    one, other = mine.limit(0, arrival, gold), mine.limit(0, replace(arrival, volume="v1"), tin)
     before = other.rate
     mine.acquire_link(0, "node")
     calls = []
@@ -283,7 +283,7 @@
     mine.update_totals(0, {"gold": gold, "tin": tin}, {"gold": lower, "tin": tin}, specs)
     assert one.rate == pytest.approx(0.99 * 50.0 * 0.1 / 8) and other.rate == before and calls
     assert dict(mine)["links/node"].most == 1.0
-    assert mine.limit(0, ask, lower) is one
+    assert mine.limit(0, arrival, lower) is one
     with pytest.raises(ValueError, match="fixed"):
         mine.update_totals(0, {}, {}, mine.specs | {BudgetKind.TRIALS: BudgetSpec(0.2, 10.0, 4.0)})
 
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -107,9 +107,9 @@
     share = BudgetShare(0, TOTAL, Lease(1 << 60), 0.0)
     share.set_leased(0, 180.0, 20.0)
     before = share.level
-    gone = share.set_leased(0, 90.0, 0.0)
-    assert gone == pytest.approx(before * 18 / (40 * 0.1 / 6 + 36)) and share.level == pytest.approx(
-        before - gone
+    released = share.set_leased(0, 90.0, 0.0)
+    assert released == pytest.approx(before * 18 / (40 * 0.1 / 6 + 36)) and share.level == pytest.approx(
+        before - released
     )
     share.level = -3.0
     assert share.set_leased(0, 0.0, 0.0) == 0 and share.level == -3.0
@@ -135,7 +135,7 @@
 CONCURRENT = BudgetTotal(40.0, 0.0, 4, 0.2, concurrent=True)
 
 
-@given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(["take", "take", "give", "wait", "kill", "cut"])),
+@given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(["acquire", "acquire", "release", "wait", "kill", "cut"])),
                 min_size=20, max_size=150), st.integers(0, 9))  # fmt: skip
 @settings(max_examples=60, deadline=None)
 def test_a_concurrency_budget_is_never_exceeded(steps, seed):
@@ -176,12 +176,12 @@
                     share.release()
             assert sum(holder.open(now, "n", CONCURRENT).in_use for holder in holders) <= 40 + 1e-6
         share = holders[at].open(now, "n", CONCURRENT)
-        if what == "take":
+        if what == "acquire":
             for _ in range(12):
                 if not share.acquire(now):
                     waiting[at] += 1
             share.waiters = waiting[at]
-        elif what == "give":
+        elif what == "release":
             share.waiters = waiting[at] = 0
             for _ in range(int(share.in_use)):
                 share.release()
@@ -426,9 +426,9 @@
 
 
 class FreesAtOnce(Ledger):
-    def _change(self, name, slip, rate, tokens=0.0):
-        super()._change(name, slip, rate, tokens)
-        slip.committed = slip.granted
+    def _change(self, name, holding, rate, tokens=0.0):
+        super()._change(name, holding, rate, tokens)
+        holding.committed = holding.granted
 
 
 class TrustsClocks(Ledger):
@@ -437,15 +437,17 @@
 
 
 class CreatesTokens(Ledger):
-    def _change(self, name, slip, rate, tokens=0.0):
-        super()._change(name, slip, rate, tokens + (20.0 if rate > slip.granted else 0.0))
+    def _change(self, name, holding, rate, tokens=0.0):
+        super()._change(name, holding, rate, tokens + (20.0 if rate > holding.granted else 0.0))
 
 
 class IgnoresInstances(Ledger):
-    def handle_request(self, now, ask):
-        for holder in [one for one in self.tenancies if one[0] == ask.holder and one[1] != ask.instance]:
+    def handle_request(self, now, request):
+        for holder in [
+            one for one in self.tenancies if one[0] == request.holder and one[1] != request.instance
+        ]:
             self._free(holder)
-        return super().handle_request(now, ask)
+        return super().handle_request(now, request)
 
 
 def opens_at_once(number, term, _opens_at, rules):
--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -183,8 +183,8 @@
     def __init__(self, tokens=0, part=0.0):
         self.tokens, self.part, self.calls = tokens, part, []
 
-    def limit(self, now, ask, plan):
-        self.calls.append(("limit", ask.volume, ask.units))
+    def limit(self, now, request, plan):
+        self.calls.append(("limit", request.volume, request.units))
 
     def further(self, now, draw):
         self.calls.append(("further", draw))
@@ -283,18 +283,18 @@
 
 
 def test_a_small_fixed_part_still_saves_up_one_whole_token():
-    divided = {BudgetKind.TRIALS: BudgetSpec(0.2, 4.0, 4.0)}
-    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 200, divided, 0)
+    specs = {BudgetKind.TRIALS: BudgetSpec(0.2, 4.0, 4.0)}
+    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 200, specs, 0)
     assert not portions.trial(S, "n0")
     assert portions.trial(260 * S, "n0") and not portions.trial(261 * S, "n0")
 
 
 def test_connections_and_list_calls_wait_for_tokens():
-    divided = {
+    specs = {
         BudgetKind.CONNECTIONS: BudgetSpec(0.5, 8.0, 8.0),
         BudgetKind.LIST_CALLS: BudgetSpec(0.5, 8.0, 8.0),
     }
-    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 4, divided, 0)
+    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 4, specs, 0)
     assert portions.connection_wait(S, "n0") == 0 and portions.connection_wait(S, "n1") == 0
     assert portions.connection_wait(S, "n0") == pytest.approx(S, rel=0.01), (
         "this head's fixed part is one per second"
@@ -340,7 +340,7 @@
         return [number for number in range(len(self.sites)) if not self.sites[number].task.done
                 and self.seat(number).candidate.holds_term(self.hub.now())]  # fmt: skip
 
-    def told(self, number):
+    def document(self, number):
         stream = self.net.connect(self.sites[number].head.fleet.address)
         body = b""
         while data := stream.read(self.hub.now() + 3 * S):
@@ -363,13 +363,15 @@
     def test(heads):
         heads.hub.sleep(6 * S)
         (first,) = heads.owners()
-        assert heads.told(first).ledgers[0].epoch == 1
+        assert heads.document(first).ledgers[0].epoch == 1
         assert {heads.seat(number).holder.term.epoch for number in range(3)} == {1}
         heads.sites[first].head.stop()
         heads.hub.sleep(1_500_000)
         assert heads.sites[first].task.done
         (second,) = heads.owners()
-        assert second != first and heads.told(second).ledgers[0].epoch == 2, "before a session would expire"
+        assert second != first and heads.document(second).ledgers[0].epoch == 2, (
+            "before a session would expire"
+        )
 
     run(test)
 
@@ -418,21 +420,17 @@
         for step in range(100):
             portions.limit(hub.now(), api.Arrived(step, "read", "p", "shared", "", 0, 3.0, S, 2), plan)
             hub.sleep(20_000)
-        told = heads.told(1)
-        (portion,) = told.portions
-        assert (
-            portion.budget == "limits/shared"
-            and portion.unit == "units"
-            and portion.fixed == pytest.approx(20)
-        )
-        assert portion.share > 100 and portion.wanted == pytest.approx(130, rel=0.2)
+        document = heads.document(1)
+        (share,) = document.portions
+        assert share.budget == "limits/shared" and share.unit == "units" and share.fixed == pytest.approx(20)
+        assert share.share > 100 and share.wanted == pytest.approx(130, rel=0.2)
         (owner,) = heads.owners()
-        (ledger,) = heads.told(owner).ledgers
-        (slip,) = ledger.slips
-        assert (slip.holder, slip.there, slip.counted) == ("h1", True, pytest.approx(portion.share))
+        (ledger,) = heads.document(owner).ledgers
+        (holding,) = ledger.slips
+        assert (holding.holder, holding.there, holding.counted) == ("h1", True, pytest.approx(share.share))
         assert ledger.movable == {"limits/shared": pytest.approx(160)}
         hub.sleep(10 * S)
-        assert heads.told(1).portions == [] and heads.told(owner).ledgers[0].slips == [], (
+        assert heads.document(1).portions == [] and heads.document(owner).ledgers[0].slips == [], (
             "idle budgets are closed"
         )
 
@@ -455,7 +453,7 @@
             hub.sleep(500)
         port.send(budgeting.encode("fleet", (Kind.TERM, 77, TERM)), ("127.0.0.1", 40_000))
         hub.sleep(2 * S)
-        counts = [heads.told(number).counts for number in range(3)]
+        counts = [heads.document(number).counts for number in range(3)]
         assert sum(one["garbage"] for one in counts) > 100 and sum(one["strangers"] for one in counts) > 50
         assert len(heads.owners()) == 1 and not [site for site in heads.sites if site.task.done]
 
@@ -568,8 +566,8 @@
 def test_a_day_grants_shares_and_without_a_safeguard_breaks_the_rules(monkeypatch):
     records = day("budget-jump")
     most = max(rate for one in records if isinstance(one, rec.GrantedShare) for _, _, rate in one.shares)
-    whole = next(one.moving for one in records if isinstance(one, rec.BudgetFacts))
-    assert 0.8 * whole < most <= whole * (1 + 1e-6)
+    movable = next(one.moving for one in records if isinstance(one, rec.BudgetFacts))
+    assert 0.8 * movable < most <= movable * (1 + 1e-6)
 
     def free_at_once(self, name, holding, rate, tokens=0.0, change=Ledger._change):
         change(self, name, holding, rate, tokens)
@@ -657,12 +655,14 @@
         [*COMMAND, "fleet", "day", str(path), "--keep", str(kept)], stderr=subprocess.PIPE
     )
     try:
-        until, shares, lent = time.monotonic() + 80, 0.0, []
-        while not (shares and lent):
+        until, shares, granted = time.monotonic() + 80, 0.0, []
+        while not (shares and granted):
             assert time.monotonic() < until and playing.poll() is None
-            told = [budgets_document(kept / f"head{number}.sexp") for number in range(3)]
-            shares = sum(one["share"] for each in told if each for one in each["portions"])
-            lent = [ledger["slips"] for each in told if each for ledger in each["ledgers"] if ledger["slips"]]
+            documents = [budgets_document(kept / f"head{number}.sexp") for number in range(3)]
+            shares = sum(one["share"] for each in documents if each for one in each["portions"])
+            granted = [
+                ledger["slips"] for each in documents if each for ledger in each["ledgers"] if ledger["slips"]
+            ]
         text = subprocess.run([*COMMAND, "fleet", "budgets", "--settings", str(kept / "head1.sexp"), "--volume", "vol0"],
                               capture_output=True, text=True, timeout=30).stdout  # fmt: skip
         assert "limits/vol0" in text and "ledger 0" in text and "epoch" in text
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -496,11 +496,11 @@
 
 
 def test_many_decisions_fit_a_datagram():
-    words = tuple(
+    decisions = tuple(
         ZoneDecision(f"zone-{number:0>27}", ZoneStage.RETURNING, 0.123, 1 << 20, "w" * 100)
         for number in range(16)
     )
-    data = budgeting.encode("f" * 64, budgeting.Told(Term(1 << 40, 1 << 61), words))
+    data = budgeting.encode("f" * 64, budgeting.Told(Term(1 << 40, 1 << 61), decisions))
     assert len(budgeting.decode("f" * 64, data).words) == 16
     observations = tuple(ZoneObservation(f"zone-{number:0>27}", 200, 200, 10**6) for number in range(16))
     assert (
@@ -630,17 +630,20 @@
         [*COMMAND, "fleet", "day", str(path), "--keep", str(kept)], stderr=subprocess.PIPE
     )
 
-    def ask(*arguments, head="head1"):
+    def run_command(*arguments, head="head1"):
         return subprocess.run([*COMMAND, "fleet", *arguments, "--settings", str(kept / f"{head}.sexp")], capture_output=True, text=True,
                               timeout=30)  # fmt: skip
 
     def wait(stages):
         until = time.monotonic() + 60
         while True:
-            done = ask("zones", "--json")
-            told = json.loads(done.stdout) if done.returncode == 0 else {"zones": [], "heard_s": None}
-            if told["heard_s"] is not None and {one["zone"]: one["stage"] for one in told["zones"]} == stages:
-                return told
+            done = run_command("zones", "--json")
+            output = json.loads(done.stdout) if done.returncode == 0 else {"zones": [], "heard_s": None}
+            if (
+                output["heard_s"] is not None
+                and {one["zone"]: one["stage"] for one in output["zones"]} == stages
+            ):
+                return output
             assert time.monotonic() < until and playing.poll() is None, (done.stdout, done.stderr)
             time.sleep(0.2)
 
@@ -648,21 +651,21 @@
         fine_ = {"z0": "in", "z1": "in", "z2": "in"}
         wait(fine_)
         # The sum over all heads is known to the decider only; other heads show its address as the relay's.
-        each = [ask("leave", "z2", "--dry-run", head=f"head{number}") for number in range(3)]
-        told = "".join(one.stdout for one in each)
-        assert "z2 serves" in told and "z0, z1 have room for about" in told, each
+        each = [run_command("leave", "z2", "--dry-run", head=f"head{number}") for number in range(3)]
+        output = "".join(one.stdout for one in each)
+        assert "z2 serves" in output and "z0, z1 have room for about" in output, each
         assert any(
-            "no such zone" in ask("leave", "z9", "--dry-run", head=f"head{number}").stderr
+            "no such zone" in run_command("leave", "z9", "--dry-run", head=f"head{number}").stderr
             for number in range(3)
         )
-        assert "wished out" in ask("leave", "z2").stdout
-        told = wait({**fine_, "z2": "out"})
-        assert [one["used"] for one in told["zones"]] == [True, True, False]
-        table = ask("zones", "--explain").stdout
+        assert "wished out" in run_command("leave", "z2").stdout
+        output = wait({**fine_, "z2": "out"})
+        assert [one["used"] for one in output["zones"]] == [True, True, False]
+        table = run_command("zones", "--explain").stdout
         assert "an operator's wish" in table and "z2" in table
-        assert ask("return", "z2").returncode == 0
+        assert run_command("return", "z2").returncode == 0
         wait(fine_)
-        assert ask("hold", "z0").returncode == 0
+        assert run_command("hold", "z0").returncode == 0
     finally:
         playing.send_signal(2)
         playing.communicate(timeout=60)
