--- a/harriertrack/decisions/celled.py
+++ b/harriertrack/decisions/cell_scheduler.py
@@ -19,24 +19,24 @@
 
 from harriertrack.decisions.interface import (
     Action,
-    Arrived,
-    Begun,
-    ClientGone,
-    Ended,
+    AttemptEnded,
+    BudgetShares,
+    ClientLeft,
     Event,
     Fail,
     ListKind,
     NodeEntry,
     NodesChanged,
     NodeState,
-    Portions,
     Refuse,
+    RequestArrived,
+    ResponseStarted,
     Send,
     SetTimer,
     Settings,
     SettingsChanged,
     Subscribe,
-    Woken,
+    TimerFired,
 )
 from harriertrack.decisions.scheduler import Scheduler, Volumes
 
@@ -44,28 +44,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeadMap:
+class HeadCellMap:
     """What a head needs of a map: the cell of each shard, and of each volume."""
 
     version: int
     shards: Mapping[int, str] = field(default_factory=dict)
     volumes: Mapping[str, str] = field(default_factory=dict)
 
-    def cells(self) -> list[str]:
+    def cell_names(self) -> list[str]:
         """Return the cells that something is in."""
         return sorted({*self.shards.values(), *self.volumes.values()})
 
 
-class OldMap(ValueError):
+class StaleMapError(ValueError):
     """A map that is not newer than the one in force."""
 
 
-class Celled:
+class CellScheduler:
     """The decision modules of one head, with the interface of one."""
 
-    def __init__(self, settings: Settings, seed: int, cells: HeadMap,
+    def __init__(self, settings: Settings, seed: int, cells: HeadCellMap,
                  make: Callable[..., Scheduler] = Scheduler,
-                 portions: Portions | None = None) -> None:  # fmt: skip
+                 portions: BudgetShares | None = None) -> None:  # fmt: skip
         """Begin with a map; `make` is called with settings, seed, volumes and portions for each cell."""
         self.settings, self._portions = settings, portions
         self.map = cells
@@ -80,7 +80,7 @@
         self._told: dict[str, str] = {}  # the cell whose module was told of a node
         self._pending: list[tuple[str, Event]] = []
         self._subscribed = False
-        for cell in cells.cells():
+        for cell in cells.cell_names():
             self._module(cell)
 
     def _module(self, cell: str) -> Scheduler:
@@ -92,7 +92,7 @@
         return self._modules[cell]
 
     def _own(self) -> Settings:
-        parts = max(1, len(self.map.cells()))
+        parts = max(1, len(self.map.cell_names()))
         return replace(self.settings, budget_free=self.settings.budget_free / parts)
 
     def modules(self) -> list[Scheduler]:
@@ -101,12 +101,12 @@
 
     # -- maps
 
-    def take_map(self, cells: HeadMap) -> None:
-        """Follow a newer map from the next batch on. Raises OldMap for one that is not newer."""
+    def apply_map(self, cells: HeadCellMap) -> None:
+        """Follow a newer map from the next batch on. Raises StaleMapError for one that is not newer."""
         if cells.version <= self.map.version:
-            raise OldMap(f"version {cells.version} is not newer than {self.map.version}")
+            raise StaleMapError(f"version {cells.version} is not newer than {self.map.version}")
         self.map = cells
-        for cell in cells.cells():
+        for cell in cells.cell_names():
             self._module(cell)
         self._pending.extend(self._split(NodesChanged(ListKind.CHANGES, list(self._nodes.values()))))
 
@@ -122,21 +122,21 @@
         self._subscribed = False
         for event in events:
             match event:
-                case Arrived():
+                case RequestArrived():
                     cell = self._cell_of(event)
                     if cell not in self._modules:
                         actions.append(Refuse(event.request))  # of no cell: nobody may serve it
                         continue
                     self._of_request[event.request] = cell
                     batches.setdefault(cell, []).append(event)
-                case Ended() | ClientGone() | Begun():
+                case AttemptEnded() | ClientLeft() | ResponseStarted():
                     if cell := self._of_request.get(event.request, ""):
                         batches.setdefault(cell, []).append(event)
                         self._note(event)
-                case Woken():
+                case TimerFired():
                     cell, _, token = event.token.partition(MARK)
                     if cell in self._modules:
-                        batches.setdefault(cell, []).append(Woken(token))
+                        batches.setdefault(cell, []).append(TimerFired(token))
                 case NodesChanged():
                     for cell, news in self._split(event):
                         batches.setdefault(cell, []).append(news)
@@ -149,7 +149,7 @@
                 self._pass_on(cell, action, actions)
         return actions
 
-    def _cell_of(self, ask: Arrived) -> str:
+    def _cell_of(self, ask: RequestArrived) -> str:
         """Return who decides on a request: where its extent lies, or where its volume's new ones go."""
         home = self.map.volumes.get(ask.volume, "")
         return self.map.shards.get(ask.shard, home) if home and ask.shard >= 0 else home
@@ -192,15 +192,15 @@
 
     # -- which module has a request
 
-    def _note(self, event: Ended | ClientGone | Begun) -> None:
+    def _note(self, event: AttemptEnded | ClientLeft | ResponseStarted) -> None:
         """Keep count of a request's attempts, and of whether it has its answer."""
         match event:
-            case Ended():
+            case AttemptEnded():
                 self._out[event.request] = self._out.get(event.request, 1) - 1
-                if event.over:
+                if event.request_over:
                     self._over.add(event.request)
                 self._forget(event.request)
-            case ClientGone():
+            case ClientLeft():
                 self._finish(event.request)
 
     def _finish(self, request: int) -> None:
--- a/harriertrack/decisions/fleet/budget_shares.py
+++ b/harriertrack/decisions/fleet/budget_shares.py
@@ -13,7 +13,7 @@
 from harriertrack.decisions.bucket import Bucket
 from harriertrack.decisions.fleet.budgets import BudgetRules, BudgetShare, BudgetTotal, ledger_for
 from harriertrack.decisions.fleet.holder import LeaseHolder
-from harriertrack.decisions.interface import Arrived, Plan
+from harriertrack.decisions.interface import Plan, RequestArrived
 
 
 class BudgetKind(Enum):
@@ -118,13 +118,13 @@
 
     # -- for the scheduler module
 
-    def limit(self, now: int, request: Arrived, plan: Plan) -> Bucket | None:
+    def limit(self, now: int, request: RequestArrived, plan: Plan) -> Bucket | None:
         """Count a request against its volume's limit; return this head's share of the limit."""
         hosts = request.hosts or self.heads
         share = self._open(
             now, BudgetKind.LIMITS, request.volume, plan.limit, plan.limit_burst, hosts, plan.name
         )
-        if share is not None and not request.tried:
+        if share is not None and not request.attempts_made:
             share.record_demand(request.units)
         return share
 
@@ -135,7 +135,7 @@
             return False
         if not draw:
             share.record_demand(1.0)
-        if share.now(now) < 1.0:
+        if share.refill(now) < 1.0:
             return False
         share.level -= 1.0 if draw else 0.0
         return True
@@ -150,7 +150,7 @@
         if share is None:
             return rate / self.heads
         share.record_demand(units)
-        share.now(now)
+        share.refill(now)
         return share.rate
 
     # -- for the head
@@ -184,7 +184,7 @@
             return 0
         if not again:
             share.record_demand(1.0)
-        wait = share.wait(now, 1.0)
+        wait = share.wait_us(now, 1.0)
         if not wait:
             share.level -= 1.0
         return wait
@@ -211,7 +211,7 @@
         found = []
         for name, share in self:
             if share.total.concurrent:
-                share.now(now)
+                share.refill(now)
                 if share.excess:
                     found.append((name.partition("/")[2], share.excess))
         return found
--- a/harriertrack/decisions/fleet/budgets.py
+++ b/harriertrack/decisions/fleet/budgets.py
@@ -189,7 +189,7 @@
         self.requested = self.requested_squares = 0.0  # since demand was last measured
         self.waiters = 0  # of a concurrency budget: callers waiting for one
         self._resize(0.0)
-        self.level = self.most if total.concurrent else min(self.most, self.rate * age_us / 1e6)
+        self.level = self.capacity if total.concurrent else min(self.capacity, self.rate * age_us / 1e6)
 
     def _resize(self, leased: float) -> None:
         total, self.leased = self.total, leased
@@ -197,9 +197,9 @@
         used = min(leased, total.movable)
         part = total.fixed / total.hosts + (used / total.rate if total.rate > 0 else 0.0)
         if total.concurrent:
-            self.rate, self.most = 0.0, total.rate * part
+            self.rate, self.capacity = 0.0, total.rate * part
         else:
-            self.rate, self.most = (
+            self.rate, self.capacity = (
                 self.clock_factor * total.rate * part,
                 max(total.burst * part, total.min_burst),
             )
@@ -209,35 +209,39 @@
         self.requested += units
         self.requested_squares += units * units
 
-    def now(self, now: int) -> float:
+    def refill(self, now: int) -> float:
         """Refill up to the present and return the level."""
         if self.leased and now >= self.lease.expires_at:
             self.drop_leased(now)
-        return super().now(now)
+        return super().refill(now)
 
     def drop_leased(self, now: int) -> None:
         """Drop the leased share and its tokens, as of the lease's expiry if that has passed."""
         if self.leased:
-            super().now(max(self.at, min(now, self.lease.expires_at)))
-            before = self.most
+            super().refill(max(self.updated_at, min(now, self.lease.expires_at)))
+            before = self.capacity
             self._resize(0.0)
             self.level = (
-                self.level + self.most - before if self.total.concurrent else min(self.level, self.most)
+                self.level + self.capacity - before
+                if self.total.concurrent
+                else min(self.level, self.capacity)
             )
 
     def set_total(self, now: int, total: BudgetTotal) -> None:
         """Apply a changed total: the level stays, capped at the new capacity."""
-        self.now(now)
-        before, self.total = self.most, total
+        self.refill(now)
+        before, self.total = self.capacity, total
         self._resize(self.leased)
-        self.level = self.level + self.most - before if total.concurrent else min(self.level, self.most)
+        self.level = (
+            self.level + self.capacity - before if total.concurrent else min(self.level, self.capacity)
+        )
 
     # -- concurrency budgets
 
     @property
     def in_use(self) -> float:
         """Return the number in use."""
-        return self.most - self.level
+        return self.capacity - self.level
 
     @property
     def excess(self) -> int:
@@ -250,25 +254,25 @@
 
     def acquire(self, now: int) -> bool:
         """Acquire one if one is free."""
-        if self.now(now) < 1.0 - FLOAT_TOLERANCE:
+        if self.refill(now) < 1.0 - FLOAT_TOLERANCE:
             return False
         self.level -= 1.0
         return True
 
     def release(self) -> None:
         """Release one."""
-        self.level = min(self.most, self.level + 1.0)
+        self.level = min(self.capacity, self.level + 1.0)
 
     def set_leased(self, now: int, leased: float, tokens: float) -> float:
         """Apply another share, adding tokens if it is larger; return the released ones if it is smaller."""
-        self.now(now)
-        before, level = self.most, self.level
+        self.refill(now)
+        before, level = self.capacity, self.level
         self._resize(leased)
         if self.total.concurrent:
-            self.level = level + self.most - before
+            self.level = level + self.capacity - before
             return 0.0
-        if self.most >= before:
-            self.level = min(self.most, level + tokens)
+        if self.capacity >= before:
+            self.level = min(self.capacity, level + tokens)
             return 0.0
-        self.level = min(level, level * self.most / before)
+        self.level = min(level, level * self.capacity / before)
         return level - self.level
--- a/harriertrack/decisions/fleet/holder.py
+++ b/harriertrack/decisions/fleet/holder.py
@@ -61,7 +61,7 @@
             held = self.budgets[budget] = HeldBudget(share, now)
             idle = self._idle_buckets.get(total.source)
             if idle is not None and not total.concurrent:
-                share.level = min(share.level, idle.now(now) * total.fixed / total.hosts)
+                share.level = min(share.level, idle.refill(now) * total.fixed / total.hosts)
         return held.share
 
     def update_source(self, now: int, source: str, before: RateAndBurst, after: RateAndBurst) -> None:
@@ -70,8 +70,8 @@
         idle = self._idle_buckets.setdefault(
             source, Bucket(self.started_at, clock_factor * before[0], before[1])
         )
-        level = min(idle.now(now), after[1])
-        idle.rate, idle.most, idle.level = clock_factor * after[0], after[1], level
+        level = min(idle.refill(now), after[1])
+        idle.rate, idle.capacity, idle.level = clock_factor * after[0], after[1], level
         for name, held in self.budgets.items():
             if held.total.source == source and after[0] > 0:  # at 0 it gets no requests and is dropped
                 self.update_total(now, name, replace(held.total, rate=after[0], burst=after[1]))
@@ -185,7 +185,7 @@
         for name, held in self.budgets.items():
             share = held.share
             if held.recent_rate < 1e-6 * share.total.rate and not share.leased and not held.demand:
-                if held.claim_state()[1:] == held.confirmed[1:] and share.now(now) >= share.most:
+                if held.claim_state()[1:] == held.confirmed[1:] and share.refill(now) >= share.capacity:
                     idle.append(name)
         for name in idle:
             del self.budgets[name]
--- a/harriertrack/decisions/fleet/zones/evidence.py
+++ b/harriertrack/decisions/fleet/zones/evidence.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-from harriertrack.decisions.interface import Arrived, Ended, Event, NodeEntry, Result, Send
+from harriertrack.decisions.interface import AttemptEnded, Event, NodeEntry, RequestArrived, Result, Send
 
 WINDOW_US = 2_000_000  # older observations are ignored
 SILENT_US = 500_000  # without an answer to a request, after which a node counts as silent
@@ -112,7 +112,7 @@
             if node.unanswered_since < 0:
                 node.unanswered_since = now
 
-    def record_result(self, now: int, event: Ended) -> None:
+    def record_result(self, now: int, event: AttemptEnded) -> None:
         """Record the end of an attempt."""
         node = self._nodes.get(event.node)
         if node is None or event.result in IGNORED:
@@ -124,7 +124,7 @@
         else:
             node.lost += 1
 
-    def _record_success(self, now: int, node: _Node, event: Ended) -> None:
+    def _record_success(self, now: int, node: _Node, event: AttemptEnded) -> None:
         node.record_answer(max(1, event.elapsed_us))
         zone = self._zones[node.zone]
         zone.count(now, SERVED)
@@ -134,7 +134,7 @@
             if reserves:
                 zone.count(now, RESERVED)
 
-    def record_arrival(self, request: Arrived) -> None:
+    def record_arrival(self, request: RequestArrived) -> None:
         """Record the arrival of a request."""
         if request.shard < 0:
             while len(self._new_objects) >= MAX_OPEN:
@@ -144,9 +144,9 @@
     def follow(self, now: int, events: Iterable[Event], actions: Iterable[object]) -> None:
         """Observe the events and actions of a module."""
         for event in events:
-            if isinstance(event, Ended):
+            if isinstance(event, AttemptEnded):
                 self.record_result(now, event)
-            elif isinstance(event, Arrived):
+            elif isinstance(event, RequestArrived):
                 self.record_arrival(event)
         for action in actions:
             if isinstance(action, Send):
--- a/harriertrack/service/calls.py
+++ b/harriertrack/service/calls.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from harriertrack.decisions.client_connections import END_KNOWN_US
-from harriertrack.decisions.patience import Waiting
+from harriertrack.decisions.client_connections import DISCONNECT_KNOWN_US
 from harriertrack.decisions.requests import ClientRequest
+from harriertrack.decisions.retry_queue import WaitMode
 from harriertrack.protocol.platform.asked import Asked
 
 
@@ -18,7 +18,7 @@
     name: str
     plan: str
     hosts: int
-    waiting: Waiting = Waiting.REFUSE
+    waiting: WaitMode = WaitMode.REFUSE
     patience_us: int = 0
     shards: tuple[int, ...] = ()
 
@@ -49,4 +49,4 @@
 
     def client_left(self, now: int) -> bool:
         """Whether the client has gone, as known recently enough for an attempt to begin now."""
-        return self.session.left(now - END_KNOWN_US)
+        return self.session.left(now - DISCONNECT_KNOWN_US)
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -21,7 +21,7 @@
 from harriertrack.service.storage_nodes import StorageNodes
 
 REPORT_US = 5_000_000  # how often a line of counts is logged
-LOOK_US = 20_000  # how often a head that leaves looks whether it can end
+CHECK_PERIOD_US = 20_000  # how often a head that leaves looks whether it can end
 
 
 class NoPlaces:
@@ -54,7 +54,7 @@
         self.hub, self.configuration = hub, configuration
         self._network, self._log = network, log
         self._alarm = Alarm(hub, self._flush, at_round_end=True)
-        self._heartbeat = Heartbeat(hub, standstill.LOOK_US, self._look)
+        self._heartbeat = Heartbeat(hub, standstill.CHECK_PERIOD_US, self._look)
         self._asked_to_leave = Event(hub)
         self.ready = Event(hub)
         self.leaving = GracefulShutdown(configuration.bounds.longest_us)
@@ -74,7 +74,7 @@
                 watching = self._set_up(scope)
                 scope.spawn("report", self._report)
                 if watching.pushed:
-                    self._await_first_update(watching.hold_us)
+                    self._await_first_update(watching.startup_hold_us)
                 listener = self._network.listen(configuration.listen)
                 try:
                     self._serve(scope, listener)
@@ -98,7 +98,7 @@
         watching = DiscoveryWatch(
             configuration.bounds.ask_within_us,
             configuration.version,
-            not told.asked_list,
+            not told.list_on_request,
             told.drain_grace_us,
             hub.now(),
             configuration.seed,
@@ -117,7 +117,7 @@
             self._log,
         )
         self.front = Front(hub, scope, self.core, configuration, self.leaving, self._log)
-        self.core.begin_looks(hub.now())
+        self.core.begin_standstill_checks(hub.now())
         self._heartbeat.start()
         return watching
 
@@ -132,7 +132,7 @@
                    callers=bounds.callers, ways=bounds.ways, longest_us=bounds.longest_us)  # fmt: skip
         self._asked_to_leave.wait()
         while not self._part(listener):
-            hub.sleep(LOOK_US)
+            hub.sleep(CHECK_PERIOD_US)
         self.report()
 
     def _part(self, listener: Listener) -> bool:
@@ -149,14 +149,14 @@
             front.refuse_half_read()
         return phase is Phase.ENDED
 
-    def _await_first_update(self, hold_us: int) -> None:
+    def _await_first_update(self, startup_hold_us: int) -> None:
         """Follow a pushed list, and take no client before it is here: it counts from the first moment on.
 
         The list that the last life had does not tell what has come to the agent since.
         """
         self.discovery.subscribe(True)
         try:
-            self.discovery.first_update.wait(self.hub.now() + hold_us)
+            self.discovery.first_update.wait(self.hub.now() + startup_hold_us)
         except DeadlineExceeded:
             self._log("list not heard", why="discovery is silent: the last life's list is used")
 
@@ -173,11 +173,11 @@
         ends = {f"ended_{result.name.lower()}": count for result, count in storage_nodes.counts.ends.items()}
         self._log(
             "counts",
-            taken=core.taken,
+            taken=core.accepted,
             served=core.served,
             refused=core.refused,
             failed=core.failed,
-            left=core.left,
+            left=core.clients_left,
             open=self.core.open_requests,
             sent=core.sent,
             moot=core.moot,
@@ -215,7 +215,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt, unless its client has gone since its connection was last polled."""
-        call, now = attempt.part.request.token, self.hub.now()
+        call, now = attempt.part.request.requester, self.hub.now()
         assert isinstance(call, Call)
         if call.client_left(now):
             self.hub.at_end_of_round(lambda: self._client_left(now, call, attempt))
@@ -224,7 +224,7 @@
 
     def _client_left(self, now: int, call: Call, attempt: Attempt) -> None:
         call.session.leave()
-        self.core.ended(now, attempt, api.Result.MOOT)
+        self.core.attempt_ended(now, attempt, api.Result.MOOT)
 
     def call_off(self, attempt: Attempt) -> None:
         """Give an attempt up."""
@@ -232,7 +232,7 @@
 
     def answer(self, request: ClientRequest) -> None:
         """Hand a final answer to whoever asked."""
-        request.token.answer(request)
+        request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
         """Follow the node list, or stop."""
@@ -255,7 +255,7 @@
         self._log("module", text=text)
 
     def _look(self) -> None:
-        self.core.look(self.hub.now())
+        self.core.check_standstill(self.hub.now())
 
     def _flush(self) -> None:
         self.core.flush(self.hub.now())
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -52,15 +52,15 @@
 KEEPING, WRITING = "gateway.fleet.changes.keeping", "decisions.fleet.changes.operations"
 WATCH, LIST = "decisions.discovery_watch:DiscoveryWatch", "service.discovery:Discovery"
 LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:LeaseHolder"
-LINK = "decisions.linklife:LinkLife"
+LINK = "decisions.link_lifecycle:LinkLifecycle"
 CLOSING = "decisions.fleet.closing"
 BUDGETS, TERMS = "decisions.fleet.budgets", "decisions.fleet.terms:Candidate"
 ZONES = "decisions.fleet.zones.evacuation:Evacuation"
 SCORING, VIEW = "decisions.fleet.scoring", "membership.fleet.view:View"
 WEIGHTS = "gateway.fleet.scoring.carrier:Scoring"
-LAUNCHING = "decisions.fleet.rollout.launching:Launching"
+LAUNCHING = "decisions.fleet.rollout.launch_state:LaunchStateMachine"
 LAUNCHER = "gateway.fleet.rollout.launcher.launcher:Launcher"
-CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closing:Closing"
+CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closes:CloseHandling"
 ROLLOUT = "decisions.fleet.rollout.rollout:Rollout"
 FOLLOWING = "decisions.fleet.changes.follower:Follower"
 
@@ -213,7 +213,13 @@
         "self.state is LinkState.DIALING",
         "True",
     ),
-    Fault("what waited is told twice", "link-node-dies", f"{LINK}.opened", "self._waiting.clear()", "pass"),
+    Fault(
+        "what waited is told twice",
+        "link-node-dies",
+        f"{LINK}.complete_handshake",
+        "self._waiting.clear()",
+        "pass",
+    ),
     Fault(
         "a broken link tells nobody",
         "link-node-dies",
@@ -278,22 +284,22 @@
         "news are not taken",
         "watch-late",
         f"{LIST}._take",
-        "if outcome is UpdateOutcome.TAKE:",
+        "if outcome is UpdateOutcome.APPLY:",
         "if targets.full:",
     ),
     Fault(
         "a call has no end",
         "watch-moves",
         f"{LIST}._follow",
-        "made.ended.wait(made.began + made.call.within_us)",
+        "made.ended.wait(made.began + made.call.timeout_us)",
         "made.ended.wait()",
     ),
     Fault(
         "a head that moved goes by the old state",
         "watch-moves",
         f"{WATCH}.restart",
-        "self.state = Watch.CATCHING_UP",
-        "self.state = Watch.IDLE",
+        "self.state = WatchState.CATCHING_UP",
+        "self.state = WatchState.IDLE",
     ),
     Fault(
         "a share is lent before it is back",
@@ -400,29 +406,29 @@
     Fault(
         "a fence opens in doubt",
         "closing",
-        f"{CLOSING}.fences:Fence.stance",
+        f"{CLOSING}.fences:Fence.state",
         "reading.high < after[0].at_us",
         "reading.low < after[0].at_us",
     ),
     Fault(
         "a close fires in doubt",
         "closing",
-        f"{CLOSING}.fences:Fence.due",
+        f"{CLOSING}.fences:Fence.closes_to_purge",
         "min(reading.low, sure_until)",
         "min(reading.high, sure_until)",
     ),
     Fault(
         "a head that nobody tells goes on",
         "closing-cut",
-        f"{CLOSING}.fences:Fences.blind",
-        "reading is None or reading.high >= self.sure_until",
+        f"{CLOSING}.fences:Fences.is_blind",
+        "reading is None or reading.high >= self.confirmed_until",
         "reading is None",
         2,
     ),
     Fault(
         "what is announced is changed",
         "closing-cut",
-        f"{CLOSING}.schedule:worked_out",
+        f"{CLOSING}.schedule:compute_schedule",
         "firm_until = latest + notice_us",
         "firm_until = latest",
         3,
@@ -460,14 +466,14 @@
     Fault(
         "a weight moves twice as fast",
         "weights-restart",
-        f"{SCORING}.damping:Damped.move",
+        f"{SCORING}.damping:DampedWeight.move",
         "rules.rate * self.gain",
         "rules.rate * 2 * self.gain",
     ),
     Fault(
         "a head that stood still has a windfall",
         "weights-hung",
-        f"{SCORING}.damping:Damped.move",
+        f"{SCORING}.damping:DampedWeight.move",
         "min(us, 2 * rules.look_us)",
         "us",
     ),
@@ -481,23 +487,23 @@
     Fault(
         "who lost its vote is heard",
         "weights-hung",
-        f"{SCORING}.voting:Voter._lose",
+        f"{SCORING}.scorer_guard:ScorerGuard._lose",
         "self.scores, self._kept = {}, None",
         "pass",
     ),
     Fault(
         "an answer that hung counts",
         "weights-hung",
-        f"{SCORING}.voting:Voter.answered",
-        "self._go(Vote.LOST)\n        return False",
-        "self.vote = Vote.ASKED",
+        f"{SCORING}.scorer_guard:ScorerGuard.handle_answers",
+        "self._go(ScorerState.SUSPENDED)\n        return False",
+        "self.state = ScorerState.PENDING",
     ),
     Fault(
         "a start is written down after it",
         "launch-killed",
         f"{LAUNCHER}._start",
-        "self.machine.starting(token)",
-        "self.machine.kept = __import__('dataclasses').replace(self.machine.kept, token=token)",
+        "self.machine.record_start(token)",
+        "self.machine.saved = __import__('dataclasses').replace(self.machine.saved, token=token)",
     ),
     Fault(
         "a launcher that is back forgets its head",
@@ -523,14 +529,14 @@
     Fault(
         "what fell is tried anew",
         "launch-bad",
-        f"{LAUNCHING}.wanted",
+        f"{LAUNCHING}.request_program",
         " or program.number == kept.fell != 0",
         "",
     ),
     Fault(
         "good is who serves for a moment",
         "launch-bad",
-        f"{LAUNCHING}.wake",
+        f"{LAUNCHING}.advance",
         "proven = now >= self._since + rules.prove_us",
         "proven = True",
     ),
@@ -538,13 +544,13 @@
         "a stop between two heads is not heard",
         "launch-stops",
         f"{LAUNCHING}.stop",
-        "self._actions.append(Done())",
+        "self._actions.append(Exit())",
         "pass",
     ),
     Fault(
         "who does not end is never ended",
         "launch-deaf",
-        f"{LAUNCHING}.wake",
+        f"{LAUNCHING}.advance",
         "now >= self._since + rules.drain_us",
         "False",
     ),
@@ -552,27 +558,27 @@
         "a new write overtakes a trim",
         "close-write",
         f"{CLOSES}._close",
-        "core.keep_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
+        "core.hold_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
         "pass",
     ),
     Fault(
         "what is asked in doubt passes",
         "close-write",
-        f"{CLOSING}.fences:Fences.refuses",
-        "is not Stance.OPEN",
-        "is Stance.PURGING",
+        f"{CLOSING}.fences:Fences.refusal_hint_us",
+        "is not FenceState.OPEN",
+        "is FenceState.PURGING",
     ),
     Fault(
         "a guard lets all pass",
         "close-write",
         "gateway.fleet.closing.guard:Guard.refuses",
-        "or not self._fences.guards(volume)",
+        "or not self._fences.may_purge(volume)",
         "or True",
     ),
     Fault(
         "a close that may have come purges",
         "close-write",
-        f"{CLOSING}.fences:Fence.due",
+        f"{CLOSING}.fences:Fence.closes_to_purge",
         "min(reading.low, sure_until)",
         "min(reading.high, sure_until)",
     ),
@@ -631,15 +637,15 @@
     Fault(
         "a part of a sweep is the whole",
         "sweeps",
-        f"{CLOSING}.sweeps:Swept.whole",
-        "done & ALL == ALL",
+        f"{CLOSING}.sweeps:SweepProgress.completed",
+        "done & ALL_SLICES == ALL_SLICES",
         "done & 1",
         2,
     ),
     Fault(
         "a volume opens before it is swept",
         "sweeps",
-        f"{CLOSING}.fences:Fence.sweeping",
+        f"{CLOSING}.fences:Fence.unswept_closes",
         "swept < one.number <=",
         "one.number <",
         2,
@@ -647,7 +653,7 @@
     Fault(
         "a slice is done before its last extent",
         "sweeps",
-        f"{CLOSING}.sweeps:Sweep.done",
+        f"{CLOSING}.sweeps:Sweep.done_slices",
         "if not extents",
         "if len(extents) < 2",
         2,
@@ -655,7 +661,7 @@
     Fault(
         "two heads go at once",
         "rollout",
-        "decisions.fleet.rollout.choosing:next_away",
+        "decisions.fleet.rollout.selection:select_next_away",
         "if len(out) >= most:",
         "if False:",
         2,
@@ -663,35 +669,44 @@
     Fault(
         "who has not come back is not away",
         "rollout",
-        f"{ROLLOUT}.away",
-        "elif (name in named) != (one.runs == self.number):",
+        f"{ROLLOUT}.away_heads",
+        "elif (name in named) != (one.running_version == self.number):",
         "elif False:",
         2,
     ),
     Fault(
         "a level is raised by some",
         "rollout",
-        "decisions.fleet.rollout.levels:next_level",
+        "decisions.fleet.rollout.feature_levels:next_level",
         "min(understood[name] for name in voters)",
         "max(understood[name] for name in voters)",
         2,
     ),
-    Fault("turns damp nothing", "weights", f"{SCORING}.damping:Damped.move", "self.gain / 2", "self.gain", 4),
+    Fault(
+        "turns damp nothing",
+        "weights",
+        f"{SCORING}.damping:DampedWeight.move",
+        "self.gain / 2",
+        "self.gain",
+        4,
+    ),
     Fault(
         "a relapse costs no more",
         "weights",
-        f"{SCORING}.voting:Voter._lose",
-        "2 ** min(self.lost, 20)",
+        f"{SCORING}.scorer_guard:ScorerGuard._lose",
+        "2 ** min(self.suspensions, 20)",
         "1",
         2,
     ),
-    Fault("a cold node is a favourite", "weights", f"{SCORING}.damping:ceiling", "sight.cold or ", "", 2),
+    Fault(
+        "a cold node is a favourite", "weights", f"{SCORING}.damping:weight_ceiling", "sight.cold or ", "", 2
+    ),
     Fault(
         "who has no vote is asked",
         "weights",
-        f"{SCORING}.voting:Voter.questions",
-        "self.vote is Vote.LOST and now >= self.until",
-        "self.vote is Vote.LOST",
+        f"{SCORING}.scorer_guard:ScorerGuard.next_queries",
+        "self.state is ScorerState.SUSPENDED and now >= self.suspended_until",
+        "self.state is ScorerState.SUSPENDED",
         2,
     ),
     Fault(
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -98,8 +98,8 @@
     lease = Lease(10 * S)
     share = BudgetShare(0, TOTAL, lease, 0.01)
     assert share.set_leased(0, 180.0, 30.0) == 0 and share.level == pytest.approx(30)
-    assert share.now(5 * S) == pytest.approx(40 * (0.1 / 6 + 0.9))
-    assert share.now(60 * S) == pytest.approx(40 * 0.1 / 6), "the head was suspended meanwhile"
+    assert share.refill(5 * S) == pytest.approx(40 * (0.1 / 6 + 0.9))
+    assert share.refill(60 * S) == pytest.approx(40 * 0.1 / 6), "the head was suspended meanwhile"
     assert share.leased == 0 and share.rate == pytest.approx(0.99 * 200 * 0.1 / 6)
 
 
@@ -126,7 +126,7 @@
         assert holder.due_requests(now) == [], "without a term there are no requests"
     assert not holder.budgets
     share = holder.open(now, "v1", TOTAL)
-    assert share.level == share.most == pytest.approx(40 * 0.1 / 6)
+    assert share.level == share.capacity == pytest.approx(40 * 0.1 / 6)
 
 
 # -- concurrency budgets
@@ -171,7 +171,7 @@
                 deliver(grant)
             for holder in holders:
                 share = holder.open(now, "n", CONCURRENT)
-                share.now(now)
+                share.refill(now)
                 for _ in range(share.excess):
                     share.release()
             assert sum(holder.open(now, "n", CONCURRENT).in_use for holder in holders) <= 40 + 1e-6
@@ -222,7 +222,7 @@
     advance(3 * S)
     assert taken + sum(other.acquire(now) for _ in range(20)) >= 20
     mine.lease.expires_at = now
-    mine.now(now)
+    mine.refill(now)
     assert mine.excess == 5 - 2 and mine.in_use == 5
 
 
--- a/tests/test_nvme_front.py
+++ b/tests/test_nvme_front.py
@@ -8,7 +8,7 @@
 
 from harriertrack.config.settings import NvmeSettings
 from harriertrack.config.settings import LimitSettings
-from harriertrack.decisions.interface import Arrived
+from harriertrack.decisions.interface import RequestArrived
 from harriertrack.gateway.nvme_client import NvmeClient, NvmeError, io_sqe, refused
 from harriertrack.protocol.nbd.wire import Command
 from harriertrack.protocol.nvme.admin import ALL_NAMESPACES, Admin, Io, Property
@@ -270,7 +270,7 @@
             handle = site.head.module.handle
 
             def listen(now, events):
-                heard.extend(event for event in events if isinstance(event, Arrived))
+                heard.extend(event for event in events if isinstance(event, RequestArrived))
                 return handle(now, events)
 
             site.head.module.handle = listen
@@ -318,7 +318,7 @@
         for _ in range(20):
             waits.start(io_sqe(Io.READ, SHARED, 0, 1, expects=512), b"", ended.append)
         site.hub.sleep(2_000_000)
-        assert not ended and site.head.core.waiting > 0
+        assert not ended and site.head.core.waiting_parts > 0
         for shelf in site.shelves:
             shelf.start(site.scope)
         site.hub.sleep(8_000_000)
