--- a/tests/live/test_budget_totals.py
+++ b/tests/live/test_budget_totals.py
@@ -9,7 +9,7 @@
 from harriertrack.decisions.fleet.holder import LeaseHolder
 from harriertrack.decisions.fleet.ledger import Ledger
 from harriertrack.decisions.fleet.budget_shares import BudgetSpec, BudgetShares, BudgetKind
-from harriertrack.decisions.interface import Arrived, Plan
+from harriertrack.decisions.interface import RequestArrived, Plan
 from harriertrack.lab.fleet.division import Division, Parts, Trial
 from harriertrack.rules import budgets
 
@@ -104,7 +104,7 @@
 
     def set_total(self, now, total):
         super().set_total(now, total)
-        self.level = self.most
+        self.level = self.capacity
 
 
 class FillsBucketsOnRaise(LeaseHolder):
@@ -188,7 +188,7 @@
         one.tell(name)
     one.run(4 * S)  # it has just resumed
     member = one.members["head3"]
-    assert member.holder.budgets["v0"].share.now(one.clock(member)) <= TOTAL.burst * 0.1 / 8
+    assert member.holder.budgets["v0"].share.refill(one.clock(member)) <= TOTAL.burst * 0.1 / 8
     one.run(S)
     others = usable_rate(one) - member.holder.budgets["v0"].share.rate
     assert others <= LOW.rate and not one.all_told
@@ -225,7 +225,7 @@
     share.set_leased(0, 180.0, 40.0)
     level = share.level
     share.set_total(0, LOW)
-    assert share.rate == pytest.approx(50.0 * (0.1 / 8 + 0.9)) and share.level == share.most < level
+    assert share.rate == pytest.approx(50.0 * (0.1 / 8 + 0.9)) and share.level == share.capacity < level
     share.set_total(0, TOTAL)
     assert share.rate == pytest.approx(200.0 * (0.1 / 8 + 0.9)) and share.level < 10.0
 
@@ -272,7 +272,7 @@
         Plan("gold", limit=200.0, limit_burst=40.0),
         Plan("tin", limit=10.0, limit_burst=5.0),
     )
-    arrival = Arrived(1, "read", "gold", "v0", "", 0, 1.0, S)
+    arrival = RequestArrived(1, "read", "gold", "v0", "", 0, 1.0, S)
     one, other = mine.limit(0, arrival, gold), mine.limit(0, replace(arrival, volume="v1"), tin)
     before = other.rate
     mine.acquire_link(0, "node")
@@ -282,7 +282,7 @@
     specs = mine.specs | {BudgetKind.LINKS: BudgetSpec(0.5, 16.0)}
     mine.update_totals(0, {"gold": gold, "tin": tin}, {"gold": lower, "tin": tin}, specs)
     assert one.rate == pytest.approx(0.99 * 50.0 * 0.1 / 8) and other.rate == before and calls
-    assert dict(mine)["links/node"].most == 1.0
+    assert dict(mine)["links/node"].capacity == 1.0
     assert mine.limit(0, arrival, lower) is one
     with pytest.raises(ValueError, match="fixed"):
         mine.update_totals(0, {}, {}, mine.specs | {BudgetKind.TRIALS: BudgetSpec(0.2, 10.0, 4.0)})
@@ -292,5 +292,5 @@
     mine, free, gold = budget_shares(), Plan("gold"), Plan("gold", limit=80.0, limit_burst=40.0)
     mine.update_totals(0, {"gold": free}, {"gold": gold}, mine.specs)
     for at, level in ((0, 0.0), (S // 4, 0.2475), (S, 0.5)):
-        bucket = mine.limit(at, Arrived(1, "read", "gold", f"v{at}", "", 0, 1.0, S), gold)
-        assert isinstance(bucket, Bucket) and bucket.now(at) == pytest.approx(level)
+        bucket = mine.limit(at, RequestArrived(1, "read", "gold", f"v{at}", "", 0, 1.0, S), gold)
+        assert isinstance(bucket, Bucket) and bucket.refill(at) == pytest.approx(level)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -473,7 +473,7 @@
     def __init__(self):
         self.next, self.given = 0, []
 
-    def takeover(self, now):
+    def takeover_wait(self, now):
         if now < self.next:
             return self.next - now
         self.next = now + S
