--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -201,11 +201,11 @@
         return self.part
 
 
-def module(portions=None, **more):
+def module(shares=None, **more):
     classes = (api.RequestClass("read", 300_000, 900_000, effect=api.Effect.SAFE),)
     plans = (api.Plan("p", limit=100.0, limit_burst=20.0),)
     configured = api.Settings(4, classes, plans, max_attempts=9, **more)
-    one = Scheduler(configured, 1, portions=portions)
+    one = Scheduler(configured, 1, shares=shares)
     nodes = [api.NodeEntry(f"n{number}", number, started_us=-10 * S) for number in range(2)]
     one.handle(0, [api.NodesChanged(api.ListKind.FULL, nodes)])
     return one
@@ -216,21 +216,21 @@
 
 
 def test_a_module_uses_its_share_of_a_limit_instead_of_an_even_part():
-    portions = BudgetShares(BudgetRules(), 1, "a", 1, 4, {BudgetKind.LIMITS: BudgetSpec(0.4)}, 0)
-    one = module(portions)
+    shares = BudgetShares(BudgetRules(), 1, "a", 1, 4, {BudgetKind.LIMITS: BudgetSpec(0.4)}, 0)
+    one = module(shares)
     one.handle(10 * S, [arrived(1)])
-    ((name, share),) = portions
+    ((name, share),) = shares
     assert name == "limits/v" and share.requested == 4
     assert one._volumes["v", "p"].limit is share and share.capacity == pytest.approx(20 * 0.1)
     share.set_leased(10 * S, 60.0, 12.0)
-    portions.holders[0].lease.expires_at = 20 * S
+    shares.holders[0].lease.expires_at = 20 * S
     sent = [one for one in one.handle(10 * S + 1000, [arrived(2), arrived(3)]) if isinstance(one, api.Send)]
     assert len(sent) >= 2 and share.level < 14 - 8 + 1, "sent requests are drawn from the share"
 
 
 def test_further_attempts_beyond_the_own_share_are_drawn_from_the_fleet_budget():
-    def tries(portions):
-        one = module(portions, budget_window_us=10 * S, budget_share=0.0)
+    def tries(shares):
+        one = module(shares, budget_window_us=10 * S, budget_share=0.0)
         sent, actions, number, now = 0, one.handle(S, [arrived(1)]), 0, S
         while any(isinstance(action, api.Send) for action in actions):
             sent += 1
@@ -244,26 +244,24 @@
 
 
 def test_a_cold_node_gets_this_heads_share_of_its_rate():
-    def sent(portions):
+    def sent(shares):
         one = module(
-            portions, cold_units=40.0, cold_share=0.25, warm_us=8 * S, fall_us=2 * S, fall_multiple=2.0
+            shares, cold_units=40.0, cold_share=0.25, warm_us=8 * S, fall_us=2 * S, fall_multiple=2.0
         )
         one.handle(S, [api.NodesChanged(api.ListKind.CHANGES, [api.NodeEntry("n0", 0, started_us=S)])])
         actions = [one.handle(S + step * 20_000, [arrived(step, units=1.0)]) for step in range(60)]
         return sum(isinstance(action, api.Send) for batch in actions for action in batch)
 
-    portions = RecordingShares(part=0.0)
-    none, even, much = sent(portions), sent(None), sent(RecordingShares(part=80.0))
+    shares = RecordingShares(part=0.0)
+    none, even, much = sent(shares), sent(None), sent(RecordingShares(part=80.0))
     assert (
-        none < even < much
-        and portions.calls[0][:2] == ("cold", "n0")
-        or portions.calls[1][:2] == ("cold", "n0")
+        none < even < much and shares.calls[0][:2] == ("cold", "n0") or shares.calls[1][:2] == ("cold", "n0")
     )
 
 
 def test_trials_of_a_silent_node_keep_to_the_fleet_budget():
-    def tries(portions):
-        one = module(portions)
+    def tries(shares):
+        one = module(shares)
         sent = 0
         for step in range(400):
             now = S + step * 50_000
@@ -284,9 +282,9 @@
 
 def test_a_small_fixed_part_still_saves_up_one_whole_token():
     specs = {BudgetKind.TRIALS: BudgetSpec(0.2, 4.0, 4.0)}
-    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 200, specs, 0)
-    assert not portions.trial(S, "n0")
-    assert portions.trial(260 * S, "n0") and not portions.trial(261 * S, "n0")
+    shares = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 200, specs, 0)
+    assert not shares.trial(S, "n0")
+    assert shares.trial(260 * S, "n0") and not shares.trial(261 * S, "n0")
 
 
 def test_connections_and_list_calls_wait_for_tokens():
@@ -294,13 +292,13 @@
         BudgetKind.CONNECTIONS: BudgetSpec(0.5, 8.0, 8.0),
         BudgetKind.LIST_CALLS: BudgetSpec(0.5, 8.0, 8.0),
     }
-    portions = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 4, specs, 0)
-    assert portions.connection_wait(S, "n0") == 0 and portions.connection_wait(S, "n1") == 0
-    assert portions.connection_wait(S, "n0") == pytest.approx(S, rel=0.01), (
+    shares = BudgetShares(BudgetRules(clock_error=0.0), 1, "a", 1, 4, specs, 0)
+    assert shares.connection_wait(S, "n0") == 0 and shares.connection_wait(S, "n1") == 0
+    assert shares.connection_wait(S, "n0") == pytest.approx(S, rel=0.01), (
         "this head's fixed part is one per second"
     )
-    assert portions.connection_wait(2 * S, "n0", again=True) == 0
-    assert portions.list_call_wait(S) == 0 and portions.list_call_wait(S) > 0
+    assert shares.connection_wait(2 * S, "n0", again=True) == 0
+    assert shares.list_call_wait(S) == 0 and shares.list_call_wait(S) > 0
     assert BudgetShares(BudgetRules(), 1, "a", 1, 4, {}, 0).connection_wait(S, "n0") == 0
     assert set(BUDGET_UNITS) == set(BudgetKind) and {one.value for one in BudgetKind} == {
         one.value for one in BudgetUse
