--- a/harriertrack/decisions/volume_locks.py
+++ b/harriertrack/decisions/volume_locks.py
@@ -72,7 +72,7 @@
         return LockAction.CREATE if view.here == view.home else LockAction.LEAVE
     view.set_free(not lock.session, now)
     if lock.session != mine:
-        view.set_in_sync(frozenset(lock.record.in_sync), now)
+        view.set_in_sync(frozenset(lock.standing.in_sync), now)
         return LockAction.ACQUIRE if not lock.session and view.may_acquire(now, wish) else LockAction.LEAVE
     return LockAction.MAINTAIN if acts else LockAction.ACTIVATE
 
--- a/harriertrack/membership/fleet/status_document.py
+++ b/harriertrack/membership/fleet/status_document.py
@@ -318,8 +318,8 @@
     view, counts = swim.view, swim.counts
     return Document(
         fleet=swim.rules.fleet, name=swim.me.name, standing=swim.state.value,
-        digest=digest_name(view.digest), there=len(view.present), doubts=swim.health_score, changes=view.changes,
-        counts={name: getattr(counts, name) for name in counts.__slots__},
+        digest=digest_name(view.digest), there=len(view.present), doubts=swim.health_score,
+        changes=view.changes, counts={name: getattr(counts, name) for name in counts.__slots__},
         members=[_told(swim, row, now) for row in sorted(view, key=lambda row: row.record.name)],
     )  # fmt: skip
 
--- a/harriertrack/membership/fleet/topic_datagrams.py
+++ b/harriertrack/membership/fleet/topic_datagrams.py
@@ -162,8 +162,8 @@
     match said:
         case LeaseRequest():
             wire = _Wire(
-                READS, VERSION, fleet, Kind.LEASE_REQUEST, said.ledger, said.term.epoch, said.term.nonce, said.holder,
-                said.instance, said.tenure, said.sequence, said.lease_us, said.weight,
+                READS, VERSION, fleet, Kind.LEASE_REQUEST, said.ledger, said.term.epoch, said.term.nonce,
+                said.holder, said.instance, said.tenure, said.sequence, said.lease_us, said.weight,
                 [
                     _Claim(one.budget, one.movable, one.demand, one.version, one.released)
                     for one in said.claims
--- a/harriertrack/membership/leases.py
+++ b/harriertrack/membership/leases.py
@@ -39,7 +39,7 @@
 class Lock:
     """A volume's key as the witness last told it."""
 
-    record: VolumeRecord
+    standing: VolumeRecord
     session: str  # "" while nobody holds it
     epoch: int  # LockIndex
     index: int = 0  # ModifyIndex: changes with every change of the key
