--- a/harriertrack/membership/__init__.py
+++ b/harriertrack/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: the node list and how a head follows it."""
+"""Membership: the node list, its sources, volume leases, and the fleet of heads."""
--- a/harriertrack/membership/consul.py
+++ b/harriertrack/membership/consul.py
@@ -1,14 +1,13 @@
-"""Consul's health endpoint as a node list: what a blocking query asks and what its answer says.
+"""Consul's health endpoint as a source of the node list: blocking queries and their responses.
 
 Source: Consul HTTP API, "List Service Instances for Service" (/v1/health/service/:service) and "Blocking
-Queries": `index` names the version already known and `wait` how long the server may hold the answer;
-`X-Consul-Index` names the answer's version; an index that goes backwards, or is not above zero, means
-starting over from 0.
-
-Shard, zone, state, start and kind of a node come in the service's `Meta` (`shard`, `zone`, `state`,
-`started_us`, `kind`);
-a node whose checks are `critical` is gone, one in `Meta.state` "draining" or with a check in maintenance is
-draining.
+Queries": `index` is the version already known and `wait` the longest time for which the server may delay
+the response; `X-Consul-Index` is the response's version. An index that goes backwards, or is not above zero,
+means starting over from 0.
+
+A node's shard, zone, state, start time and kind are in the service's `Meta` (`shard`, `zone`, `state`,
+`started_us`, `kind`). A node with a `critical` check has left; one with `Meta.state` "draining" or a check in
+maintenance is draining.
 """
 
 from __future__ import annotations
@@ -46,17 +45,17 @@
 
 
 class ListAnswerError(Exception):
-    """An answer that is no list; the list in hand stays."""
+    """A response that is not a list; the current list remains in use."""
 
 
 def query_target(service: str, index: int, wait_us: int) -> str:
-    """Return the request target of a (blocking, if `index` is above 0) query."""
-    asked = f"/v1/health/service/{service}"
-    return f"{asked}?index={index}&wait={max(1, wait_us // 1000)}ms" if index > 0 else asked
+    """Return the request target of a query, which blocks if `index` is above 0."""
+    path = f"/v1/health/service/{service}"
+    return f"{path}?index={index}&wait={max(1, wait_us // 1000)}ms" if index > 0 else path
 
 
 def next_index(known: int, header: str | None) -> int:
-    """Return the index to ask with next. Raises ListAnswerError without a whole number in the header."""
+    """Return the index of the next query. Raises ListAnswerError if the header is not an integer."""
     try:
         index = int(header or "")
     except ValueError as error:
@@ -65,7 +64,7 @@
 
 
 def parse_members(body: bytes) -> list[Member]:
-    """Read the answer's body. Raises ListAnswerError if it is no list of services with shards."""
+    """Parse the response's body. Raises ListAnswerError if it is not a list of services with shards."""
     try:
         entries = msgspec.json.decode(body, type=list[_Entry])
         return [_member(entry) for entry in entries]
@@ -90,7 +89,7 @@
 
 
 def encode_members(members: list[Member]) -> bytes:
-    """Write an answer's body, as a service of this API does: used by stand-ins and their tests."""
+    """Encode a response's body as Consul does: used by stand-ins and their tests."""
     rows = []
     for member in members:
         entry = member.entry
--- a/harriertrack/membership/fleet/__init__.py
+++ b/harriertrack/membership/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: the heads' own view of their fleet. Pure: datagrams and time in, datagrams and news out."""
+"""The heads' view of their own fleet. Pure: datagrams and time in, datagrams and events out."""
--- a/harriertrack/membership/fleet/change_record.py
+++ b/harriertrack/membership/fleet/change_record.py
@@ -1,8 +1,8 @@
-"""The record of changes as bytes: at the witness, in a head's cache, and between heads.
+"""Encoding of the record of changes: at the witness, in a head's cache, and between heads.
 
-One JSON object after its own checksum, so that half a file or a spoilt value is found before anything acts on
-it. Fields are only ever appended; a reader passes over what it does not know. What a later program adds is
-written only once the record's level says that all who vote read it.
+One JSON object after its checksum, so that a truncated file or corrupt value is detected before use. Fields
+are only appended; a reader ignores unknown ones. A field that a later version adds is written only once the
+record's level shows that all voting heads can read it.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 PATH = "/v1/kv/harriertrack/changes/record"  # at the witness
 MAX_RECORD_BYTES = 384 << 10  # the witness takes 512 kB, in base64
-_SUM = 17  # 16 hexadecimal digits and a line's end
+_CHECKSUM_BYTES = 17  # 16 hexadecimal digits and a newline
 
 
 class DamagedRecord(ValueError):
-    """Bytes that are no record, or not the whole of one."""
+    """Bytes that are not a complete record."""
 
 
 class _Written(msgspec.Struct, frozen=True):
@@ -31,23 +31,23 @@
 _DECODER = msgspec.json.Decoder(_Written)
 
 
-def _sum(body: bytes) -> int:
+def _checksum(body: bytes) -> int:
     return xxhash.xxh64_intdigest(body)
 
 
 def encode(record: Record) -> bytes:
-    """Return a record's bytes. Raises ValueError for one that is larger than can be kept."""
+    """Encode a record. Raises ValueError if it is larger than the witness can store."""
     body = msgspec.json.encode(_Written(record.revision, record.epoch, record.level, record.versions))
     if len(body) > MAX_RECORD_BYTES:
-        raise ValueError(f"a record of {len(body)} bytes, more than {MAX_RECORD_BYTES}")
-    return f"{_sum(body):016x}\n".encode() + body
+        raise ValueError(f"record of {len(body)} bytes is larger than {MAX_RECORD_BYTES}")
+    return f"{_checksum(body):016x}\n".encode() + body
 
 
 def decode(data: bytes) -> Record:
-    """Read a record. Raises DamagedRecord."""
-    body = data[_SUM:]
-    if data[:_SUM] != f"{_sum(body):016x}\n".encode():
-        raise DamagedRecord("its checksum is another's")
+    """Decode a record. Raises DamagedRecord."""
+    body = data[_CHECKSUM_BYTES:]
+    if data[:_CHECKSUM_BYTES] != f"{_checksum(body):016x}\n".encode():
+        raise DamagedRecord("checksum mismatch")
     try:
         read = _DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -56,5 +56,5 @@
 
 
 def digest_of(data: bytes) -> int:
-    """Return the digest of a record's bytes: 32 bits, for notes and for telling apart."""
-    return _sum(data) & 0xFFFF_FFFF
+    """Return the digest of a record's bytes: 32 bits, for notes and comparisons."""
+    return _checksum(data) & 0xFFFF_FFFF
--- a/harriertrack/membership/fleet/messages.py
+++ b/harriertrack/membership/fleet/messages.py
@@ -1,11 +1,11 @@
-"""What members of a fleet tell each other: one kind of datagram, in MessagePack.
+"""Datagrams between the members of a fleet, in MessagePack.
 
-A datagram carries a question or an answer, and with it news of members and their notes as far as there is
-room. Later parts of the fleet add notes, not datagrams. Fields are only ever appended: a reader passes over
-what it does not know and takes the default of what is missing, so that two versions run side by side. A
-writer whose datagrams an older reader would misunderstand raises `READS`, and the older one drops them.
+A datagram carries a request or a reply, with as many piggybacked records and notes as fit. Other functions of
+the fleet add notes rather than new datagrams. Fields are only appended: a reader ignores unknown fields and
+uses defaults for missing ones, so that two versions can run side by side. A writer whose datagrams an older
+reader would misunderstand raises `READS`, and the older reader drops them.
 
-Nothing is signed: whoever can send to a member's address can say anything (docs/operators/fleet.md).
+Nothing is signed: any host that can send to a member's address can forge datagrams (docs/operators/fleet.md).
 """
 
 from __future__ import annotations
@@ -15,17 +15,13 @@
 
 import msgspec
 
-TOPIC_MARK = (
-    b"\xc1"  # what other datagrams begin with at this address (topic_datagrams.py); MessagePack never uses it
-)
-VERSION = 1  # what this program writes
-READS = 1  # the oldest version that understands it
-MAX_DATAGRAM_BYTES = 1200  # of one datagram: passes any link unfragmented
-MAX_NOTE = 256  # bytes of one member's note
-MAX_TOPICS = 24  # notes of one member beside the one on itself
-MAX_NOTE_BYTES_PER_DATAGRAM = (
-    400  # bytes of notes that ride on one datagram: news goes first, and traffic stays even
-)
+TOPIC_MARK = b"\xc1"  # first byte of the datagrams of topic_datagrams.py; MessagePack never uses it
+VERSION = 1  # written by this program
+READS = 1  # the oldest version that can read them
+MAX_DATAGRAM_BYTES = 1200  # small enough to pass any link unfragmented
+MAX_NOTE = 256  # bytes of a note
+MAX_TOPICS = 24  # topic notes of one member
+MAX_NOTE_BYTES_PER_DATAGRAM = 400  # updates have precedence, and the traffic stays even
 BUCKETS = 32  # of a view's summary
 
 Text = Annotated[str, msgspec.Meta(max_length=64)]
@@ -35,7 +31,7 @@
 
 
 class State(IntEnum):
-    """What is held of a member. Of two words on one incarnation the greater one holds."""
+    """A member's state. Of two records of one incarnation, the one with the greater state is valid."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -44,26 +40,26 @@
 
 
 class Kind(IntEnum):
-    """What a datagram is for."""
+    """The purpose of a datagram."""
 
-    PING = 0  # is `target` there? answered by ACK
-    PING_REQ = 1  # ask `target` at `host`, `port` for me; answered by ACK, or by NACK if it does not answer
-    ACK = 2  # `target` is there
-    NACK = 3  # I am there, `target` did not answer me
-    GOSSIP = 4  # news alone
-    SYNC = 5  # my view's summary: send me what differs
-    STATE = 6  # news that you lack; a summary with it asks for what I lack
+    PING = 0  # answered by `target` with ACK
+    PING_REQ = 1  # requests an indirect ping of `target` at `host`, `port`; answered by ACK or NACK
+    ACK = 2  # `target` answered
+    NACK = 3  # from a helper: `target` did not answer it
+    GOSSIP = 4  # updates only
+    SYNC = 5  # summary of the sender's view: requests what differs
+    STATE = 6  # records that differ; with a summary it requests those that the sender lacks
 
 
 class ProcessInstance(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One life of a process: when it started (ms since 1970, raised where needed), and a random number."""
+    """A process of a member: its start (ms since 1970, raised where needed) and a random number."""
 
     started: Number
     instance: Number
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """A word on a member: in which life and incarnation, what is held of it, and by whom if not by itself."""
+    """A member's state in a process instance and incarnation; `by` names the reporter, if another member."""
 
     name: Text
     started: Number
@@ -79,27 +75,27 @@
 
     @property
     def process(self) -> ProcessInstance:
-        """Return which life it is about."""
+        """Return the process instance that the record is about."""
         return ProcessInstance(self.started, self.instance)
 
     @property
     def address(self) -> Address:
-        """Return where the member is reached."""
+        """Return the member's address."""
         return self.host, self.port
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
-        """Return the key by which of two words on one member the newer is told. It is a total order."""
+        """Return the key that orders records of one member: the greatest is the newest. A total order."""
         return self.started, self.instance, self.incarnation, self.state
 
     @property
     def present(self) -> bool:
-        """Whether the member counts as there: until it is held dead, a suspect does."""
+        """Whether the member counts as present: a suspect does, until it is declared dead."""
         return self.state <= State.SUSPECT
 
 
 class Note(msgspec.Struct, frozen=True, array_like=True):
-    """What a member says of itself, for other parts of the program: bytes, numbered; the newest holds."""
+    """A versioned payload that a member publishes about itself; the newest is valid."""
 
     name: Text
     started: Number
@@ -109,12 +105,12 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Return the key by which of two notes of one member the newer is told."""
+        """Return the key that orders notes of one member: the greatest is the newest."""
         return self.started, self.instance, self.version
 
 
 class TopicNote(msgspec.Struct, frozen=True, array_like=True):
-    """One of a member's further notes: of each topic the newest holds."""
+    """A member's note on a topic; of each topic the newest is valid."""
 
     name: Text
     started: Number
@@ -125,39 +121,39 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Return the key by which of two notes of one member and topic the newer is told."""
+        """Return the key that orders notes of one member and topic: the greatest is the newest."""
         return self.started, self.instance, self.version
 
     @property
     def key(self) -> str:
-        """Return by what it is passed on: a newer one takes its place."""
+        """Return the key in the dissemination queue, where a newer note replaces an older one."""
         return f"{self.name}\0{self.topic}"
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram as it is read."""
+    """A datagram as it is decoded."""
 
     reads: Number
     version: Number
     fleet: Text
     kind: Kind
-    sender: Text  # "" for somebody who looks on and is no member
+    sender: Text  # "" for an observer that is not a member
     started: Number
     instance: Number
-    number: Number  # joins an answer to its question
-    digest: Number  # who the sender holds to be there
+    number: Number  # matches a reply to its request
+    digest: Number  # of the present members in the sender's view
     target: Text = ""
     host: Text = ""
     port: PortNumber = 0
     summary: Annotated[tuple[Number, ...], msgspec.Meta(max_length=BUCKETS)] = ()
     records: Annotated[list[Record], msgspec.Meta(max_length=64)] = []
     notes: Annotated[list[Note], msgspec.Meta(max_length=64)] = []
-    topics: Annotated[list[TopicNote], msgspec.Meta(max_length=64)] = []  # a list of its own: older readers
-    # pass over it, and would take one among the notes for the one on the member itself
+    topics: Annotated[list[TopicNote], msgspec.Meta(max_length=64)] = []  # a separate list,
+    # which older readers ignore: among `notes` they would read a topic note as the member's own
 
 
 class _Written(msgspec.Struct, array_like=True):
-    """The same with records and notes that are bytes already."""
+    """A datagram to encode, whose records and notes are encoded already."""
 
     reads: int
     version: int
@@ -176,29 +172,29 @@
     notes: list[msgspec.Raw]
 
 
-class _Further(_Written, array_like=True):
-    """... and with notes by topic; without any not a byte tells of them."""
+class _WrittenWithTopics(_Written, array_like=True):
+    """The same with topic notes; a datagram without any is written as `_Written`, and costs no byte more."""
 
     topics: list[msgspec.Raw]
 
 
 class MalformedDatagram(ValueError):
-    """Bytes that are no datagram of this protocol."""
+    """Bytes that are not a datagram of this protocol."""
 
 
 _DECODER = msgspec.msgpack.Decoder(Datagram)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def encode_item(one: Record | Note | TopicNote) -> bytes:
-    """Return a record's or note's bytes, to be put into many datagrams."""
-    return _ENCODER.encode(one)
+def encode_item(item: Record | Note | TopicNote) -> bytes:
+    """Encode a record or note once, for many datagrams."""
+    return _ENCODER.encode(item)
 
 
 def decode(data: bytes) -> Datagram:
-    """Read a datagram. Raises MalformedDatagram."""
+    """Decode a datagram. Raises MalformedDatagram."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MalformedDatagram("too long")
+        raise MalformedDatagram(f"datagram of {len(data)} bytes is larger than {MAX_DATAGRAM_BYTES}")
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -206,7 +202,7 @@
 
 
 class Draft:
-    """A datagram that is being filled as far as it has room."""
+    """A datagram to which items are added until it is full."""
 
     def __init__(self, fleet: str, kind: Kind, sender: str, life: ProcessInstance, number: int, digest: int,
                  target: str = "", address: Address = ("", 0),
@@ -216,40 +212,40 @@
             address[0], address[1], summary, [], [],
         )  # fmt: skip
         # Lists of more than 15 elements take two bytes more each.
-        self._left = MAX_DATAGRAM_BYTES - len(_ENCODER.encode(self._written)) - 4
-        self._notes_left = MAX_NOTE_BYTES_PER_DATAGRAM
+        self._free = MAX_DATAGRAM_BYTES - len(_ENCODER.encode(self._written)) - 4
+        self._notes_free = MAX_NOTE_BYTES_PER_DATAGRAM
         self._topics: list[msgspec.Raw] = []
 
     def add(self, record: bytes) -> bool:
-        """Add a packed record; return whether it had room."""
-        if len(record) > self._left or len(self._written.records) >= 64:
+        """Add an encoded record; return whether it fit."""
+        if len(record) > self._free or len(self._written.records) >= 64:
             return False
-        self._left -= len(record)
+        self._free -= len(record)
         self._written.records.append(msgspec.Raw(record))
         return True
 
     def add_note(self, note: bytes) -> bool:
-        """Add a packed note; return whether it had room."""
-        if len(note) > min(self._left, self._notes_left) or len(self._written.notes) >= 64:
+        """Add an encoded note; return whether it fit."""
+        if len(note) > min(self._free, self._notes_free) or len(self._written.notes) >= 64:
             return False
-        self._left -= len(note)
-        self._notes_left -= len(note)
+        self._free -= len(note)
+        self._notes_free -= len(note)
         self._written.notes.append(msgspec.Raw(note))
         return True
 
     def add_topic(self, note: bytes) -> bool:
-        """Add a packed note by topic, in the same room as notes; return whether it had room."""
-        begins = 0 if self._topics else 3  # the list itself
-        if len(note) + begins > min(self._left, self._notes_left) or len(self._topics) >= 64:
+        """Add an encoded topic note, within the byte limit of all notes; return whether it fit."""
+        overhead = 0 if self._topics else 3  # the list's header
+        if len(note) + overhead > min(self._free, self._notes_free) or len(self._topics) >= 64:
             return False
-        self._left -= len(note) + begins
-        self._notes_left -= len(note) + begins
+        self._free -= len(note) + overhead
+        self._notes_free -= len(note) + overhead
         self._topics.append(msgspec.Raw(note))
         return True
 
     def pack(self) -> bytes:
-        """Return the datagram's bytes."""
+        """Encode the datagram."""
         if not self._topics:
             return _ENCODER.encode(self._written)
         fields = {name: getattr(self._written, name) for name in _Written.__struct_fields__}
-        return _ENCODER.encode(_Further(**fields, topics=self._topics))
+        return _ENCODER.encode(_WrittenWithTopics(**fields, topics=self._topics))
--- a/harriertrack/membership/fleet/status_document.py
+++ b/harriertrack/membership/fleet/status_document.py
@@ -1,4 +1,7 @@
-"""What a head tells operators of its fleet: one JSON document, which the command line reads."""
+"""A head's status for operators: one JSON document, which the command line reads.
+
+Field names are the document's keys. "This head" is the head that writes the document.
+"""
 
 from __future__ import annotations
 
@@ -10,25 +13,25 @@
 
 
 class ActivityNote(msgspec.Struct, frozen=True):
-    """A member's note: what it serves and how busy it is. What a reader does not know it passes over."""
+    """A member's note on what it serves and its load. A reader ignores unknown fields."""
 
     volumes: int = 0
     open: int = 0  # requests
-    taken: int = 0  # a second, lately
-    refused: int = 0  # of these, in percent
+    taken: int = 0  # requests accepted a second, recently
+    refused: int = 0  # percentage of these
 
 
 class MemberNote(ActivityNote, frozen=True):
     """The note of a member that follows the fleet's record of changes."""
 
-    record: int = 0  # the revision that it goes by; 0: it follows none
-    digest: int = 0  # ... of its bytes
-    level: int = 0  # the latest that its program understands
-    runs: dict[str, int] = {}  # versions by thing, as far as there is room for them
+    record: int = 0  # the revision in use; 0: none
+    digest: int = 0  # of the record's bytes
+    level: int = 0  # the latest feature level that its program supports
+    runs: dict[str, int] = {}  # versions in use by thing, as many as fit
 
 
 class StateChange(msgspec.Struct, frozen=True):
-    """A word that changed what is held of a member, so many seconds ago."""
+    """A change of a member's state, and how many seconds ago it was applied."""
 
     ago_s: float
     state: str
@@ -37,11 +40,11 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """A member as the telling head holds it."""
+    """A member in this head's view."""
 
     name: str
     state: str
-    since_s: float  # for how many seconds that state is held
+    since_s: float  # seconds since the state was applied
     host: str
     port: int
     region: str
@@ -50,55 +53,55 @@
     started: int  # ms since 1970
     instance: str
     incarnation: int
-    heard_s: float | None  # seconds since it last said something itself to this head; None: never
-    agrees: bool  # what it said last of who is there is what this head holds
+    heard_s: float | None  # seconds since its last datagram to this head; None: none yet
+    agrees: bool  # the digest in its last datagram equals that of this head's view
     about: MemberNote | None = None
     suspected_by: list[str] = []
-    dead_in_s: float | None = None  # a suspect that does not object is held dead then
+    dead_in_s: float | None = None  # until a suspect is declared dead unless it refutes
     history: list[StateChange] = []
 
 
 class BudgetShareStatus(msgspec.Struct, frozen=True):
-    """What the telling head has of a budget; rates a second."""
+    """This head's share of a budget; rates a second."""
 
     budget: str
     unit: str
     whole: float
     burst: float
-    fixed: float  # the head's part that never moves
-    share: float  # beyond that, while its lease lasts
-    wanted: float  # beyond the fixed part
-    level: float  # to be used at once
+    fixed: float  # the head's part that is never reassigned
+    share: float  # leased in addition
+    wanted: float  # demand beyond the fixed part
+    level: float  # tokens available now
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """What a ledger holds of one head's part of a budget."""
+    """A ledger's entry for one head's lease on a share of a budget."""
 
     budget: str
     holder: str
     instance: str
-    granted: float  # a second, last
-    counted: float  # the most that the head may have
+    granted: float  # last rate granted, a second
+    counted: float  # upper limit of the rate that the head may be using
     wanted: float
-    ends_s: float  # its lease, unless it asks again
-    there: bool  # whether the head is there by the view
+    ends_s: float  # until its lease expires unless renewed
+    there: bool  # whether the head is present in the view
 
 
 class LedgerStatus(msgspec.Struct, frozen=True):
-    """A ledger that the telling head keeps."""
+    """A ledger that this head holds."""
 
     ledger: int
     epoch: int
-    opens_s: float  # nothing is granted before; 0: open
-    valid_s: float  # unless the witness renews it
+    opens_s: float  # until the first grant is allowed; 0: open
+    valid_s: float  # until its term ends unless renewed at the witness
     holders: int
     moves: int
-    movable: dict[str, float]  # by budget: what may move of the whole
+    movable: dict[str, float]  # by budget: the part of the total that can be reassigned
     slips: list[LeaseStatus]
 
 
 class LedgerHolderStatus(msgspec.Struct, frozen=True):
-    """Whom the telling head asks for its shares of a ledger."""
+    """The holder of a ledger, from which this head requests its shares."""
 
     ledger: int
     seat: str
@@ -109,131 +112,131 @@
 
 
 class BudgetsStatus(msgspec.Struct, frozen=True):
-    """What a head tells of budgets."""
+    """The status of budgets."""
 
     seats: list[LedgerHolderStatus]
     portions: list[BudgetShareStatus]
     ledgers: list[LedgerStatus]
     counts: dict[str, int]
-    more: int = 0  # portions and slips beyond what one document names
+    more: int = 0  # shares and leases omitted because of the document's limit
 
 
 class ZoneLeaveCost(msgspec.Struct, frozen=True):
-    """What leaving a zone would cost now, in requests a second, as all heads see it."""
+    """The cost of leaving a zone now, in requests a second, from the observations of all heads."""
 
     served: float  # there
-    stays: float  # of these, for data that lie there: they would be refused
-    moves: float  # ... and new objects, that would go elsewhere
-    reserved: float  # of what moves, of plans with a reservation
-    room: float  # that the other zones have, about
+    stays: float  # of these, for data stored there: they would be refused
+    moves: float  # ... for new objects, which would go elsewhere
+    reserved: float  # of `moves`, those of plans with a reservation
+    room: float  # estimated free capacity of the other zones
     borne: float
     borne_reserved: float
     refused: float
 
 
 class ZoneStatus(msgspec.Struct, frozen=True):
-    """What holds of a zone for the telling head, and what is seen of it."""
+    """The decision on a zone that this head follows, and observations of the zone."""
 
     zone: str
     stage: str
-    share: float  # of the heads that use it
-    used: bool  # by the telling head
+    share: float  # fraction of the heads that use it
+    used: bool  # by this head
     why: str
-    good: int  # nodes that answer it
-    bad: int  # ... and that do not
-    all_good: int | None  # the same, all heads together, if the telling one decides
+    good: int  # nodes that respond to this head
+    bad: int  # nodes that do not
+    all_good: int | None  # the same for all heads together, if this head decides
     all_bad: int | None
-    heads: int | None  # that say so
-    wish: str  # an operator's
-    leaving: ZoneLeaveCost | None = None  # if the telling head decides
+    heads: int | None  # that report these
+    wish: str  # the operator's request
+    leaving: ZoneLeaveCost | None = None  # if this head decides
 
 
 class ZonesStatus(msgspec.Struct, frozen=True):
-    """What a head tells of zones."""
+    """The status of zones."""
 
     decides: bool
-    heard_s: float | None  # since the fleet's word was heard last
+    heard_s: float | None  # since the last decisions were received
     zones: list[ZoneStatus]
-    decider: str = ""  # where who decides is asked, if that is another head
+    decider: str = ""  # address of the decider, if it is another head
 
 
 class ChangeStatus(msgspec.Struct, frozen=True):
-    """What holds of a thing that can change, as the telling head knows it."""
+    """The versions of a thing under change control, as this head has them."""
 
     thing: str
-    in_force: int  # 0: what each head was started with
-    runs: int  # the telling head
-    under_way: int  # 0: nothing is
-    standing: str  # of what is under way
+    in_force: int  # 0: the version that each head was started with
+    runs: int  # by this head
+    under_way: int  # the version in progress; 0: none
+    standing: str  # of the version in progress
     stage: int
-    heads: list[str]  # that are to run it
-    why: str  # it was proposed, and by whom
-    reason: str  # it stands there
+    heads: list[str]  # that should run it
+    why: str  # why and by whom it was proposed
+    reason: str  # for its current state
     since_s: float  # since 1970
-    turned_down: int  # by the telling head
+    turned_down: int  # version that this head rejected
     turned_down_why: str
 
 
 class ChangesStatus(msgspec.Struct, frozen=True):
-    """What a head tells of the record of changes."""
+    """The status of the record of changes."""
 
     revision: int
     digest: int
     epoch: int
     level: int
-    heard: int  # the highest revision that others told of
-    lost: bool  # the witness holds an older one
+    heard: int  # the highest revision that other heads reported
+    lost: bool  # the witness has an older revision
     things: list[ChangeStatus]
-    record: bytes  # whole, for whoever can't ask the witness
+    record: bytes  # complete, for readers that can not reach the witness
 
 
 class CalendarStatus(msgspec.Struct, frozen=True):
-    """One calendar, as one head is with it: the last close done, and the next with what it would purge."""
+    """A calendar at this head: the last close done, and the next close with what it would purge."""
 
     calendar: str
     done: int
     stance: str
-    next: str  # by the market's clock; "": none is known
+    next: str  # local time of the market; "": none is known
     next_us: int  # UTC, since 1970
     would: int  # extents
-    extents: int  # that the last one made unreadable, in this life
+    extents: int  # that the last close made unreadable, since this process started
 
 
 class ClosingStatus(msgspec.Struct, frozen=True):
-    """What a head tells of closes."""
+    """The status of closes."""
 
     decides: bool
-    blind: bool  # it can't say what closes there may have been, and refuses what they may touch
-    between_us: tuple[int, int] | None  # between which instants it is now
+    blind: bool  # closes may have occurred unknown to it: it refuses requests they could affect
+    between_us: tuple[int, int] | None  # bounds of the current time
     clock_wrong: bool
     left: int  # extents to trim
-    refused: int  # requests, since it began
+    refused: int  # requests since it started
     fences: list[CalendarStatus]
 
 
 class ScorerStatus(msgspec.Struct, frozen=True):
-    """A scorer that the telling head runs."""
+    """A scorer that this head runs."""
 
     name: str
     of: str  # kind, version and parameters
     namespace: str
     vote: str
-    back_s: float  # until it has its vote again; 0: it has it
-    why: str  # it lost it last
-    lost: int  # how often, of late
-    voters: int  # heads whose opinions are joined, the silent ones too
-    heard: int  # ... of whom something was heard
+    back_s: float  # until its vote is restored; 0: it has one
+    why: str  # why it last lost its vote
+    lost: int  # how often it lost it, recently
+    voters: int  # heads whose weights are combined, including silent ones
+    heard: int  # ... that sent weights
 
 
 class NodeScore(msgspec.Struct, frozen=True):
-    """A node as the telling head's scorers see it; weights are factors, 1 is an even share."""
+    """A node's scores at this head; weights are factors, 1 is an even share."""
 
     node: str
     zone: str
-    weight: float  # that its module uses
-    own: dict[str, float]  # by scorer: what it says here
-    joined: dict[str, float]  # by scorer: what the heads say together
-    gain: float  # 1: it moves at its full rate; less: it turned again and again
+    weight: float  # used by the decision module
+    own: dict[str, float]  # by scorer: this head's weight
+    joined: dict[str, float]  # by scorer: the heads' combined weight
+    gain: float  # 1: the weight moves at its full rate; less: it kept changing direction
     latency_ms: float
     fill: float
     refused: float
@@ -242,21 +245,21 @@
 
 
 class ScoresStatus(msgspec.Struct, frozen=True):
-    """What a head tells of scores."""
+    """The status of scores."""
 
     scorers: list[ScorerStatus]
     nodes: list[NodeScore]
-    garbage: int  # notes that were no pages of weights
-    alone: bool  # nothing is shared
+    garbage: int  # notes that were not valid pages of weights
+    alone: bool  # this head shares no weights
 
 
 class Document(msgspec.Struct, frozen=True):
-    """A head's view."""
+    """A head's status."""
 
     fleet: str
     name: str
     standing: str
-    digest: str  # of who is there: heads whose digests are equal agree
+    digest: str  # of the present members: heads with equal digests agree
     there: int
     doubts: int
     changes: int
@@ -267,65 +270,65 @@
     record: ChangesStatus | None = None
     closing: ClosingStatus | None = None
     scores: ScoresStatus | None = None
-    rollouts: list[str] | None = None  # where each stands, a line each; None: another head decides
+    rollouts: list[str] | None = None  # progress, a line each; None: another head decides
 
 
 class MalformedDocument(ValueError):
-    """Bytes that are no such document."""
+    """Bytes that are not a status document."""
 
 
 def state_name(state: State) -> str:
-    """Return a state as it is told."""
+    """Return a state as documents show it."""
     return state.name.lower()
 
 
 def digest_name(digest: int) -> str:
-    """Return a digest as it is told."""
+    """Return a digest as documents show it."""
     return f"{digest:016x}"
 
 
 def parse_member_note(note: bytes) -> MemberNote | None:
-    """Read a member's note; None if it is of another form."""
+    """Decode a member's note; None if it has another format."""
     try:
         return msgspec.msgpack.decode(note, type=MemberNote)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return None
 
 
-def _told(swim: Swim, row: Row, now: int) -> MemberStatus:
+def _member_status(swim: Swim, row: Row, now: int) -> MemberStatus:
     record: Record = row.record
-    mine = record.name == swim.me.name
+    is_self = record.name == swim.me.name
     suspicion = row.suspicion
     return MemberStatus(
         name=record.name, state=state_name(record.state), since_s=(now - row.since) / 1e6,
         host=record.host, port=record.port, region=record.region, zone=record.zone, cell=record.cell,
         started=record.started, instance=digest_name(record.instance), incarnation=record.incarnation,
         heard_s=(now - row.last_contact) / 1e6 if row.last_contact else None,
-        agrees=mine or row.digest == swim.view.digest,
+        agrees=is_self or row.digest == swim.view.digest,
         about=parse_member_note(row.note.payload) if row.note is not None else None,
         suspected_by=list(suspicion.by) if suspicion is not None else [],
         dead_in_s=max(0, suspicion.expires_at - now) / 1e6 if suspicion is not None else None,
         history=[
-            StateChange((now - heard.at) / 1e6, state_name(heard.record.state), heard.record.incarnation,
-                 heard.record.by)
-            for heard in row.history
+            StateChange((now - entry.received_at) / 1e6, state_name(entry.record.state),
+                        entry.record.incarnation, entry.record.by)
+            for entry in row.history
         ],
     )  # fmt: skip
 
 
 def build_document(swim: Swim, now: int) -> Document:
-    """Return what a member tells; `now` in microseconds by its clock."""
+    """Return a member's status; `now` in microseconds by its clock."""
     view, counts = swim.view, swim.counts
     return Document(
         fleet=swim.rules.fleet, name=swim.me.name, standing=swim.state.value,
         digest=digest_name(view.digest), there=len(view.present), doubts=swim.health_score,
         changes=view.changes, counts={name: getattr(counts, name) for name in counts.__slots__},
-        members=[_told(swim, row, now) for row in sorted(view, key=lambda row: row.record.name)],
+        members=[_member_status(swim, row, now) for row in sorted(view, key=lambda row: row.record.name)],
     )  # fmt: skip
 
 
 def parse_document(body: bytes) -> Document:
-    """Read a document. Raises MalformedDocument."""
+    """Decode a document. Raises MalformedDocument."""
     try:
         return msgspec.json.decode(body, type=Document)
     except msgspec.MsgspecError as error:
--- a/harriertrack/membership/fleet/swim/__init__.py
+++ b/harriertrack/membership/fleet/swim/__init__.py
@@ -1,15 +1,16 @@
-"""One member of a fleet: who does it hold to be there? Pure: datagrams and time in, datagrams and news out.
+"""One member of a fleet: a SWIM-like protocol. Pure: datagrams and time in, datagrams and events out.
 
 Sources: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (DSN 2002) for probes in turn, probes through others, and news that rides on them; Dadgar, Phillips,
-Currey, "Lifeguard" (DSN-W 2018) for a member that doubts itself, suspicions that shrink by agreement, and
-telling a suspect first; HashiCorp's Serf documentation for contact with the dead, so that parts of a fleet
-that were apart find together by themselves. Own: lives in place of bare incarnations, summaries in place of
-whole views, and what is done after a standstill and about two processes of one name (docs/fleet.md).
+Protocol" (DSN 2002) for round-robin probes, indirect pings, and dissemination by piggybacking; Dadgar,
+Phillips, Currey, "Lifeguard" (DSN-W 2018) for local health awareness, suspicion timeouts that shrink with
+confirmations, and informing a suspect first; HashiCorp's Serf documentation for contacting dead members, so
+that parts of a partitioned fleet rejoin without intervention. Not from these sources: process instances
+(start time and random number) in addition to incarnations, summaries in place of complete views, and the
+handling of pauses of the process and of two processes with one name (docs/fleet.md).
 
-`Swim` is what a carrier calls. What it holds is one `Member`; each module beside does one thing with it:
-`words` takes what is said of members, `suspecting` times suspicions, `probing` asks who is there, `comparing`
-finds what views lack, `notes` has what members say of themselves, `sending` puts news on datagrams.
+`Swim` is the interface for a carrier. Its state is one `Member`, on which the other modules work: `updates`
+applies records about members, `suspects` runs suspicion timeouts, `prober` detects failures, `anti_entropy`
+compares views, `notes` handles the members' own notes, `sender` adds queued updates to datagrams.
 """
 
 from harriertrack.membership.fleet.swim.actions import Action, LogEvent, MemberChanged, NoteReceived, Send
--- a/harriertrack/membership/fleet/swim/actions.py
+++ b/harriertrack/membership/fleet/swim/actions.py
@@ -1,4 +1,4 @@
-"""What a member asks its carrier to do."""
+"""Actions that a member returns to its carrier."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """What is held of a member changed."""
+    """The record of a member changed."""
 
     change: Change
 
 
 @dataclass(frozen=True, slots=True)
 class NoteReceived:
-    """A member's note is new."""
+    """A member published a new note."""
 
     note: Note
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Something that operators should read."""
+    """An event for the operators' log."""
 
     event: str
     fields: tuple[tuple[str, str | int], ...] = ()
--- a/harriertrack/membership/fleet/swim/anti_entropy.py
+++ b/harriertrack/membership/fleet/swim/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Views compared: now and then, with seeds and the gone, and where two should agree and do not."""
+"""Anti-entropy: view comparisons at intervals, with seeds and dead members, and when digests differ."""
 
 from __future__ import annotations
 
@@ -9,103 +9,103 @@
 
 
 class AntiEntropy:
-    """Whom a member asks for what it lacks, and what it answers."""
+    """Requests the records that the member lacks, and answers such requests."""
 
-    def __init__(self, member: Member, sending: Sender, seeds: list[Address]) -> None:
-        self._member, self._sending, self._seeds = member, sending, seeds
-        self._gone: list[Address] = []  # who is tried next though gone, and seeds, from its end
+    def __init__(self, member: Member, sender: Sender, seeds: list[Address]) -> None:
+        self._member, self._sender, self._seeds = member, sender, seeds
+        self._absent: list[Address] = []  # dead members and seeds to contact, last first
         self._join_us = member.rules.join_us
-        self._pages, self._pages_at = float(member.rules.pages), 0
+        self._tokens, self._refilled_at = float(member.rules.pages), 0
 
     def start(self, now: int) -> None:
-        """Answer others from now on."""
-        self._pages_at = now
+        """Start to answer requests."""
+        self._refilled_at = now
 
     def compare(self, now: int) -> None:
-        """Forget who is gone for long, and compare views with somebody."""
+        """Forget members that are gone for long, and compare views with a random member."""
         member = self._member
-        member.due.sync = now + member.spread(member.rules.sync_us)
+        member.due.sync = now + member.jitter(member.rules.sync_us)
         self._forget(now)
         if others := member.others():
-            self._ask(member.address(member.random.choice(others)))
+            self._request(member.address(member.random.choice(others)))
 
-    def mend(self, now: int, name: str) -> None:
-        """Compare views with a member that should hold the same by now, and doesn't: something was lost."""
+    def repair(self, now: int, name: str) -> None:
+        """Compare views with a member whose digest differs after updates settled: an update was lost."""
         member = self._member
         settled = 2 * member.rules.probe_us
-        if member.news or now - member.view.changed_at <= settled or now < member.due.mend:
+        if member.updates or now - member.view.changed_at <= settled or now < member.due.repair:
             return
-        member.due.mend = now + settled
-        self._ask(member.address(name))
+        member.due.repair = now + settled
+        self._request(member.address(name))
 
-    def reach(self, now: int) -> None:
-        """Try somebody who is gone, or a seed that is not among those who are there."""
+    def contact_absent(self, now: int) -> None:
+        """Contact a dead member, or a seed that is not a present member."""
         member, rules = self._member, self._member.rules
-        there = {member.address(name) for name in member.view.present}
-        seeds = [address for address in self._seeds if address not in there]
+        present = {member.address(name) for name in member.view.present}
+        seeds = [address for address in self._seeds if address not in present]
         alone = member.state is MembershipState.ALONE
         if alone:
-            member.due.reach = now + member.spread(self._join_us)
+            member.due.reach = now + member.jitter(self._join_us)
             self._join_us = min(2 * self._join_us, rules.reach_us)
         else:
             self._join_us = rules.join_us
-            member.due.reach = now + member.spread(rules.reach_us)
+            member.due.reach = now + member.jitter(rules.reach_us)
         for _ in range(rules.fanout if alone else 1):
-            if not self._gone:
-                self._gone = [row.record.address for row in member.view.rows_with(State.DEAD)] + seeds
-                member.random.shuffle(self._gone)
-            if self._gone and (address := self._gone.pop()) not in there:
-                self._ask(address)
+            if not self._absent:
+                self._absent = [row.record.address for row in member.view.rows_with(State.DEAD)] + seeds
+                member.random.shuffle(self._absent)
+            if self._absent and (address := self._absent.pop()) not in present:
+                self._request(address)
 
-    def look_on(self, now: int) -> None:
-        """Ask somebody, as no member, whether the process that goes by this name is still there."""
+    def observe(self, now: int) -> None:
+        """As a displaced process, ask a member whether the other process with this name is still present."""
         member = self._member
-        member.due.reach = now + member.spread(member.rules.reach_us)
+        member.due.reach = now + member.jitter(member.rules.reach_us)
         addresses = [member.address(name) for name in member.others()] + self._seeds
         if addresses:
-            self._ask(member.random.choice(addresses))
+            self._request(member.random.choice(addresses))
 
-    def asked(self, now: int, source: Address, summary: tuple[int, ...]) -> None:
-        """Send what differs from another's view; the last datagram asks for what is lacking here."""
+    def receive_sync(self, now: int, source: Address, summary: tuple[int, ...]) -> None:
+        """Send the records that differ from another view; the last datagram requests those missing here."""
         member = self._member
         self._answer(now, source, member.view.differing(summary), member.view.summary)
 
-    def answered(self, now: int, source: Address, summary: tuple[int, ...]) -> None:
-        """Send what still differs from the view of whoever answered."""
+    def receive_state(self, now: int, source: Address, summary: tuple[int, ...]) -> None:
+        """Send the records that still differ from the view of the member that replied."""
         member = self._member
         if differing := member.view.differing(summary):
-            # There is more to compare before the next time that is due.
-            member.due.sync = min(member.due.sync, now + member.spread(2 * member.rules.probe_us))
+            # Views still differ: compare again sooner than the interval.
+            member.due.sync = min(member.due.sync, now + member.jitter(2 * member.rules.probe_us))
             self._answer(now, source, differing, ())
 
-    def _ask(self, address: Address) -> None:
+    def _request(self, address: Address) -> None:
         member = self._member
-        draft = self._sending.draft(Kind.SYNC, summary=member.view.summary)
+        draft = self._sender.draft(Kind.SYNC, summary=member.view.summary)
         if member.state is not MembershipState.DISPLACED:
             draft.add(encode_item(member.me))
-        self._sending.out(address, draft)
+        self._sender.send_draft(address, draft)
 
     def _answer(self, now: int, address: Address, buckets: frozenset[int], summary: tuple[int, ...]) -> None:
-        """Send what is held in some buckets; a summary with it asks for what is lacking here."""
+        """Send the records of some buckets; a summary with them requests those missing here."""
         member, rules = self._member, self._member.rules
-        self._pages = min(rules.pages, self._pages + rules.pages * (now - self._pages_at) / 1e6)
-        self._pages_at = now
+        self._tokens = min(rules.pages, self._tokens + rules.pages * (now - self._refilled_at) / 1e6)
+        self._refilled_at = now
         drafts: list[Draft] = []
-        draft = self._sending.draft(Kind.STATE, summary=summary)
+        draft = self._sender.draft(Kind.STATE, summary=summary)
         for row in member.view.rows_in(buckets):
             record = encode_item(row.record)
             if not draft.add(record):
                 drafts.append(draft)
-                draft = self._sending.draft(Kind.STATE)
+                draft = self._sender.draft(Kind.STATE)
                 draft.add(record)
         drafts.append(draft)
-        drafts.append(drafts.pop(0))  # the one that asks goes last: by then what came before it is known
-        for one in drafts:
-            if self._pages < 1:
+        drafts.append(drafts.pop(0))  # the request goes last: the receiver has the other records by then
+        for draft in drafts:
+            if self._tokens < 1:
                 member.counts.turned_down += 1
                 return
-            self._pages -= 1
-            self._sending.out(address, one)
+            self._tokens -= 1
+            self._sender.send_draft(address, draft)
 
     def _forget(self, now: int) -> None:
         member = self._member
--- a/harriertrack/membership/fleet/swim/core.py
+++ b/harriertrack/membership/fleet/swim/core.py
@@ -1,4 +1,4 @@
-"""A member as its carrier calls it: datagrams and time in, actions out."""
+"""The interface of a member for its carrier: datagrams and time in, actions out."""
 
 from __future__ import annotations
 
@@ -29,58 +29,58 @@
 class Swim:
     """One member.
 
-    The carrier calls `receive` for each datagram, `wake` at or after `wake_at`, and does what `take_actions`
-    returns.
+    The carrier calls `receive` for each datagram, `wake` at or after `wake_at`, and carries out the actions
+    that `take_actions` returns.
     """
 
     def __init__(self, rules: Rules, me: Record, seeds: Iterable[Address] = (), seed: int = 0) -> None:
         member = self._member = Member(rules, me, seed)
         self.view, self.counts = member.view, member.counts
-        self._suspects, self._notes, self._sending = SuspectTimers(member), Notes(member), Sender(member)
-        self._words = Updates(member, self._suspects, self._notes)
-        others = [one for one in dict.fromkeys(seeds) if one != me.address]
-        self._comparing = AntiEntropy(member, self._sending, others)
-        self._probing = Prober(member, self._sending, self._words, self._comparing)
+        self._suspects, self._notes, self._sender = SuspectTimers(member), Notes(member), Sender(member)
+        self._updates = Updates(member, self._suspects, self._notes)
+        others = [address for address in dict.fromkeys(seeds) if address != me.address]
+        self._anti_entropy = AntiEntropy(member, self._sender, others)
+        self._prober = Prober(member, self._sender, self._updates, self._anti_entropy)
         self._wake_at = 0
 
     @property
     def rules(self) -> Rules:
-        """Return the protocol's figures, as it goes by them now."""
+        """Return the protocol's current parameters."""
         return self._member.rules
 
     def update_rules(self, rules: Rules) -> None:
-        """Go by other figures from now on; what is due already stays so."""
+        """Replace the protocol's parameters; timers that are already set stay."""
         self._member.rules = rules
 
     @property
     def me(self) -> Record:
-        """Return the newest word on this member itself."""
+        """Return this member's own record."""
         return self._member.me
 
     @property
     def state(self) -> MembershipState:
-        """Return what the member is to its fleet."""
+        """Return the member's own state in its fleet."""
         return self._member.state
 
     @property
     def health_score(self) -> int:
-        """Return how much the member doubts itself; 0: not at all."""
+        """Return Lifeguard's local health score; 0 is healthy."""
         return self._member.health_score
 
     def start(self, now: int) -> None:
-        """Take part from now on."""
+        """Start to take part in the fleet."""
         member, rules = self._member, self.rules
         member.state = MembershipState.ALONE
-        # Members that start together do not probe together.
+        # A random offset, so that members that start together do not probe in step.
         offset = member.random.randrange(rules.probe_us)
-        member.due = Due(now + offset, now + offset % rules.gossip_us, now + member.spread(rules.sync_us),
+        member.due = Due(now + offset, now + offset % rules.gossip_us, now + member.jitter(rules.sync_us),
                          now, now)  # fmt: skip
-        self._comparing.start(now)
-        self._words.take(now, member.me)
-        self._plan()
+        self._anti_entropy.start(now)
+        self._updates.apply(now, member.me)
+        self._schedule()
 
     def receive(self, now: int, data: bytes, source: Address) -> None:
-        """Take a datagram; whatever it is, it does no harm but what its words say."""
+        """Handle a datagram; a malformed, foreign or unsupported one is only counted."""
         if self._member.state is MembershipState.NEW:
             return
         self._recover_from_pause(now)
@@ -88,20 +88,20 @@
         counts.came += 1
         counts.came_bytes += len(data)
         try:
-            told = decode(data)
+            datagram = decode(data)
         except MalformedDatagram:
             counts.garbage += 1
             return
-        if told.fleet != self.rules.fleet:
+        if datagram.fleet != self.rules.fleet:
             counts.strangers += 1
-        elif told.reads > VERSION:
+        elif datagram.reads > VERSION:
             counts.too_new += 1
-        elif told.instance != self._member.me.instance:
-            self._understand(now, told, source)
-        self._plan()
+        elif datagram.instance != self._member.me.instance:
+            self._handle(now, datagram, source)
+        self._schedule()
 
     def wake(self, now: int) -> None:
-        """Do what is due."""
+        """Run the tasks that are due."""
         member = self._member
         if member.state is MembershipState.NEW:
             return
@@ -109,100 +109,100 @@
         due = member.due
         if member.state is MembershipState.DISPLACED:
             if now >= due.reach:
-                self._comparing.look_on(now)
-            self._plan()
+                self._anti_entropy.observe(now)
+            self._schedule()
             return
-        self._probing.tell_askers(now)
-        self._probing.wake(now)
-        self._words.run_out(now)
+        self._prober.send_nacks(now)
+        self._prober.wake(now)
+        self._updates.declare_dead(now)
         if now >= due.gossip:
             due.gossip = now + self.rules.gossip_us
-            self._sending.gossip(now, self.rules.fanout)
+            self._sender.gossip(now, self.rules.fanout)
         if now >= due.sync and member.state is MembershipState.JOINED:
-            self._comparing.compare(now)
+            self._anti_entropy.compare(now)
         if now >= due.reach:
-            self._comparing.reach(now)
-        self._plan()
+            self._anti_entropy.contact_absent(now)
+        self._schedule()
 
     def wake_at(self) -> int:
-        """Return when `wake` is to be called."""
+        """Return when `wake` should be called next."""
         return self._wake_at
 
-    def set_note(self, now: int, about: bytes) -> None:
-        """Say something of oneself to all; at most 256 bytes. What was said before does not hold any more."""
-        self._notes.say(about)
+    def set_note(self, now: int, payload: bytes) -> None:
+        """Publish a note about this member in place of the last one; at most 256 bytes."""
+        self._notes.publish(payload)
 
-    def set_topic_note(self, topic: str, about: bytes) -> None:
-        """Say something on a topic to all, in place of what was said on it before; at most 256 bytes."""
-        self._member.topics.set_note(self._member.me, topic, about)
+    def set_topic_note(self, topic: str, payload: bytes) -> None:
+        """Publish a note on a topic in place of the last one; at most 256 bytes."""
+        self._member.topics.set_note(self._member.me, topic, payload)
 
     def leave(self, now: int) -> None:
-        """Say goodbye. `left` tells when it has been said often enough."""
+        """Announce that this member leaves; `leave_complete` is true once this was sent often enough."""
         member = self._member
         if member.state in (MembershipState.NEW, MembershipState.DISPLACED, MembershipState.LEAVING):
             return
         member.state = MembershipState.LEAVING
-        self._words.take(now, member.updated_record(state=State.LEFT))
-        self._sending.gossip(now, 3 * self.rules.fanout)
-        self._plan()
+        self._updates.apply(now, member.updated_record(state=State.LEFT))
+        self._sender.gossip(now, 3 * self.rules.fanout)
+        self._schedule()
 
     @property
     def leave_complete(self) -> bool:
-        """Whether nothing is to be waited for any more."""
+        """Whether there is nothing left to send before the process may stop."""
         member = self._member
         leaving = member.state is MembershipState.LEAVING
-        return not leaving or member.me.name not in member.news or not member.others()
+        return not leaving or member.me.name not in member.updates or not member.others()
 
     def take_actions(self) -> list[Action]:
-        """Return what is to be done since the last call."""
+        """Return the actions since the last call, and clear them."""
         actions, self._member.actions = self._member.actions, []
         return actions
 
-    def _understand(self, now: int, told: Datagram, source: Address) -> None:
+    def _handle(self, now: int, datagram: Datagram, source: Address) -> None:
         member = self._member
-        row = member.view.find(told.sender)
-        life = ProcessInstance(told.started, told.instance)
-        if row is not None and row.record.process == life:
-            row.digest, row.last_contact = told.digest, now
-        for record in told.records:
-            self._words.hear(now, record, told.kind is Kind.STATE)
-        for note in told.notes:
-            self._notes.hear(note)
-        member.topics.hear(member.me.name, told.topics)
+        row = member.view.find(datagram.sender)
+        process = ProcessInstance(datagram.started, datagram.instance)
+        if row is not None and row.record.process == process:
+            row.digest, row.last_contact = datagram.digest, now
+        for record in datagram.records:
+            self._updates.receive(now, record, datagram.kind is Kind.STATE)
+        for note in datagram.notes:
+            self._notes.receive(note)
+        member.topics.receive(member.me.name, datagram.topics)
         if member.state is MembershipState.DISPLACED:
             return
-        match told.kind:
-            case Kind.PING if told.target == member.me.name:
-                self._sending.send(source, Kind.ACK, told.number, member.me.name, to=told)
+        match datagram.kind:
+            case Kind.PING if datagram.target == member.me.name:
+                self._sender.send(source, Kind.ACK, datagram.number, member.me.name, to=datagram)
             case Kind.PING:
                 self.counts.misdirected += 1
             case Kind.PING_REQ:
-                self._probing.relay(now, told, source)
+                self._prober.relay(now, datagram, source)
             case Kind.ACK:
-                self._probing.acked(now, told)
+                self._prober.receive_ack(now, datagram)
             case Kind.NACK:
-                self._probing.nacked(told)
+                self._prober.receive_nack(datagram)
             case Kind.SYNC:
-                self._comparing.asked(now, source, told.summary)
-            case Kind.STATE if told.summary:
-                self._comparing.answered(now, source, told.summary)
+                self._anti_entropy.receive_sync(now, source, datagram.summary)
+            case Kind.STATE if datagram.summary:
+                self._anti_entropy.receive_state(now, source, datagram.summary)
 
-    def _plan(self) -> None:
+    def _schedule(self) -> None:
         member, due = self._member, self._member.due
         if member.state is MembershipState.DISPLACED:
             self._wake_at = due.reach
             return
-        when = [due.probe, due.reach, *self._probing.times()]
+        times = [due.probe, due.reach, *self._prober.times()]
         if member.state is MembershipState.JOINED:
-            when.append(due.sync)
-        if member.news or member.topics:
-            when.append(due.gossip)
-        if (runs_out_at := self._suspects.next_at(due.probe)) is not None:
-            when.append(runs_out_at)
-        self._wake_at = min(when)
+            times.append(due.sync)
+        if member.updates or member.topics:
+            times.append(due.gossip)
+        if (suspicion_ends_at := self._suspects.next_at(due.probe)) is not None:
+            times.append(suspicion_ends_at)
+        self._wake_at = min(times)
 
     def _recover_from_pause(self, now: int) -> None:
-        """After a standstill: what was not heard meanwhile proves nothing against anybody."""
+        """Detect a pause of this process: answers missed during it are no evidence against other members."""
         member, late = self._member, now - self._wake_at
         member.topics.refill(now)
         if late < self.rules.probe_us:
@@ -212,6 +212,6 @@
         member.drop_probes()
         self._suspects.shift(late)
         member.adjust_health(1)
-        due, soon = member.due, now + member.spread(self.rules.answer_us)
+        due, soon = member.due, now + member.jitter(self.rules.answer_us)
         due.probe, due.gossip, due.sync, due.reach = soon, now, soon, max(due.reach, now)
         self._wake_at = now
--- a/harriertrack/membership/fleet/swim/member.py
+++ b/harriertrack/membership/fleet/swim/member.py
@@ -1,4 +1,4 @@
-"""What one member knows and has under way: the one state that the modules beside work on."""
+"""The state of one member, which the other modules of this package work on."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way."""
+    """The probe in progress."""
 
     target: str
-    life: ProcessInstance
+    process: ProcessInstance
     number: int
-    ask_at: int  # when others are asked
+    indirect_at: int  # when indirect pings are requested
     ends_at: int
-    helped: int = -1  # how many were asked; -1: none yet
+    helpers: int = -1  # members asked for an indirect ping; -1: not requested yet
     nacks: int = 0
-    answered: bool = False
+    acked: bool = False
 
 
 @dataclass(slots=True)
 class Relayed:
-    """A probe for somebody else."""
+    """An indirect ping that this member makes for another."""
 
-    asker: Address
+    requester: Address
     number: int
     target: str
     nack_at: int
@@ -41,38 +41,38 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What came and went."""
+    """Counters; their names are written to status documents."""
 
     sent: int = 0
     sent_bytes: int = 0
     came: int = 0
     came_bytes: int = 0
-    garbage: int = 0  # no datagrams of this protocol
+    garbage: int = 0  # not datagrams of this protocol
     strangers: int = 0  # of other fleets
-    too_new: int = 0  # of versions that this program can't read
-    misdirected: int = 0  # meant for somebody else
-    turned_down: int = 0  # members past the bound, or comparisons past the rate
+    too_new: int = 0  # of unsupported versions
+    misdirected: int = 0  # pings meant for another member
+    turned_down: int = 0  # members, comparisons or indirect pings rejected because of a limit
     probes: int = 0
     failed_probes: int = 0
     suspected: int = 0
-    declared: int = 0  # suspicions that this member itself let run out
-    refuted: int = 0  # times that it objected to words on itself
-    stood: int = 0  # standstills
+    declared: int = 0  # members declared dead by this member's own suspicion timeout
+    refuted: int = 0  # records about itself that it refuted
+    stood: int = 0  # pauses of this process
 
 
 @dataclass(slots=True)
 class Due:
-    """When each thing is done next."""
+    """When each periodic task is due next."""
 
     probe: int = 0
     gossip: int = 0
     sync: int = 0
     reach: int = 0
-    mend: int = 0
+    repair: int = 0
 
 
 class Member:
-    """A member's view of the others, its doubt in itself, and what it has under way."""
+    """A member's view of the fleet, its local health, and its operations in progress."""
 
     def __init__(self, rules: Rules, me: Record, seed: int) -> None:
         self.rules, self.me = rules, me
@@ -82,44 +82,44 @@
         self.counts = Counts()
         self.random = random.Random(seed)
         self.actions: list[Action] = []
-        self.news = DisseminationQueue()
+        self.updates = DisseminationQueue()
         self.notes = DisseminationQueue()
         self.topics = TopicNotes(self.view, rules.topic_bytes)
-        self.turn: list[str] = []  # who is probed next, from its end
+        self.probe_round: list[str] = []  # names left to probe in this round, last first
         self.probe: Probe | None = None
         self.relayed: dict[int, Relayed] = {}
         self.due = Due()
         self.joined_at = 0
 
-    def spread(self, us: int) -> int:
-        """Return a time around `us`, so that members do not do things together."""
+    def jitter(self, us: int) -> int:
+        """Return a random time from 75 to 125% of `us`, so that members do not act in step."""
         return int(us * (0.75 + 0.5 * self.random.random()))
 
     def adjust_health(self, change: int) -> None:
-        """Doubt oneself more, or less."""
+        """Raise or lower the local health score; 0 is healthy."""
         self.health_score = min(max(0, self.health_score + change), max(0, self.rules.doubt - 1))
 
     def drop_probes(self) -> None:
-        """Forget the probes under way, one's own and others'."""
+        """Drop the member's own probe and the indirect pings in progress."""
         self.probe = None
         self.relayed.clear()
 
     def others(self) -> list[str]:
-        """Return who is there beside oneself."""
+        """Return the names of the other present members."""
         return [name for name in self.view.present if name != self.me.name]
 
     def address(self, name: str) -> Address:
-        """Return where a member that is known is reached."""
+        """Return the address of a known member."""
         row = self.view.find(name)
         assert row is not None
         return row.record.address
 
-    def held(self, name: str) -> State | None:
-        """Return what is held of a member."""
+    def state_of(self, name: str) -> State | None:
+        """Return the state in a member's record; None if it is not known."""
         row = self.view.find(name)
         return None if row is None else row.record.state
 
     def updated_record(self, **changes: object) -> Record:
-        """Return the word on oneself with some fields changed."""
+        """Return the member's own record with some fields changed."""
         fresh = msgspec.structs.replace(self.me, by="")
         return msgspec.structs.replace(fresh, **changes)
--- a/harriertrack/membership/fleet/swim/notes.py
+++ b/harriertrack/membership/fleet/swim/notes.py
@@ -1,4 +1,4 @@
-"""What members say of themselves, for other parts of the program."""
+"""Notes that members publish about themselves, for other parts of the program."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class Notes:
-    """A member's own note, and others'."""
+    """The member's own note and those of other members."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
         self._last: bytes | None = None
         self._version = 0
 
-    def say(self, about: bytes) -> None:
-        """Say something of oneself, unless it was said last. Raises ValueError for more than 256 bytes."""
-        if len(about) > MAX_NOTE:
-            raise ValueError(f"a note of {len(about)} bytes")
-        if about == self._last:
+    def publish(self, payload: bytes) -> None:
+        """Publish a note unless it equals the last one. Raises ValueError for more than 256 bytes."""
+        if len(payload) > MAX_NOTE:
+            raise ValueError(f"note of {len(payload)} bytes is larger than {MAX_NOTE}")
+        if payload == self._last:
             return
-        self._last = about
+        self._last = payload
         self._version += 1
         me = self._member.me
-        self._take(Note(me.name, me.started, me.instance, self._version, about))
+        self._apply(Note(me.name, me.started, me.instance, self._version, payload))
 
-    def say_again(self) -> None:
-        """Say what was said last, as the life that this member is in now."""
+    def republish(self) -> None:
+        """Publish the last note again, under this member's current process instance."""
         if self._last is not None:
-            about, self._last = self._last, None
-            self.say(about)
+            payload, self._last = self._last, None
+            self.publish(payload)
 
-    def hear(self, note: Note) -> None:
-        """Take a member's note that came from outside."""
-        if note.name != self._member.me.name and self._take(note):
+    def receive(self, note: Note) -> None:
+        """Handle another member's note from a datagram."""
+        if note.name != self._member.me.name and self._apply(note):
             self._member.actions.append(NoteReceived(note))
 
-    def _take(self, note: Note) -> bool:
-        news = self._member.view.apply_note(note)
-        if news:
+    def _apply(self, note: Note) -> bool:
+        is_new = self._member.view.apply_note(note)
+        if is_new:
             self._member.notes.add(note.name, encode_item(note))
-        return news
+        return is_new
--- a/harriertrack/membership/fleet/swim/sender.py
+++ b/harriertrack/membership/fleet/swim/sender.py
@@ -1,4 +1,4 @@
-"""Datagrams on their way out, and the news that rides on them."""
+"""Outgoing datagrams, and the updates piggybacked on them."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class Sender:
-    """What a member sends."""
+    """Builds and sends a member's datagrams."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
 
     def draft(self, kind: Kind, number: int = 0, target: str = "", address: Address = ("", 0),
               summary: tuple[int, ...] = ()) -> Draft:  # fmt: skip
-        """Return a datagram that has room for news."""
+        """Return a datagram to which updates can be added."""
         member = self._member
         me, digest = member.me, member.view.digest
         sender = "" if member.state is MembershipState.DISPLACED else me.name
         return Draft(member.rules.fleet, kind, sender, me.process, number, digest, target, address, summary)
 
-    def out(self, address: Address, draft: Draft) -> None:
-        """Send a datagram as it is."""
+    def send_draft(self, address: Address, draft: Draft) -> None:
+        """Send a datagram without adding updates."""
         data, counts = draft.pack(), self._member.counts
         counts.sent += 1
         counts.sent_bytes += len(data)
@@ -40,34 +40,35 @@
 
     def send(self, address: Address, kind: Kind, number: int, target: str,
              about: Address = ("", 0), to: Datagram | None = None) -> None:  # fmt: skip
-        """Send a question or an answer, with as much news as has room.
+        """Send a message with as many updates as fit.
 
-        Whoever is not held to be alive and well is told so first, so that it can object.
+        A receiver that is not ALIVE in this view, or sent from an older process instance, gets its own record
+        first, so that it can refute it.
         """
         member = self._member
         draft = self.draft(kind, number, target, about)
         row = member.view.find(to.sender if to is not None else target)
         first = ""
         if row is not None and row.record.name != member.me.name:
-            outdated = to is not None and row.record.process > ProcessInstance(to.started, to.instance)
-            if row.record.state is not State.ALIVE or outdated:
+            stale = to is not None and row.record.process > ProcessInstance(to.started, to.instance)
+            if row.record.state is not State.ALIVE or stale:
                 draft.add(encode_item(row.record))
                 first = row.record.name
-        most = transmit_limit(member.rules.repeats, len(member.view.present))
-        member.news.fill(draft.add, most, skip=first)
-        topics_first = member.counts.sent % 2 == 1  # in turn: where many say much neither waits for ever
+        limit = transmit_limit(member.rules.repeats, len(member.view.present))
+        member.updates.fill(draft.add, limit, skip=first)
+        topics_first = member.counts.sent % 2 == 1  # alternates, so that neither kind starves under load
         if topics_first:
-            member.topics.fill(draft, most)
-        member.notes.fill(draft.add_note, most)
+            member.topics.fill(draft, limit)
+        member.notes.fill(draft.add_note, limit)
         if not topics_first:
-            member.topics.fill(draft, most)
-        self.out(address, draft)
+            member.topics.fill(draft, limit)
+        self.send_draft(address, draft)
 
     def gossip(self, now: int, fanout: int) -> None:
-        """Tell some members the news, while there is any."""
+        """Send queued updates to some members."""
         member = self._member
-        if not member.news:
-            if member.topics and (others := member.others()):  # these have time: one member is told at a time
+        if not member.updates:
+            if member.topics and (others := member.others()):  # not urgent: one receiver
                 name = member.random.choice(others)
                 self.send(member.address(name), Kind.GOSSIP, 0, name)
             return
@@ -75,8 +76,8 @@
         names = member.others()
         names += [row.record.name for row in member.view.rows_with(State.DEAD) if row.since >= recent]
         for name in member.random.sample(names, min(len(names), fanout)):
-            if not member.news:
+            if not member.updates:
                 return
             self.send(member.address(name), Kind.GOSSIP, 0, name)
         if not names:
-            member.news.clear()  # whoever comes asks for the whole view
+            member.updates.clear()  # a member that joins later compares complete views
--- a/harriertrack/membership/fleet/swim/suspects.py
+++ b/harriertrack/membership/fleet/swim/suspects.py
@@ -1,4 +1,4 @@
-"""Whom a member suspects, and when the first suspicion runs out."""
+"""The members under suspicion, and when the first suspicion times out."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class SuspectTimers:
-    """The suspects by name; their suspicions stand in the view's rows and end with the words there."""
+    """Suspects by name; each suspicion is in the view's row, and a newer record there ends it."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
         self._names: dict[str, None] = {}
-        self.first_at: int | None = None  # when the first suspicion runs out; None: to be looked up
+        self.first_at: int | None = None  # when the first suspicion times out; None: to be computed
 
     def begin(self, now: int, record: Record) -> None:
-        """Suspect a member of which the view holds so since now."""
+        """Start the timeout of a member whose record has just become SUSPECT."""
         member, rules = self._member, self._member.rules
         row, members = member.view.find(record.name), len(member.view.present)
         assert row is not None
-        least = suspicion.min_timeout_us(rules.probe_us, rules.suspicion, members)
-        wanted = suspicion.expected_confirmations(rules.confirmations, members)
-        row.suspicion = Suspicion(now, least, int(least * rules.slack), wanted, [record.by])
+        shortest = suspicion.min_timeout_us(rules.probe_us, rules.suspicion, members)
+        confirmations = suspicion.expected_confirmations(rules.confirmations, members)
+        row.suspicion = Suspicion(now, shortest, int(shortest * rules.slack), confirmations, [record.by])
         self._names[record.name] = None
         self.first_at = None
         member.counts.suspected += 1
 
     def end(self, name: str) -> None:
-        """Suspect a member no more, if it was suspected."""
+        """End the suspicion of a member, if there is one."""
         if name in self._names:
             del self._names[name]
             self.first_at = None
 
     def confirm(self, row: Row, by: str) -> bool:
-        """Take another's suspicion of a suspect; return whether others should hear of it."""
+        """Count another member's suspicion of a suspect; return whether to disseminate it."""
         assert row.suspicion is not None
         if not row.suspicion.confirm(by):
             return False
@@ -44,7 +44,7 @@
         return True
 
     def run_out(self, now: int) -> list[Row]:
-        """Return the members whose time to object is over."""
+        """Return the members whose suspicion timed out."""
         if self.first_at is not None and now < self.first_at:
             return []
         self.first_at = None
@@ -58,7 +58,7 @@
         return over
 
     def next_at(self, otherwise: int) -> int | None:
-        """Return when `run_out` has something to say; None while nobody is suspected."""
+        """Return when the next suspicion times out; None without suspects."""
         if not self._names:
             return None
         if self.first_at is None:
@@ -66,19 +66,19 @@
         return self.first_at
 
     def shift(self, us: int) -> None:
-        """Give all suspects so much more time, for which this member stood still."""
+        """Extend all suspicions by the time for which this process was paused."""
         for one in self._suspicions():
-            one.shifted_us += us
+            one.extension_us += us
         self.first_at = None
 
     def restart(self, now: int) -> None:
-        """Begin all suspicions anew: none was looked after meanwhile."""
+        """Restart all suspicions: their timeouts were not observed in the meantime."""
         for one in self._suspicions():
-            one.began, one.shifted_us = now, 0
+            one.began, one.extension_us = now, 0
         self.first_at = None
 
     def clear(self) -> None:
-        """Look after no suspicion any more."""
+        """Drop all suspicions."""
         self._names.clear()
 
     def _suspicions(self) -> list[Suspicion]:
--- a/harriertrack/membership/fleet/topic_datagrams.py
+++ b/harriertrack/membership/fleet/topic_datagrams.py
@@ -1,8 +1,8 @@
-"""What heads tell each other of budgets, zones and other topics: datagrams of their own kind.
+"""Datagrams between heads on budgets, zones and other topics.
 
-They are MessagePack behind a byte that MessagePack never uses, so that a member which knows of no budgets
-counts them as garbage and passes on. Fields are only appended, as in messages.py; a writer that would be
-misunderstood by an older reader raises `READS`.
+They are MessagePack after a byte that MessagePack never uses, so that a member without support for budgets
+counts them as garbage and continues. Fields are only appended, as in messages.py; a writer whose datagrams an
+older reader would misunderstand raises `READS`.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 READS = 1
 
 MAX_TOPIC_BODY = 1000  # bytes of a report or ruling
-MOST_REASONS = 300  # bytes of reasons in one datagram
+MAX_REASONS = 300  # bytes of reasons in one datagram
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e18)]
 Zone = Annotated[str, msgspec.Meta(max_length=32)]
 Budget = Annotated[str, msgspec.Meta(min_length=1, max_length=160)]
 
 
 class Kind(IntEnum):
-    """What a datagram says."""
+    """The content of a datagram."""
 
     LEASE_REQUEST = 0
     GRANT = 1
-    TERM = 2  # its sender keeps the ledger in this term
-    VACATED = 3  # ... and does so no longer
-    ZONE_OBSERVATIONS = 4  # what a head sees of zones, to who decides on them
-    ZONE_DECISIONS = 5  # what that one decided
-    REPORT = 6  # a head to who decides, on a topic
-    RULING = 7  # who decides to all, on a topic
+    TERM = 2  # its sender holds the ledger in this term
+    VACATED = 3  # ... and holds it no longer
+    ZONE_OBSERVATIONS = 4  # from a head to the zone decider
+    ZONE_DECISIONS = 5  # from the zone decider
+    REPORT = 6  # from a head to a topic's decider
+    RULING = 7  # from a topic's decider to all heads
 
 
 class _Claim(msgspec.Struct, array_like=True):
@@ -58,7 +58,7 @@
     tokens: Amount
 
 
-class _Sight(msgspec.Struct, array_like=True):
+class _Observation(msgspec.Struct, array_like=True):
     zone: Zone
     good: Number
     bad: Number
@@ -70,7 +70,7 @@
     busy: Annotated[int, msgspec.Meta(ge=0, le=100)] = 0
 
 
-class _Word(msgspec.Struct, array_like=True):
+class _Decision(msgspec.Struct, array_like=True):
     zone: Zone
     stage: Literal["in", "out", "trying", "returning"]
     share: Amount
@@ -92,17 +92,17 @@
     holder: Text = ""
     instance: Number = 0
     tenure: Number = 0
-    number: Number = 0  # of an ask; of a grant: which ask it answers
+    number: Number = 0  # of a lease request; in a grant: of the request that it answers
     lease_us: Number = 0
     weight: Amount = 1.0
     claims: Annotated[list[_Claim], msgspec.Meta(max_length=64)] = []
     shares: Annotated[list[_Share], msgspec.Meta(max_length=64)] = []
-    sights: Annotated[list[_Sight], msgspec.Meta(max_length=64)] = []
-    words: Annotated[list[_Word], msgspec.Meta(max_length=64)] = []
+    sights: Annotated[list[_Observation], msgspec.Meta(max_length=64)] = []
+    words: Annotated[list[_Decision], msgspec.Meta(max_length=64)] = []
 
 
 class _Topical(_Wire, array_like=True):
-    """Reports and rulings; other datagrams are written without these fields."""
+    """Reports and rulings; other datagrams are encoded without these fields."""
 
     topic: Text = ""
     body: Annotated[bytes, msgspec.Meta(max_length=MAX_TOPIC_BODY)] = b""
@@ -113,7 +113,7 @@
 
 
 class UnsupportedVersion(MalformedDatagram):
-    """A datagram of a version that this program can't read."""
+    """A datagram of a version that this program does not support."""
 
 
 class ForeignFleet(MalformedDatagram):
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneObservations:
-    """What a head sees of zones."""
+    """A head's observations of zones."""
 
     head: str
     observations: tuple[ZoneObservation, ...]
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDecisions:
-    """The fleet's word on all zones that are not simply in use, and the term of who decided."""
+    """The decisions on all zones that are not in normal use, and the decider's term."""
 
     term: Term
     decisions: tuple[ZoneDecision, ...]
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a head tells who decides, on a topic whose part of the program reads the body."""
+    """A head's report to the decider of a topic; the body is opaque here."""
 
     topic: str
     head: str
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ruling:
-    """What who decides tells all."""
+    """A topic decider's message to all heads."""
 
     topic: str
     term: Term
@@ -157,48 +157,51 @@
 Message = LeaseRequest | Grant | ZoneObservations | ZoneDecisions | Report | Ruling | tuple[Kind, int, Term]
 
 
-def encode(fleet: str, said: Message) -> bytes:
-    """Write a datagram: an ask, a grant, or (TERM or VACATED, ledger, term)."""
-    match said:
+def encode(fleet: str, message: Message) -> bytes:
+    """Encode a message; a tuple is (TERM or VACATED, ledger, term)."""
+    match message:
         case LeaseRequest():
             wire = _Wire(
-                READS, VERSION, fleet, Kind.LEASE_REQUEST, said.ledger, said.term.epoch, said.term.nonce,
-                said.holder, said.instance, said.tenure, said.sequence, said.lease_us, said.weight,
+                READS, VERSION, fleet, Kind.LEASE_REQUEST, message.ledger, message.term.epoch,
+                message.term.nonce, message.holder, message.instance, message.tenure, message.sequence,
+                message.lease_us, message.weight,
                 [
                     _Claim(one.budget, one.movable, one.demand, one.version, one.released)
-                    for one in said.claims
+                    for one in message.claims
                 ],
             )  # fmt: skip
         case Grant():
             wire = _Wire(
-                READS, VERSION, fleet, Kind.GRANT, said.ledger, said.term.epoch, said.term.nonce, said.holder,
-                said.instance, said.tenure, said.in_reply_to, said.lease_us, 1.0, [],
-                [_Share(one.budget, one.version, one.rate, one.tokens) for one in said.shares],
+                READS, VERSION, fleet, Kind.GRANT, message.ledger, message.term.epoch, message.term.nonce,
+                message.holder, message.instance, message.tenure, message.in_reply_to, message.lease_us, 1.0,
+                [],
+                [_Share(one.budget, one.version, one.rate, one.tokens) for one in message.shares],
             )  # fmt: skip
         case ZoneObservations():
             observations = [
-                _Sight(one.zone, one.responding, one.silent, one.requests, one.served, one.movable,
+                _Observation(one.zone, one.responding, one.silent, one.requests, one.served, one.movable,
                        one.reserved, one.wasted, one.busy)
-                for one in said.observations
+                for one in message.observations
             ]  # fmt: skip
             wire = _Wire(
-                READS, VERSION, fleet, Kind.ZONE_OBSERVATIONS, 0, 0, 0, said.head, sights=observations
+                READS, VERSION, fleet, Kind.ZONE_OBSERVATIONS, 0, 0, 0, message.head, sights=observations
             )
         case ZoneDecisions():
-            # Reasons are for people: where there are many words, they give way to the words.
-            room = MOST_REASONS // max(1, len(said.decisions)) if len(said.decisions) <= 8 else 0
+            # Reasons are for operators only: with many decisions they are shortened or left out, so that
+            # the decisions fit.
+            reason_limit = MAX_REASONS // max(1, len(message.decisions)) if len(message.decisions) <= 8 else 0
             decisions = [
-                _Word(
+                _Decision(
                     one.zone,
                     one.stage.value,
                     one.share,
                     one.trial_round,
-                    one.reason[: min(100, room)],
+                    one.reason[: min(100, reason_limit)],
                     one.warm_us,
                     one.by_operator,
                     one.left_us,
                 )
-                for one in said.decisions
+                for one in message.decisions
             ]
             wire = _Wire(
                 READS,
@@ -206,25 +209,25 @@
                 fleet,
                 Kind.ZONE_DECISIONS,
                 0,
-                said.term.epoch,
-                said.term.nonce,
+                message.term.epoch,
+                message.term.nonce,
                 words=decisions,
             )
         case Report():
-            wire = _Topical(READS, VERSION, fleet, Kind.REPORT, 0, 0, 0, said.head, topic=said.topic,
-                            body=said.body)  # fmt: skip
+            wire = _Topical(READS, VERSION, fleet, Kind.REPORT, 0, 0, 0, message.head, topic=message.topic,
+                            body=message.body)  # fmt: skip
         case Ruling():
-            wire = _Topical(READS, VERSION, fleet, Kind.RULING, 0, said.term.epoch, said.term.nonce,
-                            topic=said.topic, body=said.body)  # fmt: skip
+            wire = _Topical(READS, VERSION, fleet, Kind.RULING, 0, message.term.epoch, message.term.nonce,
+                            topic=message.topic, body=message.body)  # fmt: skip
         case (kind, ledger, term):
             wire = _Wire(READS, VERSION, fleet, kind, ledger, term.epoch, term.nonce)
     return MARK + _ENCODER.encode(wire)
 
 
 def decode(fleet: str, data: bytes) -> Message:
-    """Read a datagram. Raises MalformedDatagram, ForeignFleet, UnsupportedVersion."""
+    """Decode a datagram. Raises MalformedDatagram, ForeignFleet, UnsupportedVersion."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MalformedDatagram("too long")
+        raise MalformedDatagram(f"datagram of {len(data)} bytes is larger than {MAX_DATAGRAM_BYTES}")
     try:
         wire = _DECODER.decode(memoryview(data)[len(MARK) :])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/harriertrack/membership/fleet/topics.py
+++ b/harriertrack/membership/fleet/topics.py
@@ -1,6 +1,7 @@
-"""Notes by topic: what a member says for other parts of the program beside the note on itself.
+"""Topic notes: what a member publishes for other parts of the program beside its own note.
 
-They ride on the same datagrams in the same room; of each topic the newest of a life holds. Pure.
+They are piggybacked on the same datagrams within the same byte limit; of each topic the newest note of a
+process instance is valid. Pure.
 """
 
 from __future__ import annotations
@@ -13,73 +14,73 @@
 
 
 class TopicNotes:
-    """One member's own and those that it passes on."""
+    """A member's own topic notes, and the dissemination of those of others."""
 
     def __init__(self, view: View, rate: float) -> None:
-        """Begin; of all notes by topic no more than `rate` bytes a second leave, a second's at once."""
-        self._view, self._rate, self._spare, self._at = view, rate, float(rate), 0
-        self._news = DisseminationQueue()
-        self._said: dict[str, bytes] = {}
+        """Limit all topic notes to `rate` bytes a second, with a burst of one second's bytes."""
+        self._view, self._rate, self._tokens, self._refilled_at = view, rate, float(rate), 0
+        self._queue = DisseminationQueue()
+        self._published: dict[str, bytes] = {}
         self._version = 0
 
-    def set_note(self, me: Record, topic: str, about: bytes) -> None:
-        """Say something on a topic to all, in place of what was said on it before.
+    def set_note(self, me: Record, topic: str, payload: bytes) -> None:
+        """Publish a note on a topic in place of the last one.
 
-        Raises ValueError for more than a note holds.
+        Raises ValueError for more bytes than a note may have.
         """
-        if len(about) > MAX_NOTE:
-            raise ValueError(f"a note of {len(about)} bytes")
-        if self._said.get(topic) == about:
+        if len(payload) > MAX_NOTE:
+            raise ValueError(f"note of {len(payload)} bytes is larger than {MAX_NOTE}")
+        if self._published.get(topic) == payload:
             return
-        self._said[topic] = about
+        self._published[topic] = payload
         self._version += 1
-        self._take(TopicNote(me.name, me.started, me.instance, self._version, about, topic))
+        self._apply(TopicNote(me.name, me.started, me.instance, self._version, payload, topic))
 
-    def say_again(self, me: Record) -> None:
-        """Say all of it anew, as another life."""
-        said, self._said = self._said, {}
-        for topic, about in said.items():
-            self.set_note(me, topic, about)
+    def republish(self, me: Record) -> None:
+        """Publish all notes again under another process instance."""
+        published, self._published = self._published, {}
+        for topic, payload in published.items():
+            self.set_note(me, topic, payload)
 
-    def hear(self, me: str, notes: Iterable[TopicNote]) -> None:
-        """Take what came, and pass on what is news."""
+    def receive(self, me: str, notes: Iterable[TopicNote]) -> None:
+        """Apply notes from a datagram, and disseminate the new ones."""
         for note in notes:
             if note.name != me:
-                self._take(note)
+                self._apply(note)
 
-    def _take(self, note: TopicNote) -> None:
+    def _apply(self, note: TopicNote) -> None:
         if self._view.apply_topic_note(note):
-            self._news.add(note.key, encode_item(note))
+            self._queue.add(note.key, encode_item(note))
 
     def refill(self, now: int) -> None:
-        """It is `now`: more bytes may leave."""
-        self._spare = min(self._rate, self._spare + self._rate * max(0, now - self._at) / 1e6)
-        self._at = now
+        """Refill the byte limit for the time since the last call."""
+        self._tokens = min(self._rate, self._tokens + self._rate * max(0, now - self._refilled_at) / 1e6)
+        self._refilled_at = now
 
     def fill(self, draft: Draft, most_sends: int) -> None:
-        """Let news ride on a datagram, as far as it has room and the bytes last."""
-        waits = False
+        """Add queued notes to a datagram, as far as they fit and the byte limit allows."""
+        blocked = False
 
         def add(note: bytes) -> bool:
-            # What has no bytes left waits, and what was sent more often does not overtake it: else a long
-            # note would never leave where short ones take each byte as it comes.
-            nonlocal waits
-            waits = waits or len(note) > self._spare
-            if waits or not draft.add_topic(note):
+            # A note beyond the byte limit blocks those that were sent more often: otherwise a long note would
+            # never be sent while short ones use up each byte.
+            nonlocal blocked
+            blocked = blocked or len(note) > self._tokens
+            if blocked or not draft.add_topic(note):
                 return False
-            self._spare -= len(note)
+            self._tokens -= len(note)
             return True
 
-        self._news.fill(add, most_sends)
+        self._queue.fill(add, most_sends)
 
     def __len__(self) -> int:
-        return len(self._news)
+        return len(self._queue)
 
     def clear(self) -> None:
-        """Pass nothing on any more."""
-        self._news.clear()
+        """Drop all queued notes."""
+        self._queue.clear()
 
     def forget(self, name: str, topics: Iterable[str]) -> None:
-        """Pass on nothing more of a member that is forgotten."""
+        """Drop the queued notes of a member that is removed from the view."""
         for topic in topics:
-            self._news.drop(f"{name}\0{topic}")
+            self._queue.drop(f"{name}\0{topic}")
--- a/harriertrack/membership/fleet/view.py
+++ b/harriertrack/membership/fleet/view.py
@@ -1,8 +1,9 @@
-"""The members as one of them holds them: the newest word on each, and two sums by which views are compared.
+"""A member's view of the fleet: the newest record of each member, and two checksums to compare views.
 
-Words are taken by a total order (life, incarnation, state), so that views which heard the same words in any
-order hold the same. `digest` sums who is there, by name and life: two heads whose digests are equal agree.
-`summary` sums the same with incarnations and states in buckets of names, so that only what differs is sent.
+Records have a total order (process instance, incarnation, state), so that views which received the same
+records in any order are equal. `digest` sums the present members by name and process instance: two heads with
+equal digests agree. `summary` also covers incarnations and states, in buckets by name, so that only
+differences are sent.
 """
 
 from __future__ import annotations
@@ -24,37 +25,37 @@
 )
 from harriertrack.membership.fleet.suspicion import Suspicion
 
-MOST_HISTORY = 12  # words on a member that are kept to explain what is held of it
-_ALL = (1 << 63) - 1
-_SUMMED = (1 << 32) - 1
+MAX_HISTORY = 12  # records of a member that are stored to explain its present state
+_MASK_63_BITS = (1 << 63) - 1
+_MASK_32_BITS = (1 << 32) - 1
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """A word that changed what is held of a member: when it came, by the holder's clock."""
+    """A record that changed a member's state, and when it was received by the local clock."""
 
-    at: int
+    received_at: int
     record: Record
 
 
 @dataclass(slots=True)
 class Row:
-    """A member."""
+    """A member in the view."""
 
     record: Record
-    since: int  # when its present state was learnt
+    since: int  # when its current state was applied
     bucket: int
     note: Note | None = None
     topics: dict[str, TopicNote] = field(default_factory=dict)
-    digest: int = 0  # whom it said to be there last
-    last_contact: int = 0  # when it last said anything itself; 0: never in this life
+    digest: int = 0  # digest in its last datagram
+    last_contact: int = 0  # when its last datagram was received; 0: none from this process instance
     suspicion: Suspicion | None = None
-    history: deque[HistoryEntry] = field(default_factory=lambda: deque(maxlen=MOST_HISTORY))
+    history: deque[HistoryEntry] = field(default_factory=lambda: deque(maxlen=MAX_HISTORY))
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What a word changed."""
+    """The effect of a record on the view."""
 
     before: Record | None
     after: Record
@@ -65,21 +66,21 @@
         return self.before is not None and self.before.process != self.after.process
 
 
-def _there(record: Record) -> int:
+def _presence_hash(record: Record) -> int:
     return xxh64_intdigest(f"{record.name}\0{record.started}\0{record.instance}".encode())
 
 
-def _exactly(record: Record) -> int:
-    return xxh64_intdigest("\0".join(map(str, (record.name, *record.precedence))).encode()) & _SUMMED
+def _record_hash(record: Record) -> int:
+    return xxh64_intdigest("\0".join(map(str, (record.name, *record.precedence))).encode()) & _MASK_32_BITS
 
 
 class View:
-    """All members that are known, those that are gone among them until they are forgotten."""
+    """All known members, including the dead and those that left until they are removed."""
 
     def __init__(self) -> None:
         self._rows: dict[str, Row] = {}
         self._summary = [0] * BUCKETS
-        self.present: dict[str, None] = {}  # names, in the order in which they came
+        self.present: dict[str, None] = {}  # names, in the order in which they were added
         self.digest = 0
         self.changes = 0
         self.changed_at = 0
@@ -96,21 +97,21 @@
 
     @property
     def summary(self) -> tuple[int, ...]:
-        """Return what is compared with another view's."""
+        """Return the bucket checksums to compare with another view."""
         return tuple(self._summary)
 
     def differing(self, summary: tuple[int, ...]) -> frozenset[int]:
         """Return the buckets in which another view's summary differs."""
         theirs = summary[:BUCKETS] + (0,) * (BUCKETS - len(summary))
         pairs = enumerate(zip(self._summary, theirs, strict=True))
-        return frozenset(at for at, (here, there) in pairs if here != there)
+        return frozenset(bucket for bucket, (here, there) in pairs if here != there)
 
     def rows_in(self, buckets: frozenset[int]) -> list[Row]:
-        """Return all members of some buckets, the gone ones too."""
+        """Return all members of some buckets, whatever their state."""
         return [row for row in self._rows.values() if row.bucket in buckets]
 
     def apply(self, now: int, record: Record) -> Change | None:
-        """Take a word; return what it changed, None if what is held is as new."""
+        """Apply a record; return the change, None if the stored record is as new."""
         row = self._rows.get(record.name)
         if row is None:
             bucket = xxh64_intdigest(record.name.encode()) % BUCKETS
@@ -120,7 +121,7 @@
             before = row.record
             if record.precedence <= before.precedence:
                 return None
-            self._count(before, row.bucket, -1)
+            self._add_to_sums(before, row.bucket, -1)
             change = Change(before, record)
             row.record = record
             if before.state != record.state or change.process_changed:
@@ -129,7 +130,7 @@
                 row.note, row.digest, row.last_contact = None, 0, 0
                 row.topics.clear()
             row.suspicion = None
-        self._count(record, row.bucket, 1)
+        self._add_to_sums(record, row.bucket, 1)
         row.history.append(HistoryEntry(now, record))
         if record.present:
             self.present.setdefault(record.name)
@@ -139,13 +140,13 @@
         self.changed_at = now
         return change
 
-    def _count(self, record: Record, bucket: int, sign: int) -> None:
+    def _add_to_sums(self, record: Record, bucket: int, sign: int) -> None:
         if record.present:
-            self.digest = (self.digest + sign * _there(record)) & _ALL
-            self._summary[bucket] = (self._summary[bucket] + sign * _exactly(record)) & _SUMMED
+            self.digest = (self.digest + sign * _presence_hash(record)) & _MASK_63_BITS
+            self._summary[bucket] = (self._summary[bucket] + sign * _record_hash(record)) & _MASK_32_BITS
 
     def apply_note(self, note: Note) -> bool:
-        """Take a member's note; return whether it is news."""
+        """Apply a member's note; return whether it is new."""
         row = self._rows.get(note.name)
         if row is None or row.record.process != ProcessInstance(note.started, note.instance):
             return False
@@ -155,7 +156,7 @@
         return True
 
     def apply_topic_note(self, note: TopicNote) -> bool:
-        """Take a member's note on a topic; return whether it is news. The one said longest ago makes room."""
+        """Apply a topic note; return whether it is new. At the limit it replaces the oldest note."""
         row = self._rows.get(note.name)
         if row is None or row.record.process != ProcessInstance(note.started, note.instance):
             return False
@@ -171,11 +172,11 @@
         return True
 
     def forget(self, name: str) -> None:
-        """Forget a member that is gone."""
+        """Remove a member that is dead or left."""
         row = self._rows[name]
-        assert not row.record.present, "only who is gone is forgotten"
+        assert not row.record.present, "a present member can not be removed"
         del self._rows[name]
 
     def rows_with(self, *states: State) -> list[Row]:
-        """Return the members of which one of these states is held."""
+        """Return the members in one of these states."""
         return [row for row in self._rows.values() if row.record.state in states]
--- a/harriertrack/membership/leases.py
+++ b/harriertrack/membership/leases.py
@@ -1,15 +1,15 @@
-"""Who may act: a head's session with the witness, and the lock on each volume that the session holds.
-
-The witness is met through Consul's published HTTP API: a session with a TTL ("Session": the server never ends
-it before the TTL, and may do so any time after), and one key for each volume, which a session locks ("KV
-Store"). Every change is a transaction on the key as it was last read, so that a call that was under way for
-long changes nothing. `LockIndex` grows with each acquisition: it is the volume's epoch, which storage nodes
-and the other region's head remember and hold against whoever comes with an older one (Consul calls it a
-sequencer; the reasoning on leases is Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for
-Distributed File Cache Consistency", SOSP 1989, section 2).
-
-A head counts its session from before it asked, and shorter than the TTL by twice the stated error of a
-clock's rate: its own clock may run slow while the witness's runs fast.
+"""Leases on volumes: a head's session with the witness, and the volume locks that the session holds.
+
+The witness is accessed through Consul's published HTTP API: a session with a TTL ("Session": the server never
+ends it before the TTL, and may do so any time after), and one key for each volume, which a session locks ("KV
+Store"). Every change is a transaction conditional on the key as last read, so that a delayed call changes
+nothing. `LockIndex` grows with each acquisition: it is the volume's epoch. Storage nodes and the other
+region's head remember the highest epoch and reject work under an older one (Consul calls it a sequencer; for
+leases see Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
+Consistency", SOSP 1989, section 2).
+
+A head counts its session from before the request was sent, and shortens the TTL by twice the configured clock
+rate error: its own clock may run slow while the witness's runs fast.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 
 class VolumeRecord(msgspec.Struct, frozen=True):
-    """What the witness keeps for a volume.
+    """The value of a volume's key at the witness.
 
-    Where its home is, and which regions hold all acknowledged writes.
+    Its home region, and the regions that hold all acknowledged writes.
     """
 
     home: str
@@ -37,16 +37,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Lock:
-    """A volume's key as the witness last told it."""
+    """A volume's key as last read from the witness."""
 
     standing: VolumeRecord
-    session: str  # "" while nobody holds it
+    session: str  # "" while the key is not locked
     epoch: int  # LockIndex
     index: int = 0  # ModifyIndex: changes with every change of the key
 
 
 class WitnessError(Exception):
-    """The witness's answer is not what the API documents."""
+    """The witness's response does not match the documented API."""
 
 
 class _Entry(msgspec.Struct, rename="pascal"):
@@ -61,9 +61,9 @@
 
 
 def session_request(ttl_us: int, head: str) -> bytes:
-    """Write the body that asks for a session.
+    """Encode the body of a session creation request.
 
-    Its locks are released when it ends; nodes fence, so no lock delay.
+    The session's locks are released when it ends; nodes fence by epoch, so there is no lock delay.
     """
     return msgspec.json.encode(
         {"Name": head, "TTL": f"{ttl_us / 1e6:g}s", "Behavior": "release", "LockDelay": "0s"}
@@ -71,16 +71,16 @@
 
 
 def change_request(volume: str, verb: str, session: str, standing: VolumeRecord, index: int) -> bytes:
-    """Write the transaction that locks or unlocks a volume's key if it is still as read (index 0: not there).
+    """Encode the transaction that locks or unlocks a volume's key if unchanged since read (index 0: absent).
 
     Source: Consul HTTP API, "Transaction": `check-index` with `lock` or `unlock` in one step. Without the
-    check a call that was under way for long could put back a record that was changed meanwhile.
+    check, a delayed call could overwrite a record that changed in the meantime with an older one.
     """
     return key_request(KEY_PREFIX + volume, verb, session, msgspec.json.encode(standing), index)
 
 
 def key_request(path: str, verb: str, session: str, value: bytes, index: int) -> bytes:
-    """Write the same transaction for any key, by its path in the API."""
+    """Encode the same transaction for any key, by its path in the API."""
     key = path.removeprefix("/v1/kv/")
     check = {"Verb": "check-index", "Key": key, "Index": index}
     if not index:
@@ -98,7 +98,7 @@
 
 
 def write_request(path: str, value: bytes, index: int) -> bytes:
-    """Write the transaction that sets a key that nobody locks, if it is as read (index 0: not there)."""
+    """Encode the transaction that sets an unlocked key if unchanged since read (index 0: absent)."""
     key = path.removeprefix("/v1/kv/")
     check = {"Verb": "check-index", "Key": key, "Index": index}
     if not index:
@@ -108,7 +108,7 @@
 
 
 def parse_new_index(body: bytes) -> int:
-    """Read the key's new index from a transaction's answer. Raises WitnessError."""
+    """Parse the key's new index from a transaction's response. Raises WitnessError."""
     try:
         return msgspec.json.decode(body, type=_Results).results[-1].kv.modify_index
     except (msgspec.MsgspecError, IndexError) as error:
@@ -116,7 +116,7 @@
 
 
 def parse_session_id(body: bytes) -> str:
-    """Read the session's id. Raises WitnessError."""
+    """Parse the session's id. Raises WitnessError."""
     try:
         return msgspec.json.decode(body, type=_Session).id
     except msgspec.MsgspecError as error:
@@ -125,16 +125,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """A key as the witness last told it."""
+    """A key as last read from the witness."""
 
     value: bytes
-    session: str  # "" while nobody holds it
+    session: str  # "" while the key is not locked
     epoch: int  # LockIndex
     index: int  # ModifyIndex
 
 
 def parse_key(body: bytes) -> Key:
-    """Read a key; its value comes in base64, as the API documents. Raises WitnessError."""
+    """Parse a key; its value is base64, as the API documents. Raises WitnessError."""
     try:
         (entry,) = msgspec.json.decode(body, type=list[_Entry])
         value = base64.b64decode(entry.value or "", validate=True)
@@ -144,7 +144,7 @@
 
 
 def parse_lock(body: bytes) -> Lock:
-    """Read a volume's key. Raises WitnessError."""
+    """Parse a volume's key. Raises WitnessError."""
     key = parse_key(body)
     try:
         record = msgspec.json.decode(key.value, type=VolumeRecord)
@@ -155,29 +155,29 @@
 
 @dataclass(slots=True)
 class Session:
-    """This head's session: NONE until granted, LIVE until its time by this head's clock is over."""
+    """This head's session: absent until granted, valid until it expires by this head's clock."""
 
     ttl_us: int
-    clock_error: float  # how far a clock's rate may be off, as a part of it
+    clock_error: float  # greatest error of a clock's rate, as a fraction of it
     id: str = ""
     until: int = 0
     ended: int = 0  # sessions that ended before they were renewed
 
     @property
     def safe_us(self) -> int:
-        """How long a grant is relied on, counted from before it was asked for."""
+        """How long a grant is relied on, counted from before the request was sent."""
         return int(self.ttl_us * (1 - 2 * self.clock_error))
 
-    def record_grant(self, session: str, asked_at: int) -> None:
-        """A session was created, or renewed, by a call that began at `asked_at`."""
-        self.id, self.until = session, max(self.until if session == self.id else 0, asked_at + self.safe_us)
+    def record_grant(self, session: str, sent_at: int) -> None:
+        """Record that a call started at `sent_at` created or renewed a session."""
+        self.id, self.until = session, max(self.until if session == self.id else 0, sent_at + self.safe_us)
 
     def valid(self, now: int) -> bool:
-        """Whether the witness can't have ended it yet."""
+        """Whether the witness can not have ended the session yet."""
         return bool(self.id) and now < self.until
 
     def invalidate(self) -> None:
-        """It is over: by its time, or because the witness does not know it any more."""
+        """Drop the session: it expired, or the witness no longer has it."""
         if self.id:
             self.ended += 1
         self.id, self.until = "", 0
@@ -185,40 +185,40 @@
 
 @dataclass(slots=True)
 class HeldLocks:
-    """What this head holds under its session: volume to epoch.
+    """The volume locks that this head holds, with their epochs.
 
-    Nothing outlives the session it was held under.
+    A lock is void once the session under which it was acquired has ended.
     """
 
     session: Session
-    _held: dict[str, tuple[str, int]] = field(default_factory=dict)
+    _locks: dict[str, tuple[str, int]] = field(default_factory=dict)
 
     def add(self, volume: str, epoch: int) -> None:
-        """The witness granted a volume's lock to the present session."""
-        self._held[volume] = (self.session.id, epoch)
+        """Record that the witness granted a volume's lock to the current session."""
+        self._locks[volume] = (self.session.id, epoch)
 
     def remove(self, volume: str) -> None:
-        """The lock was released, or found to be another's."""
-        self._held.pop(volume, None)
+        """Remove a lock that was released, or found to be held by another session."""
+        self._locks.pop(volume, None)
 
     def epoch(self, volume: str, now: int) -> int:
-        """Return the epoch under which this head may act on a volume now; 0 if it may not."""
-        held = self._held.get(volume)
-        if held is None or held[0] != self.session.id or not self.session.valid(now):
+        """Return the epoch under which this head may act on a volume at `now`; 0 if it may not."""
+        lock = self._locks.get(volume)
+        if lock is None or lock[0] != self.session.id or not self.session.valid(now):
             return 0
-        return held[1]
+        return lock[1]
 
 
 @dataclass(slots=True)
 class Fence:
-    """What a storage node, or the other region's head, remembers: the highest epoch seen of each volume."""
+    """The highest epoch seen for each volume, as a storage node or the other region's head remembers it."""
 
     _highest: dict[str, int] = field(default_factory=dict)
 
     def admits(self, volume: str, epoch: int) -> bool:
-        """Whether work under this epoch may be done; a higher one raises the fence.
+        """Whether work under this epoch is accepted; a higher epoch raises the fence.
 
-        Epoch 0 is of no lease.
+        Epoch 0 stands for work without a lease.
         """
         highest = self._highest.get(volume, 0)
         if epoch > highest:
@@ -226,5 +226,5 @@
         return epoch >= highest
 
     def highest(self, volume: str) -> int:
-        """Return the highest epoch seen."""
+        """Return the highest epoch seen for a volume."""
         return self._highest.get(volume, 0)
--- a/harriertrack/membership/nodes.py
+++ b/harriertrack/membership/nodes.py
@@ -1,7 +1,7 @@
-"""The node list as a head holds it, and the news that a new version of it makes.
+"""A head's copy of the node list, and the changes between its versions.
 
-A source (file or HTTP) hands in whole lists; what changed is told to the decision module as changes, with the
-moment at which this head was told.
+A source (file or HTTP) supplies complete lists; the differences go to the decision module as changes, with
+the time at which this head received them.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A storage node of the list: what the module needs to know, and where the node listens."""
+    """A storage node of the list: its entry for the decision module, and the address it listens on."""
 
     entry: NodeEntry
     address: tuple[str, int]
 
     def with_local_start(self, wall_ahead_us: int) -> Member:
-        """Return it with its start, told in Unix time, on a clock that Unix time is so far ahead of."""
+        """Return it with its start time moved from Unix time to a clock that is `wall_ahead_us` behind."""
         entry = self.entry
         started = max(1, entry.started_us - wall_ahead_us) if entry.started_us else 0
         return Member(replace(entry, started_us=started), self.address)
 
 
 class NodeList:
-    """The list in hand. It never forgets an address while attempts may be out: a node gone stays known."""
+    """The current list. A node that left stays in it, as attempts in progress may still need its address."""
 
     def __init__(self) -> None:
         self._members: dict[str, Member] = {}
-        self._told = False  # whether a list of this life's source came
+        self._received = False  # whether the source has supplied a list since this process started
 
     def __len__(self) -> int:
         return len(self._members)
@@ -41,33 +41,33 @@
         return self._members.get(node)
 
     def members(self) -> tuple[Member, ...]:
-        """Return all nodes, the gone ones among them."""
+        """Return all nodes, including those that left."""
         return tuple(self._members.values())
 
     def apply_changes(self, members: Iterable[Member]) -> NodesChanged:
-        """Take the entries that changed; return the news for the module."""
+        """Apply changed entries; return the event for the decision module."""
         changed = list(members)
         self._members.update((member.entry.node, member) for member in changed)
-        self._told = True
+        self._received = True
         return NodesChanged(ListKind.CHANGES, [member.entry for member in changed])
 
     def forget_gone(self) -> list[str]:
-        """Forget the nodes that are gone, of whom no address is needed any more; return their names."""
+        """Remove nodes that left and whose addresses are no longer needed; return their names."""
         gone = [name for name, one in self._members.items() if one.entry.state is NodeState.GONE]
         for name in gone:
             del self._members[name]
         return gone
 
     def replace(self, members: Iterable[Member], restored: bool = False) -> NodesChanged | None:
-        """Take a whole list; return the news for the module, None if nothing changed.
+        """Apply a complete list; return the event for the decision module, None if nothing changed.
 
-        The first list after a start is RESTORED if it is the last life's, and so may be stale; a first list
-        from its source is FULL; later ones become CHANGES, in which a node that is not listed any more is
-        GONE.
+        The first list after a start is RESTORED if the previous process saved it, as it may be stale; the
+        first list from the source is FULL; later lists become CHANGES, in which a node that is no longer
+        listed is GONE.
         """
         fresh = {member.entry.node: member for member in members}
-        kind = ListKind.RESTORED if restored else ListKind.CHANGES if self._told else ListKind.FULL
-        self._told = self._told or not restored
+        kind = ListKind.RESTORED if restored else ListKind.CHANGES if self._received else ListKind.FULL
+        self._received = self._received or not restored
         changes: list[NodeEntry] = []
         for name, before in list(self._members.items()):
             if name not in fresh and before.entry.state is not NodeState.GONE:
--- a/harriertrack/membership/targets.py
+++ b/harriertrack/membership/targets.py
@@ -1,4 +1,4 @@
-"""Discovery's list of shelfs: what is asked for, and what comes back, checked."""
+"""The list of storage nodes (shelves) from discovery: request targets, and validation of the responses."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 from harriertrack.decisions.interface import NodeEntry, NodeState
 from harriertrack.membership.nodes import Member
 
-MAX_LIST_BYTES = 4 << 20  # bytes of a list
-MAX_NODE_SIZE = 1e18  # no machine's registered size comes near it; above it a whole number may be no float
+MAX_LIST_BYTES = 4 << 20
+MAX_NODE_SIZE = 1e18  # far above any registered machine size; a larger integer may not convert to float
 STATES = {
     "in_service": NodeState.UP, "terminating": NodeState.DRAINING, "terminated": NodeState.GONE,
 }  # fmt: skip
 PATH = "/api/targets"
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-Whole = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
+WholeNumber = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
 
 
 class TargetsError(Exception):
-    """A list that can't be read."""
+    """A list that can not be parsed."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One shelf, as discovery words it."""
+    """One storage node (shelf) as discovery describes it."""
 
     id: Name
     addr: str
-    cell: Whole
+    cell: WholeNumber
     state: str
     zone: str | None = None
-    started_ms: Whole | None = None
-    kind: object = None  # these two help where they can be read, and hurt no list where they can't
+    started_ms: WholeNumber | None = None
+    kind: object = None  # kind and weight are optional: invalid values are ignored
     weight: object = None
 
 
 class Targets(msgspec.Struct, frozen=True):
-    """A whole list, or the entries that changed."""
+    """A complete list, or the entries that changed."""
 
-    version: Whole
+    version: WholeNumber
     full: bool
     servers: list[Target]
 
 
 def request_target(since: int | None, wait_us: int) -> bytes:
-    """Return what to GET: the whole list, or what is newer than a version, waiting for it so long."""
+    """Return the request target for the complete list, or for changes since a version, waiting `wait_us`."""
     if since is None:
         return PATH.encode()
     return f"{PATH}?since={since}&timeout_ms={wait_us // 1000}".encode()
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Read an address and port, without names. Raises ValueError."""
+    """Parse an IP address and port; host names are rejected. Raises ValueError."""
     host, _, port = text.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     if not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -63,7 +63,7 @@
 
 
 def parse_targets(body: bytes) -> Targets:
-    """Read a list. Raises TargetsError."""
+    """Parse a list. Raises TargetsError."""
     try:
         return msgspec.json.decode(body, type=Targets)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -71,22 +71,23 @@
 
 
 def members_from_targets(targets: Targets) -> list[Member]:
-    """Turn a list into members, their starts in Unix time (microseconds).
+    """Convert a list to members, with start times in Unix time (microseconds).
 
-    Raises TargetsError: a list with one entry that can't be read is not taken at all.
+    Raises TargetsError: a list with any invalid entry is rejected as a whole.
     """
     members = []
-    for one in targets.servers:
-        state = STATES.get(one.state)
+    for target in targets.servers:
+        state = STATES.get(target.state)
         if state is None:
-            raise TargetsError(f"{one.id}: unknown state {one.state[:40]!r}")
+            raise TargetsError(f"{target.id}: unknown state {target.state[:40]!r}")
         try:
-            address = parse_address(one.addr)
+            address = parse_address(target.addr)
         except ValueError as error:
-            raise TargetsError(f"{one.id}: {error}") from error
-        started_us = (one.started_ms or 0) * 1000
-        kind = one.kind if isinstance(one.kind, str) else ""
-        size = one.weight if isinstance(one.weight, int | float) and 0 < one.weight < MAX_NODE_SIZE else 0.0
-        entry = NodeEntry(one.id, one.cell, state, one.zone or "", started_us, kind, float(size))
+            raise TargetsError(f"{target.id}: {error}") from error
+        started_us = (target.started_ms or 0) * 1000
+        kind = target.kind if isinstance(target.kind, str) else ""
+        weight = target.weight
+        size = weight if isinstance(weight, int | float) and 0 < weight < MAX_NODE_SIZE else 0.0
+        entry = NodeEntry(target.id, target.cell, state, target.zone or "", started_us, kind, float(size))
         members.append(Member(entry, address))
     return members
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -246,8 +246,8 @@
         "a session counts from its answer",
         "witness-lock",
         f"{LEASES}:Session.record_grant",
-        "asked_at + self.safe_us",
-        "asked_at + 3 * self.safe_us",
+        "sent_at + self.safe_us",
+        "sent_at + 3 * self.safe_us",
     ),
     Fault(
         "an epoch outlives its session",
--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -37,7 +37,7 @@
 
 FAULTS = (
     Fault("the dead are never found", "views", f"{SWIM}.suspects:SuspectTimers.run_out", "return over", "self.first_at = now + 10**9\n    return []"),
-    Fault("nobody objects", "views", f"{SWIM}.updates:Updates._handle_own_record", "self.take(now, member.updated_record(incarnation=record.incarnation + 1))", "pass"),
+    Fault("nobody objects", "views", f"{SWIM}.updates:Updates._handle_own_record", "self.apply(now, member.updated_record(incarnation=record.incarnation + 1))", "pass"),
     Fault("a share is lent before it is back", "budgets", f"{LEDGER}:BudgetAccount.committed", "slip.committed", "slip.granted"),
     Fault("a term opens at once", "budgets", f"{TERMS}.handle_acquire", "now + earlier", "now"),
     Fault("a ledger ends leases early", "budgets", f"{BUDGETS}:BudgetRules.granter_lease_us", "lease_us * (1 + self.clock_error)", "lease_us * 0.2"),
@@ -57,7 +57,7 @@
     Fault("a stage ends unheard", "rollouts", f"{ROLLOUT}.rollout:Rollout._unmet_condition", "if missing > int(self.plan.missing * len(named)) or not running:", "if not running:"),
     Fault("two versions change at once", "rollouts", f"{ROLLOUT}.rollout:blocking_version", "if running is not None:", "if False:"),
     Fault("a version is never taken back", "rollouts", f"{ROLLOUT}.rollout:Rollout._continue_rollback", "VersionState.REVERTING", "VersionState.ADVANCING"),
-    Fault("weights have no bound on bytes", "scores", "membership.fleet.topics:TopicNotes.refill", "min(self._rate, self._spare + self._rate * max(0, now - self._at) / 1e6)", "10.0**9"),
+    Fault("weights have no bound on bytes", "scores", "membership.fleet.topics:TopicNotes.refill", "min(self._rate, self._tokens + self._rate * max(0, now - self._refilled_at) / 1e6)", "10.0**9"),
 )  # fmt: skip
 
 
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -360,7 +360,7 @@
     for seed in range(6):
         one = swarm(8, seed)
         # It suspects somebody just before it stands still.
-        one.members["m5"]._words.suspect(one.now, one.members["m5"].view.find("m3"), "m5")
+        one.members["m5"]._updates.suspect(one.now, one.members["m5"].view.find("m3"), "m5")
         one.stop("m5")
         one.run(60 * S)
         woke = one.now
@@ -410,7 +410,7 @@
 
 
 def test_with_no_others_to_ask_they_would_be(monkeypatch):
-    monkeypatch.setattr(Prober, "_request_indirect_pings", lambda self, probe: setattr(probe, "helped", 0))
+    monkeypatch.setattr(Prober, "_request_indirect_pings", lambda self, probe: setattr(probe, "helpers", 0))
     one = swarm(8)
     one.cut = lambda a, b: {a, b} == {"m1", "m2"}
     one.run(60 * S)
