--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""The heads' own view of their fleet: the pure member, many of them on a simulated network."""
+"""The heads' view of their fleet: single SWIM members, and many of them on a simulated network."""
 
 import random
 
@@ -42,16 +42,16 @@
     return one
 
 
-def words(one, state, since=0):
+def changes_to(one, state, since=0):
     return [seen for seen in one.seen if seen.change.after.state is state and seen.t >= since]
 
 
-# -- words and views
+# -- records and views
 
 
-def test_words_in_any_order_make_the_same_view():
+def test_records_in_any_order_make_the_same_view():
     rng = random.Random(3)
-    said = [
+    records = [
         record(
             f"m{rng.randrange(6)}",
             rng.randrange(1, 3),
@@ -63,22 +63,22 @@
     ]
     first = None
     for _ in range(5):
-        rng.shuffle(said)
+        rng.shuffle(records)
         view = View()
-        for one in said:
+        for one in records:
             view.apply(0, one)
-        held = (
+        state = (
             sorted(row.record.precedence for row in view),
             view.digest,
             view.summary,
             sorted(view.present),
         )
-        assert first is None or held == first
-        first = held
+        assert first is None or state == first
+        first = state
     assert len(view) == 6
 
 
-def test_what_is_not_newer_changes_nothing():
+def test_a_record_that_is_not_newer_changes_nothing():
     view = View()
     assert view.apply(5, record(incarnation=2)).before is None
     for old in (
@@ -91,14 +91,14 @@
     assert change.process_changed and view.find("m1").since == 7
 
 
-def test_sums_tell_who_is_there_and_where_views_differ():
+def test_digests_show_presence_and_summaries_show_differences():
     here, there = View(), View()
     for one in ("a", "b", "c"):
         here.apply(0, record(one))
         there.apply(0, record(one))
     assert here.digest == there.digest and not here.differing(there.summary)
     there.apply(1, record("b", state=State.SUSPECT))
-    assert here.digest == there.digest, "a suspect is there until it is dead"
+    assert here.digest == there.digest, "a suspect is present until it is declared dead"
     (bucket,) = here.differing(there.summary)
     assert [row.record.name for row in here.rows_in(frozenset((bucket,))) if row.record.name == "b"] == ["b"]
     there.apply(2, record("b", state=State.DEAD))
@@ -107,12 +107,12 @@
     assert here.digest == there.digest and not here.differing(there.summary)
 
 
-def test_a_note_is_of_a_life_and_the_newest_holds():
+def test_a_note_belongs_to_a_process_and_the_newest_is_valid():
     view = View()
-    assert not view.apply_note(Note("m1", 1, 1, 1, b"x")), "of a stranger"
+    assert not view.apply_note(Note("m1", 1, 1, 1, b"x")), "of an unknown member"
     view.apply(0, record())
     assert view.apply_note(Note("m1", 1, 1, 2, b"x")) and not view.apply_note(Note("m1", 1, 1, 1, b"old"))
-    assert not view.apply_note(Note("m1", 2, 1, 9, b"of a life not heard of"))
+    assert not view.apply_note(Note("m1", 2, 1, 9, b"of an unknown process"))
     view.apply(0, record(started=2))
     assert view.find("m1").note is None
 
@@ -124,7 +124,7 @@
     return Draft("fleet", Kind.PING, "m1", ProcessInstance(1, 2), 7, 9, **more)
 
 
-def test_a_datagram_never_passes_its_bound():
+def test_a_datagram_never_exceeds_its_size_limit():
     full = draft(summary=tuple((1 << 32) - 1 for _ in range(messages.BUCKETS)))
     count = 0
     while full.add(encode_item(record("n" * 64, 1 << 40, 1 << 62, by="b" * 64))):
@@ -133,15 +133,15 @@
     while full.add_note(encode_item(Note("n", 1, 1, 1, b"z" * 60))):
         notes += 1
     data = full.pack()
-    told = decode(data)
+    datagram = decode(data)
     assert (
         len(data) <= messages.MAX_DATAGRAM_BYTES
-        and count == len(told.records) > 2
-        and notes == len(told.notes)
+        and count == len(datagram.records) > 2
+        and notes == len(datagram.notes)
     )
 
 
-def test_garbage_is_counted_and_does_no_harm():
+def test_garbage_is_counted_and_changes_nothing():
     rng = random.Random(1)
     one = Swim(Rules(), record("m0"), seed=1)
     one.start(0)
@@ -159,7 +159,7 @@
     assert one.view.find("m0").record.state is State.ALIVE
 
 
-def test_another_fleet_and_a_version_that_can_not_be_read_are_passed_over():
+def test_another_fleet_and_an_unsupported_version_are_ignored():
     one = Swim(Rules(), record("m0"), seed=1)
     one.start(0)
     other = Draft("other", Kind.PING, "m1", ProcessInstance(1, 2), 7, 9, "m0")
@@ -172,68 +172,68 @@
 
 
 def test_a_later_version_with_more_fields_is_read_and_an_earlier_one_with_fewer():
-    told = msgspec.msgpack.decode(draft(target="m0").pack())
-    told[1] = 7
-    told += [[], "a field of a later version"]
+    datagram = msgspec.msgpack.decode(draft(target="m0").pack())
+    datagram[1] = 7
+    datagram += [[], "a field of a later version"]
     one = Swim(Rules(), record("m0"), seed=1)
     one.start(0)
-    one.receive(1, msgspec.msgpack.encode(told), ("10.0.0.1", 2))
-    one.receive(2, msgspec.msgpack.encode(told[:10]), ("10.0.0.1", 2))
+    one.receive(1, msgspec.msgpack.encode(datagram), ("10.0.0.1", 2))
+    one.receive(2, msgspec.msgpack.encode(datagram[:10]), ("10.0.0.1", 2))
     sent = [decode(action.data) for action in one.take_actions() if isinstance(action, Send)]
     assert [answer.kind for answer in sent] == [Kind.ACK, Kind.ACK]
     with pytest.raises(MalformedDatagram):
-        decode(msgspec.msgpack.encode(told[:8]))
+        decode(msgspec.msgpack.encode(datagram[:8]))
 
 
-def test_comparisons_are_answered_at_a_bounded_rate():
+def test_view_comparisons_are_answered_at_a_limited_rate():
     one = Swim(Rules(pages=5), record("m0"), seed=1)
     one.start(0)
-    asked = Draft("fleet", Kind.SYNC, "", ProcessInstance(1, 2), 0, 0, summary=(1,) * 32).pack()
+    request = Draft("fleet", Kind.SYNC, "", ProcessInstance(1, 2), 0, 0, summary=(1,) * 32).pack()
     for at in range(50):
-        one.receive(1 + at, asked, ("10.9.9.9", 9))
+        one.receive(1 + at, request, ("10.9.9.9", 9))
     assert one.counts.sent == 5 and one.counts.turned_down == 45
 
 
-def test_members_past_the_bound_are_turned_down():
+def test_members_beyond_the_limit_are_rejected():
     one = Swim(Rules(members=10), record("m0"), seed=1)
     one.start(0)
     for number in range(1, 30):
-        told = draft()
-        told.add(encode_item(record(f"m{number}")))
-        one.receive(number, told.pack(), ("10.0.0.1", 2))
+        datagram = draft()
+        datagram.add(encode_item(record(f"m{number}")))
+        one.receive(number, datagram.pack(), ("10.0.0.1", 2))
     assert len(one.view) == 10 and one.counts.turned_down == 20
 
 
-# -- passing on and suspecting
+# -- dissemination and suspicion
 
 
-def test_news_goes_first_least_sent_first_and_so_often():
-    news = DisseminationQueue()
+def test_updates_are_sent_least_sent_first_and_a_limited_number_of_times():
+    queue = DisseminationQueue()
     for name in ("a", "b"):
-        news.add(name, name.encode())
+        queue.add(name, name.encode())
     sent = []
-    take_one = [0]
+    accepted = [0]
 
-    def add(piece):
-        take_one[0] += 1
-        if take_one[0] > 1:
+    def add(update):
+        accepted[0] += 1
+        if accepted[0] > 1:
             return False
-        sent.append(piece)
+        sent.append(update)
         return True
 
     for _ in range(4):
-        take_one[0] = 0
-        news.fill(add, 2)
-    assert sent == [b"a", b"b", b"a", b"b"] and not len(news)
-    news.add("a", b"1")
-    news.add("a", b"2")
+        accepted[0] = 0
+        queue.fill(add, 2)
+    assert sent == [b"a", b"b", b"a", b"b"] and not len(queue)
+    queue.add("a", b"1")
+    queue.add("a", b"2")
     out = []
-    news.fill(lambda piece: out.append(piece) is None, 1)
-    assert out == [b"2"] and "a" not in news
+    queue.fill(lambda update: out.append(update) is None, 1)
+    assert out == [b"2"] and "a" not in queue
     assert [transmit_limit(4, n) for n in (1, 9, 99, 200)] == [4, 4, 8, 12]
 
 
-def test_a_suspicion_shrinks_as_others_agree():
+def test_a_suspicion_timeout_shrinks_with_confirmations():
     assert min_timeout_us(S, 4, 8) == 4 * S and min_timeout_us(S, 4, 100) == 8 * S
     assert [expected_confirmations(3, n) for n in (2, 4, 5, 9)] == [0, 0, 3, 3]
     one = Suspicion(0, 4 * S, 24 * S, 3, ["a"])
@@ -251,14 +251,14 @@
 
 
 @pytest.mark.parametrize("count", [2, 5, 40])
-def test_all_start_at_once_and_agree_while_nobody_is_suspected_at_rest(count):
+def test_members_that_start_at_once_agree_and_none_is_suspected_at_rest(count):
     one = swarm(count)
     one.run(120 * S)
     assert one.agree() and not one.seen
     assert all(member.state is MembershipState.JOINED for member in one.members.values())
 
 
-def test_seeds_that_come_later():
+def test_seeds_that_start_later():
     one = Swarm(Rules(), 2)
     for number in (2, 3, 4):
         one.start(f"m{number}")
@@ -269,18 +269,18 @@
     assert one.settle(15 * S) >= 0
 
 
-def test_a_killed_member_is_held_dead_within_the_bound_and_no_other():
+def test_a_killed_member_alone_is_declared_dead_within_the_bound():
     one = swarm(8)
     one.kill("m5")
-    took = one.settle(40 * S)
-    assert 5 * S < took < 30 * S
-    assert {seen.change.after.name for seen in words(one, State.DEAD)} == {"m5"}
+    settled_after = one.settle(40 * S)
+    assert 5 * S < settled_after < 30 * S
+    assert {seen.change.after.name for seen in changes_to(one, State.DEAD)} == {"m5"}
     row = one.members["m1"].view.find("m5")
-    assert [heard.record.state for heard in row.history] == [State.ALIVE, State.SUSPECT, State.DEAD]
+    assert [entry.record.state for entry in row.history] == [State.ALIVE, State.SUSPECT, State.DEAD]
     assert row.history[1].record.by in one.members
 
 
-def test_leaving_is_no_death_and_is_known_at_once():
+def test_leaving_is_known_at_once_and_not_a_death():
     one = swarm(8)
     one.leave("m5")
     assert one.settle(3 * S, [name for name in one.members if name != "m5"]) >= 0
@@ -288,33 +288,33 @@
     assert one.members["m5"].leave_complete
     one.kill("m5")
     one.run(60 * S)
-    assert one.agree() and not words(one, State.DEAD) and not words(one, State.SUSPECT)
+    assert one.agree() and not changes_to(one, State.DEAD) and not changes_to(one, State.SUSPECT)
 
 
-def test_all_but_one_are_killed_and_come_back():
+def test_all_but_one_are_killed_and_restart():
     one = swarm(8)
     for number in range(8):
         if number != 6:
             one.kill(f"m{number}")
-    # It can't tell whether it is cut off itself: it doubts itself, and takes its time.
+    # It can not exclude that it is cut off itself: its health score slows down its probes.
     assert one.run(150 * S, lambda: one.members["m6"].state is MembershipState.ALONE)
-    for number in range(2, 8):  # the seeds stay away
+    for number in range(2, 8):  # without the seeds
         if number != 6:
             one.start(f"m{number}")
     assert one.settle(90 * S) >= 0
 
 
-def test_a_restart_before_its_death_is_known_is_another_life_at_once():
+def test_a_restart_before_the_death_is_detected_is_a_new_process_at_once():
     one = swarm(8)
     one.kill("m5")
     one.run(100_000)
     one.start("m5")
     assert one.settle(5 * S) >= 0
     one.run(60 * S)
-    assert not words(one, State.DEAD) and one.agree()
+    assert not changes_to(one, State.DEAD) and one.agree()
 
 
-def test_a_restart_with_a_clock_that_went_back_still_comes_in():
+def test_a_restart_with_a_clock_set_back_still_joins():
     one = swarm(8)
     one.kill("m5")
     one.run(100_000)
@@ -323,75 +323,76 @@
     assert one.members["m5"].me.started > 1_700_000_000_000
 
 
-def test_two_processes_of_one_name_the_later_one_holds_it_until_it_is_gone():
+def test_of_two_processes_with_one_name_the_later_has_it_until_it_dies():
     one = swarm(8)
     one.run(5 * S)
-    one.start("m5", address=("10.0.0.1", 77), process="usurper")
-    held = [name for name in one.members if name != "m5"]
-    assert one.settle(30 * S, held) >= 0
+    one.start("m5", address=("10.0.0.1", 77), process="later")
+    others = [name for name in one.members if name != "m5"]
+    assert one.settle(30 * S, others) >= 0
     one.run(20 * S)
-    elder = one.members["m5"]
-    assert elder.state is MembershipState.DISPLACED and any(
-        "displaced" in said.event for _, _, said in one.said
+    displaced = one.members["m5"]
+    assert displaced.state is MembershipState.DISPLACED and any(
+        "displaced" in event.event for _, _, event in one.said
     )
-    sent = elder.counts.sent
+    sent = displaced.counts.sent
     one.run(60 * S)
-    assert elder.counts.sent - sent < 10, "it only looks on"
-    one.kill("usurper")
-    assert one.run(120 * S, lambda: elder.state is MembershipState.JOINED) and one.settle(20 * S) >= 0
+    assert displaced.counts.sent - sent < 10, "a displaced process only observes"
+    one.kill("later")
+    assert one.run(120 * S, lambda: displaced.state is MembershipState.JOINED) and one.settle(20 * S) >= 0
 
 
-def test_a_member_that_stood_still_for_a_minute_buries_nobody_and_returns():
+def test_a_member_paused_for_a_minute_declares_none_dead_and_rejoins():
     one = swarm(8)
     one.stop("m5")
     one.run(60 * S)
     assert one.agree([name for name in one.members if name != "m5"])
-    woke = one.now
+    resumed_at = one.now
     one.go_on("m5")
     assert one.settle(5 * S) >= 0
     one.run(60 * S)
-    assert {seen.change.after.name for seen in words(one, State.DEAD, woke)} <= {"m5"}
+    assert {seen.change.after.name for seen in changes_to(one, State.DEAD, resumed_at)} <= {"m5"}
     assert one.members["m5"].counts.stood == 1 and one.members["m5"].counts.refuted == 1
 
 
-def test_without_the_care_after_a_standstill_it_would_bury_others(monkeypatch):
+def test_without_recovery_from_the_pause_it_would_declare_others_dead(monkeypatch):
     monkeypatch.setattr(Swim, "_recover_from_pause", lambda self, now: None)
-    buried = 0
+    declared = 0
     for seed in range(6):
         one = swarm(8, seed)
-        # It suspects somebody just before it stands still.
+        # It suspects a member just before its pause.
         one.members["m5"]._updates.suspect(one.now, one.members["m5"].view.find("m3"), "m5")
         one.stop("m5")
         one.run(60 * S)
-        woke = one.now
+        resumed_at = one.now
         one.go_on("m5")
         one.run(5 * S)
-        buried += any(
-            seen.member == "m5" and seen.change.after.name != "m5" for seen in words(one, State.DEAD, woke)
+        declared += any(
+            seen.member == "m5" and seen.change.after.name != "m5"
+            for seen in changes_to(one, State.DEAD, resumed_at)
         )
-    assert buried, "the test would not notice"
+    assert declared, "the test would not detect the fault"
 
 
-def test_halves_apart_while_members_come_and_go_on_both_sides_find_together():
+def test_partitioned_halves_with_changes_on_both_sides_rejoin():
     one = swarm(10)
     left = {f"m{number}" for number in range(5)} | {"m20"}
     one.cut = lambda a, b: (a in left) != (b in left)
     one.run(60 * S)
     one.kill("m2")
-    one.start("m20")  # knows the seeds, which are on its side
+    one.start("m20")  # its seeds are on its side of the partition
     one.kill("m7")
     one.run(120 * S)
     one.start("m7")
     one.run(400 * S)
     assert one.agree([name for name in one.members if name in left])
-    healed = one.now
+    healed_at = one.now
     one.cut = lambda a, b: False
     assert one.settle(40 * S) >= 0
     one.run(60 * S)
-    assert one.agree() and not words(one, State.DEAD, healed + 5 * S)
+    assert one.agree() and not changes_to(one, State.DEAD, healed_at + 5 * S)
 
 
-def test_three_parts_healed_in_two_steps():
+def test_three_partitions_healed_in_two_steps():
     one = swarm(9)
     part = {name: int(name[1:]) // 3 for name in one.members}
     one.cut = lambda a, b: part[a] != part[b]
@@ -402,36 +403,36 @@
     assert one.settle(60 * S) >= 0
 
 
-def test_two_that_can_not_talk_while_others_reach_both_are_not_dead():
+def test_two_members_cut_off_from_each_other_but_not_from_others_stay_alive():
     one = swarm(8)
     one.cut = lambda a, b: {a, b} == {"m1", "m2"}
     one.run(300 * S)
-    assert one.agree() and not words(one, State.DEAD) and not words(one, State.SUSPECT)
+    assert one.agree() and not changes_to(one, State.DEAD) and not changes_to(one, State.SUSPECT)
 
 
-def test_with_no_others_to_ask_they_would_be(monkeypatch):
+def test_without_indirect_pings_they_would_be_suspected(monkeypatch):
     monkeypatch.setattr(Prober, "_request_indirect_pings", lambda self, probe: setattr(probe, "helpers", 0))
     one = swarm(8)
     one.cut = lambda a, b: {a, b} == {"m1", "m2"}
     one.run(60 * S)
-    assert words(one, State.SUSPECT), "the test would not notice"
+    assert changes_to(one, State.SUSPECT), "the test would not detect the fault"
 
 
-def test_a_member_that_hears_and_is_not_heard_is_dead_to_others_and_buries_few():
+def test_a_member_that_receives_but_can_not_send_is_declared_dead_alone():
     one = swarm(8)
     one.cut = lambda a, b: a == "m5"
     one.run(60 * S)
     others = [name for name in one.members if name != "m5"]
     assert one.agree(others) and "m5" not in one.members["m1"].view.present
-    assert {seen.change.after.name for seen in words(one, State.DEAD) if seen.member != "m5"} == {"m5"}
+    assert {seen.change.after.name for seen in changes_to(one, State.DEAD) if seen.member != "m5"} == {"m5"}
     one.cut = lambda a, b: False
     assert one.settle(40 * S) >= 0
 
 
-def test_a_third_lost_kills_nobody():
+def test_loss_of_a_third_of_datagrams_declares_none_dead():
     one = swarm(12, loss=1 / 3)
     one.run(120 * S)
-    dead = words(one, State.DEAD)
+    dead = changes_to(one, State.DEAD)
     one.loss = 0.0
     assert one.settle(30 * S) >= 0
     assert len({(seen.t, seen.change.after.name) for seen in dead}) == 0
@@ -444,35 +445,35 @@
     assert one.settle(120 * S) >= 0
     one.loss = 0.3
     one.run(300 * S)
-    return words(one, State.DEAD)
+    return changes_to(one, State.DEAD)
 
 
-def test_an_objection_that_was_missed_is_made_again(monkeypatch):
+def test_a_refutation_that_was_lost_is_sent_again(monkeypatch):
     assert not lossy(7)
-    heard = Updates._handle_own_record
+    handle = Updates._handle_own_record
 
-    def once(self, now, told):
+    def without_resending(self, now, record):
         me = self._member.me
-        if told.process != me.process or told.incarnation >= me.incarnation:
-            heard(self, now, told)
+        if record.process != me.process or record.incarnation >= me.incarnation:
+            handle(self, now, record)
 
-    monkeypatch.setattr(Updates, "_handle_own_record", once)
-    assert lossy(7), "the test would not notice"
+    monkeypatch.setattr(Updates, "_handle_own_record", without_resending)
+    assert lossy(7), "the test would not detect the fault"
 
 
-def test_a_slow_member_doubts_itself_before_it_buries_others():
+def test_a_slow_member_lowers_its_health_before_it_declares_others_dead():
     one = swarm(12)
     one.late_us = lambda a, b: 700_000 if "m5" in (a, b) else 0
     one.run(120 * S)
     slow = one.members["m5"]
     assert slow.health_score > 0 and not [
-        seen for seen in words(one, State.DEAD) if seen.change.after.name != "m5"
+        seen for seen in changes_to(one, State.DEAD) if seen.change.after.name != "m5"
     ]
     one.late_us = lambda a, b: 0
     assert one.settle(30 * S) >= 0
 
 
-def test_an_address_that_moved_to_another_member():
+def test_an_address_reused_by_another_member():
     one = swarm(8)
     one.kill("m5")
     one.run(100_000)
@@ -482,7 +483,7 @@
     assert one.members["m9"].counts.misdirected > 0
 
 
-def test_old_words_after_new_ones_are_old():
+def test_records_of_an_earlier_process_are_ignored():
     one = swarm(8)
     old = one.members["m5"].me
     one.kill("m5")
@@ -490,13 +491,13 @@
     fresh = one.start("m5").me
     assert one.settle(5 * S) >= 0
     for state in State:
-        told = Draft("fleet", Kind.GOSSIP, "m6", ProcessInstance(1, 2), 0, 0)
-        told.add(encode_item(msgspec.structs.replace(old, state=state, incarnation=99)))
-        one.members["m1"].receive(one.now, told.pack(), ("10.0.0.1", 7))
+        datagram = Draft("fleet", Kind.GOSSIP, "m6", ProcessInstance(1, 2), 0, 0)
+        datagram.add(encode_item(msgspec.structs.replace(old, state=state, incarnation=99)))
+        one.members["m1"].receive(one.now, datagram.pack(), ("10.0.0.1", 7))
     assert one.members["m1"].view.find("m5").record.process == fresh.process and one.agree()
 
 
-def test_notes_reach_all_and_the_newest_holds():
+def test_notes_reach_all_and_the_newest_is_valid():
     one = swarm(20)
     for version in range(3):
         one.members["m5"].set_note(one.now, b"load %d" % version)
@@ -507,14 +508,14 @@
         one.members["m5"].set_note(one.now, bytes(257))
 
 
-def test_the_gone_are_forgotten_and_do_not_come_back():
+def test_dead_members_are_forgotten_and_do_not_return():
     one = swarm(6, forget_us=60 * S)
     one.kill("m5")
     one.run(200 * S)
     assert all(member.view.find("m5") is None for member in one.members.values()) and one.agree()
 
 
-def test_traffic_of_a_member_is_flat_in_the_number_of_members():
+def test_traffic_of_a_member_does_not_grow_with_the_fleet():
     rates = []
     for count in (10, 60):
         one = swarm(count)
@@ -524,22 +525,22 @@
     assert 1.9 < rates[0] < 2.4 and abs(rates[1] / rates[0] - 1) < 0.1
 
 
-def test_one_seed_one_story():
-    stories = []
+def test_the_same_seed_gives_the_same_run():
+    runs = []
     for _ in range(2):
         one = swarm(6, seed=9, loss=0.1)
         one.kill("m3")
         one.run(30 * S)
-        stories.append([(seen.t, seen.member, seen.change.after) for seen in one.seen])
-    assert stories[0] == stories[1] and stories[0]
+        runs.append([(seen.t, seen.member, seen.change.after) for seen in one.seen])
+    assert runs[0] == runs[1] and runs[0]
 
 
-def test_objecting_and_displacing_are_said():
+def test_a_refutation_is_logged():
     one = Swim(Rules(), record("m0", started=5, instance=5), seed=1)
     one.start(0)
-    told = draft()
-    told.add(encode_item(record("m0", 5, 5, 0, State.SUSPECT, by="m1")))
-    one.receive(1, told.pack(), ("10.0.0.1", 2))
+    datagram = draft()
+    datagram.add(encode_item(record("m0", 5, 5, 0, State.SUSPECT, by="m1")))
+    one.receive(1, datagram.pack(), ("10.0.0.1", 2))
     assert one.me.incarnation == 1 and one.health_score == 1
     assert [action.event for action in one.take_actions() if isinstance(action, LogEvent)] == [
         "fleet: objected"
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -694,8 +694,8 @@
     held = {}
 
     def careless(self, volume, now):
-        if volume in self._held:
-            held[id(self), volume] = self._held[volume][1]
+        if volume in self._locks:
+            held[id(self), volume] = self._locks[volume][1]
         return held.get((id(self), volume), 0)
 
     monkeypatch.setattr(leases.HeldLocks, "epoch", careless)
