--- a/tests/endings/test_standstill.py
+++ b/tests/endings/test_standstill.py
@@ -23,7 +23,7 @@
 from tests.endings.loopback import LoopbackSite, RawClient
 from tests.endings.test_start_and_reload import REQUEST, play
 from tests import test_platform_clock as platform_clock
-from tests.test_platform import MS, SETTINGS, Hears
+from tests.test_platform import MS, SETTINGS, RecordingScheduler
 from tests.test_platform_clock import ASKED, BOTH, S, drain, kept_the_rule, site_of
 
 GRACE_US = 400 * MS
@@ -117,7 +117,7 @@
     played(site_of(tmp_path, way, drainGraceUs=GRACE_US), act)
 
 
-class PausingModule(Hears):
+class PausingModule(RecordingScheduler):
     """A module that lets the process stand still while it handles the next events."""
 
     pause = None
--- a/tests/test_platform_clock.py
+++ b/tests/test_platform_clock.py
@@ -201,7 +201,7 @@
         site.head.stop()
 
     def act(site):
-        while site.head.leaving.phase is not Phase.ENDED:
+        while site.head.shutdown.phase is not Phase.ENDED:
             site.hub.sleep(10 * MS)
         # The longest deadline is 2.5 s, the kill comes 0.7 s after it.
         assert site.hub.now() - started_at < (1_000 + 3_200) * MS
