--- a/harriertrack/cli/regions.py
+++ b/harriertrack/cli/regions.py
@@ -45,10 +45,10 @@
     if lock is None:
         return f"{volume.name:16} the witness knows nothing of it yet"
     held = f"held, epoch {lock.epoch}" if lock.session else f"free since epoch {lock.epoch}"
-    behind = "" if len(lock.standing.in_sync) > 1 else " (ONE COPY)"
+    behind = "" if len(lock.record.in_sync) > 1 else " (ONE COPY)"
     wished = f", wished in {wish}" if wish else ""
-    in_sync = f"in sync: {' '.join(lock.standing.in_sync)}{behind}"
-    return f"{volume.name:16} home {lock.standing.home}, {held}, {in_sync}{wished}"
+    in_sync = f"in sync: {' '.join(lock.record.in_sync)}{behind}"
+    return f"{volume.name:16} home {lock.record.home}, {held}, {in_sync}{wished}"
 
 
 @region.command()
@@ -97,7 +97,7 @@
         other = here.other if name == here.name else here.name
         for volume in _spread(settings):
             lock = witness.lock(volume.name)
-            if lock is None or other in lock.standing.in_sync:
+            if lock is None or other in lock.record.in_sync:
                 click.echo(f"{volume.name}: {other} holds all that was acknowledged; nothing to do")
             elif lock.session:
                 click.echo(f"{volume.name}: still held; its lease must end first")
@@ -105,7 +105,7 @@
                 click.echo(f"{volume.name}: would be taken by {other} without what it misses; say --yes")
             else:
                 session = witness.create(TIMEOUT_US * 2)
-                standing = VolumeRecord(lock.standing.home, (other,))
+                standing = VolumeRecord(lock.record.home, (other,))
                 index = witness.take(volume.name, session, standing, lock.index)
                 if not index or not witness.give(volume.name, session, standing, index):
                     fail(f"{volume.name}: somebody took it meanwhile")
--- a/harriertrack/decisions/volume_locks.py
+++ b/harriertrack/decisions/volume_locks.py
@@ -73,7 +73,7 @@
         return LockAction.CREATE if view.here == view.home else LockAction.LEAVE
     view.set_free(not lock.session, now)
     if lock.session != session:
-        view.set_in_sync(frozenset(lock.standing.in_sync), now)
+        view.set_in_sync(frozenset(lock.record.in_sync), now)
         return (
             LockAction.ACQUIRE if not lock.session and view.may_acquire(now, preferred) else LockAction.LEAVE
         )
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -624,7 +624,7 @@
                 self._acquire(volume, VolumeRecord(view.home, tuple(sorted((view.here, view.other)))), 0)
             case LockAction.ACQUIRE, Lock():
                 if view.home == view.here or self._its_turn(volume):
-                    self._acquire(volume, lock.standing, lock.index)
+                    self._acquire(volume, lock.record, lock.index)
             case LockAction.ACTIVATE, Lock():
                 self._took(volume, lock)
             case LockAction.MAINTAIN, _:
@@ -639,11 +639,11 @@
             self._took(volume, lock)
 
     def _took(self, volume: RegionalVolume, lock: Lock) -> None:
-        view, in_sync = volume.view, frozenset(lock.standing.in_sync)
+        view, in_sync = volume.view, frozenset(lock.record.in_sync)
         opened = self._log.opened(volume.name)
         match acquired_action(view, in_sync, bool(opened)):
             case AcquiredAction.RELEASE:
-                self._witness.give(volume.name, self.session.id, lock.standing, lock.index)
+                self._witness.give(volume.name, self.session.id, lock.record, lock.index)
                 return
             case AcquiredAction.RECORD_ALONE:
                 self._log.miss(volume.name, opened)
--- a/harriertrack/membership/fleet/topic_datagrams.py
+++ b/harriertrack/membership/fleet/topic_datagrams.py
@@ -162,8 +162,9 @@
     match message:
         case LeaseRequest():
             wire = _Wire(
-                READS, VERSION, fleet, Kind.LEASE_REQUEST, message.ledger, message.term.epoch, message.term.nonce,
-                message.holder, message.instance, message.tenure, message.sequence, message.lease_us, message.weight,
+                READS, VERSION, fleet, Kind.LEASE_REQUEST, message.ledger, message.term.epoch,
+                message.term.nonce, message.holder, message.instance, message.tenure, message.sequence,
+                message.lease_us, message.weight,
                 [
                     _Claim(one.budget, one.movable, one.demand, one.version, one.released)
                     for one in message.claims
--- a/harriertrack/membership/leases.py
+++ b/harriertrack/membership/leases.py
@@ -39,7 +39,7 @@
 class Lock:
     """A volume's key as last read from the witness."""
 
-    standing: VolumeRecord
+    record: VolumeRecord
     session: str  # "" while the key is not locked
     epoch: int  # LockIndex
     index: int = 0  # ModifyIndex: changes with every change of the key
@@ -70,13 +70,13 @@
     )
 
 
-def change_request(volume: str, verb: str, session: str, standing: VolumeRecord, index: int) -> bytes:
+def change_request(volume: str, verb: str, session: str, record: VolumeRecord, index: int) -> bytes:
     """Encode the transaction that locks or unlocks a volume's key if unchanged since read (index 0: absent).
 
     Source: Consul HTTP API, "Transaction": `check-index` with `lock` or `unlock` in one step. Without the
     check, a delayed call could overwrite a record that changed in the meantime with an older one.
     """
-    return key_request(KEY_PREFIX + volume, verb, session, msgspec.json.encode(standing), index)
+    return key_request(KEY_PREFIX + volume, verb, session, msgspec.json.encode(record), index)
 
 
 def key_request(path: str, verb: str, session: str, value: bytes, index: int) -> bytes:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -548,8 +548,8 @@
         client = WitnessClient(self.hub, self.network, self.witness.address, S, "operator")
         for volume in self.volumes:
             lock = client.lock(volume.name)
-            if "b" not in lock.standing.in_sync:
-                session, alone = client.create(10 * S), leases.VolumeRecord(lock.standing.home, ("b",))
+            if "b" not in lock.record.in_sync:
+                session, alone = client.create(10 * S), leases.VolumeRecord(lock.record.home, ("b",))
                 index = client.take(volume.name, session, alone, lock.index)
                 assert client.give(volume.name, session, alone, index)
         self.hub.sleep(2 * S)
