--- a/harriertrack/cli/fleet.py
+++ b/harriertrack/cli/fleet.py
@@ -20,7 +20,7 @@
 from harriertrack.cli.changes import COMMANDS as CHANGES
 from harriertrack.cli.common import fail
 from harriertrack.cli.lazily import Late, LazyGroup
-from harriertrack.gateway.fleet.seats import DECIDES
+from harriertrack.gateway.fleet.locks import DECISION_LOCK
 from harriertrack.membership.fleet.telling import (
     BudgetsTold,
     Told,
@@ -158,7 +158,7 @@
     for seat in told.seats:
         asks = f"asks {seat.keeper}, epoch {seat.epoch}" if seat.keeper else "knows nobody who keeps it"
         lease = f"lease {seat.lease_s:.2f} s" if seat.lease_s else "no lease"
-        what = "decides" if seat.ledger == DECIDES else f"ledger {seat.ledger}"
+        what = "decides" if seat.ledger == DECISION_LOCK else f"ledger {seat.ledger}"
         yield f"{what}: {seat.seat}, {asks}, {lease}, {seat.lapses} lapsed"
     lines: list[tuple[str, ...]] = [HAS]
     lines += [
@@ -167,7 +167,7 @@
         for one in told.portions if wanted(one.budget)
     ]  # fmt: skip
     yield table(lines) if len(lines) > 1 else "no such budget is in use here"
-    for ledger in (one for one in told.ledgers if one.ledger != DECIDES):
+    for ledger in (one for one in told.ledgers if one.ledger != DECISION_LOCK):
         state = f"opens in {ledger.opens_s:.2f} s" if ledger.opens_s else "open"
         yield (
             f"keeps ledger {ledger.ledger}, epoch {ledger.epoch}: {state}, valid for {ledger.valid_s:.2f} s, "
--- a/harriertrack/cli/rollout.py
+++ b/harriertrack/cli/rollout.py
@@ -11,9 +11,9 @@
 
 from harriertrack.cli.asking import document_of, place_of, place_option, settings_option
 from harriertrack.cli.common import fail
+from harriertrack.gateway.fleet.locks import DECISION_LOCK
 from harriertrack.gateway.fleet.rollout.launcher.files import Launched, launched
 from harriertrack.gateway.fleet.rollout.usage import usage
-from harriertrack.gateway.fleet.seats import DECIDES
 from harriertrack.gateway.head import Head, Wiring
 from harriertrack.runtime.datagrams import DatagramNetwork, SocketDatagrams
 from harriertrack.runtime.hub import Hub
@@ -75,5 +75,5 @@
         click.echo("\n".join(document.rollouts) or "nothing is under way")
         return
     seats = document.budgets.seats if document.budgets is not None else []
-    keeper = next((seat.keeper for seat in seats if seat.ledger == DECIDES and seat.keeper), "")
+    keeper = next((seat.keeper for seat in seats if seat.ledger == DECISION_LOCK and seat.keeper), "")
     fail(f"{document.name} does not decide" + (f"; ask --at {keeper}" if keeper else ", nor knows who does"))
--- a/harriertrack/cli/zones.py
+++ b/harriertrack/cli/zones.py
@@ -18,7 +18,7 @@
 )
 from harriertrack.cli.common import fail, settings_of
 from harriertrack.config.settings import HeadSettings
-from harriertrack.gateway.fleet.zones import set_wish
+from harriertrack.gateway.fleet.zones import write_operator_hold
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.membership.fleet.telling import Document, LeavingTold, ZonesTold
 from harriertrack.runtime.hub import Hub
@@ -67,7 +67,7 @@
     hub, where = Hub(), settings.fleet.budgets.witness
     witness = WitnessClient(hub, SocketNetwork(hub), where, ASK_US, "operator")
     try:
-        hub.run(set_wish, witness, zone, wish)
+        hub.run(write_operator_hold, witness, zone, wish)
     except FAILURES as error:
         fail(f"witness {where[0]}:{where[1]}: {error or 'no answer in time'}")
     click.echo(f"{zone}: {f'wished {wish}' if wish else 'no wish any more'}; who decides looks each 2 s")
--- a/harriertrack/gateway/fleet/budgets.py
+++ b/harriertrack/gateway/fleet/budgets.py
@@ -14,9 +14,9 @@
 from harriertrack.decisions.fleet.budgets import BudgetRules, Grant, LeaseRequest, Term
 from harriertrack.decisions.fleet.holder import LeaseHolder
 from harriertrack.decisions.fleet.terms import Candidate, CandidateState as Standing
-from harriertrack.gateway.fleet import showing
-from harriertrack.gateway.fleet.figures import figures
-from harriertrack.gateway.fleet.seats import DECIDES, Locks, Seat
+from harriertrack.gateway.fleet import status
+from harriertrack.gateway.fleet.locks import DECISION_LOCK, LockManager, WitnessLock
+from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import WitnessClient
 from harriertrack.membership.fleet import budgeting
@@ -44,23 +44,23 @@
 
 def rules_of(settings: BudgetsSettings) -> BudgetRules:
     """Return the figures of dividing."""
-    return figures(BudgetRules, settings)
+    return parameters_from(BudgetRules, settings)
 
 
-def divided_of(settings: BudgetsSettings) -> dict[BudgetKind, BudgetSpec]:
+def budget_specs(settings: BudgetsSettings) -> dict[BudgetKind, BudgetSpec]:
     """Return what is divided, and how much of it there is where no plan or rule says that."""
     return {
         BudgetKind(one.name.value): BudgetSpec(one.fixed, one.whole, one.burst) for one in settings.budgets
     }
 
 
-def portions_of(head: HeadSettings, hub: Hub) -> BudgetShares:
+def create_budget_shares(head: HeadSettings, hub: Hub) -> BudgetShares:
     """Return what a head has of all budgets, at its start."""
     assert head.fleet is not None and head.fleet.budgets is not None
     settings = head.fleet.budgets
     instance = hub.random.getrandbits(62)
     return BudgetShares(rules_of(settings), settings.ledgers, head.fleet.name, instance, head.heads,
-                    divided_of(settings), hub.now())  # fmt: skip
+                    budget_specs(settings), hub.now())  # fmt: skip
 
 
 class Budgets:
@@ -72,29 +72,31 @@
         """`shed`: closes so many links to a node. `decides`: a term of its own is for who decides for all."""
         hub = parts.hub
         self._parts, self._hub, self._settings, self._fleet = parts, hub, settings, fleet
-        self.portions, self._swim, self._send_bytes = portions, swim, send
+        self.shares, self._swim, self._send_bytes = portions, swim, send
         self.counts = Counts()
         holders = list(portions.holders)
         if decides:  # in a term of its own: heads that decide nothing keep budgets too
             mine = holders[0]
-            holders.append(LeaseHolder(DECIDES, mine.name, mine.instance, portions.rules, hub.now()))
-        self._seats = {
-            holder.number: Seat(
+            holders.append(LeaseHolder(DECISION_LOCK, mine.name, mine.instance, portions.rules, hub.now()))
+        self._locks = {
+            holder.number: WitnessLock(
                 holder.number, holder,
                 Candidate(holder.number, portions.rules, hub.random.getrandbits(32), hub.now()),
             )
             for holder in holders
         }  # fmt: skip
-        self._locks = Locks(parts, settings, swim, self._soon, self._vacated)
+        self._lock_manager = LockManager(parts, settings, swim, self._soon, self._vacated)
         self._alarm = Alarm(hub, self._wake)
         self._closed, self._shed = False, shed
-        self.otherwise: Callable[[Said, Address], None] = lambda _said, _source: None  # what is of no ledger
+        self.on_other_message: Callable[[Said, Address], None] = lambda _said, _source: (
+            None
+        )  # what is of no ledger
 
     def start(self) -> None:
         """Take part from now on."""
-        self.portions.on_wake = self._soon
-        for seat in self._seats.values():
-            self._parts.scope.spawn(f"ledger {seat.number}", self._locks.sit, seat)
+        self.shares.on_wake = self._soon
+        for lock in self._locks.values():
+            self._parts.scope.spawn(f"ledger {lock.number}", self._lock_manager.maintain, lock)
         self._soon()
 
     def close(self) -> None:
@@ -122,57 +124,57 @@
             counts.garbage += 1
         else:
             if not isinstance(said, LeaseRequest | Grant | tuple):
-                self.otherwise(said, source)
+                self.on_other_message(said, source)
                 return
             number = said.ledger if isinstance(said, LeaseRequest | Grant) else said[1]
-            if (seat := self._seats.get(number)) is not None:
-                self._take(now, seat, said, source)
+            if (lock := self._locks.get(number)) is not None:
+                self._take(now, lock, said, source)
 
-    def _take(self, now: int, seat: Seat, said: Said, source: Address) -> None:
+    def _take(self, now: int, lock: WitnessLock, said: Said, source: Address) -> None:
         match said:
             case LeaseRequest():
-                self._asked(now, seat, said, source)
-                if seat.candidate.ledger is not None:
-                    self._alarm.wake_at(seat.candidate.ledger.wake_at() or now)
+                self._asked(now, lock, said, source)
+                if lock.candidate.ledger is not None:
+                    self._alarm.wake_at(lock.candidate.ledger.wake_at() or now)
             case Grant():
-                seat.candidate.observe_term(now, said.term)
-                if seat.holder.apply_grant(now, said):
+                lock.candidate.observe_term(now, said.term)
+                if lock.holder.apply_grant(now, said):
                     self._wake()  # what it has let go of is to be confirmed at once
             case (Kind.TERM, _, term):
-                self._heard(now, seat, term, source)
+                self._heard(now, lock, term, source)
                 self._soon()
             case (Kind.VACATED, _, term):
-                if term == seat.holder.term:
-                    seat.candidate.observe_release(now)
-
-    def _heard(self, now: int, seat: Seat, term: Term, source: Address | None) -> None:
-        seat.candidate.observe_term(now, term)
-        if seat.holder.observe_term(now, term):
-            if seat.keeper != source or seat.mine != (source is None):
-                seat.keeper, seat.mine = source, source is None
+                if term == lock.holder.term:
+                    lock.candidate.observe_release(now)
+
+    def _heard(self, now: int, lock: WitnessLock, term: Term, source: Address | None) -> None:
+        lock.candidate.observe_term(now, term)
+        if lock.holder.observe_term(now, term):
+            if lock.owner_address != source or lock.owned != (source is None):
+                lock.owner_address, lock.owned = source, source is None
                 where = f"{source[0]}:{source[1]}" if source is not None else "this head"
-                self._parts.note("fleet budgets: asks", ledger=seat.number, epoch=term.epoch, keeper=where)
+                self._parts.note("fleet budgets: asks", ledger=lock.number, epoch=term.epoch, keeper=where)
 
-    def _asked(self, now: int, seat: Seat, ask: LeaseRequest, source: Address | None) -> None:
-        candidate = seat.candidate
+    def _asked(self, now: int, lock: WitnessLock, ask: LeaseRequest, source: Address | None) -> None:
+        candidate = lock.candidate
         candidate.check_expiry(now)
         ledger = candidate.ledger
         if not candidate.holds_term(now) or ledger is None:
             self.counts.unwanted += 1
             return
         if source is not None:
-            seat.contact[source] = now
-            seat.addresses[ask.holder, ask.instance] = source
+            lock.last_contact[source] = now
+            lock.addresses[ask.holder, ask.instance] = source
         grant = ledger.handle_request(now, ask)
         if grant is not None:
-            self._grant(now, seat, grant)
+            self._grant(now, lock, grant)
         elif ask.term != ledger.term and source is not None:
-            self.send(source, (Kind.TERM, seat.number, ledger.term))
+            self.send(source, (Kind.TERM, lock.number, ledger.term))
 
-    def _grant(self, now: int, seat: Seat, grant: Grant) -> None:
-        if grant.instance == seat.holder.instance:
-            seat.holder.apply_grant(now, grant)
-        elif (address := seat.addresses.get((grant.holder, grant.instance))) is not None:
+    def _grant(self, now: int, lock: WitnessLock, grant: Grant) -> None:
+        if grant.instance == lock.holder.instance:
+            lock.holder.apply_grant(now, grant)
+        elif (address := lock.addresses.get((grant.holder, grant.instance))) is not None:
             self.send(address, grant)
 
     def send(self, address: Address, said: Said) -> None:
@@ -183,14 +185,14 @@
         self._send_bytes(data, address)
 
     @property
-    def deciding(self) -> Seat:
-        """Return the seat under which it is decided for the whole fleet."""
-        return self._seats[DECIDES]
+    def decision_lock(self) -> WitnessLock:
+        """Return the lock under which it is decided for the whole fleet."""
+        return self._locks[DECISION_LOCK]
 
     @property
     def witness(self) -> WitnessClient:
         """Return what asks the witness."""
-        return self._locks.witness
+        return self._lock_manager.witness
 
     # -- time
 
@@ -198,77 +200,79 @@
         if self._closed:
             return
         now, when = self._hub.now(), []
-        for seat in self._seats.values():
-            self._keep(now, seat)
-            asks = seat.holder.due_requests(now)
-            if seat.holder.lapses > seat.lapses:
-                seat.lapses = seat.holder.lapses
-                self._parts.note("fleet budgets: lease over", ledger=seat.number, lapses=seat.lapses)
+        for lock in self._locks.values():
+            self._keep(now, lock)
+            asks = lock.holder.due_requests(now)
+            if lock.holder.lapses > lock.lapses:
+                lock.lapses = lock.holder.lapses
+                self._parts.note("fleet budgets: lease over", ledger=lock.number, lapses=lock.lapses)
             for ask in asks:
-                if seat.mine:
-                    self._asked(now, seat, ask, None)
-                elif seat.keeper is not None:
-                    self.send(seat.keeper, ask)
-            when.append(seat.holder.wake_at())
-            ledger = seat.candidate.ledger
+                if lock.owned:
+                    self._asked(now, lock, ask, None)
+                elif lock.owner_address is not None:
+                    self.send(lock.owner_address, ask)
+            when.append(lock.holder.wake_at())
+            ledger = lock.candidate.ledger
             if ledger is not None:
-                when += [ledger.wake_at(), seat.told_at + self.portions.rules.lease_us]
-                when.append(seat.candidate.valid_until)
-        for node, number in self.portions.excess_links(now):
+                when += [ledger.wake_at(), lock.announced_at + self.shares.rules.lease_us]
+                when.append(lock.candidate.valid_until)
+        for node, number in self.shares.excess_links(now):
             self._shed(node, number)
         due = [at for at in when if at is not None]
         if due:
             self._alarm.wake_at(max(min(due), now + 1_000))
 
-    def _keep(self, now: int, seat: Seat) -> None:
+    def _keep(self, now: int, lock: WitnessLock) -> None:
         """Do what is due as who keeps a ledger."""
-        candidate = seat.candidate
+        candidate = lock.candidate
         candidate.check_expiry(now)
         ledger = candidate.ledger
-        if ledger is None and seat.mine:
-            self._ended(seat)
+        if ledger is None and lock.owned:
+            self._ended(lock)
         if not candidate.holds_term(now) or ledger is None:
             return
-        self._heard(now, seat, ledger.term, None)
+        self._heard(now, lock, ledger.term, None)
         for grant in ledger.rebalance(now):
-            self._grant(now, seat, grant)
-        if now >= seat.told_at + self.portions.rules.lease_us:
-            seat.told_at = now
-            seat.addresses = {
-                holder: at for holder, at in seat.addresses.items() if holder in ledger.tenancies
+            self._grant(now, lock, grant)
+        if now >= lock.announced_at + self.shares.rules.lease_us:
+            lock.announced_at = now
+            lock.addresses = {
+                holder: at for holder, at in lock.addresses.items() if holder in ledger.tenancies
             }
             for address in self.others():
-                if seat.contact.get(address, 0) < now - self.portions.rules.lease_us:
-                    self.send(address, (Kind.TERM, seat.number, ledger.term))
-            seat.contact = {at: when for at, when in seat.contact.items() if when > now - 60_000_000}
+                if lock.last_contact.get(address, 0) < now - self.shares.rules.lease_us:
+                    self.send(address, (Kind.TERM, lock.number, ledger.term))
+            lock.last_contact = {
+                at: when for at, when in lock.last_contact.items() if when > now - 60_000_000
+            }
 
     def others(self) -> list[Address]:
         """Return where the other members are that are there."""
         rows = (self._swim.view.find(name) for name in self._swim.view.present if name != self._swim.me.name)
         return [row.record.address for row in rows if row is not None]
 
-    def _ended(self, seat: Seat) -> None:
-        seat.mine, seat.keeper, seat.session = False, None, ""
-        self._parts.note("fleet budgets: term over", ledger=seat.number)
+    def _ended(self, lock: WitnessLock) -> None:
+        lock.owned, lock.owner_address, lock.session = False, None, ""
+        self._parts.note("fleet budgets: term over", ledger=lock.number)
 
     # -- the witness
 
     def leave(self) -> None:
         """Give back what is kept: another head need not wait for a session to end."""
-        self._locks.leaving = True
+        self._lock_manager.leaving = True
 
-    def _vacated(self, seat: Seat, term: Term) -> None:
+    def _vacated(self, lock: WitnessLock, term: Term) -> None:
         for address in self.others():
-            self.send(address, (Kind.VACATED, seat.number, term))
+            self.send(address, (Kind.VACATED, lock.number, term))
 
     @property
     def released(self) -> bool:
         """Whether nothing is kept, or will be, any more."""
-        return all(seat.candidate.state is Standing.LEFT for seat in self._seats.values())
+        return all(lock.candidate.state is Standing.LEFT for lock in self._locks.values())
 
     # -- what operators see
 
     def document(self, now: int) -> BudgetsTold:
         """Return what this head tells of budgets."""
         counts = {name: getattr(self.counts, name) for name in Counts.__slots__}
-        return showing.told(now, list(self._seats.values()), self._swim.view.present, counts)
+        return status.budgets_status(now, list(self._locks.values()), self._swim.view.present, counts)
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -16,7 +16,7 @@
 from harriertrack.decisions.fleet.changes.follower import Follower
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
 from harriertrack.gateway.fleet.changes import keeping
-from harriertrack.gateway.fleet.deciding import Deciding
+from harriertrack.gateway.fleet.decider import FleetDecider
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES
 from harriertrack.membership.fleet.changing import DamagedRecord, decode, digest_of
@@ -57,7 +57,7 @@
 class Changes:
     """This head's part."""
 
-    def __init__(self, parts: HeadParts, settings: ChangesSettings, swim: Swim, deciding: Deciding,
+    def __init__(self, parts: HeadParts, settings: ChangesSettings, swim: Swim, deciding: FleetDecider,
                  tell: Callable[[], None], kept: ChangesCache | None = None) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._swim, self._deciding, self._tell = swim, deciding, tell
@@ -124,7 +124,10 @@
             now = self._hub.now()
             if self._follower.start_fetch(now):
                 self._fetch()
-            elif self._deciding.keeps(now) is not None and now >= self._looked_at + self._settings.look_us:
+            elif (
+                self._deciding.deciding_term(now) is not None
+                and now >= self._looked_at + self._settings.look_us
+            ):
                 self._look()
             self._hub.sleep(LOOK_US)
 
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -37,8 +37,8 @@
 from harriertrack.gateway.fleet.closing.showing import fence_told
 from harriertrack.gateway.fleet.closing.sweeping import Sweeps
 from harriertrack.gateway.fleet.closing.trimming import Trimming
-from harriertrack.gateway.fleet.deciding import Deciding
-from harriertrack.gateway.fleet.figures import figures
+from harriertrack.gateway.fleet.decider import FleetDecider
+from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.regional import Regional
 from harriertrack.membership.fleet.swim import Swim
@@ -55,7 +55,7 @@
 class Closing:
     """One head's."""
 
-    def __init__(self, parts: HeadParts, settings: ClosingSettings, swim: Swim, deciding: Deciding,
+    def __init__(self, parts: HeadParts, settings: ClosingSettings, swim: Swim, deciding: FleetDecider,
                  changes: Changes, places: ExtentMap, epochs: Epochs,
                  regional: Regional | None = None) -> None:  # fmt: skip
         hub = parts.hub
@@ -63,7 +63,7 @@
         self._deciding, self._changes, self._places, self._epochs = deciding, changes, places, epochs
         self._regional = regional
         self._wall: Callable[[], int] = parts.wall or hub.clock.wall
-        rules = figures(ClockRules, settings)
+        rules = parameters_from(ClockRules, settings)
         self.clock = FleetClock(rules)
         done = {name: number for name, (number, _) in places.closing.generations.items()}
         several = {one.name for one in parts.settings.volumes if one.shards}
@@ -72,7 +72,7 @@
         self._told = 0  # asks: each tells of other calendars and sweeps, if there are many
         writes = (one.deadline_us for one in parts.settings.classes if DataKind.WRITE in one.kinds)
         self._settle_us = max(writes, default=0)
-        self._trims = TrimQueue(figures(TrimRules, settings), hub.now())
+        self._trims = TrimQueue(parameters_from(TrimRules, settings), hub.now())
         self._trimming = Trimming(parts, self._trims, places, self._there, self._settle_us)
         self._trimming.begins, self._trimming.emptied = self._begins_trim, self._emptied
         self._sweeps = Sweeps(hub, self.fences, self._trims, parts.settings, swim.me.name, self._settle_us,
@@ -85,7 +85,7 @@
         self._ask_at = 0
         self._wrong = False
         around = Surroundings(
-            hub, deciding.keeps, changes.write, lambda body: deciding.rule(TOPIC, body), self._claim,
+            hub, deciding.deciding_term, changes.write, lambda body: deciding.rule(TOPIC, body), self._claim,
             self._guard.reading, lambda: sorted(swim.view.present), parts.note,
         )  # fmt: skip
         self._keeping = Keeping(
--- a/harriertrack/gateway/fleet/deciding.py
+++ b/harriertrack/gateway/fleet/decider.py
@@ -16,46 +16,46 @@
 from harriertrack.runtime.hub import Hub
 
 
-class Deciding:
+class FleetDecider:
     """This head's part: it decides, or tells and hears who does."""
 
     def __init__(self, hub: Hub, name: str, budgets: Budgets) -> None:
         self._hub, self._name, self._budgets = hub, name, budgets
-        self.on_seen: Callable[[int, Seen], None] = lambda _now, _seen: None  # of zones
-        self.on_told: Callable[[int, Told], None] = lambda _now, _told: None
+        self.on_zone_report: Callable[[int, Seen], None] = lambda _now, _seen: None  # of zones
+        self.on_zone_decisions: Callable[[int, Told], None] = lambda _now, _told: None
         self.on_report: dict[str, Callable[[int, str, bytes], None]] = {}  # by topic: (now, head, body)
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}  # by topic: (now, term, body)
-        budgets.otherwise = self._come
+        budgets.on_other_message = self._come
 
     @property
     def witness(self) -> WitnessClient:
         """Return what asks the witness."""
         return self._budgets.witness
 
-    def keeps(self, now: int) -> Term | None:
+    def deciding_term(self, now: int) -> Term | None:
         """Return the term in which this head decides; None if it does not."""
-        candidate = self._budgets.deciding.candidate
+        candidate = self._budgets.decision_lock.candidate
         return candidate.ledger.term if candidate.holds_term(now) and candidate.ledger is not None else None
 
     @property
-    def keeper(self) -> Address | None:
+    def decider_address(self) -> Address | None:
         """Return who decides, if it is known and another head."""
-        return self._budgets.deciding.keeper
+        return self._budgets.decision_lock.owner_address
 
-    def follows(self, now: int, term: Term) -> bool:
+    def accept_term(self, now: int, term: Term) -> bool:
         """Whether this is the term that this head goes by."""
-        return self._budgets.deciding.holder.observe_term(now, term)
+        return self._budgets.decision_lock.holder.observe_term(now, term)
 
-    def tell_keeper(self, said: Said) -> None:
+    def send_to_decider(self, said: Said) -> None:
         """Tell who decides, if it is known and another head."""
-        if (keeper := self._budgets.deciding.keeper) is not None:
+        if (keeper := self._budgets.decision_lock.owner_address) is not None:
             self._budgets.send(keeper, said)
 
-    def tell(self, address: Address, said: Said) -> None:
+    def send(self, address: Address, said: Said) -> None:
         """Tell one head."""
         self._budgets.send(address, said)
 
-    def tell_all(self, said: Said) -> None:
+    def broadcast(self, said: Said) -> None:
         """Tell all who are there."""
         for address in self._budgets.others():
             self._budgets.send(address, said)
@@ -69,10 +69,10 @@
         """
         _check(body)
         now = self._hub.now()
-        if self.keeps(now) is not None:
+        if self.deciding_term(now) is not None:
             self._reported(now, topic, self._name, body)
         else:
-            self.tell_keeper(Report(topic, self._name, body))
+            self.send_to_decider(Report(topic, self._name, body))
 
     def rule(self, topic: str, body: bytes) -> bool:
         """Tell everybody, oneself too, what is decided; return False if this head does not decide (any more).
@@ -81,10 +81,10 @@
         """
         _check(body)
         now = self._hub.now()
-        term = self.keeps(now)
+        term = self.deciding_term(now)
         if term is None:
             return False
-        self.tell_all(Ruling(topic, term, body))
+        self.broadcast(Ruling(topic, term, body))
         if (heard := self.on_ruling.get(topic)) is not None:
             heard(now, term, body)
         return True
@@ -97,14 +97,14 @@
         now = self._hub.now()
         match said:
             case Seen():
-                self.on_seen(now, said)
+                self.on_zone_report(now, said)
             case Told():
-                self.on_told(now, said)
+                self.on_zone_decisions(now, said)
             case Report(topic, head, body):
-                if self.keeps(now) is not None:
+                if self.deciding_term(now) is not None:
                     self._reported(now, topic, head, body)
             case Ruling(topic, term, body):
-                if self.follows(now, term) and (heard := self.on_ruling.get(topic)) is not None:
+                if self.accept_term(now, term) and (heard := self.on_ruling.get(topic)) is not None:
                     heard(now, term, body)
 
 
--- a/harriertrack/gateway/fleet/carrier.py
+++ b/harriertrack/gateway/fleet/member.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from harriertrack.config.settings import FleetSettings
-from harriertrack.gateway.fleet.beside import Beside
-from harriertrack.gateway.fleet.figures import figures
-from harriertrack.gateway.fleet.together import Member, Together
+from harriertrack.gateway.fleet.parameters import parameters_from
+from harriertrack.gateway.fleet.resources import HeadResources
+from harriertrack.gateway.fleet.startup import FleetServices, MemberContext
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.membership.fleet.messages import BUDGETS, Record, State
 from harriertrack.membership.fleet.swim import Changed, Noted, Rules, Said, Send, Swim
@@ -28,13 +28,13 @@
 
 def rules_of(settings: FleetSettings) -> Rules:
     """Return the protocol's figures."""
-    return figures(Rules, settings)
+    return parameters_from(Rules, settings)
 
 
-class Fleet:
+class FleetMember:
     """This head as a member."""
 
-    def __init__(self, parts: HeadParts, settings: FleetSettings, beside: Beside) -> None:
+    def __init__(self, parts: HeadParts, settings: FleetSettings, beside: HeadResources) -> None:
         self._parts, self._settings, self._hub, self._beside = parts, settings, parts.hub, beside
         self._network = beside.datagrams or SocketDatagrams(parts.hub)
         self._alarm = Alarm(parts.hub, self._wake)
@@ -43,7 +43,7 @@
         self._taken = self._refused = 0
         self._about = About()
         self.swim: Swim
-        self.together: Together
+        self.services: FleetServices
 
     def start(self) -> None:
         """Bind, and take part from now on. Raises OSError if the address is taken."""
@@ -61,8 +61,8 @@
         )  # fmt: skip
         seeds = [seed.address for seed in settings.seeds]
         self.swim = Swim(rules_of(settings), me, seeds, hub.random.getrandbits(63))
-        member = Member(self._parts, self._beside, self.swim, self._port.send, self._tell_now)
-        self.together = Together(member, settings)
+        member = MemberContext(self._parts, self._beside, self.swim, self._port.send, self._tell_now)
+        self.services = FleetServices(member, settings)
         scope = self._parts.scope
         scope.spawn("fleet", self._hold, door)
         scope.spawn("fleet's door", self._open, door)
@@ -71,13 +71,13 @@
                          instance=digest_name(me.instance))  # fmt: skip
         self.swim.start(hub.now())
         self._follow()
-        self.together.start()
+        self.services.start()
 
-    def retell(self, settings: FleetSettings) -> None:
+    def reconfigure(self, settings: FleetSettings) -> None:
         """Go by other figures from now on; what is due already stays so."""
         self._settings = settings
         self.swim.retell(rules_of(settings))
-        self.together.retell(settings)
+        self.services.reconfigure(settings)
 
     @property
     def address(self) -> Address:
@@ -91,7 +91,7 @@
         finally:
             self._closed = True
             self._alarm.cancel()
-            self.together.close()
+            self.services.close()
             self._port.close()
             door.close()
 
@@ -99,13 +99,13 @@
         """Say goodbye."""
         self.swim.leave(self._hub.now())
         self._follow()
-        self.together.leave()
+        self.services.leave()
 
     def wait_left(self) -> None:
         """Wait until the goodbye has been said often enough, for `leave` at most."""
         until = self._hub.now() + self._settings.leave_us
         while self._hub.now() < until:
-            if self.swim.left and self.together.released:
+            if self.swim.left and self.services.released:
                 return
             self._hub.sleep(self._settings.gossip_us // 4)
 
@@ -114,7 +114,7 @@
     def _come(self, data: bytes, source: Address) -> None:
         if self._closed:
             return
-        if data[:1] == BUDGETS and (budgets := self.together.budgets) is not None:
+        if data[:1] == BUDGETS and (budgets := self.services.budgets) is not None:
             budgets.receive(data, source)
             return
         self.swim.receive(self._hub.now(), data, source)
@@ -133,16 +133,16 @@
                 case Changed(change):
                     self._changed(change)
                 case Noted(note):
-                    if (changes := self.together.changes) is not None and (about := about_of(note.about)):
+                    if (changes := self.services.changes) is not None and (about := about_of(note.about)):
                         changes.heard(about)
                 case Said(event, fields):
                     self._parts.note(event, **dict(fields))
         self._alarm.wake_at(self.swim.wake_at())
 
     def _changed(self, change: Change) -> None:
-        before, after, view, zones = change.before, change.after, self.swim.view, self.together.zones
+        before, after, view, zones = change.before, change.after, self.swim.view, self.services.zones
         if zones is not None and after.state is State.ALIVE and (before is None or change.another_life):
-            zones.joined(after)
+            zones.send_decisions_to(after)
         if before is not None and before.state is after.state and not change.another_life:
             return  # a suspect's objection, known before the suspicion was
         self._parts.note(
@@ -168,7 +168,7 @@
             self._hub.sleep(settings.note_us)
 
     def _tell_now(self) -> None:
-        about, changes = self._about, self.together.changes
+        about, changes = self._about, self.services.changes
         told = changes.about(about) if changes is not None else msgspec.msgpack.encode(about)
         self.swim.note(self._hub.now(), told)
         self._follow()
@@ -191,7 +191,7 @@
         sent = Event(self._hub)
         try:
             now = self._hub.now()
-            document = msgspec.structs.replace(document_of(self.swim, now), **self.together.documents(now))
+            document = msgspec.structs.replace(document_of(self.swim, now), **self.services.documents(now))
             stream.write(msgspec.json.encode(document))
             stream.push(sent.set)
             stream.watch_end(sent.set)
--- a/harriertrack/gateway/fleet/observing.py
+++ b/harriertrack/gateway/fleet/observing.py
@@ -15,7 +15,7 @@
         """See what a module heard and did."""
 
 
-class Observed:
+class ObservedModule:
     """A decision module, and who sees what it hears and does."""
 
     def __init__(self, module: DecisionModule, observer: Observer) -> None:
--- a/harriertrack/gateway/fleet/figures.py
+++ b/harriertrack/gateway/fleet/parameters.py
@@ -10,7 +10,7 @@
 T = TypeVar("T")
 
 
-def figures(kind: type[T], settings: msgspec.Struct) -> T:
+def parameters_from(kind: type[T], settings: msgspec.Struct) -> T:
     """Return a dataclass of figures with those that settings name; the others keep their defaults."""
     named = (one.name for one in fields(kind))  # type: ignore[arg-type]
     return kind(**{name: getattr(settings, name) for name in named if hasattr(settings, name)})
--- a/harriertrack/gateway/fleet/beside.py
+++ b/harriertrack/gateway/fleet/resources.py
@@ -22,18 +22,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beside:
+class HeadResources:
     """Of one head; what is None it does not have."""
 
     listing: Listing
     extents: ExtentMap
     epochs: Epochs
     regional: Regional | None  # of heads with volumes of two regions
-    retell: Callable[[HeadSettings], None]  # lets the head go by other settings at once
-    shed: Callable[[str, int], None]  # closes so many links to a node
+    reconfigure: Callable[[HeadSettings], None]  # lets the head go by other settings at once
+    close_links: Callable[[str, int], None]  # closes so many links to a node
     evidence: Evidence | None = None  # of zones
-    scored: Scored | None = None
+    scored_choice: Scored | None = None
     datagrams: DatagramNetwork | None = None  # None: sockets
-    kept: ChangesCache | None = None  # the copy of the record of changes; None: a file
+    changes_cache: ChangesCache | None = None  # the copy of the record of changes; None: a file
     handover: Handover | None = None  # what started it, and starts other versions
     usage: Usage | None = None  # what its process uses; None: it can't be told from others'
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -24,7 +24,7 @@
 from harriertrack.decisions.fleet.rollout.plan import Plan
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.gateway.fleet.changes.carrier import LEVEL, Changes
-from harriertrack.gateway.fleet.deciding import Deciding
+from harriertrack.gateway.fleet.decider import FleetDecider
 from harriertrack.gateway.fleet.rollout.program_user import HANDING_OVER
 from harriertrack.gateway.fleet.rollout.remembered import Remembered
 from harriertrack.gateway.fleet.rollout.reports import (
@@ -60,7 +60,7 @@
 class Rollouts:
     """This head's part."""
 
-    def __init__(self, parts: HeadParts, settings: RolloutSettings, swim: Swim, deciding: Deciding,
+    def __init__(self, parts: HeadParts, settings: RolloutSettings, swim: Swim, deciding: FleetDecider,
                  changes: Changes, counting: AnswerCounter, usage: Usage) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._swim, self._deciding, self._changes = swim, deciding, changes
@@ -137,7 +137,7 @@
         """Conduct what is under way, while this head decides (a task)."""
         while True:
             self._hub.sleep(self._settings.look_us)
-            term = self._deciding.keeps(self._hub.now())
+            term = self._deciding.deciding_term(self._hub.now())
             if term is None:
                 self._term = self._conductor = None
                 self._heard.clear()
@@ -162,7 +162,7 @@
         def make(record: Record) -> Record:
             return step.apply(record, term.epoch, self._wall() // 1000)
 
-        if self._deciding.keeps(self._hub.now()) != term:
+        if self._deciding.deciding_term(self._hub.now()) != term:
             return
         # Said before: a head that dies between the two has written what nobody else would tell of.
         self._parts.note("rollout", thing=step.version.thing, version=step.version.number,
--- a/harriertrack/gateway/fleet/rollout/launcher/launcher.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/launcher.py
@@ -19,7 +19,7 @@
     Start,
     Terminate,
 )
-from harriertrack.gateway.fleet.figures import figures
+from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.gateway.fleet.rollout.launcher import child as children
 from harriertrack.gateway.fleet.rollout.launcher.files import (
     FELL_VARIABLE,
@@ -109,7 +109,7 @@
         self._files, self._processes = files or Files(settings.state), processes
         kept = self._files.kept()
         self._child: Process | None = processes.find(kept.child, kept.token) if kept is not None else None
-        self.machine = LaunchStateMachine(figures(LaunchRules, settings), kept or SavedState())
+        self.machine = LaunchStateMachine(parameters_from(LaunchRules, settings), kept or SavedState())
         self._done = False
 
     def run(self) -> None:
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -18,7 +18,7 @@
 from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerState
 from harriertrack.decisions.fleet.scoring.scorers.base import Namespace, Scorer
 from harriertrack.decisions.fleet.scoring.shared_weights import HeadContext, SharedWeights
-from harriertrack.gateway.fleet.figures import figures
+from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.gateway.fleet.scoring.asking import Asking, asking_of
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
 from harriertrack.gateway.fleet.scoring.plugins import found
@@ -37,7 +37,7 @@
 
 def rules_of(settings: ScoringSettings) -> ScoringRules:
     """Return the figures."""
-    return figures(ScoringRules, settings)
+    return parameters_from(ScoringRules, settings)
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertrack/gateway/fleet/together.py
+++ b/harriertrack/gateway/fleet/startup.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from harriertrack.config.settings import FleetSettings
-from harriertrack.gateway.fleet.beside import Beside
+from harriertrack.gateway.fleet.resources import HeadResources
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.membership.fleet.swim import Swim
 from harriertrack.runtime.datagrams import Address
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from harriertrack.gateway.fleet.budgets import Budgets
     from harriertrack.gateway.fleet.changes.carrier import Changes
-    from harriertrack.gateway.fleet.deciding import Deciding
+    from harriertrack.gateway.fleet.decider import FleetDecider
     from harriertrack.gateway.fleet.scoring.carrier import Scoring
     from harriertrack.gateway.fleet.zones import Zones
 
 
-class Shown(Protocol):
+class StatusSource(Protocol):
     """A part that operators see something of."""
 
     def document(self, now: int) -> object:
@@ -32,22 +32,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class MemberContext:
     """What parts need of the head as a member: the head itself, its view, and how it speaks to others."""
 
     parts: HeadParts
-    beside: Beside
+    resources: HeadResources
     swim: Swim
     send: Callable[[bytes, Address], None]  # a datagram from the fleet's address
-    tell: Callable[[], None]  # says at once what the head says of itself
+    publish_note: Callable[[], None]  # says at once what the head says of itself
 
 
-class Together:
+class FleetServices:
     """The parts that one head has."""
 
-    def __init__(self, member: Member, settings: FleetSettings) -> None:
+    def __init__(self, member: MemberContext, settings: FleetSettings) -> None:
         self._member, self._settings = member, settings
-        self.shown: dict[str, Shown] = {}  # by their fields of the document
+        self.status_sources: dict[str, StatusSource] = {}  # by their fields of the document
         self.scoring: Scoring | None = None
         self.budgets: Budgets | None = None
         self.zones: Zones | None = None
@@ -56,7 +56,7 @@
     def start(self) -> None:
         """Start them; what is not set is not even loaded."""
         member, settings = self._member, self._settings
-        if member.beside.scored is not None and settings.scoring is not None:
+        if member.resources.scored_choice is not None and settings.scoring is not None:
             self._share_weights()
         if member.parts.portions is not None and settings.budgets is not None:
             self._divide()
@@ -65,9 +65,9 @@
         from harriertrack.gateway.fleet.scoring.carrier import Scoring
 
         member, settings = self._member, self._settings
-        assert settings.scoring is not None and member.beside.scored is not None
-        self.scoring = Scoring(member.parts, settings.scoring, member.beside.scored, member.swim)
-        self.shown["scores"] = self.scoring
+        assert settings.scoring is not None and member.resources.scored_choice is not None
+        self.scoring = Scoring(member.parts, settings.scoring, member.resources.scored_choice, member.swim)
+        self.status_sources["scores"] = self.scoring
         self.scoring.start()
 
     def _divide(self) -> None:
@@ -77,46 +77,46 @@
         assert settings.budgets is not None and member.parts.portions is not None
         decides = settings.zones is not None or settings.changes is not None
         self.budgets = Budgets(member.parts, settings.budgets, member.parts.portions, settings.fleet,
-                               member.swim, member.send, member.beside.shed, decides)  # fmt: skip
-        self.shown["budgets"] = self.budgets
+                               member.swim, member.send, member.resources.close_links, decides)  # fmt: skip
+        self.status_sources["budgets"] = self.budgets
         self.budgets.start()
         if decides:
             self._decide(self.budgets)
 
     def _decide(self, budgets: Budgets) -> None:
-        from harriertrack.gateway.fleet.deciding import Deciding
+        from harriertrack.gateway.fleet.decider import FleetDecider
 
         member, settings = self._member, self._settings
-        deciding = Deciding(member.parts.hub, settings.name, budgets)
-        if settings.zones is not None and member.beside.evidence is not None:
+        deciding = FleetDecider(member.parts.hub, settings.name, budgets)
+        if settings.zones is not None and member.resources.evidence is not None:
             from harriertrack.gateway.fleet.zones import Zones
 
-            self.zones = Zones(member.parts, settings, settings.zones, member.beside.evidence,
-                               member.beside.listing, member.swim, deciding)  # fmt: skip
-            self.shown["zones"] = self.zones
+            self.zones = Zones(member.parts, settings, settings.zones, member.resources.evidence,
+                               member.resources.listing, member.swim, deciding)  # fmt: skip
+            self.status_sources["zones"] = self.zones
             self.zones.start()
         if settings.changes is not None:
             from harriertrack.gateway.fleet.changes.carrier import Changes
 
-            self.changes = Changes(member.parts, settings.changes, member.swim, deciding, member.tell,
-                                   member.beside.kept)  # fmt: skip
-            self.shown["record"] = self.changes
+            self.changes = Changes(member.parts, settings.changes, member.swim, deciding, member.publish_note,
+                                   member.resources.changes_cache)  # fmt: skip
+            self.status_sources["record"] = self.changes
             self._go_by_record(deciding, self.changes)
             self.changes.start()
 
-    def _go_by_record(self, deciding: Deciding, changes: Changes) -> None:
+    def _go_by_record(self, deciding: FleetDecider, changes: Changes) -> None:
         from harriertrack.decisions.fleet.changes.record import Kind
         from harriertrack.gateway.fleet.settings_user import SettingsUser
 
-        member, settings, beside = self._member, self._settings, self._member.beside
-        user = SettingsUser(member.parts.settings, beside.retell, member.parts.note)
+        member, settings, beside = self._member, self._settings, self._member.resources
+        user = SettingsUser(member.parts.settings, beside.reconfigure, member.parts.note)
         changes.use(Kind.SETTINGS, user)
         if settings.closing is not None:
             from harriertrack.gateway.fleet.closing.carrier import Closing
 
             closing = Closing(member.parts, settings.closing, member.swim, deciding, changes, beside.extents,
                               beside.epochs, beside.regional)  # fmt: skip
-            self.shown["closing"] = closing
+            self.status_sources["closing"] = closing
             closing.start()
         if self.scoring is not None:
             self.scoring.follow(changes)
@@ -133,18 +133,18 @@
                                 counting, beside.usage or no_usage)  # fmt: skip
             if self.scoring is not None:
                 rollouts.failing = self.scoring.lost
-            self.shown["rollouts"] = rollouts
+            self.status_sources["rollouts"] = rollouts
             rollouts.start()
 
-    def retell(self, settings: FleetSettings) -> None:
+    def reconfigure(self, settings: FleetSettings) -> None:
         """Go by other figures from now on."""
         self._settings = settings
         if self.zones is not None and settings.zones is not None:
-            self.zones.retell(settings.zones)
+            self.zones.reconfigure(settings.zones)
 
     def documents(self, now: int) -> dict[str, object]:
         """Return what operators are told of each part, by its field of the document."""
-        return {field: part.document(now) for field, part in self.shown.items()}
+        return {field: part.document(now) for field, part in self.status_sources.items()}
 
     def leave(self) -> None:
         """Give back what is kept for others."""
--- a/harriertrack/gateway/fleet/zones.py
+++ b/harriertrack/gateway/fleet/zones.py
@@ -18,8 +18,8 @@
 from harriertrack.decisions.fleet.zones.overlay import Overlay
 from harriertrack.decisions.fleet.zones.zone_decision import ZoneDecision, ZoneRules, valid_decisions
 from harriertrack.decisions.interface import NodeEntry, NodeState
-from harriertrack.gateway.fleet.deciding import Deciding
-from harriertrack.gateway.fleet.figures import figures
+from harriertrack.gateway.fleet.decider import FleetDecider
+from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.gateway.listing import Listing
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES, WitnessClient
@@ -35,21 +35,21 @@
 PATH = "/v1/kv/harriertrack/zones"  # at the witness: what operators wish, a key for each zone
 
 
-def wish_of(witness: WitnessClient, zone: str) -> str:
+def read_operator_hold(witness: WitnessClient, zone: str) -> str:
     """Return what operators wish of a zone: "out", "in" or "". Raises what calls raise."""
     key = witness.key(f"{PATH}/{quote(zone, safe='')}")
     wish = key.value.decode("utf-8", "replace") if key is not None else ""
     return wish if wish in ("out", "in") else ""
 
 
-def set_wish(witness: WitnessClient, zone: str, wish: str) -> None:
+def write_operator_hold(witness: WitnessClient, zone: str, wish: str) -> None:
     """Wish a zone "out" or "in"; "" takes the wish back. A key for each: two operators do not collide."""
     witness.put(f"{PATH}/{quote(zone, safe='')}", wish.encode())
 
 
 def rules_of(settings: ZonesSettings) -> ZoneRules:
     """Return the figures."""
-    return figures(ZoneRules, settings)
+    return parameters_from(ZoneRules, settings)
 
 
 def _said(words: Iterable[ZoneDecision]) -> list[tuple[object, ...]]:
@@ -67,7 +67,7 @@
     """This head's part."""
 
     def __init__(self, parts: HeadParts, fleet: FleetSettings, settings: ZonesSettings, evidence: Evidence,
-                 listing: Listing, swim: Swim, deciding: Deciding) -> None:  # fmt: skip
+                 listing: Listing, swim: Swim, deciding: FleetDecider) -> None:  # fmt: skip
         self._parts, self._hub, self._rules = parts, parts.hub, rules_of(settings)
         self._evidence, self._listing, self._swim, self._deciding = evidence, listing, swim, deciding
         self._overlay = Overlay()
@@ -81,14 +81,14 @@
         self._decides: Evacuation | None = None
         self._wishes: dict[str, str] = {}
         listing.heard, listing.overlay = self._listed, self._overlay.visible_entry
-        deciding.on_seen, deciding.on_told = self.saw, self.told
+        deciding.on_zone_report, deciding.on_zone_decisions = self.handle_report, self.handle_decisions
 
     def start(self) -> None:
         """Take part from now on."""
         self._parts.scope.spawn("zones", self._run)
         self._parts.scope.spawn("zones' wishes", self._follow_wishes)
 
-    def retell(self, settings: ZonesSettings) -> None:
+    def reconfigure(self, settings: ZonesSettings) -> None:
         """Go by other figures from now on, also as who decides."""
         self._rules = rules_of(settings)
         if self._decides is not None:
@@ -110,13 +110,13 @@
 
     def _look(self, now: int) -> None:
         sights = self._evidence.report(now)
-        keeps = self._deciding.keeps(now)
+        keeps = self._deciding.deciding_term(now)
         self._decide(now, keeps)
         if keeps is not None and self._decides is not None:
             self._decides.record_report(now, self._swim.me.name, sights)
         elif sights and (any(one.silent for one in sights) or now >= self._said_at + TELL_US):
             self._said_at = now
-            self._deciding.tell_keeper(Seen(self._swim.me.name, sights))
+            self._deciding.send_to_decider(Seen(self._swim.me.name, sights))
         if (held := valid_decisions(self._words, now - self._heard_at, self._rules.told_us)) != self._words:
             self._parts.note("fleet zones: no word any more")
             self._words = held
@@ -137,26 +137,26 @@
         self._heard(now, term, words)
         if _said(words) != _said(before) or now >= self._told_at + WORD_US:
             self._told_at = now
-            self._deciding.tell_all(Told(term, words))
+            self._deciding.broadcast(Told(term, words))
 
-    def saw(self, now: int, seen: Seen) -> None:
+    def handle_report(self, now: int, seen: Seen) -> None:
         """Another head says what it sees."""
         if self._decides is not None:
             self._decides.record_report(now, seen.head, seen.sights)
 
-    def told(self, now: int, told: Told) -> None:
+    def handle_decisions(self, now: int, told: Told) -> None:
         """The word of the one who decides."""
-        if self._deciding.follows(now, told.term):
+        if self._deciding.accept_term(now, told.term):
             self._heard(now, told.term, told.words)
             self._show(now)
 
-    def joined(self, record: Record) -> None:
+    def send_decisions_to(self, record: Record) -> None:
         """Tell the words to a head that has just started, before it tries what is out: it asked a seed first.
 
         It hears them a moment after it said that it is there; nobody else hears of it as soon as seeds do.
         """
         if self._words and self._heard_in is not None and (self._greets or self._decides is not None):
-            self._deciding.tell(record.address, Told(self._heard_in, self._words))
+            self._deciding.send(record.address, Told(self._heard_in, self._words))
 
     def _heard(self, now: int, term: Term, words: tuple[ZoneDecision, ...]) -> None:
         self._heard_at, self._heard_in = now, term
@@ -194,7 +194,7 @@
             if self._decides is None:
                 continue
             try:
-                fresh = {zone: wish_of(self._deciding.witness, zone) for zone in self._zones}
+                fresh = {zone: read_operator_hold(self._deciding.witness, zone) for zone in self._zones}
             except FAILURES:
                 continue  # what was wished last holds
             for zone, wish in fresh.items():
@@ -224,6 +224,6 @@
                 )
             )  # fmt: skip
         heard_s = max(0, now - self._heard_at) / 1e6 if self._heard_at else None
-        keeper = self._deciding.keeper
+        keeper = self._deciding.decider_address
         decider = f"{keeper[0]}:{keeper[1]}" if keeper is not None and self._decides is None else ""
         return ZonesTold(self._decides is not None, heard_s, told, decider)
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -33,7 +33,7 @@
     from harriertrack.decisions.fleet.budget_shares import BudgetShares
     from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
     from harriertrack.decisions.fleet.zones.evidence import Evidence
-    from harriertrack.gateway.fleet.carrier import Fleet
+    from harriertrack.gateway.fleet.member import FleetMember
     from harriertrack.gateway.fleet.rollout.carrier import Usage
     from harriertrack.gateway.fleet.rollout.program_user import Handover
     from harriertrack.gateway.fleet.scoring.carrier import Scored
@@ -83,7 +83,7 @@
         self.reception: Reception
         self.mover: Mover
         self.module: Scheduler | CellScheduler
-        self.fleet: Fleet | None = None
+        self.fleet: FleetMember | None = None
         self.regional: Regional | None = None
         self._portions: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
@@ -144,21 +144,21 @@
         hub, settings, fleet = self.hub, self.settings, self.settings.fleet
         seed = settings.seed or hub.random.getrandbits(63)
         if fleet is not None and fleet.budgets is not None:
-            from harriertrack.gateway.fleet.budgets import portions_of  # other heads do not load it
+            from harriertrack.gateway.fleet.budgets import create_budget_shares  # other heads do not load it
 
-            self._portions = portions_of(settings, hub)
+            self._portions = create_budget_shares(settings, hub)
         self.module = self._module(self._told(settings), seed)
         decides: DecisionModule = self.module
         if self._portions is not None and fleet is not None and fleet.zones is not None:
             from harriertrack.decisions.fleet.zones.evidence import Evidence
-            from harriertrack.gateway.fleet.observing import Observed
+            from harriertrack.gateway.fleet.observing import ObservedModule
 
             self._evidence = Evidence({plan.name for plan in settings.plans if plan.reserve})
-            decides = Observed(self.module, self._evidence)
+            decides = ObservedModule(self.module, self._evidence)
         if self.scored is not None:
-            from harriertrack.gateway.fleet.observing import Observed
+            from harriertrack.gateway.fleet.observing import ObservedModule
 
-            decides = Observed(decides, self.scored.sights)
+            decides = ObservedModule(decides, self.scored.sights)
         self._counting = self._counts()
         self.core = Core(request_rules(settings), decides, settings.volumes, self, self.nodes, extents)
         return HeadParts(hub, self._network, scope, settings, self.core, self.nodes, self.head_id, self._note,
@@ -194,14 +194,14 @@
 
     def _join(self, parts: HeadParts, settings: FleetSettings, extents: ExtentMap) -> None:
         """Take part in the fleet."""
-        from harriertrack.gateway.fleet.beside import Beside  # other heads do not even load it
-        from harriertrack.gateway.fleet.carrier import Fleet
+        from harriertrack.gateway.fleet.member import FleetMember
+        from harriertrack.gateway.fleet.resources import HeadResources  # other heads do not even load it
 
         made = self._wiring
-        beside = Beside(self._listing, extents, self._links.epochs, self.regional, self.retell,
+        beside = HeadResources(self._listing, extents, self._links.epochs, self.regional, self.retell,
                         self._links.shed, self._evidence, self.scored, made.datagrams, made.kept,
                         made.handover, made.usage)  # fmt: skip
-        self.fleet = Fleet(parts, settings, beside)
+        self.fleet = FleetMember(parts, settings, beside)
         self.fleet.start()
 
     def _take_no_more(self, listeners: list[Listener]) -> None:
@@ -251,12 +251,12 @@
         self.core.flush(now)
         told = self._told(settings)
         if self._portions is not None and settings.fleet is not None and settings.fleet.budgets is not None:
-            from harriertrack.gateway.fleet.budgets import divided_of
+            from harriertrack.gateway.fleet.budgets import budget_specs
 
             plans, others = (
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
-            self._portions.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
+            self._portions.update_totals(now, plans, others, budget_specs(settings.fleet.budgets))
         self.core.apply_settings(now, request_rules(settings), told)
         self._links.settings = settings
         self.mover.retell(settings)
@@ -264,7 +264,7 @@
             self.regional.reserves = {plan.name: plan.reserve for plan in settings.plans}
         self.reception.retell(settings)
         if self.fleet is not None and settings.fleet is not None:
-            self.fleet.retell(settings.fleet)
+            self.fleet.reconfigure(settings.fleet)
 
     def _may_move(self, volume: str) -> bool:
         # Without a lease's epoch, its own or the holder's, nobody else's newer work would be noticed.
--- a/harriertrack/lab/fleet/limits.py
+++ b/harriertrack/lab/fleet/limits.py
@@ -15,7 +15,7 @@
 from harriertrack.decisions.fleet.changes.record import Kind, Record
 from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.gateway.fleet.changes import keeping
-from harriertrack.gateway.fleet.figures import figures
+from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.lab.fleet.scenario import StepSettings, Verb
 from harriertrack.rules import recording as rec
 
@@ -110,4 +110,4 @@
     budgets = rig.fleet_day.budgets
     if budgets is None or rig.fleet_day.changes is None:
         return None
-    return Limits(rig, figures(BudgetRules, budgets))
+    return Limits(rig, parameters_from(BudgetRules, budgets))
--- a/harriertrack/lab/fleet/rig/hearing.py
+++ b/harriertrack/lab/fleet/rig/hearing.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from harriertrack.decisions.fleet.budgets import Grant, LeaseRequest
-from harriertrack.gateway.fleet.seats import DECIDES
+from harriertrack.gateway.fleet.locks import DECISION_LOCK
 from harriertrack.lab.fleet import regions, shares, staging, weights
 from harriertrack.lab.fleet.weights import Tally
 from harriertrack.lab.rig import HeadSlot
@@ -56,7 +56,7 @@
             )  # fmt: skip
         if (said := weights.told(now, slot.name, event, fields)) is not None:
             record(said)
-        if event == "fleet budgets: term begins" and int(str(fields["ledger"])) == DECIDES:
+        if event == "fleet budgets: term begins" and int(str(fields["ledger"])) == DECISION_LOCK:
             self.decider = slot.name
         if event in ("fleet budgets: term begins", "fleet budgets: term over"):
             record(rec.Keeps(t=now, head=slot.name, ledger=int(str(fields["ledger"])),
--- a/harriertrack/lab/fleet/rig/operating.py
+++ b/harriertrack/lab/fleet/rig/operating.py
@@ -10,7 +10,7 @@
 from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout.rollout import is_staged
 from harriertrack.gateway.fleet.changes import keeping
-from harriertrack.gateway.fleet.zones import set_wish
+from harriertrack.gateway.fleet.zones import write_operator_hold
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.fleet import staging
 from harriertrack.lab.fleet.scenario import StepSettings, Verb
@@ -62,7 +62,7 @@
 
 def wish_zone(rig: FleetRig, step: StepSettings) -> None:
     """Wish a zone out or in."""
-    set_wish(operator(rig), step.zone, step.wish)
+    write_operator_hold(operator(rig), step.zone, step.wish)
 
 
 def await_decided(rig: FleetRig, step: StepSettings) -> None:
--- a/harriertrack/lab/fleet/rig/parties.py
+++ b/harriertrack/lab/fleet/rig/parties.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from harriertrack.gateway.fleet.seats import DECIDES
+from harriertrack.gateway.fleet.locks import DECISION_LOCK
 from harriertrack.lab.fleet.scenario import ROLES, StepSettings, chosen
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
@@ -29,7 +29,7 @@
     if word == "decider":
         return [rig.hearing.decider] if rig.hearing.decider else []
     if word == "keeper":
-        return sorted({name for ledger, name in rig.hearing.keepers.items() if ledger != DECIDES})
+        return sorted({name for ledger, name in rig.hearing.keepers.items() if ledger != DECISION_LOCK})
     steps = [one for one in rig.recorder.records if isinstance(one, rec.RolloutStep) and one.heads]
     new = set(steps[-1].heads if steps else ())
     zones = {slot.zone for slot in rig.heads if slot.name in new}
--- a/harriertrack/lab/interleaving/scenarios/budgets.py
+++ b/harriertrack/lab/interleaving/scenarios/budgets.py
@@ -91,7 +91,7 @@
         """Return the epoch of the term in which it keeps the ledger; 0: it does not."""
         if self.budgets is None:
             return 0
-        candidate = self.budgets._seats[0].candidate
+        candidate = self.budgets._locks[0].candidate
         return (
             candidate.ledger.term.epoch if candidate.holds_term(now) and candidate.ledger is not None else 0
         )
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -36,7 +36,7 @@
 from harriertrack.gateway.fleet.closing.carrier import Closing
 from harriertrack.gateway.fleet.closing.messages import TOPIC, Answer, Ruling, ask_from, encode
 from harriertrack.gateway.fleet.closing.reading import digest_of, written
-from harriertrack.gateway.fleet.deciding import Deciding
+from harriertrack.gateway.fleet.decider import FleetDecider
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.lab.interleaving.observed import START
 from harriertrack.lab.interleaving.world import Scenario, World
@@ -202,7 +202,7 @@
         said = encode(Ruling(now, digest_of({CALENDAR: body}), (-ERROR_US, ERROR_US), now, [answer], []))
         self._hub.at_for(HEAD, now, lambda: self.on_ruling[TOPIC](self._hub.now(), Term(1, 1), said))
 
-    def keeps(self, _now: int) -> None:
+    def deciding_term(self, _now: int) -> None:
         """No head decides here but this one."""
 
     def rule(self, _topic: str, _body: bytes) -> bool:
@@ -242,8 +242,8 @@
                 swim.start(hub.now())
                 user = cast(Changes, SimpleNamespace(use=lambda *_: None, record=SimpleNamespace(revision=0),
                                                      write=None))  # fmt: skip
-                closing = Closing(_parts(world, scope, core), CLOSING, swim, cast(Deciding, decider), user,
-                                  places, link.epochs)  # fmt: skip
+                closing = Closing(_parts(world, scope, core), CLOSING, swim, cast(FleetDecider, decider),
+                                  user, places, link.epochs)  # fmt: skip
                 decider.taker = closing
                 closing.start()
                 decider.change(OLD)
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -20,7 +20,7 @@
 from harriertrack.decisions.fleet.changes.version_state import ACTIVE, VersionState
 from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
 from harriertrack.gateway.fleet.changes.carrier import Changes
-from harriertrack.gateway.fleet.deciding import Deciding
+from harriertrack.gateway.fleet.decider import FleetDecider
 from harriertrack.gateway.fleet.rollout.carrier import Rollouts, no_usage
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import WitnessClient
@@ -73,7 +73,7 @@
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}
         self._port = world.posts.bind(("x", 1 + NAMES.index(name)), self._come)
 
-    def keeps(self, _now: int) -> Term | None:
+    def deciding_term(self, _now: int) -> Term | None:
         """Return the term in which this head decides."""
         return self._terms.kept_by(self._name)
 
@@ -83,7 +83,7 @@
     def report(self, topic: str, body: bytes) -> None:
         """Tell who decides."""
         now = self._world.hub.now()
-        if self.keeps(now) is not None:
+        if self.deciding_term(now) is not None:
             self.on_report[topic](now, self._name, body)
         else:
             self._tell(self._terms.holder, "report", topic, self._name, body)
@@ -91,7 +91,7 @@
     def rule(self, topic: str, body: bytes) -> bool:
         """Tell everybody."""
         now = self._world.hub.now()
-        term = self.keeps(now)
+        term = self.deciding_term(now)
         if term is None:
             return False
         for name in NAMES:
@@ -103,7 +103,7 @@
     def _come(self, data: bytes, _source: Address) -> None:
         what, topic, name, body = msgspec.msgpack.decode(data, type=tuple[str, str, str, bytes])
         now = self._world.hub.now()
-        if what == "report" and self.keeps(now) is not None:
+        if what == "report" and self.deciding_term(now) is not None:
             self.on_report[topic](now, name, body)
         elif what == "ruling":
             self.on_ruling[topic](now, Term(self._terms.epoch, self._terms.epoch), body)
@@ -156,7 +156,7 @@
                 for other in NAMES:
                     swim.view.take(hub.now(), _member(other, 1))
                 client = WitnessClient(hub, world.network, (WITNESS, 8500), CALL_US, place)
-                deciding = cast(Deciding, _Deciding(world, name, terms, client))
+                deciding = cast(FleetDecider, _Deciding(world, name, terms, client))
                 mine = parts(scope, place)
                 runs[name] = 0
                 witness.up.wait()
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -180,7 +180,7 @@
     module = head.module
     owner = {
         "": module.settings, "rules": module.settings, "class": module._classes["read"], "plan": module._plans["gold"],
-        "fleet: zones": head.fleet.together.zones._rules,
+        "fleet: zones": head.fleet.services.zones._rules,
         "fleet": head.fleet.swim.rules if name in {one.name for one in fields(Rules)} else head.fleet._settings,
     }[group]  # fmt: skip
     return getattr(owner, name)
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -150,7 +150,7 @@
         def add(self, one):
             super().add(one)
             if isinstance(one, rec.Weights) and one.t > 1_009_000_000 and not documents:
-                documents.append(rig.heads[0].head.fleet.together.scoring.document(one.t))
+                documents.append(rig.heads[0].head.fleet.services.scoring.document(one.t))
 
     from harriertrack.lab.fleet.rig import SimulatedFleet
     from harriertrack.runtime.hub import Hub
--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -132,7 +132,7 @@
     one = head(TWO + FLEET % "(budget limits (fixed 0.5)) (budget connections (whole 9) (burst 3))")
     text = written("head", one)
     assert '(budget "limits"' in text and '(witness "127.0.0.1" 8500)' in text
-    code = ("import sys, harriertrack.gateway.fleet.carrier, harriertrack.service.head, harriertrack.wirehost;"
+    code = ("import sys, harriertrack.gateway.fleet.member, harriertrack.service.head, harriertrack.wirehost;"
             "print(' '.join(sys.modules))")  # fmt: skip
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -330,7 +330,7 @@
                                    rules=RuleSettings(budget_window_us=S)))  # fmt: skip
 
     def seat(self, number):
-        return self.sites[number].head.fleet.together.budgets._seats[0]
+        return self.sites[number].head.fleet.services.budgets._locks[0]
 
     def keepers(self):
         return [number for number in range(len(self.sites)) if not self.sites[number].task.done
@@ -409,7 +409,7 @@
         hub.sleep(6 * S)
         client = heads.sites[1].client("shared")
         del client
-        portions = heads.sites[1].head.fleet.together.budgets.portions
+        portions = heads.sites[1].head.fleet.services.budgets.shares
         plan = api.Plan("p", limit=200.0, limit_burst=400.0)
         for step in range(100):
             portions.limit(hub.now(), api.RequestArrived(step, "read", "p", "shared", "", 0, 3.0, S, 2), plan)
@@ -469,7 +469,7 @@
         seats = [
             [
                 seat.candidate.holds_term(hub.now())
-                for seat in site.head.fleet.together.budgets._seats.values()
+                for seat in site.head.fleet.services.budgets._locks.values()
             ]
             for site in heads.sites
         ]
@@ -487,7 +487,7 @@
     def test(heads):
         hub, head = heads.hub, heads.sites[0].head
         hub.sleep(6 * S)
-        links, portions = head._links, head.fleet.together.budgets.portions
+        links, portions = head._links, head.fleet.services.budgets.shares
         for export in ("disk", "shared"):
             client = heads.sites[0].client(export)
             for number in range(12):
@@ -504,7 +504,7 @@
         assert before == {"n0": 2, "n1": 2} and len(links) == 4, "one of each node's is a share"
         heads.datagrams._fate = lambda *_: ()
         hub.sleep(4 * S)
-        if head.fleet.together.budgets._seats[0].candidate.ledger is None:
+        if head.fleet.services.budgets._locks[0].candidate.ledger is None:
             assert used() == {"n0": 1, "n1": 1} and len(links) == 2, "the fixed part alone"
         heads.datagrams._fate = lambda *_: (100,)
         hub.sleep(4 * S)
@@ -693,7 +693,7 @@
         assert other != keeper and "fleet budgets: outnumbered" in [
             event for event, _ in heads.sites[keeper].notes
         ]
-        asks = [seat.keeper if not seat.mine else "itself" for seat in map(heads.seat, range(4))]
+        asks = [seat.owner_address if not seat.owned else "itself" for seat in map(heads.seat, range(4))]
         assert sum(one is not None for one in asks) >= 3, "the others have somebody to ask"
         hub.sleep(20 * S)
         assert heads.keepers() == [other], "the one that is alone sees fewer, and does not take it back"
--- a/tests/test_fleet_carrier.py
+++ b/tests/test_fleet_carrier.py
@@ -8,7 +8,7 @@
 import pytest
 
 from harriertrack.config.settings import FleetSeedSettings, FleetSettings
-from harriertrack.gateway.fleet import carrier
+from harriertrack.gateway.fleet import member as carrier
 from harriertrack.lab.fleet.processes import Places
 from harriertrack.gateway.head import Wiring
 from harriertrack.membership.fleet.messages import Draft, Kind, Life
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -557,7 +557,7 @@
 
 def test_heads_that_nobody_greets_are_found(monkeypatch):
     """That none is found where they are greeted, the days' tests tell."""
-    monkeypatch.setattr(carrier.Zones, "joined", lambda self, record: None)
+    monkeypatch.setattr(carrier.Zones, "send_decisions_to", lambda self, record: None)
     day, recorder = scenario.load("zone-restart"), rec.Recorder()
     simulate(day, day.processes, 1, recorder)
     assert 4 in {one.rule for one in rules.check(recorder.records)}
