--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -135,7 +135,7 @@
     one = head(TWO + FLEET % "(budget limits (fixed 0.5)) (budget connections (whole 9) (burst 3))")
     text = written("head", one)
     assert '(budget "limits"' in text and '(witness "127.0.0.1" 8500)' in text
-    code = ("import sys, harriertrack.gateway.fleet.carrier, harriertrack.service.head, harriertrack.wirehost;"
+    code = ("import sys, harriertrack.gateway.fleet.member, harriertrack.service.head, harriertrack.wirehost;"
             "print(' '.join(sys.modules))")  # fmt: skip
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -335,7 +335,7 @@
                                    rules=RuleSettings(budget_window_us=S)))  # fmt: skip
 
     def seat(self, number):
-        return self.sites[number].head.fleet.together.budgets._seats[0]
+        return self.sites[number].head.fleet.services.budgets._locks[0]
 
     def owners(self):
         return [number for number in range(len(self.sites)) if not self.sites[number].task.done
@@ -416,7 +416,7 @@
         hub.sleep(6 * S)
         client = heads.sites[1].client("shared")
         del client
-        portions = heads.sites[1].head.fleet.together.budgets.portions
+        portions = heads.sites[1].head.fleet.services.budgets.shares
         plan = api.Plan("p", limit=200.0, limit_burst=400.0)
         for step in range(100):
             portions.limit(hub.now(), api.RequestArrived(step, "read", "p", "shared", "", 0, 3.0, S, 2), plan)
@@ -474,7 +474,7 @@
         seats = [
             [
                 seat.candidate.holds_term(hub.now())
-                for seat in site.head.fleet.together.budgets._seats.values()
+                for seat in site.head.fleet.services.budgets._locks.values()
             ]
             for site in heads.sites
         ]
@@ -492,7 +492,7 @@
     def test(heads):
         hub, head = heads.hub, heads.sites[0].head
         hub.sleep(6 * S)
-        links, portions = head._links, head.fleet.together.budgets.portions
+        links, portions = head._links, head.fleet.services.budgets.shares
         for export in ("disk", "shared"):
             client = heads.sites[0].client(export)
             for number in range(12):
@@ -511,7 +511,7 @@
         )
         heads.datagrams._fate = lambda *_: ()
         hub.sleep(4 * S)
-        if head.fleet.together.budgets._seats[0].candidate.ledger is None:
+        if head.fleet.services.budgets._locks[0].candidate.ledger is None:
             assert used() == {"n0": 1, "n1": 1} and len(links) == 2, "only the fixed part"
         heads.datagrams._fate = lambda *_: (100,)
         hub.sleep(4 * S)
@@ -702,7 +702,7 @@
         assert other != owner and "fleet budgets: outnumbered" in [
             event for event, _ in heads.sites[owner].notes
         ]
-        sources = [seat.keeper if not seat.mine else "itself" for seat in map(heads.seat, range(4))]
+        sources = [seat.owner_address if not seat.owned else "itself" for seat in map(heads.seat, range(4))]
         assert sum(one is not None for one in sources) >= 3, "the others have an owner to send requests to"
         hub.sleep(20 * S)
         assert heads.owners() == [other], (
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -579,7 +579,7 @@
 
 def test_new_heads_without_a_decision_are_found(monkeypatch):
     """The tests of days check that none is found where new heads receive it."""
-    monkeypatch.setattr(carrier.Zones, "joined", lambda self, record: None)
+    monkeypatch.setattr(carrier.Zones, "send_decisions_to", lambda self, record: None)
     day, recorder = scenario.load("zone-restart"), rec.Recorder()
     simulate(day, day.processes, 1, recorder)
     assert 4 in {one.rule for one in rules.check(recorder.records)}
