--- a/harriertrack/gateway/fleet/carrier.py
+++ b/harriertrack/gateway/fleet/member.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from harriertrack.config.settings import FleetSettings
-from harriertrack.gateway.fleet.beside import Beside
-from harriertrack.gateway.fleet.figures import figures
-from harriertrack.gateway.fleet.together import Member, Together
+from harriertrack.gateway.fleet.parameters import parameters_from
+from harriertrack.gateway.fleet.resources import HeadResources
+from harriertrack.gateway.fleet.startup import FleetServices, MemberContext
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.membership.fleet.messages import TOPIC_MARK, Record, State
 from harriertrack.membership.fleet.status_document import (
@@ -34,13 +34,13 @@
 
 def rules_of(settings: FleetSettings) -> Rules:
     """Return the protocol's figures."""
-    return figures(Rules, settings)
+    return parameters_from(Rules, settings)
 
 
-class Fleet:
+class FleetMember:
     """This head as a member."""
 
-    def __init__(self, parts: HeadParts, settings: FleetSettings, beside: Beside) -> None:
+    def __init__(self, parts: HeadParts, settings: FleetSettings, beside: HeadResources) -> None:
         self._parts, self._settings, self._hub, self._beside = parts, settings, parts.hub, beside
         self._network = beside.datagrams or SocketDatagrams(parts.hub)
         self._alarm = Alarm(parts.hub, self._wake)
@@ -49,7 +49,7 @@
         self._taken = self._refused = 0
         self._about = ActivityNote()
         self.swim: Swim
-        self.together: Together
+        self.services: FleetServices
 
     def start(self) -> None:
         """Bind, and take part from now on. Raises OSError if the address is taken."""
@@ -67,8 +67,8 @@
         )  # fmt: skip
         seeds = [seed.address for seed in settings.seeds]
         self.swim = Swim(rules_of(settings), me, seeds, hub.random.getrandbits(63))
-        member = Member(self._parts, self._beside, self.swim, self._port.send, self._tell_now)
-        self.together = Together(member, settings)
+        member = MemberContext(self._parts, self._beside, self.swim, self._port.send, self._tell_now)
+        self.services = FleetServices(member, settings)
         scope = self._parts.scope
         scope.spawn("fleet", self._hold, door)
         scope.spawn("fleet's door", self._open, door)
@@ -77,13 +77,13 @@
                          instance=digest_name(me.instance))  # fmt: skip
         self.swim.start(hub.now())
         self._follow()
-        self.together.start()
+        self.services.start()
 
-    def retell(self, settings: FleetSettings) -> None:
+    def reconfigure(self, settings: FleetSettings) -> None:
         """Go by other figures from now on; what is due already stays so."""
         self._settings = settings
         self.swim.update_rules(rules_of(settings))
-        self.together.retell(settings)
+        self.services.reconfigure(settings)
 
     @property
     def address(self) -> Address:
@@ -97,7 +97,7 @@
         finally:
             self._closed = True
             self._alarm.cancel()
-            self.together.close()
+            self.services.close()
             self._port.close()
             door.close()
 
@@ -105,13 +105,13 @@
         """Say goodbye."""
         self.swim.leave(self._hub.now())
         self._follow()
-        self.together.leave()
+        self.services.leave()
 
     def wait_left(self) -> None:
         """Wait until the goodbye has been said often enough, for `leave` at most."""
         until = self._hub.now() + self._settings.leave_us
         while self._hub.now() < until:
-            if self.swim.leave_complete and self.together.released:
+            if self.swim.leave_complete and self.services.released:
                 return
             self._hub.sleep(self._settings.gossip_us // 4)
 
@@ -120,7 +120,7 @@
     def _come(self, data: bytes, source: Address) -> None:
         if self._closed:
             return
-        if data[:1] == TOPIC_MARK and (budgets := self.together.budgets) is not None:
+        if data[:1] == TOPIC_MARK and (budgets := self.services.budgets) is not None:
             budgets.receive(data, source)
             return
         self.swim.receive(self._hub.now(), data, source)
@@ -139,7 +139,7 @@
                 case MemberChanged(change):
                     self._changed(change)
                 case NoteReceived(note):
-                    if (changes := self.together.changes) is not None and (
+                    if (changes := self.services.changes) is not None and (
                         about := parse_member_note(note.payload)
                     ):
                         changes.heard(about)
@@ -148,9 +148,9 @@
         self._alarm.wake_at(self.swim.wake_at())
 
     def _changed(self, change: Change) -> None:
-        before, after, view, zones = change.before, change.after, self.swim.view, self.together.zones
+        before, after, view, zones = change.before, change.after, self.swim.view, self.services.zones
         if zones is not None and after.state is State.ALIVE and (before is None or change.process_changed):
-            zones.joined(after)
+            zones.send_decisions_to(after)
         if before is not None and before.state is after.state and not change.process_changed:
             return  # a suspect's objection, known before the suspicion was
         self._parts.note(
@@ -176,7 +176,7 @@
             self._hub.sleep(settings.note_us)
 
     def _tell_now(self) -> None:
-        about, changes = self._about, self.together.changes
+        about, changes = self._about, self.services.changes
         told = changes.about(about) if changes is not None else msgspec.msgpack.encode(about)
         self.swim.set_note(self._hub.now(), told)
         self._follow()
@@ -199,7 +199,7 @@
         sent = Event(self._hub)
         try:
             now = self._hub.now()
-            document = msgspec.structs.replace(build_document(self.swim, now), **self.together.documents(now))
+            document = msgspec.structs.replace(build_document(self.swim, now), **self.services.documents(now))
             stream.write(msgspec.json.encode(document))
             stream.push(sent.set)
             stream.watch_end(sent.set)
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -33,7 +33,7 @@
     from harriertrack.decisions.fleet.budget_shares import BudgetShares
     from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
     from harriertrack.decisions.fleet.zones.evidence import Evidence
-    from harriertrack.gateway.fleet.carrier import Fleet
+    from harriertrack.gateway.fleet.member import FleetMember
     from harriertrack.gateway.fleet.rollout.carrier import Usage
     from harriertrack.gateway.fleet.rollout.program_user import Handover
     from harriertrack.gateway.fleet.scoring.carrier import Scored
@@ -84,7 +84,7 @@
         self.reception: Reception
         self.mover: Mover
         self.module: Scheduler | CellScheduler
-        self.fleet: Fleet | None = None
+        self.fleet: FleetMember | None = None
         self.regional: Regional | None = None
         self._budget_shares: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
@@ -145,21 +145,21 @@
         hub, settings, fleet = self.hub, self.settings, self.settings.fleet
         seed = settings.seed or hub.random.getrandbits(63)
         if fleet is not None and fleet.budgets is not None:
-            from harriertrack.gateway.fleet.budgets import portions_of  # loaded only where it is used
+            from harriertrack.gateway.fleet.budgets import create_budget_shares  # loaded if used
 
-            self._budget_shares = portions_of(settings, hub)
+            self._budget_shares = create_budget_shares(settings, hub)
         self.module = self._make_module(self._module_settings(settings), seed)
         module: DecisionModule = self.module
         if self._budget_shares is not None and fleet is not None and fleet.zones is not None:
             from harriertrack.decisions.fleet.zones.evidence import Evidence
-            from harriertrack.gateway.fleet.observing import Observed
+            from harriertrack.gateway.fleet.observing import ObservedModule
 
             self._evidence = Evidence({plan.name for plan in settings.plans if plan.reserve})
-            module = Observed(self.module, self._evidence)
+            module = ObservedModule(self.module, self._evidence)
         if self.scored is not None:
-            from harriertrack.gateway.fleet.observing import Observed
+            from harriertrack.gateway.fleet.observing import ObservedModule
 
-            module = Observed(module, self.scored.sights)
+            module = ObservedModule(module, self.scored.sights)
         self._answer_counter = self._make_answer_counter()
         self.core = Core(request_rules(settings), module, settings.volumes, self, self.nodes, extents)
         return HeadParts(hub, self._network, scope, settings, self.core, self.nodes, self.head_id, self._note,
@@ -196,14 +196,15 @@
 
     def _join_fleet(self, parts: HeadParts, settings: FleetSettings, extents: ExtentMap) -> None:
         """Join the fleet."""
-        from harriertrack.gateway.fleet.beside import Beside  # loaded only where it is used
-        from harriertrack.gateway.fleet.carrier import Fleet
+        from harriertrack.gateway.fleet.member import FleetMember  # loaded only where it is used
+        from harriertrack.gateway.fleet.resources import HeadResources
 
         wiring = self._wiring
-        beside = Beside(self._listing, extents, self._links.epochs, self.regional, self.apply_settings,
-                        self._links.shed, self._evidence, self.scored, wiring.datagrams, wiring.changes_cache,
-                        wiring.handover, wiring.usage)  # fmt: skip
-        self.fleet = Fleet(parts, settings, beside)
+        resources = HeadResources(self._listing, extents, self._links.epochs, self.regional,
+                                  self.apply_settings, self._links.shed, self._evidence, self.scored,
+                                  wiring.datagrams, wiring.changes_cache, wiring.handover,
+                                  wiring.usage)  # fmt: skip
+        self.fleet = FleetMember(parts, settings, resources)
         self.fleet.start()
 
     def _shut_down(self, listeners: list[Listener]) -> None:
@@ -257,12 +258,12 @@
             and settings.fleet is not None
             and settings.fleet.budgets is not None
         ):
-            from harriertrack.gateway.fleet.budgets import divided_of
+            from harriertrack.gateway.fleet.budgets import budget_specs
 
             plans, others = (
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
-            self._budget_shares.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
+            self._budget_shares.update_totals(now, plans, others, budget_specs(settings.fleet.budgets))
         self.core.apply_settings(now, request_rules(settings), for_module)
         self._links.settings = settings
         self.mover.apply_settings(settings)
@@ -270,7 +271,7 @@
             self.regional.reserves = {plan.name: plan.reserve for plan in settings.plans}
         self.reception.apply_settings(settings)
         if self.fleet is not None and settings.fleet is not None:
-            self.fleet.retell(settings.fleet)
+            self.fleet.reconfigure(settings.fleet)
 
     def _may_move(self, volume: str) -> bool:
         # Without the epoch of a lease, its own or the holder's, another head's newer work goes undetected.
