--- a/harriertrack/gateway/fleet/decider.py
+++ b/harriertrack/gateway/fleet/decider.py
@@ -1,7 +1,7 @@
-"""The one term in which it is decided for the whole fleet, and what is told to and by who decides.
+"""The term in which one head decides for the whole fleet, and the messages to and from that head.
 
-Zones, changes and whatever else the fleet does as one are decided under the same lock: who keeps it may,
-until its term ends by its own clock. Reports and rulings may be lost: what matters is repeated.
+Zones, changes and other fleet-wide decisions are made under one lock: its holder decides until its term ends
+by its own clock. Reports and rulings may be lost, so their senders repeat what matters.
 """
 
 from __future__ import annotations
@@ -17,97 +17,97 @@
 
 
 class FleetDecider:
-    """This head's part: it decides, or tells and hears who does."""
+    """Decides for the fleet while this head holds the lock; otherwise talks to the head that does."""
 
     def __init__(self, hub: Hub, name: str, budgets: Budgets) -> None:
         self._hub, self._name, self._budgets = hub, name, budgets
-        self.on_zone_report: Callable[[int, Seen], None] = lambda _now, _seen: None  # of zones
+        self.on_zone_report: Callable[[int, Seen], None] = lambda _now, _seen: None  # zone observations
         self.on_zone_decisions: Callable[[int, Told], None] = lambda _now, _told: None
         self.on_report: dict[str, Callable[[int, str, bytes], None]] = {}  # by topic: (now, head, body)
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}  # by topic: (now, term, body)
-        budgets.on_other_message = self._come
+        budgets.on_other_message = self._receive
 
     @property
     def witness(self) -> WitnessClient:
-        """Return what asks the witness."""
+        """Return the client of the witness."""
         return self._budgets.witness
 
     def deciding_term(self, now: int) -> Term | None:
-        """Return the term in which this head decides; None if it does not."""
+        """Return the term in which this head decides; None if another head does."""
         candidate = self._budgets.decision_lock.candidate
         return candidate.ledger.term if candidate.holds_term(now) and candidate.ledger is not None else None
 
     @property
     def decider_address(self) -> Address | None:
-        """Return who decides, if it is known and another head."""
+        """Return the address of the deciding head; None if unknown or this head."""
         return self._budgets.decision_lock.owner_address
 
     def accept_term(self, now: int, term: Term) -> bool:
-        """Whether this is the term that this head goes by."""
+        """Return whether a term is current, and follow it if it is newer."""
         return self._budgets.decision_lock.holder.observe_term(now, term)
 
-    def send_to_decider(self, said: Said) -> None:
-        """Tell who decides, if it is known and another head."""
-        if (keeper := self._budgets.decision_lock.owner_address) is not None:
-            self._budgets.send(keeper, said)
+    def send_to_decider(self, message: Said) -> None:
+        """Send to the deciding head, if it is known and another head."""
+        if (decider := self._budgets.decision_lock.owner_address) is not None:
+            self._budgets.send(decider, message)
 
-    def send(self, address: Address, said: Said) -> None:
-        """Tell one head."""
-        self._budgets.send(address, said)
+    def send(self, address: Address, message: Said) -> None:
+        """Send to one head."""
+        self._budgets.send(address, message)
 
-    def broadcast(self, said: Said) -> None:
-        """Tell all who are there."""
+    def broadcast(self, message: Said) -> None:
+        """Send to all other members that are present."""
         for address in self._budgets.others():
-            self._budgets.send(address, said)
+            self._budgets.send(address, message)
 
-    # -- any other part of the fleet
+    # -- messages by topic
 
     def report(self, topic: str, body: bytes) -> None:
-        """Tell who decides something; at most `MOST_TOPIC_BODY` bytes, which may be lost.
+        """Send a report of at most `MOST_TOPIC_BODY` bytes to the deciding head; it may be lost.
 
         Raises ValueError for more.
         """
-        _check(body)
+        _check_size(body)
         now = self._hub.now()
         if self.deciding_term(now) is not None:
-            self._reported(now, topic, self._name, body)
+            self._deliver_report(now, topic, self._name, body)
         else:
             self.send_to_decider(Report(topic, self._name, body))
 
     def rule(self, topic: str, body: bytes) -> bool:
-        """Tell everybody, oneself too, what is decided; return False if this head does not decide (any more).
+        """Send a decision to all heads, this one included; return False if this head does not decide.
 
         Raises ValueError for more than `MOST_TOPIC_BODY` bytes.
         """
-        _check(body)
+        _check_size(body)
         now = self._hub.now()
         term = self.deciding_term(now)
         if term is None:
             return False
         self.broadcast(Ruling(topic, term, body))
-        if (heard := self.on_ruling.get(topic)) is not None:
-            heard(now, term, body)
+        if (handler := self.on_ruling.get(topic)) is not None:
+            handler(now, term, body)
         return True
 
-    def _reported(self, now: int, topic: str, head: str, body: bytes) -> None:
-        if (heard := self.on_report.get(topic)) is not None:
-            heard(now, head, body)
+    def _deliver_report(self, now: int, topic: str, head: str, body: bytes) -> None:
+        if (handler := self.on_report.get(topic)) is not None:
+            handler(now, head, body)
 
-    def _come(self, said: Said, _source: Address) -> None:
+    def _receive(self, message: Said, _source: Address) -> None:
         now = self._hub.now()
-        match said:
+        match message:
             case Seen():
-                self.on_zone_report(now, said)
+                self.on_zone_report(now, message)
             case Told():
-                self.on_zone_decisions(now, said)
+                self.on_zone_decisions(now, message)
             case Report(topic, head, body):
                 if self.deciding_term(now) is not None:
-                    self._reported(now, topic, head, body)
+                    self._deliver_report(now, topic, head, body)
             case Ruling(topic, term, body):
-                if self.accept_term(now, term) and (heard := self.on_ruling.get(topic)) is not None:
-                    heard(now, term, body)
+                if self.accept_term(now, term) and (handler := self.on_ruling.get(topic)) is not None:
+                    handler(now, term, body)
 
 
-def _check(body: bytes) -> None:
+def _check_size(body: bytes) -> None:
     if len(body) > MOST_TOPIC_BODY:
         raise ValueError(f"{len(body)} bytes, more than {MOST_TOPIC_BODY}")
--- a/harriertrack/gateway/fleet/locks.py
+++ b/harriertrack/gateway/fleet/locks.py
@@ -1,7 +1,8 @@
-"""One head's seats: each a lock at the witness that one head of the fleet holds, in terms.
+"""The locks at the witness that this head competes for, each held in terms by one head of the fleet.
 
-Under the ledgers' seats budgets are divided; under the last one it is decided for the whole fleet. When to
-try for a lock and whom to believe is decided by `Candidate` and `Holder`; here is what the witness is asked.
+The holder of a ledger's lock divides that ledger's budgets; the holder of the last lock decides for the whole
+fleet. `Candidate` and `LeaseHolder` decide when to acquire a lock and whose term is valid; this module makes
+the calls to the witness.
 """
 
 from __future__ import annotations
@@ -21,80 +22,80 @@
 from harriertrack.membership.fleet.swim import Swim
 from harriertrack.runtime.datagrams import Address
 
-DECISION_LOCK = 64  # the number after all ledgers: who decides for the fleet
-PATH = "/v1/kv/harriertrack/budgets/"  # at the witness, with the lock's number
-LOOK_US = 100_000  # how often it is looked who should keep a ledger
+DECISION_LOCK = 64  # numbered after all ledgers: the lock of the head that decides for the fleet
+PATH = "/v1/kv/harriertrack/budgets/"  # key at the witness, followed by the lock's number
+POLL_US = 100_000  # longest time between checks of whether this head should acquire a lock
 
 
 class SilenceReport(msgspec.Struct, frozen=True):
-    """What a head leaves at the witness that hears nothing of a lock's holder: how many it sees."""
+    """Written to the witness by a head that receives nothing from a lock's holder: how many heads it sees."""
 
     epoch: int
     there: int
 
 
 class LockValue(msgspec.Struct, frozen=True):
-    """What the witness keeps beside a lock's lock."""
+    """The value stored at the witness with a lock."""
 
     holder: str
-    lease_us: int  # the longest that the holder grants
+    lease_us: int  # the longest lease that the holder grants
 
 
 @dataclass(slots=True)
 class WitnessLock:
-    """One lock, as this head takes part in it."""
+    """One lock and this head's state for it, as a candidate and as a holder of leases."""
 
     number: int
     holder: LeaseHolder
     candidate: Candidate
-    owner_address: Address | None = None  # whom to ask; None: nobody, or this head itself
+    owner_address: Address | None = None  # of the head that holds the lock; None: unknown, or this head
     owned: bool = False
     session: str = ""
     announced_at: int = 0
-    lapses: int = 0
+    lapses: int = 0  # of the leases, already logged
     addresses: dict[tuple[str, int], Address] = field(default_factory=dict)
-    last_contact: dict[Address, int] = field(default_factory=dict)  # when each asked last
+    last_contact: dict[Address, int] = field(default_factory=dict)  # when each address last sent a request
 
     @property
     def path(self) -> str:
-        """Return its key at the witness."""
+        """Return the lock's key at the witness."""
         return f"{PATH}{self.number}"
 
 
 class LockManager:
     """The seats' locks at the witness; a task for each lock."""
 
-    def __init__(self, parts: HeadParts, settings: BudgetsSettings, swim: Swim, soon: Callable[[], None],
-                 vacated: Callable[[WitnessLock, Term], None]) -> None:  # fmt: skip
+    def __init__(self, parts: HeadParts, settings: BudgetsSettings, swim: Swim, wake_soon: Callable[[], None],
+                 on_release: Callable[[WitnessLock, Term], None]) -> None:  # fmt: skip
         self._parts, self._hub, self._settings, self._swim = parts, parts.hub, settings, swim
         self.witness = WitnessClient(parts.hub, parts.network, settings.witness, settings.timeout_us,
                                      swim.me.name)  # fmt: skip
-        self._soon, self._vacated = soon, vacated
+        self._wake_soon, self._on_release = wake_soon, on_release
         self.leaving = False
 
     def maintain(self, lock: WitnessLock) -> None:
-        """Try to keep a ledger when it is this head's turn, and keep it (a task)."""
+        """Acquire the lock when it is this head's turn, then renew it until the head leaves (a task)."""
         candidate = lock.candidate
         while not self.leaving:
             now = self._hub.now()
             view, me = self._swim.view, self._swim.me.name
-            here = 0 if candidate.must_wait(now) else rank(lock.number, me, view.present)
-            match candidate.next_call(now, here):
+            own_rank = 0 if candidate.must_wait(now) else rank(lock.number, me, view.present)
+            match candidate.next_call(now, own_rank):
                 case WitnessCall.ACQUIRE:
-                    self._try_take(lock, now)
+                    self._try_acquire(lock, now)
                 case WitnessCall.RENEW:
                     holds = self._renew(lock)
                     candidate.handle_renewal(self._hub.now(), now, holds)
-                    self._soon()
+                    self._wake_soon()
                 case _:
-                    until = candidate.wake_at(now, here)
-                    self._hub.sleep(max(1_000, min(until - now, LOOK_US)))
+                    until = candidate.wake_at(now, own_rank)
+                    self._hub.sleep(max(1_000, min(until - now, POLL_US)))
         self._release(lock)
 
-    def _try_take(self, lock: WitnessLock, asked_at: int) -> None:
+    def _try_acquire(self, lock: WitnessLock, requested_at: int) -> None:
         found: LockAcquired | LockHeld | None = None
         try:
-            found = self._take_lock(lock)
+            found = self._acquire(lock)
             if isinstance(found, LockHeld) and lock.candidate.holder_silent(self._hub.now()):
                 there = len(self._swim.view.present)
                 self.witness.put(
@@ -105,7 +106,7 @@
         except FAILURES as error:
             why = str(error) or type(error).__name__
             self._parts.note("fleet budgets: no witness", ledger=lock.number, why=why)
-        ledger = lock.candidate.handle_acquire(self._hub.now(), asked_at, found)
+        ledger = lock.candidate.handle_acquire(self._hub.now(), requested_at, found)
         if ledger is not None:
             lock.addresses.clear()
             lock.last_contact.clear()
@@ -113,9 +114,9 @@
             opens_us = ledger.opens_at - self._hub.now()
             self._parts.note("fleet budgets: term begins", ledger=lock.number, epoch=ledger.term.epoch,
                              opens_us=opens_us)  # fmt: skip
-            self._soon()
+            self._wake_soon()
 
-    def _take_lock(self, lock: WitnessLock) -> LockAcquired | LockHeld | None:
+    def _acquire(self, lock: WitnessLock) -> LockAcquired | LockHeld | None:
         key = self.witness.key(lock.path)
         if key is not None and key.session:
             return LockHeld(key.epoch)
@@ -123,58 +124,60 @@
         value = msgspec.json.encode(LockValue(self._swim.me.name, self._settings.lease_us))
         if not self.witness.change(lock.path, "lock", session, value, key.index if key is not None else 0):
             return None
-        mine = self.witness.key(lock.path)
-        if mine is None or mine.session != session:
+        written = self.witness.key(lock.path)
+        if written is None or written.session != session:
             return None
         lock.session = session
-        return LockAcquired(mine.epoch, _lease_of(key.value) if key is not None else 0)
+        return LockAcquired(written.epoch, _lease_duration(key.value) if key is not None else 0)
 
     def _renew(self, lock: WitnessLock) -> bool | None:
         ledger = lock.candidate.ledger
         try:
             if not self.witness.renew(lock.session):
                 return False
-            key, heard = self.witness.key(lock.path), self.witness.key(f"{lock.path}/silent")
+            key, silence = self.witness.key(lock.path), self.witness.key(f"{lock.path}/silent")
         except FAILURES:
             return None
-        if heard is not None and ledger is not None:
-            self._heed(lock, ledger, heard.value)
+        if silence is not None and ledger is not None:
+            self._handle_silence_report(lock, ledger, silence.value)
         return (
             key is not None
             and ledger is not None
             and ((key.session, key.epoch) == (lock.session, ledger.term.epoch))
         )
 
-    def _heed(self, lock: WitnessLock, ledger: Ledger, value: bytes) -> None:
-        """Hear how many heads somebody sees that hears nothing of this one."""
+    def _handle_silence_report(self, lock: WitnessLock, ledger: Ledger, value: bytes) -> None:
+        """Resign if a head that receives nothing from this one sees more heads than this one does."""
         try:
-            told = msgspec.json.decode(value, type=SilenceReport)
+            report = msgspec.json.decode(value, type=SilenceReport)
         except msgspec.MsgspecError:
-            return  # none of ours
+            return  # not written by a head
         there = len(self._swim.view.present)
-        if told.epoch == ledger.term.epoch and lock.candidate.resign_if_outnumbered(
-            self._hub.now(), told.there, there
+        if report.epoch == ledger.term.epoch and lock.candidate.resign_if_outnumbered(
+            self._hub.now(), report.there, there
         ):
-            self._parts.note("fleet budgets: outnumbered", ledger=lock.number, there=there, theirs=told.there)
-            self._give_back(lock, ledger)
+            self._parts.note(
+                "fleet budgets: outnumbered", ledger=lock.number, there=there, theirs=report.there
+            )
+            self._unlock(lock, ledger)
 
     def _release(self, lock: WitnessLock) -> None:
         ledger = lock.candidate.ledger
         if lock.candidate.leave(self._hub.now()) and ledger is not None:
-            self._give_back(lock, ledger)
+            self._unlock(lock, ledger)
 
-    def _give_back(self, lock: WitnessLock, ledger: Ledger) -> None:
+    def _unlock(self, lock: WitnessLock, ledger: Ledger) -> None:
         try:
             key = self.witness.key(lock.path)
             if key is not None and key.session == lock.session:
                 self.witness.change(lock.path, "unlock", lock.session, key.value, key.index)
         except FAILURES:
-            pass  # its session ends by itself
-        self._vacated(lock, ledger.term)
+            pass  # the lock is released when its session expires
+        self._on_release(lock, ledger.term)
 
 
-def _lease_of(value: bytes) -> int:
-    """Return how long the leases of a key's last holder were; 0 if its value is none of ours."""
+def _lease_duration(value: bytes) -> int:
+    """Return the lease duration of the key's last holder; 0 if the value was not written by a head."""
     try:
         return msgspec.json.decode(value, type=LockValue).lease_us
     except msgspec.MsgspecError:
--- a/harriertrack/gateway/fleet/member.py
+++ b/harriertrack/gateway/fleet/member.py
@@ -1,7 +1,7 @@
-"""A head's part in its fleet, on the hub: datagrams to and from the pure member, and a door for operators.
+"""A head as a member of its fleet: carries the datagrams and timers of `Swim`, and serves its status.
 
-At the same host and port, over TCP, whoever connects is sent the view as one JSON document. Nothing is read
-from such a connection.
+Over TCP, at the same host and port, each connection is sent the view as one JSON document; nothing is read
+from it.
 """
 
 from __future__ import annotations
@@ -22,35 +22,35 @@
 from harriertrack.runtime.hub import DeadlineExceeded, Event
 from harriertrack.runtime.streams import Listener, Stream, StreamClosed
 
-DOOR_US = 2_000_000  # how long an operator's connection may take the document
-MOST_AT_DOOR = 8  # such connections at a time; more are closed
+STATUS_SEND_US = 2_000_000  # timeout for sending the status document
+MAX_STATUS_CONNECTIONS = 8  # at a time; more are closed
 
 
 def rules_of(settings: FleetSettings) -> Rules:
-    """Return the protocol's figures."""
+    """Return the parameters of the membership protocol."""
     return parameters_from(Rules, settings)
 
 
 class FleetMember:
-    """This head as a member."""
+    """This head as a member of its fleet."""
 
-    def __init__(self, parts: HeadParts, settings: FleetSettings, beside: HeadResources) -> None:
-        self._parts, self._settings, self._hub, self._beside = parts, settings, parts.hub, beside
-        self._network = beside.datagrams or SocketDatagrams(parts.hub)
+    def __init__(self, parts: HeadParts, settings: FleetSettings, resources: HeadResources) -> None:
+        self._parts, self._settings, self._hub, self._resources = parts, settings, parts.hub, resources
+        self._network = resources.datagrams or SocketDatagrams(parts.hub)
         self._alarm = Alarm(parts.hub, self._wake)
-        self._at_door = 0
+        self._status_connections = 0
         self._closed = False
-        self._taken = self._refused = 0
-        self._about = About()
+        self._accepted_before = self._refused_before = 0
+        self._load_note = About()
         self.swim: Swim
         self.services: FleetServices
 
     def start(self) -> None:
-        """Bind, and take part from now on. Raises OSError if the address is taken."""
+        """Bind, and join the fleet. Raises OSError if the address is in use."""
         hub, settings, head = self._hub, self._settings, self._parts.settings
-        self._port = self._network.bind(settings.listen, self._come, settings.name)
+        self._port = self._network.bind(settings.listen, self._receive, settings.name)
         try:
-            door = self._parts.network.listen(self._port.address)
+            listener = self._parts.network.listen(self._port.address)
         except OSError:
             self._port.close()
             raise
@@ -61,31 +61,31 @@
         )  # fmt: skip
         seeds = [seed.address for seed in settings.seeds]
         self.swim = Swim(rules_of(settings), me, seeds, hub.random.getrandbits(63))
-        member = MemberContext(self._parts, self._beside, self.swim, self._port.send, self._tell_now)
+        member = MemberContext(self._parts, self._resources, self.swim, self._port.send, self._publish_note)
         self.services = FleetServices(member, settings)
         scope = self._parts.scope
-        scope.spawn("fleet", self._hold, door)
-        scope.spawn("fleet's door", self._open, door)
-        scope.spawn("fleet's note", self._tell)
+        scope.spawn("fleet", self._close_at_end, listener)
+        scope.spawn("fleet's door", self._serve_status, listener)
+        scope.spawn("fleet's note", self._publish_load)
         self._parts.note("fleet joins", member=settings.name, address=f"{host}:{port}",
                          instance=digest_name(me.instance))  # fmt: skip
         self.swim.start(hub.now())
-        self._follow()
+        self._apply_actions()
         self.services.start()
 
     def reconfigure(self, settings: FleetSettings) -> None:
-        """Go by other figures from now on; what is due already stays so."""
+        """Apply other settings; timers that are already set stay."""
         self._settings = settings
         self.swim.retell(rules_of(settings))
         self.services.reconfigure(settings)
 
     @property
     def address(self) -> Address:
-        """Return where the head listens for its fleet."""
+        """Return the address at which the head listens for its fleet."""
         return self._port.address
 
-    def _hold(self, door: Listener) -> None:
-        """Give back what was bound, whenever the head ends (a task)."""
+    def _close_at_end(self, listener: Listener) -> None:
+        """Close the sockets when the head's scope ends (a task)."""
         try:
             Event(self._hub).wait()
         finally:
@@ -93,16 +93,16 @@
             self._alarm.cancel()
             self.services.close()
             self._port.close()
-            door.close()
+            listener.close()
 
     def leave(self) -> None:
-        """Say goodbye."""
+        """Announce that this head leaves the fleet, and release its locks."""
         self.swim.leave(self._hub.now())
-        self._follow()
+        self._apply_actions()
         self.services.leave()
 
     def wait_left(self) -> None:
-        """Wait until the goodbye has been said often enough, for `leave` at most."""
+        """Wait until the departure was announced often enough, for `leave_us` at most."""
         until = self._hub.now() + self._settings.leave_us
         while self._hub.now() < until:
             if self.swim.left and self.services.released:
@@ -111,27 +111,27 @@
 
     # -- datagrams and time
 
-    def _come(self, data: bytes, source: Address) -> None:
+    def _receive(self, data: bytes, source: Address) -> None:
         if self._closed:
             return
         if data[:1] == BUDGETS and (budgets := self.services.budgets) is not None:
             budgets.receive(data, source)
             return
         self.swim.receive(self._hub.now(), data, source)
-        self._follow()
+        self._apply_actions()
 
     def _wake(self) -> None:
         if not self._closed:
             self.swim.wake(self._hub.now())
-            self._follow()
+            self._apply_actions()
 
-    def _follow(self) -> None:
+    def _apply_actions(self) -> None:
         for action in self.swim.take_actions():
             match action:
                 case Send(address, data):
                     self._port.send(data, address)
                 case Changed(change):
-                    self._changed(change)
+                    self._handle_change(change)
                 case Noted(note):
                     if (changes := self.services.changes) is not None and (about := about_of(note.about)):
                         changes.heard(about)
@@ -139,12 +139,12 @@
                     self._parts.note(event, **dict(fields))
         self._alarm.wake_at(self.swim.wake_at())
 
-    def _changed(self, change: Change) -> None:
+    def _handle_change(self, change: Change) -> None:
         before, after, view, zones = change.before, change.after, self.swim.view, self.services.zones
         if zones is not None and after.state is State.ALIVE and (before is None or change.another_life):
             zones.send_decisions_to(after)
         if before is not None and before.state is after.state and not change.another_life:
-            return  # a suspect's objection, known before the suspicion was
+            return  # a suspect's refutation that arrived before the suspicion
         self._parts.note(
             "fleet member", member=after.name, state=state_name(after.state),
             was=state_name(before.state) if before is not None else "", life=after.started,
@@ -152,42 +152,46 @@
             digest=digest_name(view.digest),
         )  # fmt: skip
 
-    # -- what it says of itself
+    # -- the note on this head
 
-    def _tell(self) -> None:
-        """Note from time to time how busy the head is (a task)."""
+    def _publish_load(self) -> None:
+        """Publish the head's load periodically (a task)."""
         settings, core = self._settings, self._parts.core
         while True:
-            taken, refused = core.counts.accepted - self._taken, core.counts.refused - self._refused
-            self._taken, self._refused = core.counts.accepted, core.counts.refused
-            self._about = About(
+            accepted, refused = (
+                core.counts.accepted - self._accepted_before,
+                core.counts.refused - self._refused_before,
+            )
+            self._accepted_before, self._refused_before = core.counts.accepted, core.counts.refused
+            self._load_note = About(
                 volumes=len(self._parts.settings.volumes), open=core.open_requests,
-                taken=round(taken * 1e6 / settings.note_us), refused=100 * refused // taken if taken else 0,
+                taken=round(accepted * 1e6 / settings.note_us),
+                refused=100 * refused // accepted if accepted else 0,
             )  # fmt: skip
-            self._tell_now()
+            self._publish_note()
             self._hub.sleep(settings.note_us)
 
-    def _tell_now(self) -> None:
-        about, changes = self._about, self.services.changes
-        told = changes.about(about) if changes is not None else msgspec.msgpack.encode(about)
-        self.swim.note(self._hub.now(), told)
-        self._follow()
+    def _publish_note(self) -> None:
+        about, changes = self._load_note, self.services.changes
+        note = changes.about(about) if changes is not None else msgspec.msgpack.encode(about)
+        self.swim.note(self._hub.now(), note)
+        self._apply_actions()
 
-    # -- the door
+    # -- the operators' status
 
-    def _open(self, door: Listener) -> None:
+    def _serve_status(self, listener: Listener) -> None:
         while True:
             try:
-                stream = door.accept()
+                stream = listener.accept()
             except StreamClosed:
                 return
-            if self._at_door >= MOST_AT_DOOR:
+            if self._status_connections >= MAX_STATUS_CONNECTIONS:
                 stream.abort()
                 continue
-            self._at_door += 1
-            self._parts.scope.spawn("fleet's view", self._show, stream)
+            self._status_connections += 1
+            self._parts.scope.spawn("fleet's view", self._send_status, stream)
 
-    def _show(self, stream: Stream) -> None:
+    def _send_status(self, stream: Stream) -> None:
         sent = Event(self._hub)
         try:
             now = self._hub.now()
@@ -195,9 +199,9 @@
             stream.write(msgspec.json.encode(document))
             stream.push(sent.set)
             stream.watch_end(sent.set)
-            sent.wait(self._hub.now() + DOOR_US)
+            sent.wait(self._hub.now() + STATUS_SEND_US)
         except (OSError, DeadlineExceeded):
-            pass  # this connection alone suffers
+            pass  # affects this connection alone
         finally:
-            self._at_door -= 1
+            self._status_connections -= 1
             stream.close()
--- a/harriertrack/gateway/fleet/observing.py
+++ b/harriertrack/gateway/fleet/observing.py
@@ -1,4 +1,4 @@
-"""Seeing what a decision module hears and does, without a word in it."""
+"""Observation of a decision module's events and actions, without influence on them."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class Observer(Protocol):
-    """Who sees."""
+    """Observes a decision module."""
 
     def follow(self, now: int, events: list[Event], actions: list[Action]) -> None:
-        """See what a module heard and did."""
+        """Observe the events that a module handled and the actions that it returned."""
 
 
 class ObservedModule:
-    """A decision module, and who sees what it hears and does."""
+    """A decision module with an observer of its events and actions."""
 
     def __init__(self, module: DecisionModule, observer: Observer) -> None:
         self._module, self._observer = module, observer
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one moment and return the actions, in order."""
+        """Handle the events of one moment and return the actions, in order."""
         actions = self._module.handle(now, events)
         self._observer.follow(now, events, actions)
         return actions
--- a/harriertrack/gateway/fleet/parameters.py
+++ b/harriertrack/gateway/fleet/parameters.py
@@ -1,4 +1,4 @@
-"""Figures that settings and decisions call by the same names."""
+"""Parameters of decisions, filled from settings by field name."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def parameters_from(kind: type[T], settings: msgspec.Struct) -> T:
-    """Return a dataclass of figures with those that settings name; the others keep their defaults."""
+    """Return a dataclass with the fields that settings have by the same name; others have their defaults."""
     named = (one.name for one in fields(kind))  # type: ignore[arg-type]
     return kind(**{name: getattr(settings, name) for name in named if hasattr(settings, name)})
--- a/harriertrack/gateway/fleet/resources.py
+++ b/harriertrack/gateway/fleet/resources.py
@@ -1,4 +1,4 @@
-"""What of a head the parts of its fleet work on, beside what all its parts know."""
+"""Objects of a head that only its fleet services use, in addition to `HeadParts`."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadResources:
-    """Of one head; what is None it does not have."""
+    """Those of one head; None where the head has none."""
 
     listing: Listing
     extents: ExtentMap
     epochs: Epochs
-    regional: Regional | None  # of heads with volumes of two regions
-    reconfigure: Callable[[HeadSettings], None]  # lets the head go by other settings at once
-    close_links: Callable[[str, int], None]  # closes so many links to a node
-    evidence: Evidence | None = None  # of zones
+    regional: Regional | None  # only heads with volumes of two regions
+    reconfigure: Callable[[HeadSettings], None]  # applies other settings to the head at once
+    close_links: Callable[[str, int], None]  # closes a number of links to a node
+    evidence: Evidence | None = None  # observations of zones
     scored_choice: Scored | None = None
-    datagrams: DatagramNetwork | None = None  # None: sockets
-    changes_cache: ChangesCache | None = None  # the copy of the record of changes; None: a file
-    handover: Handover | None = None  # what started it, and starts other versions
-    usage: Usage | None = None  # what its process uses; None: it can't be told from others'
+    datagrams: DatagramNetwork | None = None  # None: UDP sockets
+    changes_cache: ChangesCache | None = None  # cache of the record of changes; None: a file
+    handover: Handover | None = None  # to the launcher, which started the head and starts other versions
+    usage: Usage | None = None  # of its process; None: can't be told apart from other heads' in the process
--- a/harriertrack/gateway/fleet/settings_user.py
+++ b/harriertrack/gateway/fleet/settings_user.py
@@ -1,7 +1,7 @@
-"""A head's user of `settings` in the record of changes: takes a version whole, or says why not.
+"""Applies the `settings` of the record of changes to a head: a version applies completely or is rejected.
 
-A version's body is a form `(settings ...)` that is laid over what this head was started with, so that one
-body fits all heads of a fleet: addresses, names and zones are each head's own and not in it.
+A version's body is a form `(settings ...)` that is laid over the settings at the head's start, so that one
+body fits all heads of a fleet: it holds no addresses, names and zones, which differ between heads.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from harriertrack.config.sexp import SettingsError
 from harriertrack.decisions.fleet.changes.record import Kind, Version
 
-THING = Kind.SETTINGS.value  # there is one
+THING = Kind.SETTINGS.value  # the only thing of this kind
 
 
 class SettingsUser:
-    """One head's."""
+    """Applies settings to one head."""
 
-    def __init__(self, started: HeadSettings, retell: Callable[[HeadSettings], None],
+    def __init__(self, started: HeadSettings, reconfigure: Callable[[HeadSettings], None],
                  note: Callable[..., None]) -> None:  # fmt: skip
-        """`started`: what the head was started with; `retell` lets it go by other settings at once."""
-        self._started = self._runs = started
-        self._retell, self._note = retell, note
+        """`started`: the settings at the head's start; `reconfigure` applies other settings at once."""
+        self._started = self._current = started
+        self._reconfigure, self._note = reconfigure, note
 
     def take(self, thing: str, version: Version | None) -> str:
-        """Let the head go by a version (None: what it was started with); return "", or why it does not."""
+        """Apply a version (None: the settings at the start); return "", or why it is rejected."""
         if thing != THING:
             return f"{thing}: a head has no settings but {THING}"
         try:
@@ -34,10 +34,10 @@
         except SettingsError as error:
             return str(error)
         if found:
-            self._retell(fresh)
-            self._runs = fresh
-        told = "; ".join(f"{one.path} {one.before} -> {one.after}" for one in found) or "nothing"
-        self._note("settings changed", version=version.number if version is not None else 0, what=told)
+            self._reconfigure(fresh)
+            self._current = fresh
+        differences = "; ".join(f"{one.path} {one.before} -> {one.after}" for one in found) or "nothing"
+        self._note("settings changed", version=version.number if version is not None else 0, what=differences)
         return ""
 
     def _read(self, version: Version | None) -> tuple[HeadSettings, list[Difference]]:
@@ -45,4 +45,4 @@
         if version is not None:
             where = f"{THING} {version.number}"
             fresh = laid_over(self._started, version.body, where)
-        return fresh, check_change(self._runs, fresh, where)
+        return fresh, check_change(self._current, fresh, where)
--- a/harriertrack/gateway/fleet/startup.py
+++ b/harriertrack/gateway/fleet/startup.py
@@ -1,7 +1,8 @@
-"""What the heads of a fleet do together beyond knowing of each other, as far as this head's settings have it.
+"""Start-up of the fleet services that a head's settings enable, beyond membership.
 
-Each part is loaded and started only where it is set, after those it rests on: budgets are divided; with their
-locks one head decides; by its word go zones and the record of changes; what goes by that record comes last.
+A service is imported and started only where it is configured, after those that it depends on: budgets; the
+deciding head, chosen with their locks; zones and the record of changes, which that head decides; and last the
+services that follow the record.
 """
 
 from __future__ import annotations
@@ -25,43 +26,43 @@
 
 
 class StatusSource(Protocol):
-    """A part that operators see something of."""
+    """A service with a status for operators."""
 
     def document(self, now: int) -> object:
-        """Return what this head tells of it; `now` in microseconds by the hub's clock."""
+        """Return the status; `now` in microseconds by the hub's clock."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberContext:
-    """What parts need of the head as a member: the head itself, its view, and how it speaks to others."""
+    """What services need of the head as a member: the head, its view, and how to reach other members."""
 
     parts: HeadParts
     resources: HeadResources
     swim: Swim
-    send: Callable[[bytes, Address], None]  # a datagram from the fleet's address
-    publish_note: Callable[[], None]  # says at once what the head says of itself
+    send: Callable[[bytes, Address], None]  # sends a datagram from the fleet's address
+    publish_note: Callable[[], None]  # publishes the note on this head at once
 
 
 class FleetServices:
-    """The parts that one head has."""
+    """The fleet services of one head."""
 
     def __init__(self, member: MemberContext, settings: FleetSettings) -> None:
         self._member, self._settings = member, settings
-        self.status_sources: dict[str, StatusSource] = {}  # by their fields of the document
+        self.status_sources: dict[str, StatusSource] = {}  # by field of the status document
         self.scoring: Scoring | None = None
         self.budgets: Budgets | None = None
         self.zones: Zones | None = None
         self.changes: Changes | None = None
 
     def start(self) -> None:
-        """Start them; what is not set is not even loaded."""
+        """Start the configured services; others are not even imported."""
         member, settings = self._member, self._settings
         if member.resources.scored_choice is not None and settings.scoring is not None:
-            self._share_weights()
+            self._start_scoring()
         if member.parts.portions is not None and settings.budgets is not None:
-            self._divide()
+            self._start_budgets()
 
-    def _share_weights(self) -> None:
+    def _start_scoring(self) -> None:
         from harriertrack.gateway.fleet.scoring.carrier import Scoring
 
         member, settings = self._member, self._settings
@@ -70,7 +71,7 @@
         self.status_sources["scores"] = self.scoring
         self.scoring.start()
 
-    def _divide(self) -> None:
+    def _start_budgets(self) -> None:
         from harriertrack.gateway.fleet.budgets import Budgets
 
         member, settings = self._member, self._settings
@@ -81,41 +82,41 @@
         self.status_sources["budgets"] = self.budgets
         self.budgets.start()
         if decides:
-            self._decide(self.budgets)
+            self._start_decisions(self.budgets)
 
-    def _decide(self, budgets: Budgets) -> None:
+    def _start_decisions(self, budgets: Budgets) -> None:
         from harriertrack.gateway.fleet.decider import FleetDecider
 
         member, settings = self._member, self._settings
-        deciding = FleetDecider(member.parts.hub, settings.name, budgets)
+        decider = FleetDecider(member.parts.hub, settings.name, budgets)
         if settings.zones is not None and member.resources.evidence is not None:
             from harriertrack.gateway.fleet.zones import Zones
 
             self.zones = Zones(member.parts, settings, settings.zones, member.resources.evidence,
-                               member.resources.listing, member.swim, deciding)  # fmt: skip
+                               member.resources.listing, member.swim, decider)  # fmt: skip
             self.status_sources["zones"] = self.zones
             self.zones.start()
         if settings.changes is not None:
             from harriertrack.gateway.fleet.changes.carrier import Changes
 
-            self.changes = Changes(member.parts, settings.changes, member.swim, deciding, member.publish_note,
+            self.changes = Changes(member.parts, settings.changes, member.swim, decider, member.publish_note,
                                    member.resources.changes_cache)  # fmt: skip
             self.status_sources["record"] = self.changes
-            self._go_by_record(deciding, self.changes)
+            self._start_record_users(decider, self.changes)
             self.changes.start()
 
-    def _go_by_record(self, deciding: FleetDecider, changes: Changes) -> None:
+    def _start_record_users(self, decider: FleetDecider, changes: Changes) -> None:
         from harriertrack.decisions.fleet.changes.record import Kind
         from harriertrack.gateway.fleet.settings_user import SettingsUser
 
-        member, settings, beside = self._member, self._settings, self._member.resources
-        user = SettingsUser(member.parts.settings, beside.reconfigure, member.parts.note)
+        member, settings, resources = self._member, self._settings, self._member.resources
+        user = SettingsUser(member.parts.settings, resources.reconfigure, member.parts.note)
         changes.use(Kind.SETTINGS, user)
         if settings.closing is not None:
             from harriertrack.gateway.fleet.closing.carrier import Closing
 
-            closing = Closing(member.parts, settings.closing, member.swim, deciding, changes, beside.extents,
-                              beside.epochs, beside.regional)  # fmt: skip
+            closing = Closing(member.parts, settings.closing, member.swim, decider, changes,
+                              resources.extents, resources.epochs, resources.regional)  # fmt: skip
             self.status_sources["closing"] = closing
             closing.start()
         if self.scoring is not None:
@@ -124,40 +125,40 @@
             from harriertrack.gateway.fleet.rollout.carrier import Rollouts, no_usage
             from harriertrack.gateway.fleet.rollout.program_user import ProgramUser
 
-            handover, counting = beside.handover, member.parts.counting
+            handover, counting = resources.handover, member.parts.counting
             assert counting is not None, "a head whose settings have rollouts counts its answers"
             changes.use(Kind.PROGRAM, ProgramUser(handover))
             if handover is not None and handover.number:
                 changes.took(Kind.PROGRAM.value, handover.number)
-            rollouts = Rollouts(member.parts, settings.changes.rollout, member.swim, deciding, changes,
-                                counting, beside.usage or no_usage)  # fmt: skip
+            rollouts = Rollouts(member.parts, settings.changes.rollout, member.swim, decider, changes,
+                                counting, resources.usage or no_usage)  # fmt: skip
             if self.scoring is not None:
                 rollouts.failing = self.scoring.lost
             self.status_sources["rollouts"] = rollouts
             rollouts.start()
 
     def reconfigure(self, settings: FleetSettings) -> None:
-        """Go by other figures from now on."""
+        """Apply other settings."""
         self._settings = settings
         if self.zones is not None and settings.zones is not None:
             self.zones.reconfigure(settings.zones)
 
     def documents(self, now: int) -> dict[str, object]:
-        """Return what operators are told of each part, by its field of the document."""
-        return {field: part.document(now) for field, part in self.status_sources.items()}
+        """Return each service's status, by field of the status document."""
+        return {field: source.document(now) for field, source in self.status_sources.items()}
 
     def leave(self) -> None:
-        """Give back what is kept for others."""
+        """Release the locks held for the fleet."""
         if self.budgets is not None:
             self.budgets.leave()
 
     @property
     def released(self) -> bool:
-        """Whether nothing is kept, or will be, any more."""
+        """Whether every lock is released and none will be acquired."""
         return self.budgets is None or self.budgets.released
 
     def close(self) -> None:
-        """Do nothing any more."""
+        """Stop the services."""
         if self.scoring is not None:
             self.scoring.close()
         if self.budgets is not None:
--- a/harriertrack/gateway/fleet/status.py
+++ b/harriertrack/gateway/fleet/status.py
@@ -1,4 +1,4 @@
-"""What operators see of a head's budgets and of the ledgers that it keeps."""
+"""The operators' status of a head's budgets and of the ledgers that it holds."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     digest_name,
 )
 
-MAX_LISTED = 2_000  # portions, and slips, in one document
+MAX_LISTED = 2_000  # most budgets, and most leases of a ledger, in one document
 
 
 def budgets_status(
     now: int, locks: Sequence[WitnessLock], present: Collection[str], counts: dict[str, int]
 ) -> BudgetsTold:
-    """Return what a head tells of the locks that it takes part in."""
-    portions = [
+    """Return the status of the budgets, the ledgers held and the locks."""
+    shares = [
         PortionTold(
             name, BUDGET_UNITS[BudgetKind(name.partition("/")[0])],
             one.share.total.rate, one.share.total.burst,
@@ -32,13 +32,13 @@
         )
         for lock in locks for name, one in lock.holder.budgets.items()
     ]  # fmt: skip
-    ledgers, more = [], max(0, len(portions) - MAX_LISTED)
+    ledgers, more = [], max(0, len(shares) - MAX_LISTED)
     for lock in locks:
         if lock.candidate.holds_term(now) and lock.candidate.ledger is not None:
-            told, left = _ledger_told(now, lock, lock.candidate.ledger, present)
-            ledgers.append(told)
+            row, left = _ledger_status(now, lock, lock.candidate.ledger, present)
+            ledgers.append(row)
             more += left
-    found = [
+    lock_rows = [
         SeatTold(
             lock.number, lock.candidate.state.value,
             lock.holder.term.epoch if lock.holder.term is not None else None,
@@ -48,22 +48,22 @@
         )
         for lock in locks
     ]  # fmt: skip
-    return BudgetsTold(found, sorted(portions, key=lambda one: one.budget)[:MAX_LISTED], ledgers, counts,
+    return BudgetsTold(lock_rows, sorted(shares, key=lambda one: one.budget)[:MAX_LISTED], ledgers, counts,
                        more)  # fmt: skip
 
 
-def _ledger_told(
+def _ledger_status(
     now: int, lock: WitnessLock, ledger: Ledger, present: Collection[str]
 ) -> tuple[LedgerTold, int]:
-    slips = [
-        SlipTold(name, holder[0], digest_name(holder[1]), slip.granted, slip.committed, slip.demand,
+    leases = [
+        SlipTold(name, holder[0], digest_name(holder[1]), lease.granted, lease.committed, lease.demand,
                  max(0, ledger.tenancies[holder].expires_at - now) / 1e6, holder[0] in present)
-        for name, account in sorted(ledger.accounts.items()) for holder, slip in account.holdings.items()
+        for name, account in sorted(ledger.accounts.items()) for holder, lease in account.holdings.items()
     ]  # fmt: skip
-    told = LedgerTold(
+    row = LedgerTold(
         lock.number, ledger.term.epoch, max(0, ledger.opens_at - now) / 1e6,
         (lock.candidate.valid_until - now) / 1e6, len(ledger.tenancies), ledger.moves,
         {name: account.total for name, account in list(sorted(ledger.accounts.items()))[:MAX_LISTED]},
-        slips[:MAX_LISTED],
+        leases[:MAX_LISTED],
     )  # fmt: skip
-    return told, max(0, len(slips) - MAX_LISTED)
+    return row, max(0, len(leases) - MAX_LISTED)
--- a/harriertrack/gateway/fleet/zones.py
+++ b/harriertrack/gateway/fleet/zones.py
@@ -1,8 +1,7 @@
-"""A head's part in leaving zones and returning together, on the hub.
+"""Fleet-wide evacuation of zones and return to them, on one head.
 
-What it sees goes to who decides, in a term as those of the budgets' ledgers; that one's word comes back, and
-shows in the list that the module is told. Decided is all of it in decisions/fleet (`Evidence`, `Evacuation`,
-`Overlay`).
+Each head reports its observations to the deciding head, whose decisions come back and change the node list
+that the decision module sees. The logic is in decisions/fleet (`Evidence`, `Evacuation`, `Overlay`).
 """
 
 from __future__ import annotations
@@ -28,73 +27,73 @@
 from harriertrack.membership.fleet.swim import Swim
 from harriertrack.membership.fleet.telling import LeavingTold, ZonesTold, ZoneTold
 
-LOOK_US = 100_000
-TELL_US = 500_000  # what is seen is told so often, and each 100 ms while something is wrong
-WORD_US = 1_000_000  # the word is told so often, and at once when it changes
-WISH_US = 2_000_000  # operators' wishes are looked for so often
-PATH = "/v1/kv/harriertrack/zones"  # at the witness: what operators wish, a key for each zone
+POLL_US = 100_000
+REPORT_US = 500_000  # between reports of observations; every 100 ms while a node is silent
+ANNOUNCE_US = 1_000_000  # between announcements of the decisions; at once when they change
+HOLDS_POLL_US = 2_000_000  # between reads of the operators' holds
+PATH = "/v1/kv/harriertrack/zones"  # at the witness: the operators' holds, a key for each zone
 
 
 def read_operator_hold(witness: WitnessClient, zone: str) -> str:
-    """Return what operators wish of a zone: "out", "in" or "". Raises what calls raise."""
+    """Return the operators' hold on a zone: "out", "in" or "". Raises what calls to the witness raise."""
     key = witness.key(f"{PATH}/{quote(zone, safe='')}")
-    wish = key.value.decode("utf-8", "replace") if key is not None else ""
-    return wish if wish in ("out", "in") else ""
+    hold = key.value.decode("utf-8", "replace") if key is not None else ""
+    return hold if hold in ("out", "in") else ""
 
 
-def write_operator_hold(witness: WitnessClient, zone: str, wish: str) -> None:
-    """Wish a zone "out" or "in"; "" takes the wish back. A key for each: two operators do not collide."""
-    witness.put(f"{PATH}/{quote(zone, safe='')}", wish.encode())
+def write_operator_hold(witness: WitnessClient, zone: str, hold: str) -> None:
+    """Hold a zone "out" or "in"; "" removes the hold. One key per zone, so that operators do not conflict."""
+    witness.put(f"{PATH}/{quote(zone, safe='')}", hold.encode())
 
 
 def rules_of(settings: ZonesSettings) -> ZoneRules:
-    """Return the figures."""
+    """Return the parameters of the decisions."""
     return parameters_from(ZoneRules, settings)
 
 
-def _said(words: Iterable[ZoneDecision]) -> list[tuple[object, ...]]:
-    """Return what of words is news when it changes."""
-    return [(word.zone, word.stage, word.share, word.trial_round) for word in words]
+def _announced_parts(decisions: Iterable[ZoneDecision]) -> list[tuple[object, ...]]:
+    """Return the parts of decisions whose change is announced at once."""
+    return [(decision.zone, decision.stage, decision.share, decision.trial_round) for decision in decisions]
 
 
-def _leaving_told(cost: Cost) -> LeavingTold:
+def _leaving_status(cost: Cost) -> LeavingTold:
     halves = (cost.pinned + cost.movable, cost.pinned, cost.movable, cost.reserved, cost.spare, cost.absorbed,
               cost.absorbed_reserved, cost.refused)  # fmt: skip
-    return LeavingTold(*(2.0 * one for one in halves))  # counted is in half a second
+    return LeavingTold(*(2.0 * one for one in halves))  # costs are counted over half a second
 
 
 class Zones:
-    """This head's part."""
+    """Reports, applies and, in its term, makes the decisions on zones."""
 
     def __init__(self, parts: HeadParts, fleet: FleetSettings, settings: ZonesSettings, evidence: Evidence,
-                 listing: Listing, swim: Swim, deciding: FleetDecider) -> None:  # fmt: skip
+                 listing: Listing, swim: Swim, decider: FleetDecider) -> None:  # fmt: skip
         self._parts, self._hub, self._rules = parts, parts.hub, rules_of(settings)
-        self._evidence, self._listing, self._swim, self._deciding = evidence, listing, swim, deciding
+        self._evidence, self._listing, self._swim, self._decider = evidence, listing, swim, decider
         self._overlay = Overlay()
         self._zones: list[str] = []
-        self._starts: dict[str, list[int]] = {}  # by zone: when its nodes started, as the list says
-        self._words: tuple[ZoneDecision, ...] = ()
-        self._heard_at = self._said_at = self._told_at = self._wished_at = 0
-        self._heard_in: Term | None = None  # the term of these words
-        self._greets = any(seed.name == fleet.name for seed in fleet.seeds)
-        self._term: Term | None = None  # in which this head decides
-        self._decides: Evacuation | None = None
-        self._wishes: dict[str, str] = {}
-        listing.heard, listing.overlay = self._listed, self._overlay.visible_entry
-        deciding.on_zone_report, deciding.on_zone_decisions = self.handle_report, self.handle_decisions
+        self._starts: dict[str, list[int]] = {}  # by zone: start times of its nodes in the node list
+        self._decisions: tuple[ZoneDecision, ...] = ()
+        self._received_at = self._reported_at = self._announced_at = self._holds_read_at = 0
+        self._received_term: Term | None = None  # the term of these decisions
+        self._is_seed = any(seed.name == fleet.name for seed in fleet.seeds)
+        self._term: Term | None = None  # the term in which this head decides
+        self._evacuation: Evacuation | None = None
+        self._holds: dict[str, str] = {}
+        listing.heard, listing.overlay = self._apply_list, self._overlay.visible_entry
+        decider.on_zone_report, decider.on_zone_decisions = self.handle_report, self.handle_decisions
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start the tasks."""
         self._parts.scope.spawn("zones", self._run)
-        self._parts.scope.spawn("zones' wishes", self._follow_wishes)
+        self._parts.scope.spawn("zones' wishes", self._poll_holds)
 
     def reconfigure(self, settings: ZonesSettings) -> None:
-        """Go by other figures from now on, also as who decides."""
+        """Apply other settings, also to decisions in progress."""
         self._rules = rules_of(settings)
-        if self._decides is not None:
-            self._decides.rules = self._rules
+        if self._evacuation is not None:
+            self._evacuation.rules = self._rules
 
-    def _listed(self, entries: list[NodeEntry]) -> None:
+    def _apply_list(self, entries: list[NodeEntry]) -> None:
         self._evidence.set_nodes(entries)
         self._starts = {}
         for entry in entries:
@@ -105,125 +104,137 @@
 
     def _run(self) -> None:
         while True:
-            self._look(self._hub.now())
-            self._hub.sleep(LOOK_US)
-
-    def _look(self, now: int) -> None:
-        sights = self._evidence.report(now)
-        keeps = self._deciding.deciding_term(now)
-        self._decide(now, keeps)
-        if keeps is not None and self._decides is not None:
-            self._decides.record_report(now, self._swim.me.name, sights)
-        elif sights and (any(one.silent for one in sights) or now >= self._said_at + TELL_US):
-            self._said_at = now
-            self._deciding.send_to_decider(Seen(self._swim.me.name, sights))
-        if (held := valid_decisions(self._words, now - self._heard_at, self._rules.told_us)) != self._words:
+            self._poll(self._hub.now())
+            self._hub.sleep(POLL_US)
+
+    def _poll(self, now: int) -> None:
+        observations = self._evidence.report(now)
+        term = self._decider.deciding_term(now)
+        self._decide(now, term)
+        if term is not None and self._evacuation is not None:
+            self._evacuation.record_report(now, self._swim.me.name, observations)
+        elif observations and (
+            any(one.silent for one in observations) or now >= self._reported_at + REPORT_US
+        ):
+            self._reported_at = now
+            self._decider.send_to_decider(Seen(self._swim.me.name, observations))
+        valid = valid_decisions(self._decisions, now - self._received_at, self._rules.told_us)
+        if valid != self._decisions:
             self._parts.note("fleet zones: no word any more")
-            self._words = held
-        self._show(now)
+            self._decisions = valid
+        self._apply_overlay(now)
 
     def _decide(self, now: int, term: Term | None) -> None:
-        """Decide if this is the head that does; begin anew with each term."""
+        """Decide in a term of this head, with new state in each term; announce what changed."""
         if term is None:
-            self._term = self._decides = None
+            self._term = self._evacuation = None
             return
-        if term != self._term or self._decides is None:
-            self._term, self._decides = term, Evacuation(self._rules)
-            self._decides.resume(now, self._words)
-        decides, before = self._decides, self._words
-        self._decides.apply_holds(now, self._wishes)
-        decides.decide(now, self._zones, len(self._swim.view.present), self._starts)
-        words = decides.decisions(now)
-        self._heard(now, term, words)
-        if _said(words) != _said(before) or now >= self._told_at + WORD_US:
-            self._told_at = now
-            self._deciding.broadcast(Told(term, words))
+        if term != self._term or self._evacuation is None:
+            self._term, self._evacuation = term, Evacuation(self._rules)
+            self._evacuation.resume(now, self._decisions)
+        evacuation, before = self._evacuation, self._decisions
+        self._evacuation.apply_holds(now, self._holds)
+        evacuation.decide(now, self._zones, len(self._swim.view.present), self._starts)
+        decisions = evacuation.decisions(now)
+        self._accept_decisions(now, term, decisions)
+        if _announced_parts(decisions) != _announced_parts(before) or now >= self._announced_at + ANNOUNCE_US:
+            self._announced_at = now
+            self._decider.broadcast(Told(term, decisions))
 
     def handle_report(self, now: int, seen: Seen) -> None:
-        """Another head says what it sees."""
-        if self._decides is not None:
-            self._decides.record_report(now, seen.head, seen.sights)
+        """Record another head's observations."""
+        if self._evacuation is not None:
+            self._evacuation.record_report(now, seen.head, seen.sights)
 
     def handle_decisions(self, now: int, told: Told) -> None:
-        """The word of the one who decides."""
-        if self._deciding.accept_term(now, told.term):
-            self._heard(now, told.term, told.words)
-            self._show(now)
+        """Apply the deciding head's decisions."""
+        if self._decider.accept_term(now, told.term):
+            self._accept_decisions(now, told.term, told.words)
+            self._apply_overlay(now)
 
     def send_decisions_to(self, record: Record) -> None:
-        """Tell the words to a head that has just started, before it tries what is out: it asked a seed first.
+        """Send the decisions to a head that has just started, before it uses a zone that is out.
 
-        It hears them a moment after it said that it is there; nobody else hears of it as soon as seeds do.
+        Only the deciding head and seeds send them: a new head contacts a seed first, so seeds see it join
+        before all others.
         """
-        if self._words and self._heard_in is not None and (self._greets or self._decides is not None):
-            self._deciding.send(record.address, Told(self._heard_in, self._words))
-
-    def _heard(self, now: int, term: Term, words: tuple[ZoneDecision, ...]) -> None:
-        self._heard_at, self._heard_in = now, term
-        known = {word.zone: word for word in self._words}
-        for word in words:
-            if (before := known.pop(word.zone, None)) is None or before.stage is not word.stage:
-                self._parts.note("fleet zone", zone=word.zone, stage=word.stage.value, why=word.reason)
+        if (
+            self._decisions
+            and self._received_term is not None
+            and (self._is_seed or self._evacuation is not None)
+        ):
+            self._decider.send(record.address, Told(self._received_term, self._decisions))
+
+    def _accept_decisions(self, now: int, term: Term, decisions: tuple[ZoneDecision, ...]) -> None:
+        self._received_at, self._received_term = now, term
+        known = {decision.zone: decision for decision in self._decisions}
+        for decision in decisions:
+            if (before := known.pop(decision.zone, None)) is None or before.stage is not decision.stage:
+                self._parts.note(
+                    "fleet zone", zone=decision.zone, stage=decision.stage.value, why=decision.reason
+                )
         for zone in known:
             self._parts.note("fleet zone", zone=zone, stage="in", why="")
-        self._words = words
+        self._decisions = decisions
 
-    def _show(self, now: int) -> None:
+    def _apply_overlay(self, now: int) -> None:
         names = list(self._swim.view.present)
         before = self._overlay.unused_zones
-        reached = self._evidence.reachable_zones(now, self._rules.answers) if self._words else ()
+        reached = self._evidence.reachable_zones(now, self._rules.answers) if self._decisions else ()
         if self._overlay.apply_decisions(
-            now, self._words, self._swim.me.name, names, self._rules.tries, reached
+            now, self._decisions, self._swim.me.name, names, self._rules.tries, reached
         ):
             unused = self._overlay.unused_zones
-            under = {word.zone for word in self._words}
+            decided = {decision.zone for decision in self._decisions}
             for zone in sorted(before ^ unused):
-                # The last step of a return is that there is no word any more.
-                word = zone in under or now < self._heard_at + WORD_US
+                # A return ends when there is no decision on the zone any more.
+                announced = zone in decided or now < self._received_at + ANNOUNCE_US
                 self._evidence.forget_zone(zone)
                 self._parts.note("zone used" if zone in before else "zone unused", zone=zone,
-                                 unused=len(unused), zones=len(self._zones), word=word)  # fmt: skip
+                                 unused=len(unused), zones=len(self._zones), word=announced)  # fmt: skip
             self._listing.tell_anew()
 
     # -- operators
 
-    def _follow_wishes(self) -> None:
-        """Look what operators wish, while this head decides (a task)."""
+    def _poll_holds(self) -> None:
+        """Read the operators' holds while this head decides (a task)."""
         while True:
-            self._hub.sleep(WISH_US)
-            if self._decides is None:
+            self._hub.sleep(HOLDS_POLL_US)
+            if self._evacuation is None:
                 continue
             try:
-                fresh = {zone: read_operator_hold(self._deciding.witness, zone) for zone in self._zones}
+                fresh = {zone: read_operator_hold(self._decider.witness, zone) for zone in self._zones}
             except FAILURES:
-                continue  # what was wished last holds
-            for zone, wish in fresh.items():
-                if wish != self._wishes.get(zone, ""):
-                    self._parts.note("fleet zone wish", zone=zone, wish=wish or "none")
-            self._wishes = fresh
+                continue  # the holds read last stay in force
+            for zone, hold in fresh.items():
+                if hold != self._holds.get(zone, ""):
+                    self._parts.note("fleet zone wish", zone=zone, wish=hold or "none")
+            self._holds = fresh
 
     def document(self, now: int) -> ZonesTold:
-        """Return what this head tells of zones."""
-        words = {word.zone: word for word in self._words}
-        sights = {sight.zone: sight for sight in self._evidence.report(now)}
-        sums = self._decides.summarize(now) if self._decides is not None else {}
+        """Return this head's status of zones."""
+        decisions = {decision.zone: decision for decision in self._decisions}
+        observations = {observation.zone: observation for observation in self._evidence.report(now)}
+        summaries = self._evacuation.summarize(now) if self._evacuation is not None else {}
         told = []
         for zone in self._zones:
-            word, sight, whole = words.get(zone), sights.get(zone), sums.get(zone)
+            decision, observation, summary = decisions.get(zone), observations.get(zone), summaries.get(zone)
             told.append(
                 ZoneTold(
-                    zone, word.stage.value if word is not None else "in",
-                    word.share if word is not None else 1.0,
+                    zone, decision.stage.value if decision is not None else "in",
+                    decision.share if decision is not None else 1.0,
                     zone not in self._overlay.unused_zones,
-                    word.reason if word is not None else "",
-                    sight.responding if sight is not None else 0, sight.silent if sight is not None else 0,
-                    whole.responding if whole is not None else None,
-                    whole.silent if whole is not None else None,
-                    whole.heads if whole is not None else None, self._wishes.get(zone, ""),
-                    _leaving_told(self._decides.cost(zone, sums)) if self._decides is not None else None,
+                    decision.reason if decision is not None else "",
+                    observation.responding if observation is not None else 0,
+                    observation.silent if observation is not None else 0,
+                    summary.responding if summary is not None else None,
+                    summary.silent if summary is not None else None,
+                    summary.heads if summary is not None else None, self._holds.get(zone, ""),
+                    _leaving_status(self._evacuation.cost(zone, summaries))
+                    if self._evacuation is not None else None,
                 )
             )  # fmt: skip
-        heard_s = max(0, now - self._heard_at) / 1e6 if self._heard_at else None
-        keeper = self._deciding.decider_address
-        decider = f"{keeper[0]}:{keeper[1]}" if keeper is not None and self._decides is None else ""
-        return ZonesTold(self._decides is not None, heard_s, told, decider)
+        heard_s = max(0, now - self._received_at) / 1e6 if self._received_at else None
+        address = self._decider.decider_address
+        decider = f"{address[0]}:{address[1]}" if address is not None and self._evacuation is None else ""
+        return ZonesTold(self._evacuation is not None, heard_s, told, decider)
