--- a/harriertrack/gateway/fleet/__init__.py
+++ b/harriertrack/gateway/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What carries the fleet's parts: datagrams, a door for operators. Heads without a fleet do not load it."""
+"""Fleet membership and services of a head; heads without a fleet do not import it."""
--- a/harriertrack/gateway/fleet/changes/__init__.py
+++ b/harriertrack/gateway/fleet/changes/__init__.py
@@ -1,1 +1,1 @@
-"""A head's part in the fleet's changes: the record is followed, kept and told here."""
+"""The fleet's record of changes on one head: replication, cache and status."""
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -1,8 +1,8 @@
-"""A head follows the fleet's record of changes: it hears of it, fetches it, keeps it on disk, and takes it.
+"""Replication of the fleet's record of changes to one head: fetched, cached on disk and applied.
 
-Notes of the view tell revisions; the record itself comes whole from the witness, or while that is dark from
-another head's door. When to fetch, and what is to be taken, is decided by `Follower`; each thing's *user*
-takes a version whole or turns it down whole.
+Members' notes announce revisions. The complete record comes from the witness or, while that is unreachable,
+from another head's status document. `Follower` decides when to fetch and what to apply; the *user* of each
+thing applies a version completely or rejects it completely.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 from harriertrack.runtime.hub import DeadlineExceeded
 from harriertrack.storage.changes import ChangesCache
 
-LEVEL = 1  # what this program understands of records, notes and durable state
-LOOK_US = 50_000
-DOOR_US = 2_000_000  # another head's document is waited for so long
-MOST_DOCUMENT = 4 << 20  # bytes of it
-TOPIC = "changes"  # who decides tells of a new revision at once; notes tell it again and again
+LEVEL = 1  # feature level of this program: of records, notes and durable state
+POLL_US = 50_000
+DOCUMENT_TIMEOUT_US = 2_000_000  # for another head's status document
+MAX_DOCUMENT_BYTES = 4 << 20  # of a status document
+TOPIC = "changes"  # the deciding head announces a new revision at once; notes repeat it
 
 
 class User(Protocol):
-    """What a thing is for in a head."""
+    """Applies versions of a kind of thing in a head."""
 
     def take(self, thing: str, version: Version | None) -> str:
-        """Take a version whole, between two events; None: what the head was started with.
+        """Apply a version completely, between two events; None: the state at the head's start.
 
-        Return "" if it is taken, otherwise why not: then nothing has changed.
+        Return "" if it is applied, otherwise the reason, with nothing changed.
         """
         ...
 
@@ -49,95 +49,95 @@
 
 
 class _Document(msgspec.Struct):
-    """What is read of another head's document."""
+    """The part of another head's status document that is read."""
 
     record: ChangesTold | None = None
 
 
 class Changes:
-    """This head's part."""
+    """This head's copy of the record, and the users that apply it."""
 
-    def __init__(self, parts: HeadParts, settings: ChangesSettings, swim: Swim, deciding: FleetDecider,
-                 tell: Callable[[], None], kept: ChangesCache | None = None) -> None:  # fmt: skip
+    def __init__(self, parts: HeadParts, settings: ChangesSettings, swim: Swim, decider: FleetDecider,
+                 publish_note: Callable[[], None], kept: ChangesCache | None = None) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
-        self._swim, self._deciding, self._tell = swim, deciding, tell
+        self._swim, self._decider, self._publish_note = swim, decider, publish_note
         self._follower = Follower(swim.me.name)
         self._cache = kept or ChangesCache(parts.settings.state_dir)
         self._users: dict[Kind, User] = {}
         self._data = b""
-        self._looked_at = 0
+        self._polled_at = 0
         self.listeners: list[Callable[[], None]] = []
-        deciding.on_ruling[TOPIC] = lambda now, _term, body: self._told(now, body)
+        decider.on_ruling[TOPIC] = lambda now, _term, body: self._handle_announcement(now, body)
 
     @property
     def record(self) -> Record:
-        """Return the last good one, also while nobody can be asked."""
+        """Return the last valid record, also while no source is reachable."""
         return self._follower.record
 
     @property
     def kept(self) -> ChangesCache:
-        """Return where this head keeps what it knows of changes."""
+        """Return this head's cache on disk."""
         return self._cache
 
     def use(self, kind: Kind, user: User) -> None:
-        """Name who takes versions of things of a kind; before `start`."""
+        """Register the user of a kind of thing; before `start`."""
         self._users[kind] = user
 
     def start(self) -> None:
-        """Take what was kept on disk, and follow from now on."""
+        """Apply the cached record, and follow the record from now on."""
         try:
             data = self._cache.read()
             if data is not None:
-                self._have(decode(data), data, keep=False)
+                self._offer(decode(data), data, keep=False)
         except (OSError, DamagedRecord) as error:
             self._parts.note("fleet changes: copy on disk is of no use", why=str(error))
         self._parts.scope.spawn("fleet changes", self._run)
 
-    # -- hearing
+    # -- announcements
 
     def heard(self, about: Telling) -> None:
-        """Hear what another member tells by its note."""
+        """Handle the revision in another member's note."""
         if about.record:
-            self._follower.observe_revision(self._fetch_from(), about.record)
+            self._follower.observe_revision(self._fetch_time(), about.record)
 
-    def _told(self, now: int, body: bytes) -> None:
+    def _handle_announcement(self, now: int, body: bytes) -> None:
         try:
-            said = msgspec.msgpack.decode(body, type=_Revision)
+            announced = msgspec.msgpack.decode(body, type=_Revision)
         except msgspec.MsgspecError:
-            return  # none of ours
-        self._follower.observe_revision(self._fetch_from(), said.revision)
+            return  # malformed
+        self._follower.observe_revision(self._fetch_time(), announced.revision)
 
-    def _fetch_from(self) -> int:
-        """Return when to fetch: the heads of a fleet do not all ask the witness at once."""
+    def _fetch_time(self) -> int:
+        """Return when to fetch; randomised so that the heads do not all query the witness at once."""
         share = min(1.0, len(self._swim.view.present) / 100)
         return self._hub.now() + int(self._settings.spread_us * share * self._hub.random.random())
 
     def runs(self) -> Mapping[str, int]:
-        """Return what this head runs, by thing; what was never changed is left out."""
+        """Return the versions that this head runs, by thing, without things that were never changed."""
         return self._follower.running_versions()
 
     # -- following
 
     def _run(self) -> None:
-        """Fetch when there is something to fetch (a task)."""
+        """Fetch new revisions; poll the witness while this head decides (a task)."""
         while True:
             now = self._hub.now()
             if self._follower.start_fetch(now):
                 self._fetch()
             elif (
-                self._deciding.deciding_term(now) is not None
-                and now >= self._looked_at + self._settings.look_us
+                self._decider.deciding_term(now) is not None
+                and now >= self._polled_at + self._settings.look_us
             ):
-                self._look()
-            self._hub.sleep(LOOK_US)
+                self._poll_witness()
+            self._hub.sleep(POLL_US)
 
     def _fetch(self) -> None:
         data, found = b"", None
         try:
-            kept = keeping.read(self._deciding.witness)
-            data, found = kept.data, kept.record
+            fetched = keeping.read(self._decider.witness)
+            data, found = fetched.data, fetched.record
         except FAILURES:
-            data = self._ask_other()
+            data = self._fetch_from_member()
             try:
                 found = decode(data) if data else None
             except DamagedRecord as error:
@@ -146,46 +146,48 @@
             self._parts.note("fleet changes: the witness's record is damaged", why=str(error))
         now = self._hub.now()
         if self._follower.finish_fetch(now, found, digest_of(data) if data else 0):
-            self._took(data)
+            self._apply_record(data)
 
-    def _look(self) -> None:
-        """As who decides, see whether operators changed the record, and whether the witness lost it."""
-        self._looked_at = self._hub.now()
+    def _poll_witness(self) -> None:
+        """Check, as the deciding head, whether operators changed the record or the witness lost it."""
+        self._polled_at = self._hub.now()
         damaged = False
         try:
             try:
-                found = keeping.read(self._deciding.witness)
+                found = keeping.read(self._decider.witness)
             except DamagedRecord:
                 damaged = True
             else:
-                self._have(found.record, found.data)
+                self._offer(found.record, found.data)
             if (damaged or self._follower.witness_behind) and self.record.revision:
-                back = keeping.put_back(self._deciding.witness, self.record)
+                back = keeping.put_back(self._decider.witness, self.record)
                 if back is not None:
                     self._parts.note("fleet changes: record put back", revision=back.record.revision)
-                    self._have(back.record, back.data)
+                    self._offer(back.record, back.data)
         except FAILURES:
-            return  # what is in hand holds
-        self._deciding.rule(TOPIC, msgspec.msgpack.encode(_Revision(self.record.revision)))
+            return  # the current record stays in force
+        self._decider.rule(TOPIC, msgspec.msgpack.encode(_Revision(self.record.revision)))
 
-    def _ask_other(self) -> bytes:
-        """Return the record of some head that tells of one as new as was heard of; b"" for none."""
+    def _fetch_from_member(self) -> bytes:
+        """Return the record from a random head that announces a newer one; b"" for none."""
         rows = [self._swim.view.find(name) for name in self._swim.view.present]
-        told = []
+        addresses = []
         for row in rows:
             about = about_of(row.note.about) if row is not None and row.note is not None else None
             if row is not None and about is not None and about.record > self.record.revision:
-                told.append(row.record.address)
-        if not told:
+                addresses.append(row.record.address)
+        if not addresses:
             return b""
-        deadline = self._hub.now() + DOOR_US
+        deadline = self._hub.now() + DOCUMENT_TIMEOUT_US
         try:
-            stream = self._parts.network.connect(self._hub.random.choice(told), deadline, self._swim.me.name)
+            stream = self._parts.network.connect(
+                self._hub.random.choice(addresses), deadline, self._swim.me.name
+            )
         except (OSError, DeadlineExceeded):
             return b""
         body = b""
         try:
-            while (more := stream.read(deadline)) and len(body) < MOST_DOCUMENT:
+            while (more := stream.read(deadline)) and len(body) < MAX_DOCUMENT_BYTES:
                 body += more
             document = msgspec.json.decode(body, type=_Document)
         except (OSError, DeadlineExceeded, msgspec.MsgspecError):
@@ -194,12 +196,12 @@
             stream.close()
         return document.record.record if document.record is not None else b""
 
-    def _have(self, record: Record, data: bytes, keep: bool = True) -> None:
+    def _offer(self, record: Record, data: bytes, keep: bool = True) -> None:
         if self._follower.finish_fetch(self._hub.now(), record, digest_of(data) if data else 0):
-            self._took(data, keep)
+            self._apply_record(data, keep)
 
-    def _took(self, data: bytes, keep: bool = True) -> None:
-        """Another record is in hand: keep it, act on it, and tell."""
+    def _apply_record(self, data: bytes, keep: bool = True) -> None:
+        """Handle a new record: cache it, apply it, and publish its revision."""
         self._data = data
         if keep:
             try:
@@ -210,18 +212,18 @@
         latest = {thing: record.versions_of(thing)[-1].number for thing in record.things()}
         self._parts.note("fleet changes", revision=record.revision, epoch=record.epoch,
                          digest=self._follower.digest, latest=latest)  # fmt: skip
-        self._take()
+        self._apply_pending()
         for listener in list(self.listeners):
             listener()
-        self._tell()
+        self._publish_note()
 
-    def _take(self) -> None:
+    def _apply_pending(self) -> None:
         for thing, version in self._follower.pending_changes():
             number = version.number if version is not None else 0
             try:
                 user = self._users.get(kind_of(thing))
             except ValueError:
-                user = None  # of a later program
+                user = None  # a kind that only later programs have
             why = user.take(thing, version) if user is not None else "this head has no use for it"
             if why:
                 self._follower.mark_rejected(thing, number, why)
@@ -231,12 +233,12 @@
                 self._parts.note("fleet change taken", thing=thing, version=number)
 
     def took(self, thing: str, number: int) -> None:
-        """Hear from a user that a version runs by now, or has since the head's start."""
+        """Mark a version as running, now or since the head's start."""
         self._follower.mark_applied(thing, number)
-        self._tell()
+        self._publish_note()
 
     def turned_down(self) -> Mapping[str, tuple[int, str]]:
-        """Return what this head did not take, by thing: the version, and why."""
+        """Return what this head rejected, by thing: the version and the reason."""
         return {
             thing: (one.rejected, one.reason) for thing, one in self._follower.applied.items() if one.reason
         }  # fmt: skip
@@ -248,26 +250,26 @@
 
         Raises what `make` raises, Busy, DamagedRecord and `gateway.witness.FAILURES`.
         """
-        found = keeping.write(self._deciding.witness, make)
-        self._have(found.record, found.data)
-        self._deciding.rule(TOPIC, msgspec.msgpack.encode(_Revision(found.record.revision)))
+        found = keeping.write(self._decider.witness, make)
+        self._offer(found.record, found.data)
+        self._decider.rule(TOPIC, msgspec.msgpack.encode(_Revision(found.record.revision)))
         return found.record
 
-    # -- telling
+    # -- notes and status
 
     def about(self, about: About) -> bytes:
-        """Return a member's note with what is told of changes, as far as it has room."""
+        """Return the note on this head with its running versions, as many as fit."""
         runs = dict(self._follower.running_versions())
         while True:
-            told = Telling(about.volumes, about.open, about.taken, about.refused, self.record.revision,
+            note = Telling(about.volumes, about.open, about.taken, about.refused, self.record.revision,
                            self._follower.digest, LEVEL, runs)  # fmt: skip
-            data = msgspec.msgpack.encode(told)
+            data = msgspec.msgpack.encode(note)
             if len(data) <= MOST_NOTE or not runs:
                 return data
             del runs[max(runs, key=len)]
 
     def document(self, _now: int) -> ChangesTold:
-        """Return what operators, and heads that reach no witness, are told."""
+        """Return the status for operators, and for heads that can't reach the witness."""
         record, follower = self.record, self._follower
         things = []
         for thing in record.things():
--- a/harriertrack/gateway/fleet/changes/keeping.py
+++ b/harriertrack/gateway/fleet/changes/keeping.py
@@ -1,4 +1,4 @@
-"""The record of changes at the witness: read whole, and replaced only in place of what was read."""
+"""The record of changes at the witness: read completely, and replaced only if unchanged since the read."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from harriertrack.gateway.witness import WitnessClient
 from harriertrack.membership.fleet.changing import PATH, DamagedRecord, decode, encode
 
-TRIES = 8  # to be first, against others who change it just then
+TRIES = 8  # of a write that conflicts with concurrent ones
 
 
 class Busy(ChangeRefused):
-    """Others were first each time."""
+    """Each attempt conflicted with a concurrent write."""
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """The record as the witness has it."""
+    """The record as stored at the witness."""
 
     record: Record
     data: bytes  # b"" for none
-    index: int  # 0: there is none
+    index: int  # 0: not stored
 
 
 def read(witness: WitnessClient) -> Found:
-    """Return what the witness holds, an empty record if none. Raises DamagedRecord and what calls raise."""
+    """Return the stored record, empty if there is none. Raises DamagedRecord and what calls raise."""
     key = witness.key(PATH)
     if key is None:
         return Found(Record(), b"", 0)
@@ -36,7 +36,7 @@
 
 
 def write(witness: WitnessClient, make: Callable[[Record], Record]) -> Found:
-    """Replace the record by what `make` makes of it, again from the start if another was first.
+    """Replace the record by the result of `make`; read it again and retry on a conflict.
 
     Raises what `make` raises, Busy, DamagedRecord and what calls raise.
     """
@@ -51,9 +51,9 @@
 
 
 def put_back(witness: WitnessClient, known: Record) -> Found | None:
-    """Put a record back that the witness lost (it was restored, or its value is damaged).
+    """Restore a record that the witness lost (restored from a backup, or the value is damaged).
 
-    Return None if it is there after all. Its revision is raised above both, so that all take it.
+    Return None if it is there after all. The revision is raised above both, so that all heads apply it.
     """
     key = witness.key(PATH)
     there = Record()
--- a/harriertrack/gateway/fleet/zones.py
+++ b/harriertrack/gateway/fleet/zones.py
@@ -118,8 +118,9 @@
         ):
             self._reported_at = now
             self._decider.send_to_decider(Seen(self._swim.me.name, observations))
-        valid = valid_decisions(self._decisions, now - self._received_at, self._rules.told_us)
-        if valid != self._decisions:
+        if (
+            valid := valid_decisions(self._decisions, now - self._received_at, self._rules.told_us)
+        ) != self._decisions:
             self._parts.note("fleet zones: no word any more")
             self._decisions = valid
         self._apply_overlay(now)
--- a/tests/changes/test_changes_carrier.py
+++ b/tests/changes/test_changes_carrier.py
@@ -54,7 +54,7 @@
 
 
 def test_the_rules_find_heads_that_take_nothing_from_each_other_or_the_keeper(monkeypatch):
-    monkeypatch.setattr(Changes, "_told", lambda *_: None)
+    monkeypatch.setattr(Changes, "_handle_announcement", lambda *_: None)
     monkeypatch.setattr(Changes, "heard", lambda *_: None)
     assert 4 in {one.rule for one in rules.check(day())}
 
