--- a/harriertrack/gateway/fleet/closing/__init__.py
+++ b/harriertrack/gateway/fleet/closing/__init__.py
@@ -1,1 +1,1 @@
-"""A head's part in purges at local close; heads without `(closing ...)` do not load it."""
+"""Purges at local close on a head; heads without `(closing ...)` do not import it."""
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -1,7 +1,7 @@
-"""A head's part in purges at local close, on the hub.
+"""Purges at local close on one head.
 
-It asks who decides what time it is, hears of closes through the record of changes, steps over each close once
-it has surely come, and trims what that left. Decided is all of it in decisions/fleet/closing.
+The head queries the deciding head for the time, gets closes from the record of changes, carries out each
+close once its time has certainly come, and trims the purged extents. The logic is in decisions/fleet/closing.
 """
 
 from __future__ import annotations
@@ -47,59 +47,60 @@
 
 T = TypeVar("T")
 
-LOOK_US = 100_000  # the longest between two looks at clock and fences
+POLL_US = 100_000  # longest time between checks of the clock and the fences
 LEAST_US = 1_000
-KEPT_ASKS = 3  # times between asks that a claim is kept
+READING_INTERVALS = 3  # query intervals for which a head's clock reading is used
 
 
 class Closing:
-    """One head's."""
+    """Closes on one head: clock, fences, sweeps and trims."""
 
-    def __init__(self, parts: HeadParts, settings: ClosingSettings, swim: Swim, deciding: FleetDecider,
+    def __init__(self, parts: HeadParts, settings: ClosingSettings, swim: Swim, decider: FleetDecider,
                  changes: Changes, places: ExtentMap, epochs: Epochs,
                  regional: Regional | None = None) -> None:  # fmt: skip
         hub = parts.hub
         self._parts, self._hub, self._settings, self._swim = parts, hub, settings, swim
-        self._deciding, self._changes, self._places, self._epochs = deciding, changes, places, epochs
+        self._decider, self._changes, self._places, self._epochs = decider, changes, places, epochs
         self._regional = regional
         self._wall: Callable[[], int] = parts.wall or hub.clock.wall
         rules = parameters_from(ClockRules, settings)
         self.clock = FleetClock(rules)
         done = {name: number for name, (number, _) in places.closing.generations.items()}
         several = {one.name for one in parts.settings.volumes if one.shards}
-        self._several = several  # volumes of several heads: their extents are allocated beforehand
+        self._several = several  # volumes served by several heads, whose extents are allocated beforehand
         self.fences = Fences(settings.volumes, done, several.__contains__)
-        self._told = 0  # asks: each tells of other calendars and sweeps, if there are many
+        self._queries_sent = 0  # queries sent; selects the calendars and sweeps in each, if there are many
         writes = (one.deadline_us for one in parts.settings.classes if DataKind.WRITE in one.kinds)
         self._settle_us = max(writes, default=0)
         self._trims = TrimQueue(parameters_from(TrimRules, settings), hub.now())
-        self._trimming = Trimming(parts, self._trims, places, self._there, self._settle_us)
-        self._trimming.begins, self._trimming.emptied = self._begins_trim, self._emptied
+        self._trimming = Trimming(parts, self._trims, places, self._present_count, self._settle_us)
+        self._trimming.begins, self._trimming.emptied = self._begin_trim, self._report_trimmed
         self._sweeps = Sweeps(hub, self.fences, self._trims, parts.settings, swim.me.name, self._settle_us,
                               self._trimming.call_off)  # fmt: skip
         self._guard = Guard(hub, self._wall, self.clock, self.fences, self._trims, places, epochs,
                             parts.settings.extent_bytes, self._settle_us)  # fmt: skip
-        self._bodies: dict[str, str] = {}  # of the closes that were taken
-        self._extents: dict[str, int] = {}  # that each calendar's last close made unreadable
-        self._apart: tuple[int, Interval] | None = None  # epoch, how far that decider's clock is ahead
-        self._ask_at = 0
-        self._wrong = False
+        self._bodies: dict[str, str] = {}  # of the close schedules applied, by calendar
+        self._extents: dict[str, int] = {}  # number that each calendar's last close made unreadable
+        # Epoch, and how far the deciding head's clock is ahead.
+        self._clock_offset: tuple[int, Interval] | None = None
+        self._query_at = 0
+        self._clock_wrong = False
         around = Surroundings(
-            hub, deciding.deciding_term, changes.write, lambda body: deciding.rule(TOPIC, body), self._claim,
+            hub, decider.deciding_term, changes.write, lambda body: decider.rule(TOPIC, body), self._claim,
             self._guard.reading, lambda: sorted(swim.view.present), parts.note,
         )  # fmt: skip
         self._keeping = Keeping(
-            around, lambda: TimeEstimator(rules, KEPT_ASKS * settings.ask_us, hub.now()),
-            reader_of(self._latest, self._bad), settings.notice_us,
+            around, lambda: TimeEstimator(rules, READING_INTERVALS * settings.ask_us, hub.now()),
+            reader_of(self._latest_time, self._purge_error), settings.notice_us,
         )  # fmt: skip
 
     def start(self) -> None:
-        """Guard what closes touch from now on, and go on with what an earlier life left."""
+        """Guard the purged ranges from now on, and resume the trims of an earlier incarnation."""
         parts, core = self._parts, self._parts.core
         lefts = self._trimming.known()
         core.hold_purged({(left.volume, left.extent) for left in lefts})
-        now = self._hub.now()  # what an earlier life sent may run yet
-        self._trims.add(now, lefts, self._place(), dict.fromkeys(lefts, now + self._settle_us))
+        now = self._hub.now()  # requests of an earlier incarnation may still run at nodes
+        self._trims.add(now, lefts, self._stagger(), dict.fromkeys(lefts, now + self._settle_us))
         core.close_guard = self._guard
         for volume, epoch in self._places.closing.raised.items():
             self._epochs.record_close(volume, epoch)
@@ -107,17 +108,17 @@
             self._regional.generations = self._guard
         for calendar in self._places.closing.generations:
             self.fences.fence(calendar)
-        self._deciding.on_report[TOPIC] = self._asked
-        self._deciding.on_ruling[TOPIC] = self._ruled
+        self._decider.on_report[TOPIC] = self._handle_query
+        self._decider.on_ruling[TOPIC] = self._handle_ruling
         self._changes.use(Kind.CALENDAR, self)
         parts.scope.spawn("closes", self._run)
         parts.scope.spawn("closes decided", self._decide)
         parts.scope.spawn("trims", self._trimming.run)
 
-    # -- the record's user
+    # -- versions of the record
 
     def take(self, thing: str, version: Version | None) -> str:
-        """Take a version of a calendar's closes; calendars themselves are for who decides."""
+        """Apply a version of a calendar's closes; only the deciding head uses calendars themselves."""
         if not is_close_schedule(thing) or version is None:
             return ""
         calendar = thing.removesuffix(CLOSES_SUFFIX)
@@ -126,7 +127,7 @@
         except BadCloses as error:
             return str(error)
         purges = {purge for close in schedule.closes for purge in close.purges}
-        if bad := next((why for purge in sorted(purges, key=str) if (why := self._bad(purge))), ""):
+        if bad := next((why for purge in sorted(purges, key=str) if (why := self._purge_error(purge))), ""):
             return bad
         if why := self.fences.fence(calendar).set_schedule(schedule):
             return why
@@ -135,7 +136,7 @@
         self._raise_epochs()
         return ""
 
-    def _bad(self, purge: Purge) -> str:
+    def _purge_error(self, purge: Purge) -> str:
         size = self._parts.settings.extent_bytes
         if purge.start % size or purge.end % size:
             return f"purge of {purge.volume}: not whole extents of {size} bytes"
@@ -146,27 +147,27 @@
     def _claim(self) -> Interval:
         return self.clock.claim(self._hub.now(), self._wall())
 
-    def _latest(self) -> int:
+    def _latest_time(self) -> int:
         reading = self._guard.reading()
         return reading.high if reading is not None else self._wall()
 
-    def _there(self) -> int:
+    def _present_count(self) -> int:
         return len(self._swim.view.present)
 
-    def _place(self) -> float:
-        """Return this head's place, 0 to 1, among those that are there: who begins to trim when."""
+    def _stagger(self) -> float:
+        """Return this head's position, 0 to 1, among present heads; it staggers the start of their trims."""
         names = sorted(self._swim.view.present)
         name = self._swim.me.name
         return names.index(name) / len(names) if name in names else 0.0
 
-    def _ask(self, now: int) -> None:
+    def _send_query(self, now: int) -> None:
         settings = self._settings
         soon = bool(self._sweeps.going()) or self.clock.offset(now) is None
-        self._ask_at = now + (settings.notice_us // 10 if soon else settings.ask_us)
-        self._deciding.report(TOPIC, encode(self._tells(now)))
+        self._query_at = now + (settings.notice_us // 10 if soon else settings.ask_us)
+        self._decider.report(TOPIC, encode(self._query(now)))
 
-    def _tells(self, now: int) -> Ask:
-        epoch, apart = self._apart or (0, Interval(0, 0))
+    def _query(self, now: int) -> Ask:
+        epoch, apart = self._clock_offset or (0, Interval(0, 0))
         done = [
             Done(fence.calendar, fence.last_purged, self._extents.get(fence.calendar, 0), len(self._trims))
             for fence in self.fences.fences.values()
@@ -175,22 +176,22 @@
             Sweeping(sweep.key.calendar, sweep.key.number, sweep.key.volume, sweep.done_slices)
             for sweep in self._sweeps.going()
         ]
-        self._told += 1
-        return Ask(now, self._wall() - now, epoch, (apart.low, apart.high), self._some(done),
-                   self._some(sweeps))  # fmt: skip
+        self._queries_sent += 1
+        return Ask(now, self._wall() - now, epoch, (apart.low, apart.high), self._select(done),
+                   self._select(sweeps))  # fmt: skip
 
-    def _some(self, every: list[T]) -> list[T]:
-        """Return as many as a message holds: others each time."""
+    def _select(self, every: list[T]) -> list[T]:
+        """Return as many items as a message holds, rotating through all of them."""
         turns = -(-len(every) // MOST_TOLD) or 1
-        at = self._told % turns * MOST_TOLD
+        at = self._queries_sent % turns * MOST_TOLD
         return every[at : at + MOST_TOLD]
 
-    def _asked(self, now: int, head: str, body: bytes) -> None:
+    def _handle_query(self, now: int, head: str, body: bytes) -> None:
         ask = ask_from(body)
         if ask is not None and head != self._swim.me.name:
             self._keeping.asked(now, head, ask)
 
-    def _ruled(self, now: int, term: Term, body: bytes) -> None:
+    def _handle_ruling(self, now: int, term: Term, body: bytes) -> None:
         ruling = ruling_from(body)
         if ruling is None or self._keeping.epoch == term.epoch:
             return
@@ -198,16 +199,16 @@
         if mine is not None:
             apart = Exchange(mine.at, mine.heard, ruling.now, now).offset()
             if apart is not None:
-                self._apart = term.epoch, apart
+                self._clock_offset = term.epoch, apart
                 if ruling.truth is not None:
-                    self._heard_time(now, Interval(*ruling.truth).plus(apart))
+                    self._apply_time(now, Interval(*ruling.truth).plus(apart))
         self._heard_closes(ruling.said, ruling.digest)
 
-    def _heard_time(self, now: int, ahead: Interval) -> None:
+    def _apply_time(self, now: int, ahead: Interval) -> None:
         self.clock.update(now, ahead)
         wrong = not self._claim().overlaps(ahead)
-        if wrong != self._wrong:
-            self._wrong = wrong
+        if wrong != self._clock_wrong:
+            self._clock_wrong = wrong
             off = (ahead.low + ahead.high) // 2 - (self._wall() - now)
             self._parts.note("closing clock wrong" if wrong else "closing clock right again", off_us=-off)
 
@@ -221,31 +222,31 @@
         blind = True
         while True:
             now = self._hub.now()
-            if not self._keeping.decides and now >= self._ask_at:
-                self._ask(now)
+            if not self._keeping.decides and now >= self._query_at:
+                self._send_query(now)
             reading = self._guard.reading()
             if self.fences.is_blind(reading) != blind:
                 blind = not blind
                 self._parts.note("closes: blind" if blind else "closes: known")
-            wait = LOOK_US
+            wait = POLL_US
             if reading is not None:
-                self._step_over(reading)
+                self._purge_due(reading)
                 if (at := self.fences.us_until_change(reading)) is not None:
                     wait = max(LEAST_US, min(wait, at))
             self._hub.sleep(wait)
 
     def _decide(self) -> None:
-        """Decide, while this head does (a task of its own: it waits for the witness, closes do not)."""
+        """Decide on closes in this head's term (a separate task: it waits for the witness)."""
         while True:
             decided = self._keeping.look(self._changes.record.revision)
             if decided is not None:
-                self._apart = decided.epoch, Interval(0, 0)
-                self._heard_time(decided.at, decided.truth)
+                self._clock_offset = decided.epoch, Interval(0, 0)
+                self._apply_time(decided.at, decided.truth)
                 self._heard_closes(decided.at + decided.truth.low, decided.digest)
-                self._keeping.told(self._swim.me.name, self._tells(decided.at))
-            self._hub.sleep(LOOK_US)
+                self._keeping.told(self._swim.me.name, self._query(decided.at))
+            self._hub.sleep(POLL_US)
 
-    def _step_over(self, reading: Interval) -> None:
+    def _purge_due(self, reading: Interval) -> None:
         for fence in self.fences.fences.values():
             for close in fence.closes_to_purge(reading, self.fences.confirmed_until):
                 self._close(fence, close)
@@ -255,7 +256,7 @@
         return touched and self.fences.may_purge(volume)
 
     def _close(self, fence: Fence, close: Close) -> None:
-        """Step over a close: on disk first, then everything that is held in memory follows."""
+        """Carry out a close: on disk first, then in all state in memory."""
         core, size, now = self._parts.core, self._parts.settings.extent_bytes, self._hub.now()
         refused, failed = core.close_off(now, lambda *place: self._covers(close, *place))
         lefts = self._places.purge(
@@ -270,16 +271,16 @@
             self._regional.closed(lambda *place: self._covers(close, *place))
         mine = [TrimTarget(*left) for left in lefts if left[0] in core.volumes]
         least = {left: self._guard.quiet_at(left.volume, left.extent) for left in mine}
-        self._trims.add(now, mine, self._place(), least)
+        self._trims.add(now, mine, self._stagger(), least)
         self._guard.forget_quiet()
         self._extents[fence.calendar] = len(lefts)
         self._parts.note("close done", calendar=fence.calendar, number=close.number, at_us=close.at_us,
                          name=close.name, extents=len(lefts), refused=refused, failed=failed)  # fmt: skip
         if not len(self._trims):
-            self._emptied()
+            self._report_trimmed()
 
-    def _begins_trim(self, left: TrimTarget) -> Callable[[], None]:
-        """A trim begins; what is returned is called when it is done."""
+    def _begin_trim(self, left: TrimTarget) -> Callable[[], None]:
+        """Handle the start of a trim; return the function to call when it is done."""
         core, closing = self._parts.core, self._places.closing
         sweeps = [sweep for sweep in self._sweeps.going() if sweep.key.volume == left.volume]
 
@@ -294,9 +295,9 @@
         return trimmed
 
     def _raise_epochs(self) -> None:
-        """Let nodes turn down what comes of before the last close, once they hear of it from anybody.
+        """Raise volumes' epochs: nodes that receive the new one reject requests from before the last close.
 
-        Of a volume of several heads work after its sweep is of a later epoch than the sweep.
+        In a volume of several heads, requests after its sweep have a later epoch than the sweep.
         """
         for volume in self._parts.core.volumes:
             for fence in self.fences.fences.values() if self.fences.may_purge(volume) else ():
@@ -309,7 +310,7 @@
                     if self._epochs.record_close(volume, close.at_us + swept):
                         self._places.raise_to(volume, close.at_us + swept)
 
-    def _emptied(self) -> None:
+    def _report_trimmed(self) -> None:
         progress = self._trims.progress
         self._parts.note(
             "closed", trimmed=progress.done, asked=progress.requested, tries_lost=progress.failed,
@@ -317,7 +318,7 @@
         )  # fmt: skip
 
     def document(self, _now: int) -> ClosingTold:
-        """Return what this head tells operators."""
+        """Return this head's status of closes."""
         reading = self._guard.reading()
         told = [
             fence_told(fence, reading, self._would_purge(fence), self._extents.get(fence.calendar, 0))
@@ -325,7 +326,7 @@
         ]
         return ClosingTold(
             self._keeping.decides, self.fences.is_blind(reading),
-            (reading.low, reading.high) if reading else None, self._wrong, len(self._trims),
+            (reading.low, reading.high) if reading else None, self._clock_wrong, len(self._trims),
             self._guard.refused, told,
         )  # fmt: skip
 
--- a/harriertrack/gateway/fleet/closing/messages.py
+++ b/harriertrack/gateway/fleet/closing/messages.py
@@ -1,4 +1,4 @@
-"""What heads say of closes: asks to who decides, and its word to all; msgpack, at most 1000 bytes each."""
+"""Messages on closes: queries to the deciding head and its rulings to all; msgpack, at most 1000 bytes."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 T = TypeVar("T")
 
 TOPIC = "closing"
-ANSWERS_BYTES = 750  # for answers in a word: the rest of it takes up to 250
-MOST_TOLD = 4  # calendars of which an ask says how far they are done, and as many sweeps; others the next
+ANSWERS_BYTES = 750  # for the answers in a ruling; its other fields take up to 250
+MOST_TOLD = 4  # calendars, and as many sweeps, whose progress is in one query; others are in the next
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True):
-    """How far a head is with a calendar: its last close, and what that left to trim."""
+    """A head's progress in a calendar: its last close, and the extents left to trim."""
 
     calendar: str
     number: int
@@ -23,7 +23,7 @@
 
 
 class Sweeping(msgspec.Struct, frozen=True, array_like=True):
-    """Which slices of a sweep a head has done."""
+    """The slices of a sweep that a head has completed."""
 
     calendar: str
     number: int
@@ -32,18 +32,20 @@
 
 
 class Ask(msgspec.Struct, frozen=True, array_like=True):
-    """A head asks what time it is, says what its clock says, and how far it is."""
+    """A head's query for the time, with its clock reading and its progress."""
 
     at: int
     wall_ahead: int
-    epoch: int  # of the term in which the decider's clock was found to be `apart`; 0: never
+    epoch: (
+        int  # of the term in which `apart`, the offset of the deciding head's clock, was measured; 0: never
+    )
     apart: tuple[int, int]
     done: list[Done]
     sweeps: list[Sweeping] = []
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True):
-    """To one head: its ask's stamp, and when it was heard."""
+    """For one head: the timestamp of its query, and when it was received."""
 
     head: str
     at: int
@@ -51,9 +53,9 @@
 
 
 class Ruling(msgspec.Struct, frozen=True, array_like=True):
-    """The word of who decides: at `said` (UTC) all closes were those of the digest.
+    """A ruling of the deciding head: at `said` (UTC) all closes were those of the digest.
 
-    `truth`: how far true time is ahead of its clock; none while most heads are not heard. `now`: its clock.
+    `truth`: how far true time is ahead of its clock; None without readings of most heads. `now`: its clock.
     """
 
     said: int
@@ -61,7 +63,7 @@
     truth: tuple[int, int] | None
     now: int
     answers: list[Answer]
-    wrong: list[str]  # whose clocks can't be true
+    wrong: list[str]  # heads whose clocks can't be right
 
 
 def encode(what: Ask | Ruling) -> bytes:
@@ -70,16 +72,16 @@
 
 
 def ask_from(body: bytes) -> Ask | None:
-    """Read an ask; None for bytes that are none."""
-    return _read(body, Ask)
+    """Decode a query; None if malformed."""
+    return _decode(body, Ask)
 
 
 def ruling_from(body: bytes) -> Ruling | None:
-    """Read a word; None for bytes that are none."""
-    return _read(body, Ruling)
+    """Decode a ruling; None if malformed."""
+    return _decode(body, Ruling)
 
 
-def _read(body: bytes, kind: type[T]) -> T | None:
+def _decode(body: bytes, kind: type[T]) -> T | None:
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError):
--- a/harriertrack/gateway/fleet/closing/reading.py
+++ b/harriertrack/gateway/fleet/closing/reading.py
@@ -1,4 +1,4 @@
-"""How calendars and their closes are written in the record: those by operators, these by who decides."""
+"""The encoding in the record of calendars, written by operators, and of closes, by the deciding head."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from harriertrack.decisions.fleet.closing.calendars import CalendarCodec, InvalidCalendar
 from harriertrack.decisions.fleet.closing.schedule import Plan, Purge, Schedule
 
-BACK_US = 2 * 86_400_000_000  # closes missed for longer are not made up for
+BACK_US = 2 * 86_400_000_000  # older missed closes are not carried out
 AHEAD_US = 60 * 86_400_000_000
-STEP_US = 3_600_000_000  # closes ahead are worked out anew so often
+STEP_US = 3_600_000_000  # between recomputations of the closes ahead
 
 
 class BadCloses(ValueError):
-    """A body that is no schedule."""
+    """A body that is not a close schedule."""
 
 
 def schedule_from(body: str) -> Schedule:
-    """Read closes. Raises BadCloses."""
+    """Decode a close schedule. Raises BadCloses."""
     try:
         return msgspec.json.decode(body, type=Schedule)
     except msgspec.MsgspecError as error:
@@ -31,12 +31,12 @@
 
 
 def written(schedule: Schedule) -> str:
-    """Return closes as they are kept."""
+    """Return the encoded form of closes in the record."""
     return msgspec.json.encode(schedule).decode()
 
 
 def digest_of(bodies: Mapping[str, str]) -> int:
-    """Return the digest of all closes in hand."""
+    """Return the digest of all close schedules."""
     return crc32("\0".join(f"{name}\0{body}" for name, body in sorted(bodies.items())).encode())
 
 
@@ -46,7 +46,7 @@
 
 
 def reader_of(latest: Callable[[], int], check: Callable[[Purge], str]) -> CalendarCodec:
-    """Return how bodies are read at an instant; `check` says why a purge can't be ("": it can)."""
+    """Return the codec of record bodies; `latest`: the current time; `check`: why a purge is invalid."""
 
     def purges(body: str) -> tuple[Purge, ...]:
         try:
--- a/harriertrack/gateway/fleet/closing/showing.py
+++ b/harriertrack/gateway/fleet/closing/showing.py
@@ -1,4 +1,4 @@
-"""What operators are told of one calendar at one head."""
+"""The operators' status of one calendar at one head."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def fence_told(fence: Fence, reading: Interval | None, would: int, extents: int) -> FenceTold:
-    """Return what is told; `would`: extents that the next close would purge, `extents`: that the last did."""
+    """Return the status; `would`: extents that the next close would purge; `extents`: that the last did."""
     close = fence.next_close
-    stance = fence.state(reading) if reading is not None else FenceState.CLOSING
+    state = fence.state(reading) if reading is not None else FenceState.CLOSING
     if close is None:
-        return FenceTold(fence.calendar, fence.last_purged, stance.value, "", 0, 0, extents)
-    return FenceTold(fence.calendar, fence.last_purged, stance.value, close.name, close.at_us, would, extents)
+        return FenceTold(fence.calendar, fence.last_purged, state.value, "", 0, 0, extents)
+    return FenceTold(fence.calendar, fence.last_purged, state.value, close.name, close.at_us, would, extents)
--- a/harriertrack/gateway/fleet/closing/sweeping.py
+++ b/harriertrack/gateway/fleet/closing/sweeping.py
@@ -1,4 +1,4 @@
-"""A head's sweeps: volumes of several heads after closes."""
+"""A head's sweeps: trims after closes of volumes that several heads serve."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Sweeps:
-    """All that go on at one head."""
+    """The sweeps in progress at one head."""
 
     def __init__(self, hub: Hub, fences: Fences, trims: TrimQueue, settings: HeadSettings, head: str,
                  settle_us: int, call_off: Callable[[list[TrimTarget]], None]) -> None:  # fmt: skip
@@ -23,11 +23,11 @@
         self._sweeps: dict[SweepKey, Sweep] = {}
 
     def going(self) -> list[Sweep]:
-        """Return the sweeps that go on."""
+        """Return the sweeps in progress."""
         return list(self._sweeps.values())
 
     def follow(self, fence: Fence) -> None:
-        """Begin the sweeps that a calendar's closes ask of this head, and end those that are on record."""
+        """Begin the sweeps that a calendar's closes need, and end those that the record has as complete."""
         for key in [key for key in self._sweeps if key.calendar == fence.calendar]:
             if fence.schedule.last_swept(key.volume) >= key.number:
                 self._end(key)
@@ -38,8 +38,8 @@
     def _begin(self, fence: Fence, key: SweepKey) -> None:
         if key in self._sweeps:
             return
-        mine = [one for one in self._sweeps if (one.calendar, one.volume) == (key.calendar, key.volume)]
-        for older in mine:
+        replaced = [one for one in self._sweeps if (one.calendar, one.volume) == (key.calendar, key.volume)]
+        for older in replaced:
             self._end(older)
         size, volume, now = self._size, self._volumes[key.volume], self._hub.now()
         extents = range(-(-volume.size_bytes // size))
@@ -48,18 +48,18 @@
         )
         self._sweeps[key] = sweep
         for turn, number in enumerate(sweep.slice_order(self._head)):
-            lefts = self._lefts(key.volume, sweep.remaining[number])
-            # What any head sent before the close has run by then; nodes turn down what comes later.
-            self._trims.add(now, lefts, turn / SLICES, dict.fromkeys(lefts, now + self._settle_us))
+            targets = self._targets(key.volume, sweep.remaining[number])
+            # Requests that any head sent before the close have run by then; nodes reject later ones.
+            self._trims.add(now, targets, turn / SLICES, dict.fromkeys(targets, now + self._settle_us))
 
-    def _lefts(self, volume: str, extents: set[int]) -> list[TrimTarget]:
+    def _targets(self, volume: str, extents: set[int]) -> list[TrimTarget]:
         shards = self._volumes[volume].shards
         return [TrimTarget(volume, extent, shards[extent % len(shards)]) for extent in sorted(extents)]
 
     def _end(self, key: SweepKey) -> None:
         sweep = self._sweeps.pop(key)
-        lefts = self._lefts(
+        targets = self._targets(
             key.volume, {extent for extents in sweep.remaining.values() for extent in extents}
         )
-        self._trims.drop(lefts)
-        self._call_off(lefts)
+        self._trims.drop(targets)
+        self._call_off(targets)
--- a/harriertrack/gateway/fleet/closing/trimming.py
+++ b/harriertrack/gateway/fleet/closing/trimming.py
@@ -1,4 +1,4 @@
-"""Trims what closes left, as background requests of the head's own."""
+"""Trims purged extents by background requests of the head."""
 
 from __future__ import annotations
 
@@ -11,62 +11,62 @@
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.storage.extents import ExtentMap
 
-LOOK_US = 20_000
+POLL_US = 20_000
 
 
 class Trimming:
-    """One head's: one task for each trim that is out, as many as the figures allow."""
+    """Runs the trims of one head, each in a task, as many at a time as `TrimQueue` allows."""
 
     def __init__(self, parts: HeadParts, trims: TrimQueue, places: ExtentMap, heads: Callable[[], int],
                  settle_us: int) -> None:  # fmt: skip
         self._parts, self._trims, self._places, self._heads = parts, trims, places, heads
         self._sizes = {volume.name: volume.size_bytes for volume in parts.settings.volumes}
         self._settle_us = settle_us
-        self._requests: dict[TrimTarget, tuple[ClientRequest, background.Waiter]] = {}  # that are out
-        # Called as one begins; what it returns, as it is done.
+        self._requests: dict[TrimTarget, tuple[ClientRequest, background.Waiter]] = {}  # of trims in progress
+        # Called as a trim begins; the function that it returns is called as the trim is done.
         self.begins: Callable[[TrimTarget], Callable[[], None]] = lambda _left: lambda: None
         self.emptied: Callable[[], None] = lambda: None  # nothing is left to trim
 
-    def call_off(self, lefts: Iterable[TrimTarget]) -> None:
-        """Send nothing more for these: what is out would come under the epoch of what is written next."""
-        for left in lefts:
-            if left in self._requests:
-                request, waiter = self._requests[left]
+    def call_off(self, targets: Iterable[TrimTarget]) -> None:
+        """Cancel these trims: further attempts would have the same epoch as the next writes."""
+        for target in targets:
+            if target in self._requests:
+                request, waiter = self._requests[target]
                 self._parts.core.client_left(request)
                 waiter.answer(request)
 
     def known(self) -> list[TrimTarget]:
-        """Return what is to be trimmed of volumes that this head has, as found on disk."""
-        lefts = self._places.closing.lefts
+        """Return the extents left to trim, as recorded on disk, in volumes that this head serves."""
+        targets = self._places.closing.lefts
         return [
             TrimTarget(volume, extent, shard)
-            for volume, places in lefts.items() if volume in self._sizes for extent, shard in sorted(places)
+            for volume, places in targets.items() if volume in self._sizes for extent, shard in sorted(places)
         ]  # fmt: skip
 
     def run(self) -> None:
-        """Trim whatever is due (a task)."""
+        """Start the trims that are due (a task)."""
         hub = self._parts.hub
         while True:
-            while (left := self._trims.take_next(hub.now(), self._heads())) is not None:
-                self._parts.scope.spawn(f"trim {left.volume} {left.extent}", self._trim, left)
-            hub.sleep(LOOK_US)
+            while (target := self._trims.take_next(hub.now(), self._heads())) is not None:
+                self._parts.scope.spawn(f"trim {target.volume} {target.extent}", self._trim, target)
+            hub.sleep(POLL_US)
 
-    def _trim(self, left: TrimTarget) -> None:
+    def _trim(self, target: TrimTarget) -> None:
         parts, size = self._parts, self._parts.settings.extent_bytes
-        start = left.extent * size
-        length = min(size, self._sizes[left.volume] - start)
-        trimmed, waiter = self.begins(left), background.Waiter(parts.hub)
-        request = ClientRequest(parts.core.volumes[left.volume], Kind.TRIM, start, length, b"", 0, waiter,
-                                background=True, moving=True, trim_shard=left.shard)  # fmt: skip
-        self._requests[left] = request, waiter
+        start = target.extent * size
+        length = min(size, self._sizes[target.volume] - start)
+        trimmed, waiter = self.begins(target), background.Waiter(parts.hub)
+        request = ClientRequest(parts.core.volumes[target.volume], Kind.TRIM, start, length, b"", 0, waiter,
+                                background=True, moving=True, trim_shard=target.shard)  # fmt: skip
+        self._requests[target] = request, waiter
         parts.core.accept(parts.hub.now(), request)
         waiter.wait()
-        del self._requests[left]
-        gone = request.outcome is Outcome.SERVED
-        if gone:
-            if self._trims.failed_before(left):
-                parts.hub.sleep(self._settle_us)  # an earlier try may run yet: nothing new is written before
+        del self._requests[target]
+        served = request.outcome is Outcome.SERVED
+        if served:
+            if self._trims.failed_before(target):
+                parts.hub.sleep(self._settle_us)  # an earlier attempt may still run; no writes until it can't
             trimmed()
-        self._trims.finish(parts.hub.now(), left, gone)
-        if gone and not len(self._trims):
+        self._trims.finish(parts.hub.now(), target, served)
+        if served and not len(self._trims):
             self.emptied()
--- a/harriertrack/gateway/fleet/scoring/__init__.py
+++ b/harriertrack/gateway/fleet/scoring/__init__.py
@@ -1,1 +1,1 @@
-"""Scorers of storage nodes in a head: plugins, their calls, and what is shared of their weights."""
+"""Scorers of storage nodes in a head: plugins, their calls, and the exchange of their weights."""
--- a/harriertrack/gateway/fleet/scoring/asking.py
+++ b/harriertrack/gateway/fleet/scoring/asking.py
@@ -1,8 +1,8 @@
-"""Asking a scorer away from requests: on a thread of its own, so that a slow one holds nobody up.
+"""Runs a scorer on a thread of its own, so that a slow one delays no requests.
 
-What it may take is processor time of that thread: a busy machine takes no vote away. One that never ends
-keeps its thread, which ends with the process; it is asked nothing more. In simulated time there are no
-threads: there it is asked at once, and takes no time.
+Its time limit counts processor time of that thread, so that a busy machine costs no scorer its vote. A
+scorer that never returns keeps its thread until the process ends, and gets no further queries. In simulated
+time there are no threads: the scorer runs within the call and takes no time.
 """
 
 from __future__ import annotations
@@ -18,82 +18,82 @@
 from harriertrack.decisions.fleet.scoring.snapshot import Snapshot
 from harriertrack.runtime.hub import Hub, VirtualTime
 
-MOST_SAID = 120  # characters of what a scorer raised
+MAX_ERROR_CHARS = 120  # kept of an exception raised by a scorer
 
 
-def _answer(scorer: Scorer, picture: Snapshot, timed: bool) -> ScorerAnswer:
+def _answer(scorer: Scorer, snapshot: Snapshot, timed: bool) -> ScorerAnswer:
     began = time.thread_time_ns() if timed else 0
     try:
-        scores: object = scorer.score(picture)
+        scores: object = scorer.score(snapshot)
         raised = ""
     except Exception as error:
-        scores, raised = None, f"{type(error).__name__}: {error}"[:MOST_SAID]
-    took = (time.thread_time_ns() - began) // 1000 if timed else 0
-    return ScorerAnswer(picture, scores, raised, took)
+        scores, raised = None, f"{type(error).__name__}: {error}"[:MAX_ERROR_CHARS]
+    took_us = (time.thread_time_ns() - began) // 1000 if timed else 0
+    return ScorerAnswer(snapshot, scores, raised, took_us)
 
 
 class Asking(Protocol):
-    """One scorer that is asked, one round at a time."""
+    """Queries one scorer, one round at a time."""
 
-    def ask(self, pictures: Sequence[Snapshot]) -> None:
+    def ask(self, snapshots: Sequence[Snapshot]) -> None:
         """Begin a round."""
 
     def answers(self) -> list[ScorerAnswer] | None:
-        """Return what came of the round, once; None while it lasts."""
+        """Return the round's answers, once; None while it is in progress."""
 
     def close(self) -> None:
-        """Ask nothing more."""
+        """Send no further queries."""
 
 
 class AtOnce:
-    """Asked within the call."""
+    """Runs the scorer within the call."""
 
     def __init__(self, scorer: Scorer) -> None:
         self._scorer = scorer
         self._answers: list[ScorerAnswer] | None = None
 
-    def ask(self, pictures: Sequence[Snapshot]) -> None:
-        """Begin a round, and end it."""
-        self._answers = [_answer(self._scorer, picture, False) for picture in pictures]
+    def ask(self, snapshots: Sequence[Snapshot]) -> None:
+        """Run a complete round."""
+        self._answers = [_answer(self._scorer, snapshot, False) for snapshot in snapshots]
 
     def answers(self) -> list[ScorerAnswer] | None:
-        """Return what came of the round, once."""
+        """Return the round's answers, once."""
         answers, self._answers = self._answers, None
         return answers
 
     def close(self) -> None:
-        """Nothing is left to be done."""
+        """Do nothing: there is no thread."""
 
 
 class OnThread:
-    """Asked on a thread."""
+    """Runs the scorer on a thread."""
 
     def __init__(self, scorer: Scorer, name: str) -> None:
         self._scorer = scorer
-        self._asked: queue.SimpleQueue[Sequence[Snapshot] | None] = queue.SimpleQueue()
+        self._rounds: queue.SimpleQueue[Sequence[Snapshot] | None] = queue.SimpleQueue()
         self._done: queue.SimpleQueue[list[ScorerAnswer]] = queue.SimpleQueue()
         threading.Thread(target=self._work, name=f"scorer {name}", daemon=True).start()
 
     def _work(self) -> None:
-        while (pictures := self._asked.get()) is not None:
-            self._done.put([_answer(self._scorer, picture, True) for picture in pictures])
+        while (snapshots := self._rounds.get()) is not None:
+            self._done.put([_answer(self._scorer, snapshot, True) for snapshot in snapshots])
 
-    def ask(self, pictures: Sequence[Snapshot]) -> None:
+    def ask(self, snapshots: Sequence[Snapshot]) -> None:
         """Begin a round."""
-        self._asked.put(pictures)
+        self._rounds.put(snapshots)
 
     def answers(self) -> list[ScorerAnswer] | None:
-        """Return what came of the round, once; None while it lasts."""
+        """Return the round's answers, once; None while it is in progress."""
         try:
             return self._done.get_nowait()
         except queue.Empty:
             return None
 
     def close(self) -> None:
-        """Let the thread end after the round under way."""
-        self._asked.put(None)
+        """End the thread after the round in progress."""
+        self._rounds.put(None)
 
 
 def asking_of(hub: Hub, scorer: Scorer, name: str) -> Asking:
-    """Return how a scorer is asked on a hub."""
+    """Return the runner of a scorer on a hub."""
     return AtOnce(scorer) if isinstance(hub.clock, VirtualTime) else OnThread(scorer, name)
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -1,7 +1,6 @@
-"""A head's scorers, on the hub: a task that draws pictures, asks, says and hears, away from requests.
+"""A head's scorers: a task that takes snapshots, queries scorers, and exchanges weights, apart from requests.
 
-Decided is all of it in decisions/fleet/scoring; the module asks
-`SharedWeights.factors` and waits for nothing.
+The logic is in decisions/fleet/scoring; the decision module reads `SharedWeights.factors` without waiting.
 """
 
 from __future__ import annotations
@@ -32,17 +31,17 @@
 if TYPE_CHECKING:
     from harriertrack.gateway.fleet.changes.carrier import Changes
 
-WAIT_US = 5_000  # how often an answer is looked for while one is awaited
+ANSWER_POLL_US = 5_000  # between checks for awaited answers
 
 
 def rules_of(settings: ScoringSettings) -> ScoringRules:
-    """Return the figures."""
+    """Return the parameters of scoring."""
     return parameters_from(ScoringRules, settings)
 
 
 @dataclass(frozen=True, slots=True)
 class Scored:
-    """What a head has of scoring before it has a fleet: what its module is seen by, and what it asks."""
+    """The scoring state that a head creates before it joins a fleet, as its decision module uses it."""
 
     sights: NodeObserver
     shared: SharedWeights
@@ -51,7 +50,7 @@
 
 def scored_of(head: HeadSettings, settings: ScoringSettings, note: Callable[..., None],
               further: Iterable[object] = ()) -> Scored:  # fmt: skip
-    """Return it. Raises SettingsError for scorers that can't be run."""
+    """Create the scoring state. Raises SettingsError for scorers that can't be run."""
     try:
         choice = Choice(found(note, further), settings.scorers)
     except BadScorer as error:
@@ -62,38 +61,40 @@
 
 
 class Scoring:
-    """This head's part."""
+    """Runs this head's scorers and exchanges their opinions with other heads."""
 
     def __init__(self, parts: HeadParts, settings: ScoringSettings, scored: Scored, swim: Swim,
                  asking: Callable[[Hub, Scorer, str], Asking] = asking_of) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
-        self._sights, self._shared, self._choice = scored.sights, scored.shared, scored.choice
+        self._observer, self._shared, self._choice = scored.sights, scored.shared, scored.choice
         self._swim, self._asking_of = swim, asking
         self._changes: Changes | None = None
         self._asking: dict[str, Asking] = {}
         self._votes: dict[str, bool] = {}
-        self._versions: dict[tuple[str, str], tuple[int, int, int]] = {}  # what was heard of each topic
-        self._lives: dict[str, Life] = {}  # of whom pages are kept
-        self._told_at = 0
+        self._versions: dict[
+            tuple[str, str], tuple[int, int, int]
+        ] = {}  # last version received, by head and topic
+        self._lives: dict[str, Life] = {}  # incarnations whose pages are stored, by head
+        self._logged_at = 0
         self.garbage = 0
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start the scorers and the task."""
         self._follow()
         self._parts.scope.spawn("scoring", self._run)
 
     def follow(self, changes: Changes) -> None:
-        """Run what the fleet's record names in place of the settings' scorers; before `changes` starts."""
+        """Let the fleet's record override the settings' scorers; before `changes` starts."""
         self._changes = changes
         changes.use(Kind.SCORER, self)
 
     def close(self) -> None:
-        """Ask nobody any more."""
+        """Send no further queries to scorers."""
         for one in self._asking.values():
             one.close()
 
     def take(self, thing: str, version: Version | None) -> str:
-        """Run a version of a scorer, as the record's user; return why not, "" if it is run from now on."""
+        """Apply a version of a scorer from the record; return "" if it now runs, otherwise the reason."""
         try:
             self._choice.take(thing, version)
         except BadScorer as error:
@@ -102,7 +103,7 @@
         return ""
 
     def _follow(self) -> None:
-        """Run what is chosen: what did not change goes on as it was."""
+        """Run the chosen scorers; those that did not change continue."""
         before = {name: one.namespace for name, one in self._shared.by_scorer.items()}
         run = self._choice.run()
         self._shared.set_scorers({name: one.namespace for name, one in run.items()})
@@ -121,16 +122,16 @@
         rules = self._shared.rules
         while True:
             began = self._hub.now()
-            self._ask(began)
-            self._look()
+            self._query_scorers(began)
+            self._exchange_weights()
             self._hub.sleep_until(began + rules.look_us)
 
-    def _ask(self, began: int) -> None:
-        picture = self._sights.snapshot(began)
+    def _query_scorers(self, began: int) -> None:
+        snapshot = self._observer.snapshot(began)
         asked = dict(self._shared.by_scorer)
         for name, one in asked.items():
-            if pictures := one.guard.next_queries(began, picture):
-                self._asking[name].ask(pictures)
+            if snapshots := one.guard.next_queries(began, snapshot):
+                self._asking[name].ask(snapshots)
         open_ = {
             name: one
             for name, one in asked.items()
@@ -139,13 +140,13 @@
         while True:
             for name, one in list(open_.items()):
                 if self._shared.by_scorer.get(name) is not one:
-                    del open_[name]  # another version took its place meanwhile
+                    del open_[name]  # replaced by another version meanwhile
                 elif (answers := self._asking[name].answers()) is not None:
                     one.guard.handle_answers(self._hub.now(), answers)
                     del open_[name]
             if not open_ or self._hub.now() >= began + self._shared.rules.look_us // 2:
                 break
-            self._hub.sleep(WAIT_US)
+            self._hub.sleep(ANSWER_POLL_US)
         for name, one in self._shared.by_scorer.items():
             has = one.guard.state in (ScorerState.ACTIVE, ScorerState.PENDING)
             if self._votes.setdefault(name, True) != has:
@@ -156,16 +157,18 @@
                     seconds = max(0, one.guard.suspended_until - self._hub.now()) / 1e6
                     self._parts.note("scorer lost its vote", scorer=name, why=one.guard.reason, for_s=seconds)
 
-    def _look(self) -> None:
+    def _exchange_weights(self) -> None:
         now, shared = self._hub.now(), self._shared
         self._hear(now)
         there = frozenset(self._swim.view.present)
-        picture = self._sights.snapshot(now)
-        moment = HeadContext(self._swim.me.name, self._hub.clock.wall(), picture, there, self._who)
+        snapshot = self._observer.snapshot(now)
+        moment = HeadContext(
+            self._swim.me.name, self._hub.clock.wall(), snapshot, there, self._expected_heads
+        )
         for page in shared.update(now, moment):
             self._swim.say(weighing.topic_of(page), weighing.encode(page))
-        if self._settings.tell_us and now >= self._told_at + self._settings.tell_us:
-            self._told_at = now
+        if self._settings.tell_us and now >= self._logged_at + self._settings.tell_us:
+            self._logged_at = now
             own = {
                 name: _rounded({node: opinion.log for node, opinion in one.own.items()})
                 for name, one in shared.by_scorer.items()
@@ -173,8 +176,8 @@
             joined = {name: _rounded(one.aggregated) for name, one in shared.by_scorer.items()}
             self._parts.note("fleet weights", weights=_rounded(shared.factors.logs), own=own, joined=joined)
 
-    def _who(self, space: Namespace) -> frozenset[str]:
-        """Return who is to run a scorer: by the record, or all where it is in everybody's settings."""
+    def _expected_heads(self, space: Namespace) -> frozenset[str]:
+        """Return the present heads that should run a scorer: by the record, or all if settings name it."""
         there = frozenset(self._swim.view.present)
         run = next((one for one in self._choice.run().values() if one.namespace == space), None)
         if run is None or not run.thing or self._changes is None:
@@ -186,7 +189,7 @@
         return frozenset(name for name in there if record.version_for(run.thing, name) == mine)
 
     def _hear(self, now: int) -> None:
-        """Take what is new among the view's notes; who is gone is forgotten."""
+        """Handle new pages among the view's notes, and forget heads that left."""
         known = self._versions
         self._versions = {}
         self._lives = {name: life for name, life in self._lives.items() if name in self._swim.view.present}
@@ -194,7 +197,7 @@
             if not row.record.present or row.record.name == self._swim.me.name:
                 continue
             if self._lives.setdefault(row.record.name, row.record.life) != row.record.life:
-                # Of what its last life thought it may not say a word: then that would stand beside its own.
+                # The new incarnation may not publish on every topic of the last one, whose pages would remain.
                 self._shared.forget(row.record.name)
                 self._lives[row.record.name] = row.record.life
             for topic, note in row.topics.items():
@@ -211,7 +214,7 @@
                     self._shared.receive(now, row.record.name, page)
 
     def lost(self) -> dict[str, str]:
-        """Return which of the record's scorers have no vote here, by thing, and why."""
+        """Return the record's scorers that have no vote here, by thing, with the reason."""
         run, votes = (
             self._choice.run(),
             {name: one.guard for name, one in self._shared.by_scorer.items()},
@@ -224,7 +227,7 @@
     # -- operators
 
     def document(self, now: int) -> ScoresTold:
-        """Return what this head tells of scores."""
+        """Return this head's status of scoring."""
         shared = self._shared
         scorers = []
         for name, one in sorted(shared.by_scorer.items()):
@@ -238,7 +241,7 @@
                 )
             )  # fmt: skip
         nodes = []
-        for sight in self._sights.snapshot(now).nodes:
+        for sight in self._observer.snapshot(now).nodes:
             node = sight.node
             logs = {name: one.own[node].log for name, one in shared.by_scorer.items() if node in one.own}
             joined = {name: one.aggregated.get(node, 0.0) for name, one in shared.by_scorer.items()}
--- a/harriertrack/gateway/fleet/scoring/choosing.py
+++ b/harriertrack/gateway/fleet/scoring/choosing.py
@@ -1,7 +1,7 @@
-"""Which scorers a head runs: those of its settings, in whose place the fleet's record puts others.
+"""Choice of the scorers that a head runs: those of its settings, overridden by the fleet's record.
 
 The record's `scorer/NAME` is a form as in settings: `(scorer "NAME" (kind "least-latency") (version 1)
-(parameter "power" (value 2)))`; a body of nothing but blanks takes a scorer out.
+(parameter "power" (value 2)))`; a blank body removes the scorer.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 )
 from harriertrack.gateway.fleet.scoring.plugins import Kinds
 
-MOST_SCORERS = 2  # at a time: each has pages of its own
+MOST_SCORERS = 2  # at a time, as each publishes pages of its own
 
 
 class BadScorer(ValueError):
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """One scorer that a head is to run."""
+    """A scorer chosen for a head."""
 
     namespace: Namespace
     make: Callable[[], Scorer]
-    thing: str = ""  # by whose version in the record; "": its settings
+    thing: str = ""  # the thing in the record that chose it; "": chosen by the settings
 
 
 def chosen(kinds: Kinds, settings: ScorerSettings, thing: str = "") -> Chosen:
-    """Return what settings name, made once to see that it can be. Raises BadScorer."""
+    """Return the scorer that settings name, after making one as a check. Raises BadScorer."""
     name = settings.kind or settings.name
     kind = kinds.get((name, settings.version))
     if kind is None:
@@ -53,13 +53,13 @@
 
     try:
         make()
-    except Exception as error:  # a stranger's code
+    except Exception as error:  # a plugin's code may raise anything
         raise BadScorer(f"{name}: can't be made: {type(error).__name__}: {error}") from error
     return Chosen(Namespace(name, settings.version, tuple(sorted(values.items()))), make, thing)
 
 
 def read(body: str, thing: str) -> ScorerSettings | None:
-    """Return what a version in the record names; None: no scorer. Raises BadScorer."""
+    """Return the scorer settings in a version's body; None: no scorer. Raises BadScorer."""
     if not body.strip():
         return None
     try:
@@ -69,30 +69,30 @@
 
 
 class Choice:
-    """What one head runs."""
+    """The scorers that one head runs."""
 
     def __init__(self, kinds: Kinds, settings: Iterable[ScorerSettings]) -> None:
-        """Begin with what its settings name. Raises BadScorer."""
+        """Start with the scorers of the settings. Raises BadScorer."""
         self._kinds = kinds
         self._own = {one.name: chosen(kinds, one) for one in settings}
-        self._put: dict[str, Chosen | None] = {}
+        self._overrides: dict[str, Chosen | None] = {}
 
     def take(self, thing: str, version: Version | None) -> None:
-        """Run a version of the record's, or (None) of the settings. Raises BadScorer, unchanged."""
+        """Apply a version of the record; None: use the settings. Raises BadScorer, with nothing changed."""
         name = thing.partition("/")[2]
-        put = dict(self._put)
+        overrides = dict(self._overrides)
         if version is None:
-            put.pop(name, None)
+            overrides.pop(name, None)
         else:
             settings = read(version.body, f"{thing} {version.number}")
-            put[name] = chosen(self._kinds, settings, thing) if settings is not None else None
-        if len(self._run(put)) > MOST_SCORERS:
+            overrides[name] = chosen(self._kinds, settings, thing) if settings is not None else None
+        if len(self._merge(overrides)) > MOST_SCORERS:
             raise BadScorer(f"more than {MOST_SCORERS} scorers at a time")
-        self._put = put
+        self._overrides = overrides
 
-    def _run(self, put: dict[str, Chosen | None]) -> dict[str, Chosen]:
-        return {name: one for name, one in {**self._own, **put}.items() if one is not None}
+    def _merge(self, overrides: dict[str, Chosen | None]) -> dict[str, Chosen]:
+        return {name: one for name, one in {**self._own, **overrides}.items() if one is not None}
 
     def run(self) -> dict[str, Chosen]:
-        """Return what is run, by name."""
-        return self._run(self._put)
+        """Return the chosen scorers by name."""
+        return self._merge(self._overrides)
--- a/harriertrack/gateway/fleet/scoring/plugins.py
+++ b/harriertrack/gateway/fleet/scoring/plugins.py
@@ -1,4 +1,4 @@
-"""Finding scorers: the program's own, and those of installed packages, by pluggy.
+"""Discovery of scorers: the program's own, and those of installed packages, by pluggy.
 
 A package offers scorers through an entry point of the group `harriertrack.scorers` that names a module with
 
@@ -6,7 +6,7 @@
     def harriertrack_scorers():
         return [ScorerKind("name", 1, (Parameter("power", 1.0, 0.1, 4.0),), MyScorer)]
 
-A package that can't be loaded, or offers what is none, is noted and left out; the head goes on with the rest.
+A package that can't be loaded, or an offer that is not a valid scorer, is logged and skipped.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 PROJECT = "harriertrack"
 GROUP = "harriertrack.scorers"
 NAME = re.compile(r"[a-z][a-z0-9-]{0,31}\Z")
-OWN = (latency.KIND, fill.KIND, cost.KIND)
+BUILT_IN = (latency.KIND, fill.KIND, cost.KIND)
 
 scorers = pluggy.HookimplMarker(PROJECT)
 _offered = pluggy.HookspecMarker(PROJECT)
@@ -38,7 +38,7 @@
 
 
 def found(note: Callable[..., None], further: Iterable[object] = ()) -> Kinds:
-    """Return all kinds of scorers by name and version; `further`: modules beside the installed ones."""
+    """Return all kinds of scorers by name and version; `further`: modules in addition to installed ones."""
     manager = pluggy.PluginManager(PROJECT)
     manager.add_hookspecs(_Hooks)
     for module in further:
@@ -46,16 +46,16 @@
     for entry in entry_points(group=GROUP):
         try:
             manager.load_setuptools_entrypoints(GROUP, name=entry.name)
-        except Exception as error:  # whatever a stranger's module does as it is imported
+        except Exception as error:  # a plugin's import may raise anything
             note("scorers not loaded", package=entry.name, why=f"{type(error).__name__}: {error}")
-    kinds = {(kind.name, kind.version): kind for kind in OWN}
+    kinds = {(kind.name, kind.version): kind for kind in BUILT_IN}
     for package, plugin in sorted(manager.list_name_plugin(), key=lambda one: one[0]):
         offers = getattr(plugin, "harriertrack_scorers", None)
         if offers is None:
             continue
         try:
             for kind in offers():
-                why = _wrong(kind, kinds)
+                why = _offer_error(kind, kinds)
                 if why:
                     note("scorer not taken", package=package, why=why)
                 else:
@@ -65,8 +65,8 @@
     return kinds
 
 
-def _wrong(kind: object, kinds: Kinds) -> str:
-    """Return what is wrong with an offer; "" if nothing is."""
+def _offer_error(kind: object, kinds: Kinds) -> str:
+    """Return why an offer is invalid; "" if it is valid."""
     if not isinstance(kind, ScorerKind):
         return f"{type(kind).__name__} is no ScorerKind"
     if not NAME.match(kind.name) or not isinstance(kind.version, int) or kind.version < 1:
