--- a/harriertrack/gateway/fleet/rollout/__init__.py
+++ b/harriertrack/gateway/fleet/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""What carries rollouts: heads report, who decides writes the next steps; a launcher starts the program."""
+"""Rollouts: heads report, the deciding head writes the next steps, and a launcher starts the program."""
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -1,7 +1,7 @@
-"""A head's part in rollouts, on the hub: it reports what it answered; if it decides, it takes the next steps.
+"""Rollouts on one head: it reports its answers and, while it is the deciding head, takes the next steps.
 
-What is due is decided in decisions/fleet/rollout (`Conductor`), from reports and the record; written is it
-through the record of changes, in the term in which this head decides.
+`RolloutController` in decisions/fleet/rollout decides the steps from reports and the record; they are written
+to the record of changes in the term in which this head decides.
 """
 
 from __future__ import annotations
@@ -42,143 +42,143 @@
 from harriertrack.membership.fleet.view import Row
 
 TOPIC = "rollout"
-Usage = Callable[[], tuple[int, int]]  # bytes of memory, microseconds of processor
+Usage = Callable[[], tuple[int, int]]  # bytes of memory, microseconds of processor time
 
 
 def no_usage() -> tuple[int, int]:
-    """Tell nothing: heads that share a process use what all of them do."""
+    """Report no usage: it can't be attributed to one of several heads in a process."""
     return 0, 0
 
 
 def asked(row: Row | None) -> frozenset[int]:
-    """Return the lives of a member that ended as somebody wished: it said goodbye, which no crash does."""
+    """Return a member's incarnations that ended on request: they announced their departure, unlike crashes."""
     if row is None:
         return frozenset()
     return frozenset(one.record.instance for one in row.history if one.record.state is State.LEFT)
 
 
 class Rollouts:
-    """This head's part."""
+    """Reports for rollouts and, in this head's term, controls them."""
 
-    def __init__(self, parts: HeadParts, settings: RolloutSettings, swim: Swim, deciding: FleetDecider,
+    def __init__(self, parts: HeadParts, settings: RolloutSettings, swim: Swim, decider: FleetDecider,
                  changes: Changes, counting: AnswerCounter, usage: Usage) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
-        self._swim, self._deciding, self._changes = swim, deciding, changes
+        self._swim, self._decider, self._changes = swim, decider, changes
         self._counting, self._usage = counting, usage
-        self.failing: Callable[[], Mapping[str, str]] = dict  # things that run and do not work, and why
+        self.failing: Callable[[], Mapping[str, str]] = dict  # things that run but do not work, and why
         self._term: Term | None = None
-        self._conductor: RolloutController | None = None
-        self._heard: dict[str, Heard] = {}
-        sums = sorted({crc32(one.name.encode()) for one in parts.settings.volumes})
-        self._pages = list(encode_volumes(swim.me.instance, sums))
+        self._controller: RolloutController | None = None
+        self._received: dict[str, Heard] = {}
+        checksums = sorted({crc32(one.name.encode()) for one in parts.settings.volumes})
+        self._pages = list(encode_volumes(swim.me.instance, checksums))
         self._page = 0
-        self._remembering = BaselineRecorder(parts.hub.now())
-        self._remembered = Remembered(changes.kept, parts.note)
-        deciding.on_report[TOPIC] = self._come
+        self._baseline = BaselineRecorder(parts.hub.now())
+        self._baseline_file = Remembered(changes.kept, parts.note)
+        decider.on_report[TOPIC] = self._handle_report
 
     def start(self) -> None:
-        """Take part from now on; before `changes` does."""
-        if (before := self._remembered.read(self._wall())) is not None:
-            self._remembering.restore(self._hub.now(), before)
-        self._changes.listeners.append(self._remember)
-        self._parts.scope.spawn("rollout reports", self._tell)
+        """Start the tasks; before `changes` starts."""
+        if (baseline := self._baseline_file.read(self._wall_us())) is not None:
+            self._baseline.restore(self._hub.now(), baseline)
+        self._changes.listeners.append(self._update_baseline)
+        self._parts.scope.spawn("rollout reports", self._send_reports)
         self._parts.scope.spawn("rollouts", self._run)
 
     # -- reporting
 
-    def _tell(self) -> None:
+    def _send_reports(self) -> None:
         while True:
-            self._remember()
-            self._deciding.report(TOPIC, encode_counts(self._report()))
-            if (before := self._remembering.current(self._hub.now())) is not None:
-                self._deciding.report(TOPIC, encode_before(self._swim.me.instance, before))
-            self._deciding.report(TOPIC, self._pages[self._page])
+            self._update_baseline()
+            self._decider.report(TOPIC, encode_counts(self._report()))
+            if (baseline := self._baseline.current(self._hub.now())) is not None:
+                self._decider.report(TOPIC, encode_before(self._swim.me.instance, baseline))
+            self._decider.report(TOPIC, self._pages[self._page])
             self._page = (self._page + 1) % len(self._pages)
             self._hub.sleep(self._settings.report_us)
 
-    def _wall(self) -> int:
+    def _wall_us(self) -> int:
         return self._hub.clock.wall()
 
-    def _remember(self) -> None:
-        """Hold on to how it went before a version, when the first head is named."""
+    def _update_baseline(self) -> None:
+        """Record the baseline before a version, when the version's first heads are named."""
         now, (memory, processor_us) = self._hub.now(), self._usage()
-        new = self._remembering.update(
-            now, self._changes.record, self._counting.classes, memory, processor_us
-        )
-        if new and (before := self._remembering.current(now)) is not None:
-            self._remembered.write(self._wall(), before)
+        new = self._baseline.update(now, self._changes.record, self._counting.classes, memory, processor_us)
+        if new and (baseline := self._baseline.current(now)) is not None:
+            self._baseline_file.write(self._wall_us(), baseline)
 
     def _report(self) -> Report:
         memory, processor_us = self._usage()
-        fell = {thing: told for thing, told in self._changes.turned_down().items() if told[1] != HANDING_OVER}
+        failed = {
+            thing: told for thing, told in self._changes.turned_down().items() if told[1] != HANDING_OVER
+        }
         runs, me = self._changes.runs(), self._swim.me
-        fell.update({thing: (runs[thing], why) for thing, why in self.failing().items() if thing in runs})
+        failed.update({thing: (runs[thing], why) for thing, why in self.failing().items() if thing in runs})
         return Report(me.name, me.instance, runs, self._counting.classes, memory,
-                      processor_us, fell, LEVEL)  # fmt: skip
+                      processor_us, failed, LEVEL)  # fmt: skip
 
     # -- deciding
 
-    def _come(self, now: int, head: str, body: bytes) -> None:
-        if self._conductor is None:
+    def _handle_report(self, now: int, head: str, body: bytes) -> None:
+        if self._controller is None:
             return
-        heard = self._heard.setdefault(head, Heard(head))
+        received = self._received.setdefault(head, Heard(head))
         try:
-            report = heard.take(body)
+            report = received.take(body)
         except MalformedReport:
-            return  # that head is not heard
+            return  # ignored
         if isinstance(report, Baseline):
-            self._conductor.add_baseline(now, head, report)
+            self._controller.add_baseline(now, head, report)
         elif report is not None:
             row = self._swim.view.find(head)
             zone = row.record.zone if row is not None else ""
-            self._conductor.add_report(now, report, heard.volumes, zone, asked(row))
+            self._controller.add_report(now, report, received.volumes, zone, asked(row))
 
     def _run(self) -> None:
-        """Conduct what is under way, while this head decides (a task)."""
+        """Control the rollouts in progress while this head decides (a task)."""
         while True:
             self._hub.sleep(self._settings.look_us)
-            term = self._deciding.deciding_term(self._hub.now())
+            term = self._decider.deciding_term(self._hub.now())
             if term is None:
-                self._term = self._conductor = None
-                self._heard.clear()
+                self._term = self._controller = None
+                self._received.clear()
                 continue
-            if term != self._term or self._conductor is None:
-                self._term, self._conductor = term, RolloutController(self._plan_of)
-                self._heard.clear()
-            self._look(term, self._conductor)
+            if term != self._term or self._controller is None:
+                self._term, self._controller = term, RolloutController(self._plan_of)
+                self._received.clear()
+            self._take_steps(term, self._controller)
 
-    def _look(self, term: Term, conductor: RolloutController) -> None:
+    def _take_steps(self, term: Term, controller: RolloutController) -> None:
         record = self._changes.record
-        steps = conductor.next_steps(self._hub.now(), record, self._known(), self._swim.me.name)
+        steps = controller.next_steps(self._hub.now(), record, self._head_locations(), self._swim.me.name)
         for step in steps:
             self._write(term, step)
-        if record.things() and self._next_level(record, conductor) > record.level:
-            self._change(lambda now: raise_level(now, term.epoch, self._next_level(now, conductor)))
+        if record.things() and self._next_level(record, controller) > record.level:
+            self._write_record(lambda now: raise_level(now, term.epoch, self._next_level(now, controller)))
 
-    def _next_level(self, record: Record, conductor: RolloutController) -> int:
-        return next_level(record, conductor.feature_levels(), [row.record.name for row in self._swim.view])
+    def _next_level(self, record: Record, controller: RolloutController) -> int:
+        return next_level(record, controller.feature_levels(), [row.record.name for row in self._swim.view])
 
     def _write(self, term: Term, step: Step) -> None:
         def make(record: Record) -> Record:
-            return step.apply(record, term.epoch, self._wall() // 1000)
+            return step.apply(record, term.epoch, self._wall_us() // 1000)
 
-        if self._deciding.deciding_term(self._hub.now()) != term:
+        if self._decider.deciding_term(self._hub.now()) != term:
             return
-        # Said before: a head that dies between the two has written what nobody else would tell of.
+        # Logged before the write: if the head crashed in between, a completed write would never be logged.
         self._parts.note("rollout", thing=step.version.thing, version=step.version.number,
                          standing=step.standing.value, stage=step.stage, heads=list(step.heads),
                          epoch=term.epoch, why=step.reason)  # fmt: skip
-        self._change(make)
+        self._write_record(make)
 
-    def _change(self, make: Callable[[Record], Record]) -> None:
+    def _write_record(self, make: Callable[[Record], Record]) -> None:
         try:
             self._changes.write(make)
         except (ChangeRefused, IllegalTransition, DamagedRecord, ValueError) as error:
             self._parts.note("rollout: step not taken", why=str(error))
         except FAILURES:
-            pass  # the next look finds out whether it was written
+            pass  # the next check shows whether it was written
 
-    def _known(self) -> dict[str, HeadLocation]:
+    def _head_locations(self) -> dict[str, HeadLocation]:
         now = self._hub.now()
         return {
             row.record.name: HeadLocation(
@@ -200,5 +200,5 @@
         return plan
 
     def document(self, _now: int) -> list[str] | None:
-        """Return where rollouts stand, for operators; None unless this head decides."""
-        return self._conductor.status_lines(self._changes.record) if self._conductor is not None else None
+        """Return the status of rollouts for operators; None unless this head decides."""
+        return self._controller.status_lines(self._changes.record) if self._controller is not None else None
--- a/harriertrack/gateway/fleet/rollout/launcher/__init__.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/__init__.py
@@ -1,1 +1,1 @@
-"""The launcher of a head: starts the version that is wanted, and the last good one when that fails."""
+"""The launcher of a head: starts the desired version, and the last good one if that fails."""
--- a/harriertrack/gateway/fleet/rollout/launcher/child.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/child.py
@@ -1,4 +1,4 @@
-"""A launcher's child: started, or found again by a launcher that was killed meanwhile."""
+"""A launcher's child process: started by it, or found again after the launcher was killed and restarted."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def start(command: list[str], environment: dict[str, str]) -> Child:
-    """Start a process in this one's group. Raises OSError."""
+    """Start a process in the process group of this one. Raises OSError."""
     return Child(subprocess.Popen(command, stdin=subprocess.DEVNULL, env={**os.environ, **environment}))
 
 
 def find(pid: int, token: str) -> Child | None:
-    """Return the process that was started with a token, by its environment; `pid` 0: not known."""
+    """Return the process with a token in its environment; `pid` 0: search all processes."""
     if not token:
         return None
     numbers = [pid] if pid else sorted(int(one.name) for one in Path("/proc").iterdir() if one.name.isdigit())
@@ -26,7 +26,7 @@
 
 
 class Child:
-    """A process that this one started, or (`popen` None) an earlier life of it."""
+    """A process started by this launcher or, with `popen` None, by an earlier incarnation of it."""
 
     def __init__(self, popen: subprocess.Popen[bytes] | None, pid: int = 0, token: str = "") -> None:
         self._popen, self._token = popen, token
@@ -34,7 +34,7 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it has not ended, and its number is not another's."""
+        """Whether it runs, and its process id was not reused by another."""
         if self._popen is not None:
             return self._popen.poll() is None
         mark = f"{TOKEN_VARIABLE}={self._token}".encode()
@@ -44,14 +44,14 @@
             return False
 
     def how(self) -> str:
-        """Return how it ended, in words."""
+        """Describe how it ended."""
         code = self._popen.poll() if self._popen is not None else None
         if code is None:
             return "it is gone"
         return f"it ended with status {code}" if code >= 0 else f"signal {-code} ended it"
 
     def end(self, at_once: bool) -> None:
-        """Ask it to end, or end it."""
+        """Send SIGTERM, or SIGKILL if `at_once`."""
         if self.alive:
             with suppress(ProcessLookupError):
                 os.kill(self.pid, signal.SIGKILL if at_once else signal.SIGTERM)
--- a/harriertrack/gateway/fleet/rollout/launcher/files.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/files.py
@@ -1,7 +1,7 @@
-"""What lies between a launcher, its earlier lives and its head: small files, each replaced whole.
+"""Files shared by a launcher, its earlier incarnations and its head, each replaced atomically.
 
-`state` is the launcher's own (`Kept`), `wanted` is written by the head, `ready` too once it serves, with the
-token that it was started with. Each line has its checksum; what is damaged counts as not there.
+The launcher writes `state` (`SavedState`). The head writes `wanted` and, once it serves, `ready` with the
+token of its start. Each file has a checksum; a damaged file counts as missing.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Files:
-    """One launcher's folder."""
+    """The folder of one launcher."""
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
@@ -56,32 +56,32 @@
             return None
 
     def kept(self) -> SavedState | None:
-        """Return what an earlier life of the launcher kept; None if nothing is there that can be read."""
+        """Return the state saved by an earlier incarnation of the launcher; None if missing or damaged."""
         return self._read(STATE, SavedState)
 
     def keep(self, kept: SavedState) -> None:
-        """Keep it; on disk when this returns. Raises OSError."""
+        """Save the state; on disk when this returns. Raises OSError."""
         self._write(STATE, kept)
 
     def wanted(self) -> Program | None:
-        """Return which version the head wants to run in its place."""
+        """Return the version that the head requests to run in its place."""
         return self._read(WANTED, Program)
 
     def want(self, program: Program) -> None:
-        """Say so, as the head. Raises OSError."""
+        """Request a version, as the head. Raises OSError."""
         self._write(WANTED, program)
 
     def is_ready(self, token: str) -> bool:
-        """Whether the child that was started with a token serves."""
+        """Whether the child started with a token serves."""
         return self._read(READY, str) == token
 
     def ready(self, token: str) -> None:
-        """Say so, as the head. Raises OSError."""
+        """Report that the head serves, as the head. Raises OSError."""
         self._write(READY, token)
 
 
 class Launched:
-    """What a head knows of the launcher that started it."""
+    """A head's connection to the launcher that started it."""
 
     def __init__(self, environment: dict[str, str]) -> None:
         self._files = Files(environment[FOLDER_VARIABLE])
@@ -92,23 +92,23 @@
 
     @property
     def number(self) -> int:
-        """Return the version that runs."""
+        """Return the running version."""
         return self._number
 
     @property
     def fell(self) -> tuple[int, str]:
-        """Return the version that did not run when it was tried, and why; 0: none."""
+        """Return the version that failed when it was tried, and why; 0: none."""
         return self._fell
 
     def wanted(self, program: Program) -> None:
-        """Let a version run in this one's place. Raises OSError."""
+        """Request that a version replace the running one. Raises OSError."""
         self._files.want(program)
 
     def ready(self) -> None:
-        """Tell the launcher that this head serves. Raises OSError."""
+        """Report to the launcher that this head serves. Raises OSError."""
         self._files.ready(self._token)
 
 
 def launched(environment: dict[str, str]) -> Launched | None:
-    """Return what started this process, if that was a launcher."""
+    """Return the launcher that started this process, if any."""
     return Launched(environment) if environment.get(FOLDER_VARIABLE) else None
--- a/harriertrack/gateway/fleet/rollout/launcher/launcher.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/launcher.py
@@ -1,4 +1,4 @@
-"""The launcher on the hub: carries out what decisions/fleet/rollout/launch_state.py decides."""
+"""The launcher: carries out the actions of `LaunchStateMachine` in decisions/fleet/rollout."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 )
 from harriertrack.runtime.hub import Hub
 
-LOOK_US = 50_000
-OWN = (sys.executable, "-m", "harriertrack")  # the program that this launcher is part of
+POLL_US = 50_000
+OWN = (sys.executable, "-m", "harriertrack")  # the launcher's own program
 
 
 class Unfit(Exception):
-    """A version that is not to be started here; the text says why."""
+    """A version that must not be started here; the text says why."""
 
 
 def command_of(settings: LaunchSettings, program: Program) -> list[str]:
-    """Return how a version is started. Raises Unfit."""
+    """Return the command that starts a version. Raises Unfit."""
     own = list(OWN)
     if program.folder:
         folder = Path(program.folder).resolve()
@@ -53,55 +53,55 @@
 
 
 class Process(Protocol):
-    """A head that runs; `child.Child` is one of the system's."""
+    """A head's process; `child.Child` is one of the operating system."""
 
     @property
     def pid(self) -> int:
-        """Return its number."""
+        """Return its process id."""
 
     @property
     def alive(self) -> bool:
-        """Whether it has not ended."""
+        """Whether it runs."""
 
     def how(self) -> str:
-        """Return how it ended, in words."""
+        """Describe how it ended."""
 
     def end(self, at_once: bool) -> None:
-        """Ask it to end, or end it."""
+        """Terminate it, or kill it if `at_once`."""
 
 
 class Processes(Protocol):
-    """What starts heads, and finds those that an earlier life of the launcher started."""
+    """Starts heads, and finds those started by an earlier incarnation of the launcher."""
 
     def start(self, command: list[str], environment: dict[str, str]) -> Process:
-        """Start one. Raises OSError."""
+        """Start a process. Raises OSError."""
 
     def find(self, pid: int, token: str) -> Process | None:
-        """Return the one that was started with a token; `pid` 0: its number was not written down."""
+        """Return the process started with a token; `pid` 0: the process id was not saved."""
 
 
 class Disk(Protocol):
-    """What lies between a launcher and its head; `files.Files` on disk."""
+    """State shared by a launcher and its head; `files.Files` on disk."""
 
     @property
     def folder(self) -> Path:
-        """Return where."""
+        """Return the folder."""
 
     def kept(self) -> SavedState | None:
-        """Return what an earlier life of the launcher kept."""
+        """Return the state saved by an earlier incarnation of the launcher."""
 
     def keep(self, kept: SavedState) -> None:
-        """Keep it."""
+        """Save the state."""
 
     def wanted(self) -> Program | None:
-        """Return which version the head wants to run in its place."""
+        """Return the version that the head requests to run in its place."""
 
     def is_ready(self, token: str) -> bool:
-        """Whether the child that was started with a token serves."""
+        """Whether the child started with a token serves."""
 
 
 class Launcher:
-    """One head's."""
+    """Runs one head."""
 
     def __init__(self, hub: Hub, settings: LaunchSettings, note: Callable[..., None],
                  files: Disk | None = None, processes: Processes = children) -> None:  # fmt: skip
@@ -113,12 +113,12 @@
         self._done = False
 
     def run(self) -> None:
-        """Keep a head running until `stop` was called and it has ended (a task). Raises OSError."""
+        """Run a head, and restart it, until `stop` was called and it has ended (a task). Raises OSError."""
         machine = self.machine
         machine.begin(self._hub.now(), self._child.pid if self._child is not None else 0)
         self._act()
         while not self._done:
-            self._hub.sleep(LOOK_US)
+            self._hub.sleep(POLL_US)
             now = self._hub.now()
             if self._child is not None and not self._child.alive:
                 how, self._child = self._child.how(), None
@@ -134,7 +134,7 @@
             self._act()
 
     def stop(self) -> None:
-        """Ask the head to end, and end after it."""
+        """Terminate the head, and end after it."""
         self.machine.stop(self._hub.now())
         self._act()
 
--- a/harriertrack/gateway/fleet/rollout/program_user.py
+++ b/harriertrack/gateway/fleet/rollout/program_user.py
@@ -1,7 +1,7 @@
-"""A head's user of `program` in the record of changes: it tells its launcher which version is wanted.
+"""Applies the `program` of the record of changes: passes the desired version to the head's launcher.
 
-A running head can't become another program: it says so, is asked to end by its launcher, drains, and leaves;
-the launcher starts the other one in its place.
+A running head can't change its program: it reports a handover, is stopped by its launcher, drains and leaves;
+the launcher then starts the other version in its place.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 
 class Handover(Protocol):
-    """What started this head."""
+    """The launcher that started this head."""
 
     @property
     def number(self) -> int:
-        """Return the version that runs."""
+        """Return the running version."""
 
     @property
     def fell(self) -> tuple[int, str]:
-        """Return the version that did not run when it was tried, and why; 0: none."""
+        """Return the version that failed when it was tried, and why; 0: none."""
 
     def wanted(self, program: Program) -> None:
-        """Let a version run in this one's place. Raises OSError."""
+        """Request that a version replace the running one. Raises OSError."""
 
 
 class ProgramUser:
-    """One head's; without a launcher no version is taken."""
+    """Applies program versions to one head; without a launcher all are rejected."""
 
     def __init__(self, handover: Handover | None) -> None:
         self._handover = handover
 
     def take(self, thing: str, version: Version | None) -> str:
-        """Take a version; return "" if it runs, or why it does not (yet)."""
+        """Apply a version; return "" if it runs, or why it does not (yet)."""
         handover = self._handover
         if handover is None:
             return "" if version is None else "no launcher started this head"
--- a/harriertrack/gateway/fleet/rollout/remembered.py
+++ b/harriertrack/gateway/fleet/rollout/remembered.py
@@ -1,4 +1,4 @@
-"""How it went before a version, as a head keeps it on disk: a program that comes ends the head that knew."""
+"""A head's baseline before a version, stored on disk because a change of program ends the head's process."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from harriertrack.storage.changes import ChangesCache
 
 FILE = "before"
-_HEAD = 16  # bytes: a checksum, and the wall clock in microseconds since 1970 when it was written
+_HEADER_BYTES = 16  # bytes: a checksum, and the wall clock in microseconds since 1970 when it was written
 
 
 class Remembered:
-    """One head's file. What can't be read or written is gone, and said so: then others' figures serve."""
+    """One head's file. If it can't be read or written, that is logged and other heads' baselines are used."""
 
     def __init__(self, kept: ChangesCache, note: Callable[..., None]) -> None:
         self._file, self._note = kept.beside(FILE), note
 
     def write(self, wall: int, before: Baseline) -> None:
-        """Keep it; `wall`: the clock of the day, in microseconds since 1970."""
+        """Store a baseline; `wall`: the wall clock, in microseconds since 1970."""
         body = wall.to_bytes(8, "big") + encode_before(0, before)
         try:
             self._file.write(xxhash.xxh64_digest(body) + body)
@@ -30,15 +30,15 @@
             self._note("rollout: before is not kept", why=str(error))
 
     def read(self, wall: int) -> Baseline | None:
-        """Return what was kept, as long ago as the clock of the day says; None if there is nothing of use."""
+        """Return the stored baseline, aged by the wall clock; None if there is none that is valid."""
         try:
             data = self._file.read()
             if data is None:
                 return None
-            if len(data) < _HEAD or xxhash.xxh64_digest(data[8:]) != data[:8]:
+            if len(data) < _HEADER_BYTES or xxhash.xxh64_digest(data[8:]) != data[:8]:
                 raise MalformedReport("its checksum is another's")
-            before = decode_before(data[_HEAD:])
+            before = decode_before(data[_HEADER_BYTES:])
         except (OSError, MalformedReport) as error:
             self._note("rollout: what was kept of before is of no use", why=str(error))
             return None
-        return replace(before, ago_us=before.ago_us + wall - int.from_bytes(data[8:_HEAD], "big"))
+        return replace(before, ago_us=before.ago_us + wall - int.from_bytes(data[8:_HEADER_BYTES], "big"))
--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -1,7 +1,7 @@
-"""Reports of heads to who decides, as bytes: counts, volumes in pages, and how it went before a version.
+"""Encoding of heads' reports to the deciding head: counts, volumes in pages, and baselines before a version.
 
-At most as many bytes as a topic's body may have; of more classes than fit the least busy are left out. A kind
-of report that a decider of an older program does not know it passes over.
+A report fits a topic's body: the least busy classes that do not fit are left out. A deciding head with an
+older program ignores kinds of reports that it does not know.
 """
 
 from __future__ import annotations
@@ -54,14 +54,14 @@
 
 
 class MalformedReport(ValueError):
-    """Bytes that are no report."""
+    """Bytes that are not a valid report."""
 
 
-def _flat(tally: Tally) -> list[int]:
-    took = list(tally.latency_counts)
-    while took and not took[-1]:
-        took.pop()
-    return [tally.timely, tally.late, tally.refused, tally.failed, tally.past_deadline, *took]
+def _flatten(tally: Tally) -> list[int]:
+    latencies = list(tally.latency_counts)
+    while latencies and not latencies[-1]:
+        latencies.pop()
+    return [tally.timely, tally.late, tally.refused, tally.failed, tally.past_deadline, *latencies]
 
 
 def encode_counts(report: Report) -> bytes:
@@ -71,7 +71,7 @@
     while True:
         data = msgspec.msgpack.encode(
             _Counted(report.incarnation, report.feature_level, report.memory, report.processor_us,
-                     dict(report.versions), fell, {name: _flat(tally) for name, tally in classes})
+                     dict(report.versions), fell, {name: _flatten(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MOST_TOPIC_BODY:
             return data
@@ -81,13 +81,13 @@
 
 
 def encode_before(life: int, before: Baseline) -> bytes:
-    """Return a report of how it went before a version."""
+    """Return a report of the baseline before a version."""
     classes = sorted(before.classes.items(), key=lambda one: -one[1].answers)
     usage = before.usage
     while True:
         data = msgspec.msgpack.encode(
             _Before(life, before.thing, before.number, before.ago_us, usage.memory, usage.processor_us,
-                    usage.reports, {name: _flat(tally) for name, tally in classes})
+                    usage.reports, {name: _flatten(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MOST_TOPIC_BODY:
             return data
@@ -95,21 +95,21 @@
 
 
 def decode_before(data: bytes) -> Baseline:
-    """Read a report of how it went before. Raises MalformedReport."""
-    read = _decoded(data)
+    """Decode a report of a baseline. Raises MalformedReport."""
+    read = _decode(data)
     if not isinstance(read, _Before):
         raise MalformedReport("another kind of report")
-    return _before(read)
+    return _baseline(read)
 
 
-def _decoded(data: bytes) -> _Counted | _Volumes | _Before:
+def _decode(data: bytes) -> _Counted | _Volumes | _Before:
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise MalformedReport(str(error)) from error
 
 
-def _before(read: _Before) -> Baseline:
+def _baseline(read: _Before) -> Baseline:
     classes = _tallies(read.classes)
     answers = sum(one.answers for one in classes.values())
     usage = Usage(read.memory, read.processor_us, answers, read.looks)
@@ -118,45 +118,45 @@
 
 def _tallies(classes: Mapping[str, list[int]]) -> dict[str, Tally]:
     return {
-        name: Tally(flat[0], flat[1], flat[2], flat[3], flat[4],
-                    [*flat[5:], *[0] * (LATENCY_BUCKETS + 5 - len(flat))])
-        for name, flat in classes.items()
+        name: Tally(numbers[0], numbers[1], numbers[2], numbers[3], numbers[4],
+                    [*numbers[5:], *[0] * (LATENCY_BUCKETS + 5 - len(numbers))])
+        for name, numbers in classes.items()
     }  # fmt: skip
 
 
 def encode_volumes(life: int, sums: list[int]) -> Iterator[bytes]:
-    """Yield reports of the volumes that a head serves, by checksums."""
+    """Yield reports of the volumes that a head serves, as checksums of their names."""
     pages = max(1, -(-len(sums) // PAGE))
     for page in range(pages):
         yield msgspec.msgpack.encode(_Volumes(life, page, pages, sums[page * PAGE : (page + 1) * PAGE]))
 
 
 class Heard:
-    """What one head reported, put together."""
+    """The reports of one head, combined."""
 
     def __init__(self, head: str) -> None:
         self._head, self._life = head, -1
         self._pages: dict[int, list[int]] = {}
-        self._of = 0
+        self._page_count = 0
 
     def take(self, body: bytes) -> Report | Baseline | None:
-        """Take a report; return the counts or what was before, if it has such. Raises MalformedReport."""
-        read = _decoded(body)
+        """Handle a report; return its counts or baseline, if it has one. Raises MalformedReport."""
+        read = _decode(body)
         if read.life != self._life:
-            self._life, self._pages, self._of = read.life, {}, 0
+            self._life, self._pages, self._page_count = read.life, {}, 0
         if isinstance(read, _Volumes):
-            if read.pages != self._of:
-                self._pages, self._of = {}, read.pages
+            if read.pages != self._page_count:
+                self._pages, self._page_count = {}, read.pages
             self._pages[read.page] = read.sums
             return None
         if isinstance(read, _Before):
-            return _before(read)
+            return _baseline(read)
         return Report(self._head, read.life, read.runs, _tallies(read.classes), read.memory,
                       read.processor_us, read.fell, read.level)  # fmt: skip
 
     @property
     def volumes(self) -> frozenset[int] | None:
-        """Return the checksums of the volumes that the head serves; None if not all were told."""
-        if not self._of or len(self._pages) < self._of:
+        """Return the checksums of the volumes that the head serves; None until all pages were received."""
+        if not self._page_count or len(self._pages) < self._page_count:
             return None
         return frozenset(one for page in self._pages.values() for one in page)
--- a/harriertrack/gateway/fleet/rollout/usage.py
+++ b/harriertrack/gateway/fleet/rollout/usage.py
@@ -1,4 +1,4 @@
-"""What this process uses, for reports."""
+"""Resource usage of this process, for reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def usage() -> tuple[int, int]:
-    """Return bytes of resident memory (0 where that is not told) and microseconds of processor time."""
+    """Return bytes of resident memory (0 where not available) and microseconds of processor time."""
     try:
         resident = int(_STATM.read_bytes().split()[1]) * _PAGE
     except OSError:
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -197,7 +197,7 @@
             if not row.record.present or row.record.name == self._swim.me.name:
                 continue
             if self._lives.setdefault(row.record.name, row.record.life) != row.record.life:
-                # The new incarnation may not publish on every topic of the last one, whose pages would remain.
+                # The new incarnation may not publish on every topic of the last, whose pages would remain.
                 self._shared.forget(row.record.name)
                 self._lives[row.record.name] = row.record.life
             for topic, note in row.topics.items():
