--- a/harriertrack/decisions/volume_locks.py
+++ b/harriertrack/decisions/volume_locks.py
@@ -3,7 +3,7 @@
 Pure: the answers are passed in.
 
 Each read leads to at most one write at the witness; the answer to that write is evaluated here again. The
-head never active on an intended change, only on the latest answer of the witness.
+head never acts on an intended change, only on the latest answer of the witness.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     """A volume's key as read from the witness."""
 
     @property
-    def standing(self) -> SyncRecord:
+    def record(self) -> SyncRecord:
         """Return the record stored in the key."""
 
     @property
@@ -41,11 +41,11 @@
     CREATE = auto()  # there is no key, and this is the volume's home: create it, with both regions in sync
     ACQUIRE = auto()  # the lock is free, and this region may take it
     ACTIVATE = auto()  # this head has the lock, but does not act on the volume yet
-    MAINTAIN = auto()  # this head has the lock and active on the volume
+    MAINTAIN = auto()  # this head has the lock and is active on the volume
 
 
 class AcquiredAction(Enum):
-    """What to do before a head active on a volume whose lock it has."""
+    """What to do before a head acts on a volume whose lock it has acquired."""
 
     RELEASE = auto()  # this region does not hold all that was acknowledged
     RECORD_ALONE = auto()  # the regions may differ: first record only this one as in sync
@@ -73,7 +73,7 @@
         return LockAction.CREATE if view.here == view.home else LockAction.LEAVE
     view.set_free(not lock.session, now)
     if lock.session != session:
-        view.set_in_sync(frozenset(lock.standing.in_sync), now)
+        view.set_in_sync(frozenset(lock.record.in_sync), now)
         return (
             LockAction.ACQUIRE if not lock.session and view.may_acquire(now, preferred) else LockAction.LEAVE
         )
--- a/harriertrack/gateway/fleet/budgets.py
+++ b/harriertrack/gateway/fleet/budgets.py
@@ -19,10 +19,10 @@
 from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import WitnessClient
-from harriertrack.membership.fleet import budgeting
-from harriertrack.membership.fleet.budgeting import Kind, MalformedDatagram, Said
+from harriertrack.membership.fleet import topic_datagrams
+from harriertrack.membership.fleet.status_document import BudgetsStatus
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import BudgetsTold
+from harriertrack.membership.fleet.topic_datagrams import Kind, MalformedDatagram, Message
 from harriertrack.runtime.alarm import Alarm
 from harriertrack.runtime.datagrams import Address
 from harriertrack.runtime.hub import Hub
@@ -88,7 +88,7 @@
         self._lock_manager = LockManager(parts, settings, swim, self._wake_soon, self._announce_release)
         self._alarm = Alarm(hub, self._wake)
         self._closed, self._close_links = False, close_links
-        self.on_other_message: Callable[[Said, Address], None] = lambda _message, _source: None
+        self.on_other_message: Callable[[Message, Address], None] = lambda _message, _source: None
 
     def start(self) -> None:
         """Start the tasks of the locks, and request leases."""
@@ -113,10 +113,10 @@
         counts.came += 1
         counts.came_bytes += len(data)
         try:
-            message = budgeting.decode(self._fleet, data)
-        except budgeting.Stranger:
+            message = topic_datagrams.decode(self._fleet, data)
+        except topic_datagrams.ForeignFleet:
             counts.strangers += 1
-        except budgeting.TooNew:
+        except topic_datagrams.UnsupportedVersion:
             counts.too_new += 1
         except MalformedDatagram:
             counts.garbage += 1
@@ -128,7 +128,7 @@
             if (lock := self._locks.get(number)) is not None:
                 self._handle(now, lock, message, source)
 
-    def _handle(self, now: int, lock: WitnessLock, message: Said, source: Address) -> None:
+    def _handle(self, now: int, lock: WitnessLock, message: Message, source: Address) -> None:
         match message:
             case LeaseRequest():
                 self._handle_request(now, lock, message, source)
@@ -177,9 +177,9 @@
         elif (address := lock.addresses.get((grant.holder, grant.instance))) is not None:
             self.send(address, grant)
 
-    def send(self, address: Address, message: Said) -> None:
+    def send(self, address: Address, message: Message) -> None:
         """Send a message to another head."""
-        data = budgeting.encode(self._fleet, message)
+        data = topic_datagrams.encode(self._fleet, message)
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
         self._send_bytes(data, address)
@@ -272,7 +272,7 @@
 
     # -- what operators see
 
-    def document(self, now: int) -> BudgetsTold:
+    def document(self, now: int) -> BudgetsStatus:
         """Return this head's status of budgets."""
         counts = {name: getattr(self.counts, name) for name in Counts.__slots__}
         return status.budgets_status(now, list(self._locks.values()), self._swim.view.present, counts)
--- a/harriertrack/gateway/fleet/decider.py
+++ b/harriertrack/gateway/fleet/decider.py
@@ -11,7 +11,14 @@
 from harriertrack.decisions.fleet.budgets import Term
 from harriertrack.gateway.fleet.budgets import Budgets
 from harriertrack.gateway.witness import WitnessClient
-from harriertrack.membership.fleet.budgeting import MOST_TOPIC_BODY, Report, Ruling, Said, Seen, Told
+from harriertrack.membership.fleet.topic_datagrams import (
+    MAX_TOPIC_BODY,
+    Message,
+    Report,
+    Ruling,
+    ZoneDecisions,
+    ZoneObservations,
+)
 from harriertrack.runtime.datagrams import Address
 from harriertrack.runtime.hub import Hub
 
@@ -21,8 +28,10 @@
 
     def __init__(self, hub: Hub, name: str, budgets: Budgets) -> None:
         self._hub, self._name, self._budgets = hub, name, budgets
-        self.on_zone_report: Callable[[int, Seen], None] = lambda _now, _seen: None  # zone observations
-        self.on_zone_decisions: Callable[[int, Told], None] = lambda _now, _told: None
+        self.on_zone_report: Callable[[int, ZoneObservations], None] = lambda _now, _seen: (
+            None
+        )  # zone observations
+        self.on_zone_decisions: Callable[[int, ZoneDecisions], None] = lambda _now, _told: None
         self.on_report: dict[str, Callable[[int, str, bytes], None]] = {}  # by topic: (now, head, body)
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}  # by topic: (now, term, body)
         budgets.on_other_message = self._receive
@@ -46,16 +55,16 @@
         """Return whether a term is current, and follow it if it is newer."""
         return self._budgets.decision_lock.holder.observe_term(now, term)
 
-    def send_to_decider(self, message: Said) -> None:
+    def send_to_decider(self, message: Message) -> None:
         """Send to the deciding head, if it is known and another head."""
         if (decider := self._budgets.decision_lock.owner_address) is not None:
             self._budgets.send(decider, message)
 
-    def send(self, address: Address, message: Said) -> None:
+    def send(self, address: Address, message: Message) -> None:
         """Send to one head."""
         self._budgets.send(address, message)
 
-    def broadcast(self, message: Said) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send to all other members that are present."""
         for address in self._budgets.others():
             self._budgets.send(address, message)
@@ -63,7 +72,7 @@
     # -- messages by topic
 
     def report(self, topic: str, body: bytes) -> None:
-        """Send a report of at most `MOST_TOPIC_BODY` bytes to the deciding head; it may be lost.
+        """Send a report of at most `MAX_TOPIC_BODY` bytes to the deciding head; it may be lost.
 
         Raises ValueError for more.
         """
@@ -77,7 +86,7 @@
     def rule(self, topic: str, body: bytes) -> bool:
         """Send a decision to all heads, this one included; return False if this head does not decide.
 
-        Raises ValueError for more than `MOST_TOPIC_BODY` bytes.
+        Raises ValueError for more than `MAX_TOPIC_BODY` bytes.
         """
         _check_size(body)
         now = self._hub.now()
@@ -93,12 +102,12 @@
         if (handler := self.on_report.get(topic)) is not None:
             handler(now, head, body)
 
-    def _receive(self, message: Said, _source: Address) -> None:
+    def _receive(self, message: Message, _source: Address) -> None:
         now = self._hub.now()
         match message:
-            case Seen():
+            case ZoneObservations():
                 self.on_zone_report(now, message)
-            case Told():
+            case ZoneDecisions():
                 self.on_zone_decisions(now, message)
             case Report(topic, head, body):
                 if self.deciding_term(now) is not None:
@@ -109,5 +118,5 @@
 
 
 def _check_size(body: bytes) -> None:
-    if len(body) > MOST_TOPIC_BODY:
-        raise ValueError(f"{len(body)} bytes, more than {MOST_TOPIC_BODY}")
+    if len(body) > MAX_TOPIC_BODY:
+        raise ValueError(f"{len(body)} bytes, more than {MAX_TOPIC_BODY}")
--- a/harriertrack/gateway/fleet/member.py
+++ b/harriertrack/gateway/fleet/member.py
@@ -13,9 +13,15 @@
 from harriertrack.gateway.fleet.resources import HeadResources
 from harriertrack.gateway.fleet.startup import FleetServices, MemberContext
 from harriertrack.gateway.parts import HeadParts
-from harriertrack.membership.fleet.messages import BUDGETS, Record, State
-from harriertrack.membership.fleet.swim import Changed, Noted, Rules, Said, Send, Swim
-from harriertrack.membership.fleet.telling import About, about_of, digest_name, document_of, state_name
+from harriertrack.membership.fleet.messages import TOPIC_MARK, Record, State
+from harriertrack.membership.fleet.status_document import (
+    ActivityNote,
+    build_document,
+    digest_name,
+    parse_member_note,
+    state_name,
+)
+from harriertrack.membership.fleet.swim import LogEvent, MemberChanged, NoteReceived, Rules, Send, Swim
 from harriertrack.membership.fleet.view import Change
 from harriertrack.runtime.alarm import Alarm
 from harriertrack.runtime.datagrams import Address, SocketDatagrams
@@ -41,7 +47,7 @@
         self._status_connections = 0
         self._closed = False
         self._accepted_before = self._refused_before = 0
-        self._load_note = About()
+        self._load_note = ActivityNote()
         self.swim: Swim
         self.services: FleetServices
 
@@ -76,7 +82,7 @@
     def reconfigure(self, settings: FleetSettings) -> None:
         """Apply other settings; timers that are already set stay."""
         self._settings = settings
-        self.swim.retell(rules_of(settings))
+        self.swim.update_rules(rules_of(settings))
         self.services.reconfigure(settings)
 
     @property
@@ -105,7 +111,7 @@
         """Wait until the departure was announced often enough, for `leave_us` at most."""
         until = self._hub.now() + self._settings.leave_us
         while self._hub.now() < until:
-            if self.swim.left and self.services.released:
+            if self.swim.leave_complete and self.services.released:
                 return
             self._hub.sleep(self._settings.gossip_us // 4)
 
@@ -114,7 +120,7 @@
     def _receive(self, data: bytes, source: Address) -> None:
         if self._closed:
             return
-        if data[:1] == BUDGETS and (budgets := self.services.budgets) is not None:
+        if data[:1] == TOPIC_MARK and (budgets := self.services.budgets) is not None:
             budgets.receive(data, source)
             return
         self.swim.receive(self._hub.now(), data, source)
@@ -130,20 +136,22 @@
             match action:
                 case Send(address, data):
                     self._port.send(data, address)
-                case Changed(change):
+                case MemberChanged(change):
                     self._handle_change(change)
-                case Noted(note):
-                    if (changes := self.services.changes) is not None and (about := about_of(note.about)):
+                case NoteReceived(note):
+                    if (changes := self.services.changes) is not None and (
+                        about := parse_member_note(note.payload)
+                    ):
                         changes.heard(about)
-                case Said(event, fields):
+                case LogEvent(event, fields):
                     self._parts.note(event, **dict(fields))
         self._alarm.wake_at(self.swim.wake_at())
 
     def _handle_change(self, change: Change) -> None:
         before, after, view, zones = change.before, change.after, self.swim.view, self.services.zones
-        if zones is not None and after.state is State.ALIVE and (before is None or change.another_life):
+        if zones is not None and after.state is State.ALIVE and (before is None or change.process_changed):
             zones.send_decisions_to(after)
-        if before is not None and before.state is after.state and not change.another_life:
+        if before is not None and before.state is after.state and not change.process_changed:
             return  # a suspect's refutation that arrived before the suspicion
         self._parts.note(
             "fleet member", member=after.name, state=state_name(after.state),
@@ -163,7 +171,7 @@
                 core.counts.refused - self._refused_before,
             )
             self._accepted_before, self._refused_before = core.counts.accepted, core.counts.refused
-            self._load_note = About(
+            self._load_note = ActivityNote(
                 volumes=len(self._parts.settings.volumes), open=core.open_requests,
                 taken=round(accepted * 1e6 / settings.note_us),
                 refused=100 * refused // accepted if accepted else 0,
@@ -174,7 +182,7 @@
     def _publish_note(self) -> None:
         about, changes = self._load_note, self.services.changes
         note = changes.about(about) if changes is not None else msgspec.msgpack.encode(about)
-        self.swim.note(self._hub.now(), note)
+        self.swim.set_note(self._hub.now(), note)
         self._apply_actions()
 
     # -- the operators' status
@@ -195,7 +203,7 @@
         sent = Event(self._hub)
         try:
             now = self._hub.now()
-            document = msgspec.structs.replace(document_of(self.swim, now), **self.services.documents(now))
+            document = msgspec.structs.replace(build_document(self.swim, now), **self.services.documents(now))
             stream.write(msgspec.json.encode(document))
             stream.push(sent.set)
             stream.watch_end(sent.set)
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -36,7 +36,7 @@
 )
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES
-from harriertrack.membership.fleet.changing import DamagedRecord
+from harriertrack.membership.fleet.change_record import DamagedRecord
 from harriertrack.membership.fleet.messages import State
 from harriertrack.membership.fleet.swim import Swim
 from harriertrack.membership.fleet.view import Row
@@ -51,7 +51,7 @@
 
 
 def asked(row: Row | None) -> frozenset[int]:
-    """Return a member's incarnations that ended on request: they announced their departure, unlike crashes."""
+    """Return a member's incarnations that ended on request: they announced that, unlike a crash."""
     if row is None:
         return frozenset()
     return frozenset(one.record.instance for one in row.history if one.record.state is State.LEFT)
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -22,10 +22,10 @@
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
 from harriertrack.gateway.fleet.scoring.plugins import found
 from harriertrack.gateway.parts import HeadParts
-from harriertrack.membership.fleet import weighing
-from harriertrack.membership.fleet.messages import Life
+from harriertrack.membership.fleet import weight_pages
+from harriertrack.membership.fleet.messages import ProcessInstance
+from harriertrack.membership.fleet.status_document import NodeScore, ScorerStatus, ScoresStatus
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import NodeScore, ScorerTold, ScoresTold
 from harriertrack.runtime.hub import Hub
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
         self._versions: dict[
             tuple[str, str], tuple[int, int, int]
         ] = {}  # last version received, by head and topic
-        self._lives: dict[str, Life] = {}  # incarnations whose pages are stored, by head
+        self._lives: dict[str, ProcessInstance] = {}  # incarnations whose pages are stored, by head
         self._logged_at = 0
         self.garbage = 0
 
@@ -166,7 +166,7 @@
             self._swim.me.name, self._hub.clock.wall(), snapshot, there, self._expected_heads
         )
         for page in shared.update(now, moment):
-            self._swim.say(weighing.topic_of(page), weighing.encode(page))
+            self._swim.set_topic_note(weight_pages.topic_of(page), weight_pages.encode(page))
         if self._settings.tell_us and now >= self._logged_at + self._settings.tell_us:
             self._logged_at = now
             own = {
@@ -196,21 +196,21 @@
         for row in self._swim.view:
             if not row.record.present or row.record.name == self._swim.me.name:
                 continue
-            if self._lives.setdefault(row.record.name, row.record.life) != row.record.life:
+            if self._lives.setdefault(row.record.name, row.record.process) != row.record.process:
                 # The new incarnation may not publish on every topic of the last, whose pages would remain.
                 self._shared.forget(row.record.name)
-                self._lives[row.record.name] = row.record.life
+                self._lives[row.record.name] = row.record.process
             for topic, note in row.topics.items():
                 key = row.record.name, topic
-                self._versions[key] = note.newness
-                if known.get(key) == note.newness or not topic.startswith(weighing.TOPIC):
+                self._versions[key] = note.precedence
+                if known.get(key) == note.precedence or not topic.startswith(weight_pages.TOPIC):
                     continue
                 try:
-                    page = weighing.decode(note.about)
-                except weighing.MalformedPage:
+                    page = weight_pages.decode(note.payload)
+                except weight_pages.MalformedPage:
                     self.garbage += 1
                     continue
-                if weighing.topic_of(page) == topic:
+                if weight_pages.topic_of(page) == topic:
                     self._shared.receive(now, row.record.name, page)
 
     def lost(self) -> dict[str, str]:
@@ -226,14 +226,14 @@
 
     # -- operators
 
-    def document(self, now: int) -> ScoresTold:
+    def document(self, now: int) -> ScoresStatus:
         """Return this head's status of scoring."""
         shared = self._shared
         scorers = []
         for name, one in sorted(shared.by_scorer.items()):
             voter = one.guard
             scorers.append(
-                ScorerTold(
+                ScorerStatus(
                     name, str(one.namespace), f"{one.namespace.number:08x}", voter.state.value,
                     max(0, voter.suspended_until - now) / 1e6
                     if voter.state in (ScorerState.SUSPENDED, ScorerState.HUNG) else 0.0,
@@ -253,7 +253,7 @@
                     sight.latency_us / 1e3, sight.fill, sight.refused, sight.cold, sight.evidence,
                 )
             )  # fmt: skip
-        return ScoresTold(scorers, nodes, self.garbage, shared.alone)
+        return ScoresStatus(scorers, nodes, self.garbage, shared.alone)
 
 
 def _rounded(logs: dict[str, float]) -> dict[str, float]:
--- a/harriertrack/gateway/fleet/status.py
+++ b/harriertrack/gateway/fleet/status.py
@@ -7,12 +7,12 @@
 from harriertrack.decisions.fleet.budget_shares import BUDGET_UNITS, BudgetKind
 from harriertrack.decisions.fleet.ledger import Ledger
 from harriertrack.gateway.fleet.locks import WitnessLock
-from harriertrack.membership.fleet.telling import (
-    BudgetsTold,
-    LedgerTold,
-    PortionTold,
-    SeatTold,
-    SlipTold,
+from harriertrack.membership.fleet.status_document import (
+    BudgetShareStatus,
+    BudgetsStatus,
+    LeaseStatus,
+    LedgerHolderStatus,
+    LedgerStatus,
     digest_name,
 )
 
@@ -21,10 +21,10 @@
 
 def budgets_status(
     now: int, locks: Sequence[WitnessLock], present: Collection[str], counts: dict[str, int]
-) -> BudgetsTold:
+) -> BudgetsStatus:
     """Return the status of the budgets, the ledgers held and the locks."""
     shares = [
-        PortionTold(
+        BudgetShareStatus(
             name, BUDGET_UNITS[BudgetKind(name.partition("/")[0])],
             one.share.total.rate, one.share.total.burst,
             one.share.total.fixed * one.share.total.rate / one.share.total.hosts,
@@ -39,7 +39,7 @@
             ledgers.append(row)
             more += left
     lock_rows = [
-        SeatTold(
+        LedgerHolderStatus(
             lock.number, lock.candidate.state.value,
             lock.holder.term.epoch if lock.holder.term is not None else None,
             "itself" if lock.owned
@@ -48,19 +48,19 @@
         )
         for lock in locks
     ]  # fmt: skip
-    return BudgetsTold(lock_rows, sorted(shares, key=lambda one: one.budget)[:MAX_LISTED], ledgers, counts,
+    return BudgetsStatus(lock_rows, sorted(shares, key=lambda one: one.budget)[:MAX_LISTED], ledgers, counts,
                        more)  # fmt: skip
 
 
 def _ledger_status(
     now: int, lock: WitnessLock, ledger: Ledger, present: Collection[str]
-) -> tuple[LedgerTold, int]:
+) -> tuple[LedgerStatus, int]:
     leases = [
-        SlipTold(name, holder[0], digest_name(holder[1]), lease.granted, lease.committed, lease.demand,
+        LeaseStatus(name, holder[0], digest_name(holder[1]), lease.granted, lease.committed, lease.demand,
                  max(0, ledger.tenancies[holder].expires_at - now) / 1e6, holder[0] in present)
         for name, account in sorted(ledger.accounts.items()) for holder, lease in account.holdings.items()
     ]  # fmt: skip
-    row = LedgerTold(
+    row = LedgerStatus(
         lock.number, ledger.term.epoch, max(0, ledger.opens_at - now) / 1e6,
         (lock.candidate.valid_until - now) / 1e6, len(ledger.tenancies), ledger.moves,
         {name: account.total for name, account in list(sorted(ledger.accounts.items()))[:MAX_LISTED]},
--- a/harriertrack/gateway/fleet/zones.py
+++ b/harriertrack/gateway/fleet/zones.py
@@ -22,10 +22,10 @@
 from harriertrack.gateway.listing import Listing
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES, WitnessClient
-from harriertrack.membership.fleet.budgeting import Seen, Told
 from harriertrack.membership.fleet.messages import Record
+from harriertrack.membership.fleet.status_document import ZoneLeaveCost, ZonesStatus, ZoneStatus
 from harriertrack.membership.fleet.swim import Swim
-from harriertrack.membership.fleet.telling import LeavingTold, ZonesTold, ZoneTold
+from harriertrack.membership.fleet.topic_datagrams import ZoneDecisions, ZoneObservations
 
 POLL_US = 100_000
 REPORT_US = 500_000  # between reports of observations; every 100 ms while a node is silent
@@ -56,10 +56,10 @@
     return [(decision.zone, decision.stage, decision.share, decision.trial_round) for decision in decisions]
 
 
-def _leaving_status(cost: Cost) -> LeavingTold:
+def _leaving_status(cost: Cost) -> ZoneLeaveCost:
     halves = (cost.pinned + cost.movable, cost.pinned, cost.movable, cost.reserved, cost.spare, cost.absorbed,
               cost.absorbed_reserved, cost.refused)  # fmt: skip
-    return LeavingTold(*(2.0 * one for one in halves))  # costs are counted over half a second
+    return ZoneLeaveCost(*(2.0 * one for one in halves))  # costs are counted over half a second
 
 
 class Zones:
@@ -117,7 +117,7 @@
             any(one.silent for one in observations) or now >= self._reported_at + REPORT_US
         ):
             self._reported_at = now
-            self._decider.send_to_decider(Seen(self._swim.me.name, observations))
+            self._decider.send_to_decider(ZoneObservations(self._swim.me.name, observations))
         if (
             valid := valid_decisions(self._decisions, now - self._received_at, self._rules.told_us)
         ) != self._decisions:
@@ -140,17 +140,17 @@
         self._accept_decisions(now, term, decisions)
         if _announced_parts(decisions) != _announced_parts(before) or now >= self._announced_at + ANNOUNCE_US:
             self._announced_at = now
-            self._decider.broadcast(Told(term, decisions))
+            self._decider.broadcast(ZoneDecisions(term, decisions))
 
-    def handle_report(self, now: int, seen: Seen) -> None:
+    def handle_report(self, now: int, seen: ZoneObservations) -> None:
         """Record another head's observations."""
         if self._evacuation is not None:
-            self._evacuation.record_report(now, seen.head, seen.sights)
+            self._evacuation.record_report(now, seen.head, seen.observations)
 
-    def handle_decisions(self, now: int, told: Told) -> None:
+    def handle_decisions(self, now: int, told: ZoneDecisions) -> None:
         """Apply the deciding head's decisions."""
         if self._decider.accept_term(now, told.term):
-            self._accept_decisions(now, told.term, told.words)
+            self._accept_decisions(now, told.term, told.decisions)
             self._apply_overlay(now)
 
     def send_decisions_to(self, record: Record) -> None:
@@ -164,7 +164,7 @@
             and self._received_term is not None
             and (self._is_seed or self._evacuation is not None)
         ):
-            self._decider.send(record.address, Told(self._received_term, self._decisions))
+            self._decider.send(record.address, ZoneDecisions(self._received_term, self._decisions))
 
     def _accept_decisions(self, now: int, term: Term, decisions: tuple[ZoneDecision, ...]) -> None:
         self._received_at, self._received_term = now, term
@@ -212,7 +212,7 @@
                     self._parts.note("fleet zone wish", zone=zone, wish=hold or "none")
             self._holds = fresh
 
-    def document(self, now: int) -> ZonesTold:
+    def document(self, now: int) -> ZonesStatus:
         """Return this head's status of zones."""
         decisions = {decision.zone: decision for decision in self._decisions}
         observations = {observation.zone: observation for observation in self._evidence.report(now)}
@@ -221,7 +221,7 @@
         for zone in self._zones:
             decision, observation, summary = decisions.get(zone), observations.get(zone), summaries.get(zone)
             told.append(
-                ZoneTold(
+                ZoneStatus(
                     zone, decision.stage.value if decision is not None else "in",
                     decision.share if decision is not None else 1.0,
                     zone not in self._overlay.unused_zones,
@@ -238,4 +238,4 @@
         heard_s = max(0, now - self._received_at) / 1e6 if self._received_at else None
         address = self._decider.decider_address
         decider = f"{address[0]}:{address[1]}" if address is not None and self._evacuation is None else ""
-        return ZonesTold(self._evacuation is not None, heard_s, told, decider)
+        return ZonesStatus(self._evacuation is not None, heard_s, told, decider)
