--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -207,7 +207,7 @@
     classes = (api.RequestClass("read", 300_000, 900_000, effect=api.Effect.SAFE),)
     plans = (api.Plan("p", limit=100.0, limit_burst=20.0),)
     told = api.Settings(4, classes, plans, max_attempts=9, **more)
-    one = Scheduler(told, 1, portions=portions)
+    one = Scheduler(told, 1, shares=portions)
     nodes = [api.NodeEntry(f"n{number}", number, started_us=-10 * S) for number in range(2)]
     one.handle(0, [api.NodesChanged(api.ListKind.FULL, nodes)])
     return one
--- a/tests/test_fleet_carrier.py
+++ b/tests/test_fleet_carrier.py
@@ -196,7 +196,7 @@
         assert whole >= 1
         hub.sleep(3_000_000)
         assert heads.ask(0).there == 1
-        assert heads.sites[0].head.fleet._at_door <= 1
+        assert heads.sites[0].head.fleet._status_connections <= 1
 
     run(test)
 
