--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -81,7 +81,7 @@
 
     send: Callable[[bytes], None]
 
-    def say(self, topic: str, about: bytes) -> None:
+    def set_topic_note(self, topic: str, about: bytes) -> None:
         """Say something on a topic to all."""
         super().set_topic_note(topic, about)
         row = self.view.find(self.me.name)
--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -117,7 +117,8 @@
     )
     for request in requests:
         assert (
-            len(topic_datagrams.encode("f" * 64, ledger.handle_request(100_000, request))) <= MAX_DATAGRAM_BYTES
+            len(topic_datagrams.encode("f" * 64, ledger.handle_request(100_000, request)))
+            <= MAX_DATAGRAM_BYTES
         )
     updates = ledger.rebalance(200_000)
     assert sum(len(one.shares) for one in updates) == 300
@@ -444,7 +445,9 @@
         rng, port = hub.random, heads.datagrams.bind(("127.0.0.1", 0), lambda *one: None)
         for _ in range(1500):
             data = bytearray(
-                topic_datagrams.encode("fleet" if rng.random() < 0.7 else "other", rng.choice((REQUEST, GRANT)))
+                topic_datagrams.encode(
+                    "fleet" if rng.random() < 0.7 else "other", rng.choice((REQUEST, GRANT))
+                )
             )
             if rng.random() < 0.5:
                 data[rng.randrange(1, len(data))] = rng.randrange(256)
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -505,7 +505,8 @@
     observations = tuple(ZoneObservation(f"zone-{number:0>27}", 200, 200, 10**6) for number in range(16))
     assert (
         topic_datagrams.decode(
-            "f" * 64, topic_datagrams.encode("f" * 64, topic_datagrams.ZoneObservations("h" * 64, observations))
+            "f" * 64,
+            topic_datagrams.encode("f" * 64, topic_datagrams.ZoneObservations("h" * 64, observations)),
         ).observations
         == observations
     )
