--- a/harriertrack/gateway/fleet/locks.py
+++ b/harriertrack/gateway/fleet/locks.py
@@ -120,7 +120,7 @@
         key = self.witness.key(lock.path)
         if key is not None and key.session:
             return LockHeld(key.epoch)
-        session = self.witness.create(self._settings.term_us)
+        session = self.witness.create_session(self._settings.term_us)
         value = msgspec.json.encode(LockValue(self._swim.me.name, self._settings.lease_us))
         if not self.witness.change(lock.path, "lock", session, value, key.index if key is not None else 0):
             return None
@@ -133,7 +133,7 @@
     def _renew(self, lock: WitnessLock) -> bool | None:
         ledger = lock.candidate.ledger
         try:
-            if not self.witness.renew(lock.session):
+            if not self.witness.renew_session(lock.session):
                 return False
             key, silence = self.witness.key(lock.path), self.witness.key(f"{lock.path}/silent")
         except FAILURES:
--- a/harriertrack/gateway/fleet/startup.py
+++ b/harriertrack/gateway/fleet/startup.py
@@ -59,7 +59,7 @@
         member, settings = self._member, self._settings
         if member.resources.scored_choice is not None and settings.scoring is not None:
             self._start_scoring()
-        if member.parts.portions is not None and settings.budgets is not None:
+        if member.parts.budget_shares is not None and settings.budgets is not None:
             self._start_budgets()
 
     def _start_scoring(self) -> None:
@@ -75,9 +75,9 @@
         from harriertrack.gateway.fleet.budgets import Budgets
 
         member, settings = self._member, self._settings
-        assert settings.budgets is not None and member.parts.portions is not None
+        assert settings.budgets is not None and member.parts.budget_shares is not None
         decides = settings.zones is not None or settings.changes is not None
-        self.budgets = Budgets(member.parts, settings.budgets, member.parts.portions, settings.fleet,
+        self.budgets = Budgets(member.parts, settings.budgets, member.parts.budget_shares, settings.fleet,
                                member.swim, member.send, member.resources.close_links, decides)  # fmt: skip
         self.status_sources["budgets"] = self.budgets
         self.budgets.start()
@@ -125,7 +125,7 @@
             from harriertrack.gateway.fleet.rollout.carrier import Rollouts, no_usage
             from harriertrack.gateway.fleet.rollout.program_user import ProgramUser
 
-            handover, counting = resources.handover, member.parts.counting
+            handover, counting = resources.handover, member.parts.answer_counter
             assert counting is not None, "a head whose settings have rollouts counts its answers"
             changes.use(Kind.PROGRAM, ProgramUser(handover))
             if handover is not None and handover.number:
--- a/harriertrack/gateway/fleet/zones.py
+++ b/harriertrack/gateway/fleet/zones.py
@@ -79,7 +79,7 @@
         self._term: Term | None = None  # the term in which this head decides
         self._evacuation: Evacuation | None = None
         self._holds: dict[str, str] = {}
-        listing.heard, listing.overlay = self._apply_list, self._overlay.visible_entry
+        listing.on_source_update, listing.overlay = self._apply_list, self._overlay.visible_entry
         decider.on_zone_report, decider.on_zone_decisions = self.handle_report, self.handle_decisions
 
     def start(self) -> None:
@@ -193,7 +193,7 @@
                 self._evidence.forget_zone(zone)
                 self._parts.note("zone used" if zone in before else "zone unused", zone=zone,
                                  unused=len(unused), zones=len(self._zones), word=announced)  # fmt: skip
-            self._listing.tell_anew()
+            self._listing.republish()
 
     # -- operators
 
