--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -283,7 +283,7 @@
     Fault(
         "news are not taken",
         "watch-late",
-        f"{LIST}._take",
+        f"{LIST}._apply",
         "if outcome is UpdateOutcome.APPLY:",
         "if targets.full:",
     ),
@@ -291,8 +291,8 @@
         "a call has no end",
         "watch-moves",
         f"{LIST}._follow",
-        "made.ended.wait(made.began + made.call.timeout_us)",
-        "made.ended.wait()",
+        "call.done.wait(call.started_at + call.spec.timeout_us)",
+        "call.done.wait()",
     ),
     Fault(
         "a head that moved goes by the old state",
