--- a/tests/test_fleet_carrier.py
+++ b/tests/test_fleet_carrier.py
@@ -201,7 +201,7 @@
         assert answered >= 1
         hub.sleep(3_000_000)
         assert heads.query_status(0).there == 1
-        assert heads.sites[0].head.fleet._at_door <= 1
+        assert heads.sites[0].head.fleet._status_connections <= 1
 
     run(test)
 
