--- a/benchmarks/cell_moves.py
+++ b/benchmarks/cell_moves.py
@@ -111,7 +111,9 @@
         Core.accept, Core.hold_extent, Core._release = take, hold, release  # type: ignore[method-assign]
     home = rig.cells.volumes[MOVED]
     holders = [slot for slot in rig.heads if any(volume.name == MOVED for volume in slot.settings.volumes)]
-    done = all(rig.cells.shards[shard] == home for one in holders for _, shard in one.extents().placed(MOVED))
+    done = all(
+        rig.cells.shards[shard] == home for one in holders for _, shard in one.extents().placements_of(MOVED)
+    )
     breaches = [str(one) for one in checker.check(recorder.records)]
     return step, kill, killer[0].struck, done, breaches
 
--- a/harriertrack/decisions/catchup.py
+++ b/harriertrack/decisions/catchup.py
@@ -33,10 +33,10 @@
     def miss(self, volume: str, extents: Iterable[int]) -> None:
         """Note extents as missed."""
 
-    def copied(self, volume: str, extents: Iterable[int]) -> None:
+    def mark_copied(self, volume: str, extents: Iterable[int]) -> None:
         """Remove extents that the other region holds now."""
 
-    def purged(self, volume: str, is_purged: Callable[[int], bool]) -> None:
+    def remove_purged(self, volume: str, is_purged: Callable[[int], bool]) -> None:
         """Remove the extents for which `is_purged` is true: a close purged them in both regions."""
 
 
@@ -107,7 +107,7 @@
         """
         for extent in [one for one in self._read if is_purged(one)]:
             del self._read[extent]
-        self.log.purged(self.volume, is_purged)
+        self.log.remove_purged(self.volume, is_purged)
 
     def confirm_copied(self, extent: int, reader: object) -> None:
         """Note that the other head stored an extent as last read; ignored if a write was missed since.
@@ -118,12 +118,12 @@
             del self._read[extent]
             if self.log.whole in self.log.missed(self.volume):
                 self._confirmed.add(extent)
-            self.log.copied(self.volume, (extent,))
+            self.log.mark_copied(self.volume, (extent,))
 
     def confirm_all_copied(self) -> None:
         """Handle the report that the other head holds everything: it does if nothing was missed since."""
         if len(self._confirmed) >= self.extents:
-            self.log.copied(self.volume, (self.log.whole,))
+            self.log.mark_copied(self.volume, (self.log.whole,))
             self._confirmed.clear()
         self.clean = self.joining and not self.log.missed(self.volume)
 
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -59,7 +59,7 @@
         self._closes = CloseHandling(state, self._placement, self._completion)
         for volume in self.volumes.values():  # an earlier incarnation may have written without a flush
             name, fixed = volume.settings.name, volume.settings.shards
-            volume.dirty = dict.fromkeys(fixed or {shard for _, shard in places.placed(name)}, 0)
+            volume.dirty = dict.fromkeys(fixed or {shard for _, shard in places.placements_of(name)}, 0)
         state.queue_event(api.NodesChanged(api.ListKind.RESTORED, list(restored)))
 
     # -- settings and node list
--- a/harriertrack/decisions/requests/port.py
+++ b/harriertrack/decisions/requests/port.py
@@ -30,16 +30,16 @@
     def shard_of(self, volume: str, extent: int) -> int | None:
         """Return the shard that holds an extent; None if it was never placed."""
 
-    def placed(self, volume: str) -> Iterator[tuple[int, int]]:
+    def placements_of(self, volume: str) -> Iterator[tuple[int, int]]:
         """Yield (extent, shard) of a volume."""
 
     def place(self, placements: Iterable[tuple[str, int, int]]) -> None:
         """Record (volume, extent, shard); on disk when this returns."""
 
-    def left(self, volume: str) -> list[tuple[int, int]]:
+    def leftovers(self, volume: str) -> list[tuple[int, int]]:
         """Return (extent, shard) where bytes of a volume remain after a move."""
 
-    def forgot(self, volume: str, extent: int, shard: int) -> None:
+    def remove_leftover(self, volume: str, extent: int, shard: int) -> None:
         """Record that the bytes remaining there were trimmed; on disk when this returns."""
 
 
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -287,7 +287,7 @@
             for sweep in sweeps:
                 sweep.mark_trimmed(left.extent)
             if left.volume not in self._several:
-                self._places.trimmed(left.volume, left.extent, left.shard)
+                self._places.mark_trimmed(left.volume, left.extent, left.shard)
                 if not any(extent == left.extent for extent, _ in closing.lefts[left.volume]):
                     core.release_trimmed(left.volume, left.extent)
 
@@ -333,5 +333,5 @@
         close, size = fence.next_close, self._parts.settings.extent_bytes
         return 0 if close is None else sum(
             self._covers(close, volume, extent * size, size)
-            for volume in self._parts.core.volumes for extent, _ in self._places.placed(volume)
+            for volume in self._parts.core.volumes for extent, _ in self._places.placements_of(volume)
         )  # fmt: skip
--- a/harriertrack/gateway/fleet/rollout/remembered.py
+++ b/harriertrack/gateway/fleet/rollout/remembered.py
@@ -19,7 +19,7 @@
     """One head's file. What can't be read or written is gone, and said so: then others' figures serve."""
 
     def __init__(self, kept: ChangesCache, note: Callable[..., None]) -> None:
-        self._file, self._note = kept.beside(FILE), note
+        self._file, self._note = kept.sibling(FILE), note
 
     def write(self, wall: int, before: Baseline) -> None:
         """Keep it; `wall`: the clock of the day, in microseconds since 1970."""
--- a/harriertrack/gateway/mover.py
+++ b/harriertrack/gateway/mover.py
@@ -43,7 +43,7 @@
                 if misplaced_extents(home, fixed, cells.shards):
                     self._note("can't move", volume=name, why="its extents were allocated beforehand")
                 continue
-            left = misplaced_extents(home, self._core.placements.placed(name), cells.shards)
+            left = misplaced_extents(home, self._core.placements.placements_of(name), cells.shards)
             before = self.moves.get(name)
             if (
                 before is not None and before.extent_in_progress >= 0
@@ -62,7 +62,7 @@
             while not self._may_act(move.volume):
                 self._hub.sleep(WAIT_US)
             if move.state is MoveState.SETTLING:
-                placed = self._core.placements.placed(move.volume)
+                placed = self._core.placements.placements_of(move.volume)
                 move.finish_check(misplaced_extents(cells.volumes[move.volume], placed, cells.shards))
                 continue
             extent = move.next_extent(self._hub.now())
@@ -81,7 +81,7 @@
     def _forget(self, move: Move, cells: HeadCellMap) -> None:
         """Trim what the volume left behind, by this move or by one that a kill kept from it."""
         places, volume = self._core.placements, move.volume
-        forgetting = move.leftover_trims(places.left(volume), dict(places.placed(volume)))
+        forgetting = move.leftover_trims(places.leftovers(volume), dict(places.placements_of(volume)))
         count = len(forgetting.remaining)
         while self._version == cells.version and (left := forgetting.next_trim()) is not None:
             extent, shard = left
@@ -90,7 +90,7 @@
             done = self._do(volume, Kind.TRIM, start, length, at_shard=shard)
             assert done.outcome is not None
             if done.outcome is Outcome.SERVED:
-                places.forgot(volume, extent, shard)
+                places.remove_leftover(volume, extent, shard)
             self._hub.sleep_until(forgetting.finish_trim(self._hub.now(), done.outcome))
         if count:
             gone = count - forgetting.given_up - len(forgetting.remaining)
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -640,7 +640,7 @@
 
     def _took(self, volume: RegionalVolume, lock: Lock) -> None:
         view, in_sync = volume.view, frozenset(lock.standing.in_sync)
-        opened = self._log.opened(volume.name)
+        opened = self._log.open_extents(volume.name)
         match acquired_action(view, in_sync, bool(opened)):
             case AcquiredAction.RELEASE:
                 self._witness.give(volume.name, self.session.id, lock.standing, lock.index)
@@ -717,12 +717,12 @@
             own = self._log.missed(volume.name)
             if WHOLE in own:
                 doubtful.update(range(-(-volume.settings.size_bytes // self.extent_bytes)))
-            missed |= (own | self._log.opened(volume.name)) - {WHOLE}
+            missed |= (own | self._log.open_extents(volume.name)) - {WHOLE}
             compared = (self._pull(volume, extent, True) for extent in sorted(doubtful - missed))
             if all(self._pull(volume, extent, False) for extent in sorted(missed)) and all(compared):
                 if self._ask_peer(volume, Command.CAUGHT, 0, 0) is not None:
                     self._log.forget_open(volume.name)
-                    self._log.copied(volume.name, own)
+                    self._log.mark_copied(volume.name, own)
 
     def _ask_peer(self, volume: RegionalVolume, command: Command, offset: int, length: int,
                   flags: int = 0) -> Reply | None:  # fmt: skip
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -30,7 +30,7 @@
     def shard_of(self, volume: str, extent: int) -> int | None:
         """Return nothing."""
 
-    def placed(self, volume: str) -> Iterator[tuple[int, int]]:
+    def placements_of(self, volume: str) -> Iterator[tuple[int, int]]:
         """Yield nothing."""
         return iter(())
 
@@ -38,11 +38,11 @@
         """Take nothing: a request that comes placed places nothing."""
         raise RuntimeError("the platform's requests place no extents")
 
-    def left(self, volume: str) -> list[tuple[int, int]]:
+    def leftovers(self, volume: str) -> list[tuple[int, int]]:
         """Return nothing."""
         return []
 
-    def forgot(self, volume: str, extent: int, shard: int) -> None:
+    def remove_leftover(self, volume: str, extent: int, shard: int) -> None:
         """Forget nothing."""
 
 
--- a/harriertrack/storage/__init__.py
+++ b/harriertrack/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What survives a crash."""
+"""Files and stores that survive a crash."""
--- a/harriertrack/storage/closing.py
+++ b/harriertrack/storage/closing.py
@@ -1,12 +1,13 @@
-"""What closes left to trim, and how far each calendar has come: kept beside the extent map, in its store.
+"""Data that closes left to trim, and the last close of each calendar; stored in the extent map's database.
 
-Four kinds of keys. A *doubt*: a first write to an extent was sent to a shard, and its placement is not on
-disk; after a kill its bytes may lie there. A *left*: bytes that a close made unreadable lie there until they
-are trimmed. A *generation*: the last close of a calendar that is done. What it *raised*: under which epoch a
-volume's work is sent since, which nodes go by for longer than closes are remembered. A close is one
-transaction: placements, doubts and what moves left behind become lefts, and the generation moves on.
+There are four kinds of keys. *Doubt*: a first write to an extent was sent to a shard, but its placement is
+not on disk; after a kill the shard may hold its bytes. *Left*: a shard holds bytes that a close made
+unreadable, until they are trimmed. *Generation*: the last completed close of a calendar. *Raised*: the epoch
+that a volume's work is sent under since a close; nodes apply it for longer than closes are remembered. A
+close is one transaction: it turns placements, doubts and leftovers of moves into lefts, and advances the
+generation.
 
-Keys begin with bytes that no volume's name in UTF-8 does.
+Keys begin with bytes that can't begin a volume's name in UTF-8.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class ClosingStore:
-    """What of closes is on disk, in memory."""
+    """The records of closes in memory, as they are on disk."""
 
     def __init__(self) -> None:
         self.doubts: dict[str, set[Place]] = {}
@@ -34,7 +35,7 @@
         self.raised: dict[str, int] = {}  # by volume
 
     def load(self, key: bytes, value: bytes) -> bool:
-        """Take a key as it was found; return whether it is one of these."""
+        """Load a stored key and value; return whether the key is of one of the four kinds."""
         kind = key[:1]
         if kind == GENERATION:
             self.generations[key[1:].decode()] = _CLOSE.unpack(value)
@@ -53,40 +54,40 @@
     def _key(kind: bytes, volume: str, place: Place) -> bytes:
         return kind + volume.encode() + _PLACE.pack(*place)
 
-    def doubt(self, change: lmdb.Transaction | None, volume: str, place: Place) -> None:
-        """A first write to an extent goes to a shard."""
-        if change is not None:
-            change.put(self._key(DOUBT, volume, place), b"")
+    def doubt(self, transaction: lmdb.Transaction | None, volume: str, place: Place) -> None:
+        """Record that a first write to an extent is sent to a shard."""
+        if transaction is not None:
+            transaction.put(self._key(DOUBT, volume, place), b"")
         self.doubts.setdefault(volume, set()).add(place)
 
-    def placed(self, change: lmdb.Transaction | None, volume: str, place: Place) -> None:
-        """An extent is placed there: no doubt any more."""
+    def clear_doubt(self, transaction: lmdb.Transaction | None, volume: str, place: Place) -> None:
+        """Remove the doubt of a shard, since the extent's placement there is recorded."""
         if place in self.doubts.get(volume, ()):
-            if change is not None:
-                change.delete(self._key(DOUBT, volume, place))
+            if transaction is not None:
+                transaction.delete(self._key(DOUBT, volume, place))
             self.doubts[volume].discard(place)
 
-    def close(self, change: lmdb.Transaction | None, calendar: str, number: int, at_us: int,
+    def close(self, transaction: lmdb.Transaction | None, calendar: str, number: int, at_us: int,
               lefts: Iterable[tuple[str, Place]]) -> None:  # fmt: skip
-        """A close is done: these places are to be trimmed."""
+        """Record a completed close and the places to be trimmed."""
         for volume, place in lefts:
-            if change is not None:
-                change.put(self._key(LEFT, volume, place), b"")
-                change.delete(self._key(DOUBT, volume, place))
+            if transaction is not None:
+                transaction.put(self._key(LEFT, volume, place), b"")
+                transaction.delete(self._key(DOUBT, volume, place))
             self.lefts.setdefault(volume, set()).add(place)
             self.doubts.get(volume, set()).discard(place)
-        if change is not None:
-            change.put(GENERATION + calendar.encode(), _CLOSE.pack(number, at_us))
+        if transaction is not None:
+            transaction.put(GENERATION + calendar.encode(), _CLOSE.pack(number, at_us))
         self.generations[calendar] = number, at_us
 
-    def raise_to(self, change: lmdb.Transaction | None, volume: str, epoch: int) -> None:
-        """A volume's work is sent under this epoch from now on."""
-        if change is not None:
-            change.put(RAISED + volume.encode(), _EPOCH.pack(epoch))
+    def raise_to(self, transaction: lmdb.Transaction | None, volume: str, epoch: int) -> None:
+        """Record the epoch that a volume's work is sent under from now on."""
+        if transaction is not None:
+            transaction.put(RAISED + volume.encode(), _EPOCH.pack(epoch))
         self.raised[volume] = epoch
 
-    def trimmed(self, change: lmdb.Transaction | None, volume: str, place: Place) -> None:
-        """The bytes there are gone."""
-        if change is not None:
-            change.delete(self._key(LEFT, volume, place))
+    def mark_trimmed(self, transaction: lmdb.Transaction | None, volume: str, place: Place) -> None:
+        """Record that the bytes at a place have been trimmed."""
+        if transaction is not None:
+            transaction.delete(self._key(LEFT, volume, place))
         self.lefts.get(volume, set()).discard(place)
--- a/harriertrack/storage/missed.py
+++ b/harriertrack/storage/missed.py
@@ -1,10 +1,10 @@
-"""What the other region misses: extents by volume, noted on disk before a write to them is acknowledged.
+"""Extents that the other region misses, by volume; recorded on disk before a write to them is acknowledged.
 
-Two sets, both surviving a kill. `missed`: written here while the other region was out of sync. `open`: a
-write to them may be under way to both regions, so after a kill the regions may differ there. An extent is
-noted open once and stays so while it is busy: one sync for a run of writes, as the activity log of a
-replicated block device does it. Past a bound the sets say nothing any more but "compare everything"
-(`whole`).
+Two sets survive a kill. `missed`: extents written here while the other region was out of sync. `open`:
+extents with a write that may be in progress to both regions, so that the regions may differ there after a
+kill. An extent is marked open once and stays open while it is busy: one sync for a run of writes, like the
+activity log of a replicated block device. Past a bound, the extents of the missed set are replaced by one
+entry that means "compare everything" (`whole`).
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 _KEY = struct.Struct(">Q")
 MAP_BYTES = 1 << 28
-WHOLE = (1 << 64) - 1  # in place of an extent: the bound was passed
+WHOLE = (1 << 64) - 1  # stored in place of the extents once the bound is exceeded
 MISSED, OPEN = b"m", b"o"
 
 
 class MissedLog:
-    """The two sets of all volumes of a head. With path None they live in memory alone (simulated days)."""
+    """The two sets of all volumes of a head. With path None they are in memory only (simulated days)."""
 
     def __init__(self, path: str | None, most: int = 65_536, most_open: int = 256) -> None:
         self.whole = WHOLE
-        self._most, self._most_open = most, most_open
+        self._max_missed, self._max_open = most, most_open
         self._missed: dict[str, set[int]] = {}
         self._open: dict[str, OrderedDict[int, None]] = {}
         self.syncs = 0
@@ -35,8 +35,8 @@
         if path is not None:
             Path(path).mkdir(parents=True, exist_ok=True)
             self._env = lmdb.open(path, map_size=MAP_BYTES, sync=True)
-            with self._env.begin() as view:
-                for key, _ in view.cursor():
+            with self._env.begin() as transaction:
+                for key, _ in transaction.cursor():
                     kind, volume = bytes(key[:1]), bytes(key[1 : -_KEY.size]).decode()
                     extent = _KEY.unpack(key[-_KEY.size :])[0]
                     if kind == MISSED:
@@ -50,14 +50,14 @@
         self.syncs += 1
         if self._env is None:
             return
-        with self._env.begin(write=True) as change:
+        with self._env.begin(write=True) as transaction:
             for kind, volume, extent in deletes:
-                change.delete(kind + volume.encode() + _KEY.pack(extent))
+                transaction.delete(kind + volume.encode() + _KEY.pack(extent))
             for kind, volume, extent in puts:
-                change.put(kind + volume.encode() + _KEY.pack(extent), b"")
+                transaction.put(kind + volume.encode() + _KEY.pack(extent), b"")
 
     def begin_write(self, volume: str, extents: Iterable[int]) -> None:
-        """Note that writes to these extents are under way; on disk when this returns."""
+        """Mark extents as open for writes; on disk when this returns."""
         known = self._open.setdefault(volume, OrderedDict())
         fresh = []
         for extent in extents:
@@ -70,23 +70,23 @@
             self._commit(fresh, ())
 
     def settle(self, volume: str, busy: set[int]) -> None:
-        """Forget the longest idle extents that are noted open, down to the bound; `busy` ones stay."""
+        """Remove the longest idle extents from the open set, down to the bound; `busy` ones stay."""
         known = self._open.get(volume, OrderedDict())
-        idle = [extent for extent in known if extent not in busy][: max(0, len(known) - self._most_open)]
+        idle = [extent for extent in known if extent not in busy][: max(0, len(known) - self._max_open)]
         if idle:
             for extent in idle:
                 del known[extent]
             self._commit((), [(OPEN, volume, extent) for extent in idle])
 
     def miss(self, volume: str, extents: Iterable[int]) -> None:
-        """Note that the other region misses what was written to these extents; on disk when this returns."""
+        """Record extents whose writes the other region misses; on disk when this returns."""
         known = self._missed.setdefault(volume, set())
         if WHOLE in known:
             return
         fresh = set(extents) - known
         if not fresh:
             return
-        if len(known) + len(fresh) > self._most:
+        if len(known) + len(fresh) > self._max_missed:
             self._commit([(MISSED, volume, WHOLE)], [(MISSED, volume, extent) for extent in known])
             self._missed[volume] = {WHOLE}
             return
@@ -94,29 +94,29 @@
         known |= fresh
 
     def missed(self, volume: str) -> frozenset[int]:
-        """Return the extents that the other region misses; `WHOLE` among them means any may be."""
+        """Return the extents that the other region misses; `WHOLE` among them stands for any extent."""
         return frozenset(self._missed.get(volume, ()))
 
-    def opened(self, volume: str) -> frozenset[int]:
-        """Return the extents to which writes may have been under way."""
+    def open_extents(self, volume: str) -> frozenset[int]:
+        """Return the extents to which writes may have been in progress."""
         return frozenset(self._open.get(volume, ()))
 
-    def copied(self, volume: str, extents: Iterable[int]) -> None:
-        """The other region holds these extents now."""
+    def mark_copied(self, volume: str, extents: Iterable[int]) -> None:
+        """Remove extents that the other region holds now from the missed set."""
         known = self._missed.get(volume, set())
         done = known & set(extents)
         if done:
             self._commit((), [(MISSED, volume, extent) for extent in done])
             known -= done
 
-    def purged(self, volume: str, gone: Callable[[int], bool]) -> None:
-        """Forget the extents of which `gone` says so, in both sets at once: a close purged them everywhere.
+    def remove_purged(self, volume: str, is_purged: Callable[[int], bool]) -> None:
+        """Remove from both sets at once the extents that a close purged in every region (`is_purged`).
 
-        What says "compare everything" stays.
+        The entry for "compare everything" stays.
         """
         known, opened = self._missed.get(volume, set()), self._open.get(volume, OrderedDict())
-        missed = {extent for extent in known if extent != WHOLE and gone(extent)}
-        busy = [extent for extent in opened if gone(extent)]
+        missed = {extent for extent in known if extent != WHOLE and is_purged(extent)}
+        busy = [extent for extent in opened if is_purged(extent)]
         if missed or busy:
             deletes = [(MISSED, volume, extent) for extent in missed]
             self._commit((), deletes + [(OPEN, volume, extent) for extent in busy])
@@ -125,13 +125,13 @@
                 del opened[extent]
 
     def forget_open(self, volume: str) -> None:
-        """The regions agree: nothing is in doubt any more."""
-        gone = self._open.pop(volume, OrderedDict())
-        if gone:
-            self._commit((), [(OPEN, volume, extent) for extent in gone])
+        """Clear the open set of a volume, once the regions agree."""
+        cleared = self._open.pop(volume, OrderedDict())
+        if cleared:
+            self._commit((), [(OPEN, volume, extent) for extent in cleared])
 
     def close(self) -> None:
-        """Close the store."""
+        """Close the database."""
         if self._env is not None:
             self._env.close()
             self._env = None
--- a/harriertrack/storage/runlog.py
+++ b/harriertrack/storage/runlog.py
@@ -1,8 +1,8 @@
-"""Results of finished runs, kept so that a killed sweep goes on where it stood.
+"""A log of the results of finished runs, so that a killed sweep resumes where it stopped.
 
-One line for each: the CRC-32 of the rest, a key, and the result as JSON. It is on disk when `add` returns. A
-torn last line is what a kill leaves, and is cut off; a bad line before the last is damage, and said so.
-The first line names the file's form. One process writes a file at a time.
+Each result is one line: the CRC-32 of the rest, a key, and the result as JSON; it is on disk when `add`
+returns. A kill may leave a torn last line, which is truncated; a bad line before the last is reported as
+damage. The first line names the file's format. Only one process may write a file at a time.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class RunLogError(Exception):
-    """A results file that can't be used; the text says file, line and why."""
+    """A results file is unusable; the message names the file, the line and the reason."""
 
 
 def _line(key: str, body: bytes) -> bytes:
@@ -36,13 +36,13 @@
 
 
 def read(path: str) -> Iterator[tuple[str, bytes]]:
-    """Yield (key, result) of each whole line, in the order they were added. Raises RunLogError."""
+    """Yield (key, result) of each complete line, in the order of addition. Raises RunLogError."""
     for key, body, _end in _scan(path):
         yield key, body
 
 
 def _scan(path: str) -> Iterator[tuple[str, bytes, int]]:
-    """Yield (key, result, offset after the line)."""
+    """Yield (key, result, end offset of the line)."""
     try:
         file = open(path, "rb")
     except OSError as error:
@@ -65,10 +65,10 @@
 
 
 class RunLog:
-    """A results file that is written."""
+    """A results file open for writing."""
 
     def __init__(self, path: str) -> None:
-        """Open or make it, and cut a torn end off. Raises RunLogError."""
+        """Open or create the file, and truncate a torn last line. Raises RunLogError."""
         self.path = path
         self.done: dict[str, bytes] = {}
         try:
@@ -91,21 +91,21 @@
         head = _line(FORM, b"{}")
         size = os.fstat(self._fd).st_size
         if size < len(head) and head.startswith(os.pread(self._fd, size, 0)):
-            os.ftruncate(self._fd, 0)  # new, or killed in its first line
+            os.ftruncate(self._fd, 0)  # new, or killed while its first line was written
             os.pwrite(self._fd, head, 0)
             os.fsync(self._fd)
             size = len(head)
         end = len(head)
-        for key, body, after in _scan(self.path):
-            self.done[key], end = body, after
+        for key, body, line_end in _scan(self.path):
+            self.done[key], end = body, line_end
         if end < size:
             os.ftruncate(self._fd, end)
         self._end = end
 
     def add(self, key: str, body: bytes) -> None:
-        """Add a result; on disk when this returns. Raises ValueError for a key or body that breaks lines."""
+        """Append a result; on disk on return. Raises ValueError for a key or body that breaks lines."""
         if "\t" in key or "\n" in key or b"\n" in body:
-            raise ValueError("keys hold no tabs or line ends, results no line ends")
+            raise ValueError("a key must not contain tabs or line ends, a result no line ends")
         line = _line(key, body)
         os.pwrite(self._fd, line, self._end)
         os.fsync(self._fd)
@@ -113,5 +113,5 @@
         self.done[key] = body
 
     def close(self) -> None:
-        """Let another process write it."""
+        """Close the file and release its lock."""
         os.close(self._fd)
--- a/tests/closing/test_closing_copies.py
+++ b/tests/closing/test_closing_copies.py
@@ -94,7 +94,7 @@
     one.catch_up.note_read((0, 2), "reader")
     log.begin_write("v", (1, 2))
     one.catch_up.note_purged({0, 1}.__contains__)
-    assert log.missed("v") == {2} == log.opened("v")
+    assert log.missed("v") == {2} == log.open_extents("v")
     one.catch_up.note_missed((0,))  # written again
     one.catch_up.confirm_copied(0, "reader")
     assert log.missed("v") == {0, 2}, "an extent read before the close is not the one missed now"
@@ -107,12 +107,12 @@
     log.miss("v", (0, 5))
     log.begin_write("v", (0, 6))
     log.miss("w", (0,))
-    log.purged("v", lambda extent: extent < 4)
+    log.remove_purged("v", lambda extent: extent < 4)
     log.close()
     log = MissedLog(str(tmp_path), most=3)
-    assert (log.missed("v"), log.opened("v"), log.missed("w")) == ({5}, {6}, {0})
+    assert (log.missed("v"), log.open_extents("v"), log.missed("w")) == ({5}, {6}, {0})
     log.miss("v", range(9))
-    log.purged("v", lambda _extent: True)
+    log.remove_purged("v", lambda _extent: True)
     assert log.missed("v") == {WHOLE}
     log.close()
 
--- a/tests/closing/test_closing_core.py
+++ b/tests/closing/test_closing_core.py
@@ -80,7 +80,7 @@
     rig.flush()
     rig.end(rig.port.sent[-1])
     assert request.outcome is Outcome.SERVED
-    rig.extents.trimmed("v", extent, shard)
+    rig.extents.mark_trimmed("v", extent, shard)
     rig.core.release_trimmed("v", extent)
     rig.flush()
 
@@ -185,7 +185,7 @@
     one.place([("v", 3, 0), ("v", 1, 0)])  # one is now known to be placed, one was moved
     lefts = one.purge("c", 4, 9_000_000, lambda volume, _extent: volume == "v")
     assert lefts == [("v", 0, 1), ("v", 1, 0), ("v", 1, 2), ("v", 2, 0), ("v", 3, 0)]
-    one.trimmed("v", 0, 1)
+    one.mark_trimmed("v", 0, 1)
     one.close()
     again = ExtentMap(path)
     assert again.closing.generations == {"c": (4, 9_000_000)}
@@ -195,7 +195,7 @@
         and again.shard_of("v", 0) is None
         and again.shard_of("w", 0) == 1
     )
-    assert again.left("v") == []
+    assert again.leftovers("v") == []
     again.close()
 
 
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -121,7 +121,7 @@
         do = partial(background.do, self.hub, head.core, VOLUME, Kind.TRIM, extent * self.extent, self.extent)
         while do(moving=True, at_shard=shard).outcome is not Outcome.SERVED:
             self.hub.sleep(50 * MS)
-        places.trimmed(VOLUME, extent, shard)
+        places.mark_trimmed(VOLUME, extent, shard)
         head.core.release_trimmed(VOLUME, extent)
 
     def slow(self, us):
@@ -143,7 +143,7 @@
 
     def holds(self, region, extent=0, length=4096):
         """Return the first bytes of an extent as a region stores them."""
-        places = dict(self.slots[region].extents().placed(VOLUME))
+        places = dict(self.slots[region].extents().placements_of(VOLUME))
         if extent not in places:
             return bytes(length)
         return self._racks[places[extent]].read(VOLUME, extent * self.extent, length)
@@ -261,7 +261,7 @@
     assert rig.wait(rig.write("a", OLD, extent=1)).error == 0
     rig.close("a", 100)
     log = rig.head("a").regional._log
-    assert not log.missed(VOLUME) and not log.opened(VOLUME), "purged extents need no catch-up"
+    assert not log.missed(VOLUME) and not log.open_extents(VOLUME), "purged extents need no catch-up"
     rig.start_head(rig.slots["b"])
     rig.close("b", 100)
     rig.wait_until(lambda: len(rig.in_sync()) == 2)
@@ -329,7 +329,7 @@
     (region_behind_catches_up, fault("a region of an older generation catches up", where=f"{REGIONAL}.same_generation",
                                               right="theirs == self._generation(volume)", wrong="True")),
     (region_was_down, fault("the log of missed extents is not purged", where="decisions.catchup:CatchUp.note_purged",
-                              right="self.log.purged(self.volume, is_purged)", wrong="pass")),
+                              right="self.log.remove_purged(self.volume, is_purged)", wrong="pass")),
     (relayed_read, fault("a relayed read is answered across a close", where=f"{REGIONAL}.closed",
                                       right="self._refuse(request, CLOSED)", wrong="pass")),
 ]  # fmt: skip
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -256,7 +256,7 @@
                     assert client.call(Command.READ, offset, length).data == model[offset : offset + length]
 
         work(60)
-        assert {shard for _, shard in places.placed("disk")} <= {0, 1}
+        assert {shard for _, shard in places.placements_of("disk")} <= {0, 1}
         path.write_text("(cell-map (version two))")
         site.hub.sleep(1_000_000)
         assert ("cell map not taken") in [event for event, _ in site.notes]
@@ -267,7 +267,7 @@
             if site.head.mover.moves["disk"].state is MoveState.DONE:
                 break
             site.hub.sleep(50_000)
-        assert {shard for _, shard in places.placed("disk")} <= {2, 3}
+        assert {shard for _, shard in places.placements_of("disk")} <= {2, 3}
         assert client.call(Command.READ, 0, 12 * HEAD_EXTENT).data == model[: 12 * HEAD_EXTENT]
         assert client.call(Command.FLUSH).error == 0
         write(1, "left")  # an older map is not applied
@@ -276,7 +276,7 @@
         write(3, "left")  # reverted
         site.hub.sleep(3_000_000)
         work(40)
-        assert {shard for _, shard in places.placed("disk")} <= {0, 1}
+        assert {shard for _, shard in places.placements_of("disk")} <= {0, 1}
         assert [event for event, _ in site.notes].count("cell map taken") == 2
 
     write(1, "left")
@@ -308,9 +308,9 @@
     slots = [one for one in rig.heads if any(volume.name == MOVED for volume in one.settings.volumes)]
     assert len(slots) == (2 if "region" in name else 1)  # each region's head moves the extents there
     for slot in slots:
-        lies = {rig.cells.shards[shard] for _, shard in slot.extents().placed(MOVED)}
+        lies = {rig.cells.shards[shard] for _, shard in slot.extents().placements_of(MOVED)}
         assert lies == {home} and rig.cells.version == 2
-        assert slot.extents().left(MOVED) == []  # and the remaining bytes are trimmed
+        assert slot.extents().leftovers(MOVED) == []  # and the remaining bytes are trimmed
         for shard, cell in rig.cells.shards.items():
             rack = rig._racks[shard]
             kept = sum(bool(rack.read(MOVED, at, rig.day.extent_bytes).strip(b"\0"))
@@ -351,7 +351,7 @@
 
 def where(rig):
     (slot,) = [one for one in rig.heads if any(volume.name == MOVED for volume in one.settings.volumes)]
-    return slot, {rig.cells.shards[shard] for _, shard in slot.extents().placed(MOVED)}
+    return slot, {rig.cells.shards[shard] for _, shard in slot.extents().placements_of(MOVED)}
 
 
 LONG = """(day "long" (heads 3) (nodes 6) (volumes 6) (shared 0) (cells 2) (rate 60) (length 30s)
@@ -416,4 +416,4 @@
 
     rig = strike(LONG, act)
     slot, cells = where(rig)
-    assert cells == {rig.cells.volumes[MOVED]} and slot.extents().left(MOVED) == []
+    assert cells == {rig.cells.volumes[MOVED]} and slot.extents().leftovers(MOVED) == []
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -192,7 +192,7 @@
         said = max([said, *(int(line) for line in writer.stdout.read().split("\n")[:-1] if line)])
         writer.wait()
         log = MissedLog(path)
-        assert set(range(said + 1)) <= log.missed("v") <= set(range(said + 2)) and log.opened("v")
+        assert set(range(said + 1)) <= log.missed("v") <= set(range(said + 2)) and log.open_extents("v")
         log.close()
         begun = said + 1
 
@@ -200,7 +200,7 @@
 def test_beyond_its_bound_the_log_says_everything_is_missed():
     log = MissedLog(None, most=3, most_open=2)
     log.miss("v", [1, 2, 3])
-    log.copied("v", [2])
+    log.mark_copied("v", [2])
     assert log.missed("v") == {1, 3}
     log.miss("v", [4, 5])
     assert log.missed("v") == {WHOLE}
@@ -211,7 +211,7 @@
     log.begin_write("v", [2])
     assert log.syncs == syncs  # already noted
     log.settle("v", {1, 3})
-    assert {1, 3} <= log.opened("v") and len(log.opened("v")) == 2
+    assert {1, 3} <= log.open_extents("v") and len(log.open_extents("v")) == 2
 
 
 @pytest.mark.real_time
@@ -583,7 +583,7 @@
 
 def regions_bytes(one, region, volume):
     """Return a volume's bytes in a region's racks, at the placements recorded by its head."""
-    extents = dict(one.slots[region].extents().placed(volume.name))
+    extents = dict(one.slots[region].extents().placements_of(volume.name))
     size = one.day.extent_bytes
     return b"".join(
         one._racks[extents[number]].read(volume.name, number * size, size)
