--- a/harriertrack/lab/fleet/later.py
+++ b/harriertrack/lab/fleet/later.py
@@ -10,7 +10,7 @@
 
 from harriertrack.membership.fleet.budgeting import MARK
 from harriertrack.membership.fleet.messages import MOST_BYTES
-from harriertrack.runtime.datagrams import Address, DatagramNetwork, DatagramPort, Taken
+from harriertrack.runtime.datagrams import Address, DatagramHandler, DatagramNetwork, DatagramPort
 
 MORE = ["later", 1]  # appended to everything that is a list of fields
 LISTS = (13, 14)  # fields that are lists of such: records and notes, or claims and shares
@@ -54,6 +54,6 @@
     def __init__(self, network: DatagramNetwork) -> None:
         self._network = network
 
-    def bind(self, address: Address, take: Taken, name: str = "") -> DatagramPort:
+    def bind(self, address: Address, take: DatagramHandler, name: str = "") -> DatagramPort:
         """Bind an address; `take` is called with each datagram and its source. Raises OSError."""
         return LaterPort(self._network.bind(address, take, name))
--- a/harriertrack/lab/fleet/weights.py
+++ b/harriertrack/lab/fleet/weights.py
@@ -23,7 +23,7 @@
 from harriertrack.membership.fleet.budgeting import MARK
 from harriertrack.membership.fleet.messages import MalformedDatagram, decode
 from harriertrack.rules import recording as rec
-from harriertrack.runtime.datagrams import Address, DatagramNetwork, DatagramPort, Taken
+from harriertrack.runtime.datagrams import Address, DatagramHandler, DatagramNetwork, DatagramPort
 
 MOST_STEPS = round(MAX_LOG_WEIGHT / WEIGHT_STEP)
 SECOND_US = 1_000_000
@@ -76,7 +76,7 @@
     def __init__(self, network: DatagramNetwork) -> None:
         self._network = network
 
-    def bind(self, address: Address, take: Taken, name: str = "") -> DatagramPort:
+    def bind(self, address: Address, take: DatagramHandler, name: str = "") -> DatagramPort:
         """Bind an address; `take` is called with each datagram and its source. Raises OSError."""
         return LyingPort(self._network.bind(address, take, name))
 
--- a/harriertrack/lab/interleaving/naming.py
+++ b/harriertrack/lab/interleaving/naming.py
@@ -12,7 +12,7 @@
 
 from harriertrack.lab.interleaving.wires import Place, arrival, place_name
 from harriertrack.runtime.hub import Task, Timer
-from harriertrack.runtime.led import LedHub, Step, StepKind
+from harriertrack.runtime.led import Step, StepKind, SteppedHub
 
 TIME = "time passes"
 WORDS = {"Hub.park": "deadline", "Hub.sleep": "sleep is over", "Hub.freeze": "thaw"}
@@ -35,7 +35,7 @@
 class Names:
     """Gives names to steps as they come up."""
 
-    def __init__(self, hub: LedHub) -> None:
+    def __init__(self, hub: SteppedHub) -> None:
         self._hub = hub
         self._counts: dict[str, int] = {}
         self._tasks: dict[Task, Name] = {}
--- a/harriertrack/lab/interleaving/wires.py
+++ b/harriertrack/lab/interleaving/wires.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from harriertrack.lab.interleaving.footprints import Touched
-from harriertrack.runtime.datagrams import Address, MemoryDatagrams, MemoryPort, Taken
+from harriertrack.runtime.datagrams import Address, DatagramHandler, MemoryDatagrams, MemoryPort
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryListener, MemoryNetwork, MemoryStream
 
@@ -118,7 +118,7 @@
         super().__init__(hub, lambda _source, _target, _size: (0,))
         self._touched = touched
 
-    def bind(self, address: Address, take: Taken, name: str = "") -> MemoryPort:
+    def bind(self, address: Address, take: DatagramHandler, name: str = "") -> MemoryPort:
         """Bind an address."""
         port = super().bind(address, take, name)
         self._touched.write(f"port {port.address}")
--- a/harriertrack/lab/interleaving/world.py
+++ b/harriertrack/lab/interleaving/world.py
@@ -14,7 +14,7 @@
 from harriertrack.lab.interleaving.observed import ObservedRandom, ObservedTime
 from harriertrack.lab.interleaving.wires import Place, Posts, Wires, place_name
 from harriertrack.runtime.hub import Cancelled, Task
-from harriertrack.runtime.led import Lead, LedHub
+from harriertrack.runtime.led import StepChooser, SteppedHub
 
 View = tuple[Hashable, ...]
 
@@ -32,10 +32,10 @@
 class World:
     """What one schedule runs in."""
 
-    def __init__(self, lead: Lead, seed: int = 0) -> None:
+    def __init__(self, lead: StepChooser, seed: int = 0) -> None:
         self.touched = Touched()
         self.time = ObservedTime(self.touched)
-        self.hub = LedHub(lead, self.time, None, seed)
+        self.hub = SteppedHub(lead, self.time, None, seed)
         self.hub.random = ObservedRandom(self.touched, seed)
         self.network, self.posts = Wires(self.hub, self.touched), Posts(self.hub, self.touched)
         self.dead: set[Place] = set()
--- a/harriertrack/runtime/__init__.py
+++ b/harriertrack/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The hub: greenlets over select.poll, timers, streams and signals. Knows no protocol."""
+"""The event loop (hub): greenlets over select.poll, timers, streams, datagrams and signals; no protocols."""
--- a/harriertrack/runtime/alarm.py
+++ b/harriertrack/runtime/alarm.py
@@ -1,4 +1,4 @@
-"""One callback that several reasons ask for: at the end of this round, or at a time."""
+"""One callback that is scheduled for several reasons: at the end of the current round, or at a time."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class Alarm:
-    """Calls `act`; what is asked for twice is done once.
+    """Calls `act`; several requests for the same moment lead to one call.
 
-    `at_round_end`: what is asked for at a time waits until the end of that time's round. Timers run before
-    the tasks whose bytes came in the same round: a process that stood still is told all of it, then acts.
+    With `at_round_end`, a call that is due at a time is made at the end of that time's round. Timers run
+    before the tasks whose bytes arrived in the same round: after a standstill, a process thus handles all
+    input before it acts.
     """
 
     def __init__(self, hub: Hub, act: Callable[[], None], at_round_end: bool = False) -> None:
@@ -20,18 +21,18 @@
         self._timer: Timer | None = None
 
     def soon(self) -> None:
-        """Call at the end of this round."""
+        """Schedule the call for the end of this round."""
         self._hub.at_end_of_round(self._act)
 
     def wake_at(self, when: int) -> None:
-        """Call at a time or before; whoever is called asks again for what is still to come."""
+        """Schedule the call for a time or earlier; the callback schedules again for later events."""
         if self._timer is not None and self._timer.act is not None:
             if self._timer.at <= when:
-                return  # it will come, find nothing due, and ask again
+                return  # the earlier call finds nothing due and schedules again
             self._timer.cancel()
         self._timer = self._hub.at(when, self._when_due)
 
     def cancel(self) -> None:
-        """Forget the time that was asked for."""
+        """Cancel the scheduled time."""
         if self._timer is not None:
             self._timer.cancel()
--- a/harriertrack/runtime/clocks.py
+++ b/harriertrack/runtime/clocks.py
@@ -1,4 +1,4 @@
-"""A machine whose clock runs fast or slow, for rehearsals."""
+"""A clock that runs fast or slow, for tests of clock errors."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class RatedClock(RealClock):
-    """The machine's monotonic clock at another rate, and its wall clock so many microseconds ahead."""
+    """The machine's monotonic clock at another rate, and its wall clock ahead by `ahead_us`."""
 
     def __init__(self, rate: float, ahead_us: int = 0) -> None:
         self._rate, self._began, self._ahead_us = rate, super().now(), ahead_us
 
     def now(self) -> int:
-        """Return the present time in microseconds."""
+        """Return the current time in microseconds."""
         return self._began + int((super().now() - self._began) * self._rate)
 
     def wall(self) -> int:
--- a/harriertrack/runtime/datagrams.py
+++ b/harriertrack/runtime/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams over sockets, or in memory under simulated time. Sending never waits, and may fail unseen."""
+"""Datagrams over sockets, or in memory in simulated time. Sending never waits, and may fail silently."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 from harriertrack.runtime.hub import READ, FdHandler, Hub
 from harriertrack.runtime.streams import close_socket
 
-MOST_BYTES = 2048  # of one datagram that is read; what is longer is cut
-MOST_AT_ONCE = 64  # read in one round: the loop does other things between
-MOST_WAITING = 256  # datagrams that wait at a port in memory whose task stands still
+MOST_BYTES = 2048  # read of one datagram; longer ones are truncated
+MOST_AT_ONCE = 64  # datagrams read in one round, so that the loop serves other descriptors in between
+MOST_WAITING = 256  # datagrams that a port in memory holds while its task is frozen; more are dropped
 
 Address = tuple[str, int]
-Taken = Callable[[bytes, Address], None]
+DatagramHandler = Callable[[bytes, Address], None]
 
 
 class DatagramPort(Protocol):
     """A bound address."""
 
     address: Address
-    dropped: int  # datagrams that could not be sent: no room, no way
+    dropped: int  # datagrams that could not be sent: full buffer or no route
 
     def send(self, data: bytes, address: Address) -> None:
         """Send a datagram; if that can't be done at once it is lost."""
 
     def close(self) -> None:
-        """Take and send no more."""
+        """Stop receiving and sending."""
 
 
 class DatagramNetwork(Protocol):
-    """How ports come about."""
+    """Creates ports: by sockets, or in memory in simulated time."""
 
-    def bind(self, address: Address, take: Taken, name: str = "") -> DatagramPort:
+    def bind(self, address: Address, take: DatagramHandler, name: str = "") -> DatagramPort:
         """Bind an address; `take` is called with each datagram and its source. Raises OSError."""
 
 
 class SocketPort:
     """A bound UDP socket."""
 
-    def __init__(self, hub: Hub, address: Address, take: Taken) -> None:
+    def __init__(self, hub: Hub, address: Address, take: DatagramHandler) -> None:
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._hub, self._take, self.dropped = hub, take, 0
         self._sock = socket.socket(family, socket.SOCK_DGRAM)
@@ -63,7 +63,7 @@
                 data, source = self._sock.recvfrom(MOST_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # an error of an earlier send that came back
+            except OSError:  # the error of an earlier send
                 continue
             self._take(data, source[:2])
 
@@ -75,7 +75,7 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Take and send no more."""
+        """Stop receiving and sending."""
         if not self._closed:
             self._closed = True
             self._hub.remove_handler(self._handler)
@@ -88,7 +88,7 @@
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
 
-    def bind(self, address: Address, take: Taken, name: str = "") -> SocketPort:
+    def bind(self, address: Address, take: DatagramHandler, name: str = "") -> SocketPort:
         """Bind an address; `take` is called with each datagram and its source. Raises OSError."""
         return SocketPort(self._hub, address, take)
 
@@ -96,17 +96,17 @@
 class MemoryPort:
     """A port of a `MemoryDatagrams`."""
 
-    def __init__(self, network: MemoryDatagrams, address: Address, take: Taken, name: str) -> None:
+    def __init__(self, network: MemoryDatagrams, address: Address, take: DatagramHandler, name: str) -> None:
         self._network, self.address, self.name, self.dropped = network, address, name, 0
         self._take, self._waiting = take, 0
-        self._group = network.hub.current().group  # stands still with the task that bound it
+        self._group = network.hub.current().group  # frozen together with the task that bound it
 
     def send(self, data: bytes, address: Address) -> None:
         """Send a datagram; if that can't be done at once it is lost."""
         self._network.carry(self, data, address)
 
     def arrive(self, data: bytes, source: Address) -> None:
-        """Take a datagram off the network, into the port's buffer."""
+        """Accept a datagram from the network into the port's buffer."""
         if self._waiting >= MOST_WAITING:
             return
         self._waiting += 1
@@ -119,16 +119,16 @@
         self._network.hub.at_for(self._group, self._network.hub.now(), read)
 
     def close(self) -> None:
-        """Take and send no more."""
+        """Stop receiving and sending."""
         if self._network.ports.get(self.address) is self:
             del self._network.ports[self.address]
 
 
 class MemoryDatagrams:
-    """Datagrams in memory under simulated time.
+    """Datagrams in memory in simulated time.
 
-    `fate` tells of a datagram, by the names of both ends and its size, after how many microseconds it
-    arrives: not at all, once, or several times.
+    `fate` returns, by the names of both ends and the size of a datagram, the delays in microseconds after
+    which it arrives: none, one, or several.
     """
 
     def __init__(self, hub: Hub, fate: Callable[[str, str, int], Iterable[int]] | None = None) -> None:
@@ -136,10 +136,10 @@
         self.ports: dict[Address, MemoryPort] = {}
         self._fate = fate or (lambda _source, _target, _size: (100,))
         self._number = 30_000
-        # Hears of each datagram when it leaves its sender, and when it arrives: by whom, whether it arrives.
+        # Called for each datagram when it is sent and when it arrives: name of that end, data, is arrival.
         self.tap: Callable[[str, bytes, bool], None] = lambda _name, _data, _arrives: None
 
-    def bind(self, address: Address, take: Taken, name: str = "") -> MemoryPort:
+    def bind(self, address: Address, take: DatagramHandler, name: str = "") -> MemoryPort:
         """Bind an address; `take` is called with each datagram and its source. Raises OSError."""
         if address[1] == 0:
             self._number += 1
@@ -150,12 +150,12 @@
         return port
 
     def carry(self, source: MemoryPort, data: bytes, address: Address) -> None:
-        """Bring a datagram to whoever is bound there when it arrives."""
-        there = self.ports.get(address)
-        here, now = source.address, self.hub.now()
+        """Deliver a datagram to the port bound at the address when it arrives."""
+        target = self.ports.get(address)
+        source_address, now = source.address, self.hub.now()
         self.tap(source.name, data, False)
-        for after_us in self._fate(source.name, there.name if there is not None else "", len(data)):
-            self.hub.at_outside(now + after_us, lambda: self._arrive(data, here, address))
+        for after_us in self._fate(source.name, target.name if target is not None else "", len(data)):
+            self.hub.at_outside(now + after_us, lambda: self._arrive(data, source_address, address))
 
     def _arrive(self, data: bytes, source: Address, address: Address) -> None:
         port = self.ports.get(address)
--- a/harriertrack/runtime/heartbeat.py
+++ b/harriertrack/runtime/heartbeat.py
@@ -1,4 +1,4 @@
-"""A callback at fixed times, for as long as a process serves."""
+"""A periodic callback."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Heartbeat:
-    """Calls `act` each `period_us`; after a standstill once, and from then on as before."""
+    """Calls `act` every `period_us`; after a standstill, missed periods lead to one call only."""
 
     def __init__(self, hub: Hub, period_us: int, act: Callable[[], None]) -> None:
         self._hub, self._period_us, self._act = hub, period_us, act
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Begin; the first call comes after one period."""
+        """Start; the first call is after one period."""
         self._timer = self._hub.at(self._hub.now() + self._period_us, self._beat)
 
     def _beat(self) -> None:
@@ -23,6 +23,6 @@
         self._act()
 
     def cancel(self) -> None:
-        """Call no more."""
+        """Stop the calls."""
         if self._timer is not None:
             self._timer.cancel()
--- a/harriertrack/runtime/hub.py
+++ b/harriertrack/runtime/hub.py
@@ -1,11 +1,11 @@
 """The hub: tasks are greenlets, and one loop runs them, their timers and their descriptors.
 
-The loop knows two things from outside: a clock and a poller. On a real machine these are the monotonic clock
-and `select.poll`; in simulated time the clock jumps to the next timer as soon as nothing can run, and there
-are no descriptors. Tasks can't tell the difference.
+The loop depends on two objects: a clock and a poller. On a real machine these are the monotonic clock and
+`select.poll`; in simulated time the clock jumps to the next timer as soon as nothing can run, and there are
+no descriptors. Tasks run the same code in both.
 
-One round of the loop: run what is ready, run the end-of-round callbacks (where a head hands all events of the
-moment to its decision module at once), then wait for descriptors or the next timer.
+One round of the loop: run the ready tasks, run the end-of-round callbacks (where a head passes all events of
+the moment to its decision module at once), then wait for descriptors or the next timer.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 READ = select.POLLIN
 WRITE = select.POLLOUT
 BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
-WAITED_US = 500  # a poll that took less found what was there already
-POLL_PAUSE_S = 0.001  # how long the loop rests where the system has no memory for a poll
-OVERSLEPT_US = 20_000  # one that comes back so late tells that the process stood still
-PRUNE_AT = 512  # cancelled timers are swept out once they are at least this many and half of the heap
+MIN_WAIT_US = 500  # a shorter poll returned events that were already pending
+POLL_PAUSE_S = 0.001  # pause of the loop when the system has no memory for a poll
+SUSPENDED_US = 20_000  # a poll that returns this late means that the process was suspended
+PRUNE_AT = 512  # cancelled timers are removed once there are at least this many and over half of the heap
 
 
 Answer = TypeVar("Answer")
 
 
 class Cancelled(BaseException):
-    """Thrown into a task that is cancelled; not an Exception, so that no handler swallows it by mistake."""
+    """Thrown into a task that is cancelled; not an Exception, so that no handler catches it by mistake."""
 
 
 class DeadlineExceeded(Exception):
@@ -43,34 +43,34 @@
 
 
 class Deadlock(RuntimeError):
-    """In simulated time: nothing can run and no timer is left, though the main task is not done."""
+    """In simulated time, no task can run and no timer is pending, but the main task is not done."""
 
 
 class Clock(Protocol):
-    """Where the hub's time comes from, in whole microseconds; never goes back."""
+    """The hub's source of time, in whole microseconds; never goes back."""
 
     def now(self) -> int:
-        """Return the present time in microseconds."""
+        """Return the current time in microseconds."""
 
     def wall(self) -> int:
-        """Return the time since 1970 in microseconds, which machines have in common and which may step."""
+        """Return the time since 1970 in microseconds, which machines share and which may step."""
 
 
 class Poller(Protocol):
-    """What the hub waits on when no task is ready."""
+    """What the hub waits for events with when no task is ready."""
 
     def wait(self, until: int | None) -> list[tuple[int, int]]:
-        """Wait for descriptors, until a time in microseconds or without end; return (descriptor, events)."""
+        """Wait for descriptors, until a time in microseconds or forever; return (descriptor, events)."""
 
     def watch(self, fd: int, events: int) -> None:
-        """Ask for these events of a descriptor; 0 forgets it."""
+        """Watch a descriptor for these events; 0 stops watching it."""
 
 
 class RealClock:
     """The machine's monotonic clock: comparable between processes of one machine."""
 
     def now(self) -> int:
-        """Return the present time in microseconds."""
+        """Return the current time in microseconds."""
         return time.monotonic_ns() // 1000
 
     def wall(self) -> int:
@@ -81,7 +81,8 @@
 class PollPoller:
     """`select.poll` with the hub's clock.
 
-    `poll` knows whole milliseconds. Timers are up to one late, unless `exact`: then the last one is spun.
+    `poll` takes whole milliseconds. Timers are up to one late, unless `exact`, which polls without waiting
+    during the last millisecond.
     """
 
     def __init__(self, clock: Clock, exact: bool = False) -> None:
@@ -91,7 +92,7 @@
         self._watched: dict[int, int] = {}
 
     def watch(self, fd: int, events: int) -> None:
-        """Ask for these events of a descriptor; 0 forgets it."""
+        """Watch a descriptor for these events; 0 stops watching it."""
         if events == self._watched.get(fd, 0):
             return
         if events:
@@ -102,19 +103,19 @@
             del self._watched[fd]
 
     def wait(self, until: int | None) -> list[tuple[int, int]]:
-        """Wait for descriptors, until a time in microseconds or without end."""
+        """Wait for descriptors, until a time in microseconds or forever."""
         left = None if until is None else max(0, (until - self._clock.now() + self._round_up_us) // 1000)
         try:
             return self._poll.poll(left)
         except OSError as error:
-            if error.errno != errno.ENOMEM:  # any other tells that the descriptors are wrong
+            if error.errno != errno.ENOMEM:  # any other error means that the descriptors are wrong
                 raise
             time.sleep(POLL_PAUSE_S)
-            return []  # what has come is still there at the next look
+            return []  # pending events are still reported by the next poll
 
 
 class VirtualTime:
-    """Clock and poller in one: time stands still while tasks run and jumps to the next timer after."""
+    """Clock and poller in one: time does not advance while tasks run, then jumps to the next timer."""
 
     def __init__(self, start: int = 1_000_000_000) -> None:
         self._now = start
@@ -128,19 +129,19 @@
         return self._now
 
     def watch(self, fd: int, events: int) -> None:
-        """There are no descriptors in simulated time."""
-        raise RuntimeError("descriptors do not exist in simulated time")
+        """Raise RuntimeError: there are no descriptors in simulated time."""
+        raise RuntimeError("there are no descriptors in simulated time")
 
     def wait(self, until: int | None) -> list[tuple[int, int]]:
         """Jump to the next timer."""
         if until is None:
-            raise Deadlock("nothing can run and no timer is left")
+            raise Deadlock("no task can run and no timer is pending")
         self._now = max(self._now, until)
         return []
 
 
 class Timer:
-    """A callback due at a time; `cancel` makes it never run."""
+    """A callback that is due at a time, unless it is cancelled."""
 
     __slots__ = ("at", "act", "group", "_hub")
 
@@ -151,7 +152,7 @@
         self._hub = hub
 
     def cancel(self) -> None:
-        """Forget the callback; calling it off twice, or after it ran, does nothing."""
+        """Drop the callback; cancelling twice, or after it ran, does nothing."""
         if self.act is not None:
             self.act = None
             self._hub._timer_cancelled()
@@ -181,13 +182,13 @@
             if self._cancelling:
                 raise Cancelled(self.name)
             self.result = run(*args)
-        except BaseException as error:  # the error is kept for whoever joins the task
+        except BaseException as error:  # stored for the scope that joins the task
             self.error = error
         self.done = True
         self._hub._task_ended(self)
 
     def cancel(self) -> None:
-        """Throw `Cancelled` into the task at its present or next wait; a task that is done is left alone."""
+        """Throw `Cancelled` into the task at its current or next wait; no effect once the task is done."""
         if self.done or self._cancelling:
             return
         self._cancelling = True
@@ -196,7 +197,7 @@
 
 
 class Hub:
-    """The loop. Everything of one process that waits does so through one hub."""
+    """The event loop. All waits of a process go through one hub."""
 
     def __init__(self, clock: Clock | None = None, poller: Poller | None = None, seed: int = 0,
                  stall_us: int = 100_000) -> None:  # fmt: skip
@@ -206,16 +207,16 @@
         self.stall_us = stall_us
         self.stalls = 0
         self.longest_round_us = 0
-        self.idle_us = 0  # spent waiting: the rest is the loop's own work
+        self.idle_us = 0  # time spent waiting; the rest is the loop's own work
         self.on_stall: Callable[[int], None] | None = None
         self.on_task_error: Callable[[Task], None] | None = None
         self._timers: list[tuple[int, int, Timer]] = []
         self._serial = self._cancelled = self._polls = 0
-        self.found_since = self.looked_at = self.clock.now()  # what is readable now came no earlier
+        self.found_since = self.polled_at = self.clock.now()  # readable data arrived no earlier
         self._ready: deque[tuple[Task, BaseException | None]] = deque()
         self._end_of_round: dict[Callable[[], None], object] = {}
-        self._group: object = None  # that of the task or callback that runs now
-        self._frozen: dict[object, list[Callable[[], None]]] = {}  # what is to be done when it thaws
+        self._group: object = None  # group of the running task or callback
+        self._frozen: dict[object, list[Callable[[], None]]] = {}  # by group: what to run when it is thawed
         self._handlers: dict[int, FdHandler] = {}
         self._loop_glet = greenlet(self._loop)
         self._current: Task | None = None
@@ -223,7 +224,7 @@
 
     @classmethod
     def exact(cls) -> Hub:
-        """Make a hub whose timers are not up to a millisecond late, at the price of a busy processor."""
+        """Make a hub whose timers are not up to a millisecond late, at the cost of a busy processor."""
         clock = RealClock()
         return cls(clock, PollPoller(clock, exact=True))
 
@@ -236,7 +237,7 @@
     # -- running
 
     def run(self, main: Callable[..., Any], *args: Any) -> Any:
-        """Run a task and all that it starts; return its result or raise its error."""
+        """Run a task and the tasks that it starts; return its result or raise its error."""
         task = self.spawn("main", main, *args)
         self._loop_glet = greenlet(self._loop)
         task._glet.parent = self._loop_glet
@@ -257,7 +258,7 @@
                 callbacks, self._end_of_round = list(self._end_of_round.items()), {}
                 for callback, group in callbacks:
                     self._call(group, callback)
-            self._watch_stall(began)
+            self._check_stall(began)
             if stop.done:
                 return
             until = began if ready else self._next_timer()
@@ -266,20 +267,20 @@
             polled = self.poller.wait(until)
             now = self.clock.now()
             self.idle_us += now - slept
-            if now - slept < WAITED_US:  # it was there already: it came at some time since the last look
-                self.found_since = self.looked_at
-            else:  # it came just now, or while the process stood still
-                self.found_since = now if until is None or now < until + OVERSLEPT_US else until
-            self.looked_at = now
+            if now - slept < MIN_WAIT_US:  # already pending: it arrived at some time since the last poll
+                self.found_since = self.polled_at
+            else:  # it arrived just now, or while the process was suspended
+                self.found_since = now if until is None or now < until + SUSPENDED_US else until
+            self.polled_at = now
             for fd, events in polled:
-                # An earlier handler of this round may have closed this descriptor and opened another of the
-                # same number: the handler of the new one is not called for the old one's events.
+                # An earlier handler of this round may have closed this descriptor and opened another with the
+                # same number: the new handler is not called for events of the old descriptor.
                 handler = self._handlers.get(fd)
                 if handler is not None and handler.added_at_poll < self._polls:
                     handler.on_events(events)
             self._run_timers()
 
-    def _watch_stall(self, began: int) -> None:
+    def _check_stall(self, began: int) -> None:
         took = self.clock.now() - began
         self.longest_round_us = max(self.longest_round_us, took)
         if took >= self.stall_us:
@@ -295,7 +296,7 @@
         if task.done:
             return
         if task._cancelling and task._unwait is not None:
-            error = Cancelled(task.name)  # also where its deadline has come: who cancels is done with it
+            error = Cancelled(task.name)  # also at its deadline: the canceller has no more use for the task
         if task._unwait is not None:
             unwait, task._unwait = task._unwait, None
             unwait()
@@ -311,11 +312,11 @@
         if task.error is not None and not isinstance(task.error, Cancelled):
             if not task.on_done and self.on_task_error is not None and task is not self._stop:
                 self.on_task_error(task)
-        for tell in task.on_done:
-            tell(task)
+        for callback in task.on_done:
+            callback(task)
 
     def spawn(self, name: str, run: Callable[..., Any], *args: Any) -> Task:
-        """Start a task; it first runs in the next round. Prefer `Scope.spawn`, which bounds its life."""
+        """Start a task; it first runs in the next round. Prefer `Scope.spawn`, which bounds its lifetime."""
         task = Task(self, name, run, args)
         self._wake(task)
         return task
@@ -328,7 +329,7 @@
     # -- waiting
 
     def park(self, unwait: Callable[[], None], deadline: int | None = None) -> None:
-        """Let the current task wait until `Hub.unpark`; `unwait` undoes what would wake it.
+        """Let the current task wait until `Hub.unpark`; `unwait` removes whatever would wake it.
 
         Raises DeadlineExceeded at the deadline (microseconds), Cancelled if the task is cancelled.
         """
@@ -349,7 +350,7 @@
                 timer.cancel()
 
     def unpark(self, task: Task) -> None:
-        """Let a waiting task go on in this round or the next."""
+        """Let a waiting task continue in this round or the next."""
         self._wake(task)
 
     def current(self) -> Task:
@@ -363,7 +364,7 @@
         return self.clock.now()
 
     def sleep(self, us: int) -> None:
-        """Let the current task wait for so many microseconds."""
+        """Let the current task wait for `us` microseconds."""
         task = self.current()
         timer = self.at(self.now() + us, lambda: self._wake(task))
         self.park(timer.cancel)
@@ -382,11 +383,11 @@
         return timer
 
     def at_outside(self, when: int, act: Callable[[], None]) -> Timer:
-        """Call `act` at a time though the present group be frozen then: what networks and machines do."""
+        """Call `act` at a time even if the current group is frozen then: for network and machine events."""
         return self.at_for(None, when, act)
 
     def at_for(self, group: object, when: int, act: Callable[[], None]) -> Timer:
-        """Call `act` at a time as one of a group: late, if that is frozen then."""
+        """Call `act` at a time as part of a group: later, if the group is frozen then."""
         before, self._group = self._group, group
         timer = self.at(when, act)
         self._group = before
@@ -425,13 +426,13 @@
             self._group = None
 
     def enter_group(self, group: object) -> None:
-        """Put the current task, and all that it starts from now on, into a group that can be frozen."""
+        """Put the current task, and whatever it starts from now on, into a group that can be frozen."""
         self._group = self.current().group = group
 
     def freeze(self, group: object, us: int) -> None:
-        """Let a group of tasks stand still for so long, as a machine does.
+        """Suspend a group of tasks for `us` microseconds, like a machine that stops for a while.
 
-        Its timers come late, all at once.
+        Its timers that fall due meanwhile run late, all at once.
         """
         if group in self._frozen:
             return
@@ -443,13 +444,13 @@
             act()
 
     def at_end_of_round(self, callback: Callable[[], None]) -> None:
-        """Call `callback` once when all tasks that are ready have run; asking twice is asking once."""
+        """Call `callback` once when all ready tasks have run, however often it is scheduled."""
         self._end_of_round[callback] = self._group
 
     # -- descriptors
 
     def add_handler(self, handler: FdHandler) -> None:
-        """Call a handler for its descriptor's events; one handler a descriptor."""
+        """Call a handler for its descriptor's events; one handler per descriptor."""
         handler.added_at_poll = self._polls
         self._handlers[handler.fd] = handler
         self.poller.watch(handler.fd, handler.interest)
@@ -461,7 +462,7 @@
             self.poller.watch(handler.fd, events)
 
     def remove_handler(self, handler: FdHandler) -> None:
-        """Forget a handler; call it before its descriptor is closed."""
+        """Remove a handler; call this before its descriptor is closed."""
         if self._handlers.get(handler.fd) is handler:
             del self._handlers[handler.fd]
             self.poller.watch(handler.fd, 0)
@@ -484,15 +485,15 @@
 
 
 class FdHandler:
-    """What is called when a descriptor can be read or written."""
+    """A callback for the events of a descriptor."""
 
     def __init__(self, fd: int, interest: int, on_events: Callable[[int], None]) -> None:
         self.fd, self.interest, self.on_events = fd, interest, on_events
-        self.added_at_poll = 0  # events of this poll belong to an earlier use of the number
+        self.added_at_poll = 0  # events of this poll belong to an earlier descriptor with this number
 
 
 class Scope:
-    """Tasks that end together."""
+    """A group of tasks with a common lifetime."""
 
     def __init__(self, hub: Hub, name: str) -> None:
         self._hub, self.name = hub, name
@@ -500,7 +501,7 @@
         self._owner = hub._current
         self._error: BaseException | None = None
         self._joining = self._cancelled = False
-        self._stopped_owner = False  # the scope itself cancelled its owner: a task's error is the reason
+        self._stopped_owner = False  # the scope cancelled its owner because a task failed
 
     def spawn(self, name: str, run: Callable[..., Any], *args: Any) -> Task:
         """Start a task of this scope."""
@@ -508,11 +509,11 @@
         self._tasks[task] = None
         task.on_done.append(self._ended)
         if self._cancelled:
-            task.cancel()  # what a task starts while it is cleaning up must not outlive the scope
+            task.cancel()  # a task started during clean-up must not outlive the scope
         return task
 
     def cancel(self) -> None:
-        """Cancel all tasks of the scope, and those that are still to be started in it."""
+        """Cancel all tasks of the scope, including those that are started in it later."""
         self._cancelled = True
         for task in list(self._tasks):
             task.cancel()
@@ -555,7 +556,7 @@
 
 
 class Waiters:
-    """Tasks that wait for one thing to change."""
+    """Tasks that wait for one condition to change."""
 
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
@@ -568,18 +569,18 @@
         self._hub.park(lambda: self._waiting.pop(task, None), deadline)
 
     def any(self) -> bool:
-        """Whether somebody waits."""
+        """Whether any task waits."""
         return bool(self._waiting)
 
     def notify(self) -> None:
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
         for task in self._waiting:
             self._hub.unpark(task)
 
 
 def answer_of(hub: Hub, ask: Callable[[Callable[[Answer], None]], None],
               deadline: int | None = None) -> Answer:  # fmt: skip
-    """Call `ask` with a callback and wait until that is called; return what it was called with.
+    """Call `ask` with a callback, wait until that is called, and return its argument.
 
     Raises DeadlineExceeded at the deadline (microseconds).
     """
@@ -604,15 +605,15 @@
         self._waiters = Waiters(hub)
 
     def set(self) -> None:
-        """Raise the flag and wake all that wait."""
+        """Set the flag and wake all waiting tasks."""
         self._set = True
         self._waiters.notify()
 
     def clear(self) -> None:
-        """Lower the flag."""
+        """Clear the flag."""
         self._set = False
 
     def wait(self, deadline: int | None = None) -> None:
-        """Wait for the flag. Raises DeadlineExceeded at the deadline (microseconds)."""
+        """Wait until the flag is set. Raises DeadlineExceeded at the deadline (microseconds)."""
         while not self._set:
             self._waiters.wait(deadline)
--- a/harriertrack/runtime/led.py
+++ b/harriertrack/runtime/led.py
@@ -1,9 +1,9 @@
-"""A hub whose next step somebody else chooses: the same tasks, timers and waiting, without the loop's order.
+"""A hub whose next step is chosen from outside: same tasks, timers and waits, without the loop's order.
 
-`Hub` runs what is ready first in, first out, then the callbacks of the round's end, then descriptors and
-timers. Code must not depend on more of that than the hub promises. A `LedHub` offers all that could run now,
-one step at a time, to a `Lead` (a checker, for example), and does what that chooses. Only the loop is
-replaced: a head's own hub carries nothing for it.
+`Hub` runs ready tasks first in, first out, then the end-of-round callbacks, then descriptor handlers and
+timers. Code must not depend on more of that order than the hub promises. A `SteppedHub` offers all steps that
+could run now to a `StepChooser` (for example a checker of interleavings) and runs the chosen one. Only the
+loop is replaced: a head's own hub has no code for this.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 class StepKind(Enum):
     """What a step would run."""
 
-    TASK = "task"  # a task that was woken goes on
-    CALLBACK = "callback"  # what somebody asked for at the end of the round
+    TASK = "task"  # a woken task continues
+    CALLBACK = "callback"  # an end-of-round callback
     EVENT = "event"  # a descriptor's handler
     TIMER = "timer"  # a timer that is due
     TIME = "time"  # nothing runs: the clock moves to the next timer
@@ -29,41 +29,43 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Step:
-    """Something that could happen now, in the group that it belongs to (None: outside of all)."""
+    """A step that could run now, and the group that it belongs to (None: no group)."""
 
     kind: StepKind
     what: Task | Callable[[], None] | FdHandler | Timer | None
     group: object = None
     error: BaseException | None = None  # thrown into the task
     events: int = 0  # of the descriptor
-    at: int = 0  # of a timer, or of the next moment
+    at: int = 0  # due time of a timer, or the next time of the clock
 
 
-class Lead(Protocol):
-    """Who is next."""
+class StepChooser(Protocol):
+    """Chooses the next step."""
 
     def choose(self, steps: list[Step]) -> Step | None:
-        """Return one of the steps, which come in the order of the usual loop; None ends the hub's run."""
+        """Return one of the steps, given in the order of the usual loop; None ends the hub's run."""
 
 
-class LedHub(Hub):
-    """A hub in simulated time whose steps are chosen by a lead."""
+class SteppedHub(Hub):
+    """A hub in simulated time whose steps are chosen by a `StepChooser`."""
 
-    def __init__(self, lead: Lead, time: VirtualTime, poller: Poller | None = None, seed: int = 0) -> None:
-        """Take a poller for descriptors that exist in simulated time only; its `wait` must not wait."""
+    def __init__(
+        self, chooser: StepChooser, time: VirtualTime, poller: Poller | None = None, seed: int = 0
+    ) -> None:
+        """Accept a poller for descriptors that exist in simulated time only; its `wait` must not block."""
         super().__init__(time, poller or time, seed)
-        self._lead, self._time = lead, time
+        self._chooser, self._time = chooser, time
 
     def _loop(self) -> None:
         stop = self._stop
         while stop is not None and not stop.done:
-            step = self._lead.choose(self.steps())
+            step = self._chooser.choose(self.steps())
             if step is None:
-                raise Deadlock("nothing is chosen to run, though the main task is not done")
+                raise Deadlock("no step was chosen, though the main task is not done")
             self._do(step)
 
     def steps(self) -> list[Step]:
-        """Return all that could happen now; groups that stand still are the lead's business."""
+        """Return all steps that could run now; the chooser must handle frozen groups."""
         now = self.now()
         found = [Step(StepKind.TASK, task, task.group, error) for task, error in self._ready]
         found += [Step(StepKind.CALLBACK, act, group) for act, group in self._end_of_round.items()]
--- a/harriertrack/runtime/signals.py
+++ b/harriertrack/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Signals as events of the hub, through a wake-up pipe."""
+"""Signals as events of the hub, by a wake-up pipe."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """Call `act` in the hub's loop for each of these signals while the context is open (main thread only).
 
     The interpreter's own handler writes the signal's number to a pipe, which ends the hub's poll; the
-    Python-level handler does nothing, so no task is interrupted between two of its lines.
+    Python-level handler does nothing, so a task is never interrupted between two of its lines.
     """
     receiving, sending = socket.socketpair()
     for end in (receiving, sending):
@@ -24,21 +24,21 @@
 
     def read(_events: int) -> None:
         try:
-            came = receiving.recv(256)
-        except OSError:  # for want of memory: the hub's next poll finds it again
+            received = receiving.recv(256)
+        except OSError:  # out of memory: the hub's next poll reports it again
             return
-        for number in came:
+        for number in received:
             if number in numbers:
                 act(number)
 
     handler = FdHandler(receiving.fileno(), READ, read)
     hub.add_handler(handler)
     wakeup = signal.set_wakeup_fd(sending.fileno(), warn_on_full_buffer=False)
-    before = {number: signal.signal(number, lambda *_: None) for number in numbers}
+    former_handlers = {number: signal.signal(number, lambda *_: None) for number in numbers}
     try:
         yield
     finally:
-        for number, former in before.items():
+        for number, former in former_handlers.items():
             signal.signal(number, former)
         signal.set_wakeup_fd(wakeup)
         hub.remove_handler(handler)
--- a/harriertrack/runtime/streams.py
+++ b/harriertrack/runtime/streams.py
@@ -1,8 +1,8 @@
 """Byte streams and listeners over sockets, with deadlines and bounded buffers.
 
-A stream's `write` never waits: bytes gather until the end of the round and go out in one call, and what the
-peer does not take stays in the buffer. Whoever produces bytes calls `drain` before it takes on more work, so
-a peer that sends but never reads stops being read from: memory stays bounded by what was already taken.
+A stream's `write` never waits: bytes are buffered until the end of the round and sent in one call; what the
+peer does not accept stays in the buffer. A producer of bytes calls `drain` before it accepts more work, so a
+peer that sends but never reads is no longer read from: memory is bounded by the work accepted until then.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from harriertrack.runtime.hub import READ, WRITE, DeadlineExceeded, Event, FdHandler, Hub, Waiters
 
 HIGH_WATER = 1 << 20  # bytes buffered for writing above which `drain` waits
-MOST_PARTS = 64  # buffers handed to one sendmsg
-RECEIVE = 1 << 18  # the most bytes that one read returns
-ACCEPT_PAUSE_US = 100_000  # how long a listener rests when the process has no descriptor left
-ACCEPT_TRIES = 16  # calls that fail in a row before it rests all the same
-ENDS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # events of a stream that its peer has ended
+MAX_BUFFERS = 64  # buffers handed to one sendmsg
+MAX_READ_BYTES = 1 << 18  # the most bytes that one read returns
+ACCEPT_PAUSE_US = 100_000  # how long a listener pauses when the process has no free descriptor
+MAX_ACCEPT_FAILURES = 16  # failed calls in a row after which it pauses as well
+END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer ended the stream
 NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# What accept(2) says of one new connection, which is gone, and not of the listener: the next one is there.
+# Errors of accept(2) that concern one new connection, which is lost, not the listener: accept the next one.
 CONNECTION_FAILED = (
     errno.ECONNABORTED, errno.ECONNRESET, errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.EINTR, errno.ENETDOWN,
     errno.ENETUNREACH, errno.ENONET, errno.ENOPROTOOPT, errno.ENOSR, errno.EOPNOTSUPP, errno.EPERM,
@@ -38,51 +38,51 @@
 
 
 class Stream(Protocol):
-    """What both kinds of streams offer."""
+    """The interface of socket and memory streams."""
 
     peer: str
-    came_at: int  # when the bytes of the last read came, at the earliest (microseconds)
+    came_at: int  # the earliest time at which the bytes of the last read arrived (microseconds)
 
     def read(self, deadline: int | None = None) -> bytes:
-        """Wait for bytes; b"" means that the peer will send no more."""
+        """Wait for bytes; b"" means that the peer sends no more."""
 
     def write(self, data: bytes | memoryview) -> None:
-        """Add bytes to what is to be sent; never waits, and does nothing on a closed stream."""
+        """Add bytes to the send buffer; never waits, and does nothing on a closed stream."""
 
     def drain(self, deadline: int | None = None) -> None:
-        """Wait until little enough is buffered to take on more work."""
+        """Wait until the send buffer is small enough to accept more work."""
 
     def watch_end(self, act: Callable[[], None] | None) -> None:
-        """Call `act` once the peer has closed or broken the stream, though nobody reads; None: no more.
+        """Call `act` once the peer has closed or broken the stream, even without a reader; None to stop.
 
-        Closing it here counts too.
+        Closing the stream at this end counts too.
         """
 
     def push(self, act: Callable[[], None]) -> None:
-        """Send what is buffered now; call `act` once its last byte has left, never if the stream breaks."""
+        """Send the buffer now; call `act` once its last byte was sent, never if the stream breaks."""
 
     def silent(self) -> bool:
-        """Whether the stream is open and nothing unread has come, neither bytes nor an end, as of now."""
+        """Whether the stream is open, without unread bytes and without an end of the peer, as of now."""
 
     def ended(self, since: int) -> bool:
-        """Whether the peer's end has come, also behind unread bytes, or the stream is closed.
+        """Whether the peer has ended the stream, also behind unread bytes, or the stream is closed.
 
-        Looks anew if the last look was before `since` (microseconds). Only for streams that are read or
+        Polls again if the last poll was before `since` (microseconds). Only for streams that are read or
         whose end is watched.
         """
 
     def shut_sending(self) -> None:
-        """Tell the peer that nothing more is sent; it can still be read. Nothing may be buffered."""
+        """Close the sending direction; the peer can still be read. The send buffer must be empty."""
 
     def close(self) -> None:
-        """Send what is buffered as far as that goes at once, and close."""
+        """Send as much of the buffer as possible without waiting, and close."""
 
     def abort(self) -> None:
         """Close with a reset: the peer sees the connection break."""
 
 
 class Listener(Protocol):
-    """A place where streams arrive."""
+    """Accepts streams at an address."""
 
     address: tuple[str, int]
 
@@ -90,17 +90,17 @@
         """Wait for the next stream; raises StreamClosed once the listener is closed, or DeadlineExceeded."""
 
     def accept_now(self) -> Stream | None:
-        """Return the next stream if one is there, and a descriptor is left for it."""
+        """Return the next stream if one is pending and a descriptor is free for it."""
 
     def close(self) -> None:
         """Stop listening."""
 
 
 class Network(Protocol):
-    """How streams come about: by sockets, or in memory under simulated time."""
+    """Creates streams: by sockets, or in memory in simulated time."""
 
     def connect(self, address: tuple[str, int], deadline: int | None = None, name: str = "") -> Stream:
-        """Open a stream; `name` says who calls.
+        """Open a stream; `name` is the caller's name.
 
         Raises OSError if refused, DeadlineExceeded at the deadline (microseconds).
         """
@@ -110,13 +110,13 @@
 
 
 def close_socket(sock: socket.socket) -> None:
-    """Close a socket. Linux frees its descriptor whatever close(2) returns: there is nothing to repeat."""
+    """Close a socket. Linux frees the descriptor whatever close(2) returns, so there is no retry."""
     with contextlib.suppress(OSError):
         sock.close()
 
 
 def set_option(sock: socket.socket, level: int, option: int, value: int | bytes) -> None:
-    """Set an option that a connection can do without: the system may have no memory for it."""
+    """Set an option that a connection can do without: this may fail for lack of memory."""
     with contextlib.suppress(OSError):
         sock.setsockopt(level, option, value)
 
@@ -132,8 +132,8 @@
         self._out: deque[bytes | memoryview] = deque()
         self.buffered = 0
         self._closed = self._end_seen = False
-        # The last read took all there was. What was accepted is first polled: that tells of an end behind
-        # the first bytes, and as a rule nothing has come yet.
+        # Whether the last read emptied the receive buffer. An accepted stream is polled first: this reports
+        # an end behind the first bytes, and usually no bytes have arrived yet.
         self._drained = accepted
         self._error: OSError | None = None
         self._wants_read = False
@@ -145,17 +145,17 @@
         hub.add_handler(self._handler)
 
     def _on_events(self, events: int) -> None:
-        # POLLHUP and POLLERR come with or without data still to be read: reading tells which.
-        if events & ENDS:
+        # POLLHUP and POLLERR may be set with or without unread data: only a read shows which.
+        if events & END_EVENTS:
             self._end_seen = True
             act, self._on_end = self._on_end, None
             if act is not None:
                 act()
         if events & ~WRITE:
             self._drained = False
-            if self._wants_read:  # at the last look there was nothing
+            if self._wants_read:  # the last read found no data
                 self._since = max(self._since, self._hub.found_since)
-            # While somebody reads, the interest stays: asking anew for each read would cost two calls.
+            # The interest stays while a reader waits: setting it for each read would cost two calls.
             self._wants_read = self._readable.any()
             self._readable.notify()
         if events & ~READ and self._out:
@@ -164,14 +164,14 @@
 
     def _set_interest(self) -> None:
         if not self._closed:
-            want = (READ | select.POLLRDHUP if self._wants_read else 0) | (WRITE if self._out else 0)
-            want |= select.POLLRDHUP if self._on_end is not None else 0
-            self._hub.set_interest(self._handler, want)
+            events = (READ | select.POLLRDHUP if self._wants_read else 0) | (WRITE if self._out else 0)
+            events |= select.POLLRDHUP if self._on_end is not None else 0
+            self._hub.set_interest(self._handler, events)
 
     def watch_end(self, act: Callable[[], None] | None) -> None:
-        """Call `act` once the peer has closed or broken the stream, though nobody reads; None: no more.
+        """Call `act` once the peer has closed or broken the stream, even without a reader; None to stop.
 
-        Closing it here counts too.
+        Closing the stream at this end counts too.
         """
         if act is not None and self._closed:
             act()
@@ -180,14 +180,14 @@
         self._set_interest()
 
     def read(self, deadline: int | None = None) -> bytes:
-        """Wait for bytes; b"" means that the peer will send no more. Raises ConnectionError if it broke."""
+        """Wait for bytes; b"" means that the peer sends no more. Raises ConnectionError if it broke."""
         while True:
             if self._closed:
                 raise self._error or StreamClosed("closed")
             if not self._drained:
                 try:
-                    data = self._sock.recv(RECEIVE)
-                    self._drained = 0 < len(data) < RECEIVE
+                    data = self._sock.recv(MAX_READ_BYTES)
+                    self._drained = 0 < len(data) < MAX_READ_BYTES
                     self.came_at = self._since
                     if self._drained:
                         self._since = self._hub.now()
@@ -200,7 +200,7 @@
             self._drained = False
 
     def write(self, data: bytes | memoryview) -> None:
-        """Add bytes to what is sent at the end of this round; does nothing on a closed stream."""
+        """Add bytes to the buffer sent at the end of this round; does nothing on a closed stream."""
         if self._closed or not data:
             return
         if not self._out:
@@ -212,7 +212,7 @@
         out = self._out
         try:
             while out and not self._closed:
-                sent = self._sock.sendmsg(out if len(out) <= MOST_PARTS else list(islice(out, MOST_PARTS)))
+                sent = self._sock.sendmsg(out if len(out) <= MAX_BUFFERS else list(islice(out, MAX_BUFFERS)))
                 self.buffered -= sent
                 if not self.buffered:
                     out.clear()
@@ -238,13 +238,13 @@
         self._set_interest()
 
     def push(self, act: Callable[[], None]) -> None:
-        """Send what is buffered now; call `act` once its last byte has left, never if the stream breaks."""
+        """Send the buffer now; call `act` once its last byte was sent, never if the stream breaks."""
         self._on_pushed = act
         if not self._closed:
             self._flush()
 
     def silent(self) -> bool:
-        """Whether the stream is open and nothing unread has come, neither bytes nor an end, as of now."""
+        """Whether the stream is open, without unread bytes and without an end of the peer, as of now."""
         if self._closed:
             return False
         try:
@@ -256,22 +256,22 @@
         return False
 
     def ended(self, since: int) -> bool:
-        """Whether the peer's end has come, also behind unread bytes, or the stream is closed.
+        """Whether the peer has ended the stream, also behind unread bytes, or the stream is closed.
 
-        Looks anew if the last look was before `since` (microseconds). Only for streams that are read or
+        Polls again if the last poll was before `since` (microseconds). Only for streams that are read or
         whose end is watched.
         """
-        if not (self._closed or self._end_seen) and self._hub.looked_at < since:
-            look = select.poll()
-            look.register(self._sock.fileno(), select.POLLRDHUP)
-            with contextlib.suppress(OSError):  # for want of memory: the hub's next poll tells
-                self._end_seen = bool(look.poll(0))
+        if not (self._closed or self._end_seen) and self._hub.polled_at < since:
+            poll = select.poll()
+            poll.register(self._sock.fileno(), select.POLLRDHUP)
+            with contextlib.suppress(OSError):  # out of memory: the hub's next poll reports it
+                self._end_seen = bool(poll.poll(0))
         return self._closed or self._end_seen
 
     def shut_sending(self) -> None:
-        """Tell the peer that nothing more is sent; it can still be read. Nothing may be buffered."""
+        """Close the sending direction; the peer can still be read. The send buffer must be empty."""
         if not self._closed:
-            with contextlib.suppress(OSError):  # it is broken: reading tells
+            with contextlib.suppress(OSError):  # broken stream: the next read raises
                 self._sock.shutdown(socket.SHUT_WR)
 
     def drain(self, deadline: int | None = None) -> None:
@@ -280,7 +280,7 @@
             self._writable.wait(deadline)
 
     def flush(self, deadline: int | None = None) -> None:
-        """Wait until nothing is buffered."""
+        """Wait until the send buffer is empty."""
         while self._out and not self._closed:
             self._flush()
             if self._out and not self._closed:
@@ -302,7 +302,7 @@
         self._writable.notify()
 
     def close(self) -> None:
-        """Send what is buffered as far as that goes at once, and close."""
+        """Send as much of the buffer as possible without waiting, and close."""
         if self._out and not self._closed:
             self._flush()
         self._shut()
@@ -323,8 +323,8 @@
         self._sock.setblocking(False)
         self.address: tuple[str, int] = self._sock.getsockname()[:2]
         self._closed = False
-        self.exhausted = 0  # times that no descriptor was left, or nothing but failures came
-        self._must_rest = False  # the last look ended so
+        self.exhausted = 0  # number of pauses for lack of descriptors or after failed calls only
+        self._must_pause = False  # the last `accept_now` ended with such a pause due
         self._waiters = Waiters(hub)
         self._handler = FdHandler(self._sock.fileno(), 0, self._on_events)
         hub.add_handler(self._handler)
@@ -334,12 +334,12 @@
         self._waiters.notify()
 
     def accept(self, deadline: int | None = None) -> SocketStream:
-        """Wait for the next stream; without free descriptors it rests and goes on when some are free."""
+        """Wait for the next stream; without a free descriptor, pause and try again."""
         while not self._closed:
             stream = self.accept_now()
             if stream is not None:
                 return stream
-            if self._must_rest:
+            if self._must_pause:
                 self._hub.sleep(ACCEPT_PAUSE_US)
                 continue
             self._hub.set_interest(self._handler, READ)
@@ -347,11 +347,11 @@
         raise StreamClosed("the listener is closed")
 
     def accept_now(self) -> SocketStream | None:
-        """Return the next stream if one is there, and a descriptor is left for it."""
-        self._must_rest = False
+        """Return the next stream if one is pending and a descriptor is free for it."""
+        self._must_pause = False
         if self._closed:
             return None
-        for _ in range(ACCEPT_TRIES):
+        for _ in range(MAX_ACCEPT_FAILURES):
             try:
                 sock, peer = self._sock.accept()
             except BlockingIOError:
@@ -363,7 +363,7 @@
                     raise
                 continue
             return SocketStream(self._hub, sock, f"{peer[0]}:{peer[1]}", accepted=True)
-        self._must_rest = True
+        self._must_pause = True
         self.exhausted += 1
         return None
 
@@ -411,7 +411,7 @@
 
 
 class MemoryStream:
-    """One end of a pair of streams in memory; what is written arrives after the pair's delay."""
+    """One end of a pair of streams in memory; written bytes arrive after the pair's delay."""
 
     def __init__(self, hub: Hub, peer: str, delay_us: int) -> None:
         self._hub, self.peer, self.delay_us = hub, peer, delay_us
@@ -421,14 +421,14 @@
         self._unread = 0  # bytes that arrived and were not read: the peer's receive window
         self._eof = self._closed = False
         self._error: OSError | None = None
-        self.buffered = 0  # bytes on the way or unread at the other end
+        self.buffered = 0  # bytes in flight or unread at the other end
         self._readable, self._writable = Waiters(hub), Waiters(hub)
         self._on_end: Callable[[], None] | None = None
 
     def watch_end(self, act: Callable[[], None] | None) -> None:
-        """Call `act` once the peer has closed or broken the stream, though nobody reads; None: no more.
+        """Call `act` once the peer has closed or broken the stream, even without a reader; None to stop.
 
-        Closing it here counts too.
+        Closing the stream at this end counts too.
         """
         if act is not None and (self._eof or self._closed):
             act()
@@ -436,7 +436,7 @@
             self._on_end = act
 
     def read(self, deadline: int | None = None) -> bytes:
-        """Wait for bytes; b"" means that the peer will send no more. Raises ConnectionError if it broke."""
+        """Wait for bytes; b"" means that the peer sends no more. Raises ConnectionError if it broke."""
         while not self._in:
             if self._closed or self._error:
                 raise self._error or StreamClosed("closed")
@@ -453,7 +453,7 @@
         self._writable.notify()
 
     def write(self, data: bytes | memoryview) -> None:
-        """Add bytes to what is to be sent; does nothing on a closed stream."""
+        """Send bytes to the other end; does nothing on a closed stream."""
         if self._closed or not data or self.other is None:
             return
         self.buffered += len(data)
@@ -471,23 +471,23 @@
             self._writable.wait(deadline)
 
     def flush(self, deadline: int | None = None) -> None:
-        """Nothing to do: what is written is on its way."""
+        """Do nothing: written bytes are in flight already."""
 
     def push(self, act: Callable[[], None]) -> None:
-        """What is written has left at once, unless the stream is broken."""
+        """Call `act` at once unless the stream is broken: written bytes are sent already."""
         if not self._closed and self._error is None:
             act()
 
     def silent(self) -> bool:
-        """Whether the stream is open and nothing unread has come, neither bytes nor an end, as of now."""
+        """Whether the stream is open, without unread bytes and without an end of the peer, as of now."""
         return not (self._closed or self._eof or self._in or self._error)
 
     def ended(self, _since: int) -> bool:
-        """Whether the peer's end has come, also behind unread bytes, or the stream is closed."""
+        """Whether the peer has ended the stream, also behind unread bytes, or the stream is closed."""
         return self._eof or self._closed
 
     def shut_sending(self) -> None:
-        """Tell the peer that nothing more is sent; it can still be read."""
+        """Close the sending direction; the peer can still be read."""
         if not self._closed and (other := self.other) is not None:
             self._hub.at_outside(self._hub.now() + self.delay_us, lambda: other._end(None))
 
@@ -515,7 +515,7 @@
             self._hub.at_outside(self._hub.now() + self.delay_us, lambda: other._end(error))
 
     def close(self) -> None:
-        """Close; the peer reads what is on its way, then the end."""
+        """Close; the peer reads the bytes in flight, then the end."""
         self._leave(None)
 
     def abort(self) -> None:
@@ -524,7 +524,7 @@
 
 
 class MemoryListener:
-    """A place in a `MemoryNetwork` where streams arrive."""
+    """Accepts streams at an address of a `MemoryNetwork`."""
 
     def __init__(self, network: MemoryNetwork, address: tuple[str, int]) -> None:
         self._network, self.address = network, address
@@ -533,7 +533,7 @@
         self._waiters = Waiters(network.hub)
 
     def arrive(self, stream: MemoryStream) -> None:
-        """Take a new stream."""
+        """Add a new stream to the accept queue."""
         self._queue.append(stream)
         self._waiters.notify()
 
@@ -546,7 +546,7 @@
         return self._queue.popleft()
 
     def accept_now(self) -> MemoryStream | None:
-        """Return the next stream if one is there."""
+        """Return the next stream if one is pending."""
         return self._queue.popleft() if self._queue else None
 
     def close(self) -> None:
@@ -557,7 +557,7 @@
 
 
 class MemoryNetwork:
-    """Streams in memory under simulated time; `delay` says how long bytes take between two names."""
+    """Streams in memory in simulated time; `delay` returns the one-way delay from a name to an address."""
 
     def __init__(self, hub: Hub, delay: Callable[[str, tuple[str, int]], int] | None = None) -> None:
         self.hub = hub
@@ -566,7 +566,7 @@
         self._port = 20_000
 
     def connect(self, address: tuple[str, int], deadline: int | None = None, name: str = "") -> MemoryStream:
-        """Open a stream after one round trip. Raises ConnectionRefusedError where nobody listens."""
+        """Open a stream after one round trip. Raises ConnectionRefusedError without a listener there."""
         delay = self._delay(name, address)
         when = self.hub.now() + 2 * delay
         if deadline is not None and when > deadline:
@@ -575,7 +575,7 @@
         self.hub.sleep_until(when)
         listener = self.listeners.get(address)
         if listener is None:
-            raise ConnectionRefusedError(errno.ECONNREFUSED, f"nobody listens at {address[0]}:{address[1]}")
+            raise ConnectionRefusedError(errno.ECONNREFUSED, f"no listener at {address[0]}:{address[1]}")
         here = MemoryStream(self.hub, f"{address[0]}:{address[1]}", delay)
         there = MemoryStream(self.hub, name, delay)
         here.other, there.other = there, here
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""The hub on the virtual clock and over real sockets: its hard cases."""
+"""Edge cases of the hub, on the virtual clock and over real sockets."""
 
 import gc
 import os
@@ -38,20 +38,20 @@
         for at in range(100):
             here.write(b"%03d" % at)
         here.close()
-        got = b""
+        received = b""
         while data := there.read():
-            got += data
-        assert got == b"".join(b"%03d" % at for at in range(100))
+            received += data
+        assert received == b"".join(b"%03d" % at for at in range(100))
 
     on(main)
 
 
-def test_a_half_closed_peer_still_gets_its_answer(on):
+def test_bytes_before_the_end_of_a_stream_are_read(on):
     def main(hub, net):
         here, there, _ = pair(hub, net)
         there.write(b"answer")
         there.close()
-        hub.sleep(1000)  # the answer and the hang-up are both pending
+        hub.sleep(1000)  # the answer and the end of the stream are both pending
         assert here.read() == b"answer"
         assert here.read() == b""
 
@@ -68,7 +68,7 @@
     on(main)
 
 
-def test_a_client_that_never_reads_stops_being_served(on):
+def test_drain_waits_while_the_peer_does_not_read(on):
     def main(hub, net):
         here, there, _ = pair(hub, net)
         there.write(bytes(8 * HIGH_WATER))
@@ -84,7 +84,7 @@
     on(main)
 
 
-def test_nobody_listens(on):
+def test_a_connection_without_a_listener_is_refused(on):
     def main(hub, net):
         listener = net.listen(("127.0.0.1", 0))
         listener.close()
@@ -94,7 +94,7 @@
     on(main)
 
 
-def test_nobody_comes_by_the_deadline(on):
+def test_accept_without_a_client_ends_at_its_deadline(on):
     def main(hub, net):
         listener = net.listen(("127.0.0.1", 0))
         with pytest.raises(DeadlineExceeded):
@@ -116,13 +116,13 @@
     assert hub.run(main) == 3_600_000_005
 
 
-def test_nothing_left_to_wait_for_is_told():
+def test_a_wait_without_timers_on_the_virtual_clock_is_a_deadlock():
     hub = Hub.virtual()
     with pytest.raises(Deadlock):
         hub.run(lambda: Event(hub).wait())
 
 
-def test_an_error_in_a_task_ends_its_scope_and_its_siblings():
+def test_an_error_in_a_task_cancels_its_scope_and_siblings():
     hub, seen = Hub.virtual(), []
 
     def sibling():
@@ -148,7 +148,7 @@
     assert seen == [start + 10]
 
 
-def test_what_is_started_while_a_scope_ends_does_not_outlive_it():
+def test_a_task_started_while_its_scope_ends_does_not_outlive_it():
     hub = Hub.virtual()
 
     def cleaning(scope):
@@ -168,7 +168,7 @@
     assert hub.run(main) < 1000
 
 
-def test_cancelling_a_task_before_it_began_and_twice():
+def test_a_task_cancelled_twice_before_its_start_never_runs():
     hub, ran = Hub.virtual(), []
 
     def main():
@@ -182,7 +182,7 @@
     assert not ran
 
 
-def test_ten_thousand_cancelled_timers_leave_nothing():
+def test_cancelled_timers_are_pruned():
     hub = Hub.virtual()
 
     def main():
@@ -196,7 +196,7 @@
     hub.run(main)
 
 
-def test_a_descriptor_used_again_in_the_same_round_gets_no_old_events():
+def test_a_descriptor_reused_in_the_same_round_gets_no_old_events():
     hub = Hub()
 
     def main():
@@ -205,7 +205,7 @@
         wrong = []
 
         def swap(one, other):
-            # Both are readable in one poll; whichever runs first closes the other and reuses its number.
+            # Both are readable in one poll; the handler that runs first closes the other and reuses its number.
             def act(_events):
                 number = other._handler.fd
                 other.close()
@@ -223,29 +223,30 @@
         kept, seen = [], []
         streams[0]._handler.on_events = swap(streams[0], streams[1])
         streams[1]._handler.on_events = swap(streams[1], streams[0])
-        for stream, (_, far) in zip(streams, (first, second), strict=True):
+        for stream, (_, peer) in zip(streams, (first, second), strict=True):
             hub.set_interest(stream._handler, 1)
-            far.send(b"x")
+            peer.send(b"x")
         hub.sleep(1000)
         assert len(seen) == 1 and seen == [0]
 
     hub.run(main)
 
 
-def test_no_descriptor_left_rests_and_goes_on():
+def test_accept_pauses_without_a_free_descriptor_and_continues():
     hub, before = Hub(), resource.getrlimit(resource.RLIMIT_NOFILE)
 
     def main():
-        # What other tests left in cycles must not give a descriptor back between the last one and the accept.
+        # Reference cycles of other tests must not free a descriptor between the last socket and the accept.
         gc.collect()
         listener = SocketListener(hub, ("127.0.0.1", 0))
         here = socket.create_connection(listener.address)
-        hog = [socket.socket()]  # one at least to give back: there may be no gap below the highest descriptor
+        # At least one to close later: there may be no gap below the highest descriptor.
+        sockets = [socket.socket()]
         used = max(int(name) for name in os.listdir("/proc/self/fd"))
         resource.setrlimit(resource.RLIMIT_NOFILE, (used, before[1]))
         try:
             while True:
-                hog.append(socket.socket())
+                sockets.append(socket.socket())
         except OSError:
             pass
         with hub.scope() as scope:
@@ -253,8 +254,8 @@
             while not listener.exhausted and not task.done:
                 hub.sleep(1000)
             assert listener.exhausted
-            for one in hog:
-                one.close()
+            for sock in sockets:
+                sock.close()
         resource.setrlimit(resource.RLIMIT_NOFILE, before)
         assert task.result.peer.startswith("127.0.0.1:")
         here.close()
@@ -267,9 +268,9 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, before)
 
 
-def test_a_stall_is_told():
-    hub, told = Hub(stall_us=20_000), []
-    hub.on_stall = told.append
+def test_a_stall_is_reported():
+    hub, stalls = Hub(stall_us=20_000), []
+    hub.on_stall = stalls.append
 
     def main():
         until = hub.now() + 30_000
@@ -278,4 +279,4 @@
         hub.sleep(1)
 
     hub.run(main)
-    assert hub.stalls == 1 and told[0] >= 20_000
+    assert hub.stalls == 1 and stalls[0] >= 20_000
