--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -94,6 +94,6 @@
     written.close()
     reopened = ExtentMap(path)
     assert list(reopened.placements_of("v")) == [(1, 3)]
-    with reopened._env.begin() as transaction:
-        assert transaction.get(b"format") == b"2"
+    with reopened._env.begin() as reader:
+        assert reader.get(b"format") == b"2"
     reopened.close()
