--- a/harriertrack/decisions/fleet/scoring/weight_exchange.py
+++ b/harriertrack/decisions/fleet/scoring/weight_exchange.py
@@ -7,7 +7,7 @@
 time to time so that it does not go stale; within a limit of bytes a second, and less often the more heads
 publish: a page that follows before all heads have received the last one is wasted. At any time `reporters`
 heads publish, chosen by checksum, and others in the next turn: beyond that the traffic does not grow with the
-fleet. Pure; the encoding is in membership/fleet/weighing.py.
+fleet. Pure; the encoding is in membership/fleet/weight_pages.py.
 """
 
 from __future__ import annotations
