--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -33,7 +33,7 @@
     from harriertrack.decisions.fleet.budget_shares import BudgetShares
     from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
     from harriertrack.decisions.fleet.zones.evidence import Evidence
-    from harriertrack.gateway.fleet.carrier import Fleet
+    from harriertrack.gateway.fleet.member import FleetMember
     from harriertrack.gateway.fleet.rollout.carrier import Usage
     from harriertrack.gateway.fleet.rollout.program_user import Handover
     from harriertrack.gateway.fleet.scoring.carrier import Scored
@@ -44,7 +44,7 @@
 STOP_US = 10_000_000  # the longest that a head waits for its open requests when it is asked to stop
 
 
-def quiet(_event: str, **_fields: object) -> None:
+def log_nothing(_event: str, **_fields: object) -> None:
     """Log nothing."""
 
 
@@ -56,7 +56,7 @@
     listing: Callable[[HeadParts], Listing] = Listing
     module: Callable[[api.Settings, int], Scheduler | CellScheduler] = Scheduler
     datagrams: DatagramNetwork | None = None  # of its fleet; None: sockets
-    kept: ChangesCache | None = None  # its copy of the record of changes; None: a file
+    changes_cache: ChangesCache | None = None  # its copy of the record of changes; None: a file
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
     scorers: tuple[object, ...] = ()  # plugins beside the installed ones
     handover: Handover | None = None  # what started it, and starts other versions; None: nothing does
@@ -66,9 +66,10 @@
 class Head:
     """One head on a hub; `run` is its task. Raises SettingsError for a map of cells that can't be."""
 
-    def __init__(self, hub: Hub, network: Network, settings: HeadSettings, note: Callable[..., None] = quiet,
-                 extents: ExtentMap | None = None, name: str = "head",
-                 log: MissedLog | None = None, wiring: Wiring = Wiring()) -> None:  # fmt: skip
+    def __init__(self, hub: Hub, network: Network, settings: HeadSettings,
+                 note: Callable[..., None] = log_nothing, extents: ExtentMap | None = None,
+                 name: str = "head", log: MissedLog | None = None,
+                 wiring: Wiring = Wiring()) -> None:  # fmt: skip
         self.hub, self.settings = hub, settings
         self._network, self._note, self._name = network, note, name
         self._extents, self._log, self._wiring = extents, log, wiring
@@ -83,7 +84,7 @@
         self.reception: Reception
         self.mover: Mover
         self.module: Scheduler | CellScheduler
-        self.fleet: Fleet | None = None
+        self.fleet: FleetMember | None = None
         self.regional: Regional | None = None
         self._portions: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
@@ -144,21 +145,21 @@
         hub, settings, fleet = self.hub, self.settings, self.settings.fleet
         seed = settings.seed or hub.random.getrandbits(63)
         if fleet is not None and fleet.budgets is not None:
-            from harriertrack.gateway.fleet.budgets import portions_of  # other heads do not load it
+            from harriertrack.gateway.fleet.budgets import create_budget_shares  # other heads do not load it
 
-            self._portions = portions_of(settings, hub)
+            self._portions = create_budget_shares(settings, hub)
         self.module = self._module(self._told(settings), seed)
         decides: DecisionModule = self.module
         if self._portions is not None and fleet is not None and fleet.zones is not None:
             from harriertrack.decisions.fleet.zones.evidence import Evidence
-            from harriertrack.gateway.fleet.observing import Observed
+            from harriertrack.gateway.fleet.observing import ObservedModule
 
             self._evidence = Evidence({plan.name for plan in settings.plans if plan.reserve})
-            decides = Observed(self.module, self._evidence)
+            decides = ObservedModule(self.module, self._evidence)
         if self.scored is not None:
-            from harriertrack.gateway.fleet.observing import Observed
+            from harriertrack.gateway.fleet.observing import ObservedModule
 
-            decides = Observed(decides, self.scored.sights)
+            decides = ObservedModule(decides, self.scored.sights)
         self._counting = self._counts()
         self.core = Core(request_rules(settings), decides, settings.volumes, self, self.nodes, extents)
         return HeadParts(hub, self._network, scope, settings, self.core, self.nodes, self.head_id, self._note,
@@ -190,18 +191,18 @@
 
             nvme.start(self.reception, listeners[1], settings.nvme)
         if cells is not None:
-            scope.spawn("shares", self.reception.watch)
+            scope.spawn("shares", self.reception.monitor_load)
 
     def _join(self, parts: HeadParts, settings: FleetSettings, extents: ExtentMap) -> None:
         """Take part in the fleet."""
-        from harriertrack.gateway.fleet.beside import Beside  # other heads do not even load it
-        from harriertrack.gateway.fleet.carrier import Fleet
+        from harriertrack.gateway.fleet.member import FleetMember
+        from harriertrack.gateway.fleet.resources import HeadResources  # other heads do not even load it
 
         made = self._wiring
-        beside = Beside(self._listing, extents, self._links.epochs, self.regional, self.retell,
-                        self._links.shed, self._evidence, self.scored, made.datagrams, made.kept,
+        beside = HeadResources(self._listing, extents, self._links.epochs, self.regional, self.apply_settings,
+                        self._links.shed, self._evidence, self.scored, made.datagrams, made.changes_cache,
                         made.handover, made.usage)  # fmt: skip
-        self.fleet = Fleet(parts, settings, beside)
+        self.fleet = FleetMember(parts, settings, beside)
         self.fleet.start()
 
     def _take_no_more(self, listeners: list[Listener]) -> None:
@@ -242,7 +243,7 @@
             return self._wiring.module(told, seed)
         return Scheduler(told, seed, None, portions, weights)
 
-    def retell(self, settings: HeadSettings) -> None:
+    def apply_settings(self, settings: HeadSettings) -> None:
         """Go by other settings from now on; the caller has checked that a running head can take them.
 
         What came before is decided as things were, and what is open keeps its time.
@@ -251,26 +252,26 @@
         self.core.flush(now)
         told = self._told(settings)
         if self._portions is not None and settings.fleet is not None and settings.fleet.budgets is not None:
-            from harriertrack.gateway.fleet.budgets import divided_of
+            from harriertrack.gateway.fleet.budgets import budget_specs
 
             plans, others = (
                 {one.name: one for one in module_settings(head).plans} for head in (before, settings)
             )
-            self._portions.update_totals(now, plans, others, divided_of(settings.fleet.budgets))
+            self._portions.update_totals(now, plans, others, budget_specs(settings.fleet.budgets))
         self.core.apply_settings(now, request_rules(settings), told)
         self._links.settings = settings
-        self.mover.retell(settings)
+        self.mover.apply_settings(settings)
         if self.regional is not None:
             self.regional.reserves = {plan.name: plan.reserve for plan in settings.plans}
-        self.reception.retell(settings)
+        self.reception.apply_settings(settings)
         if self.fleet is not None and settings.fleet is not None:
-            self.fleet.retell(settings.fleet)
+            self.fleet.reconfigure(settings.fleet)
 
     def _may_move(self, volume: str) -> bool:
         # Without a lease's epoch, its own or the holder's, nobody else's newer work would be noticed.
         return self.regional is None or self.regional.acts_on(volume)
 
-    def take_cells(self, cells: HeadCellMap) -> None:
+    def apply_cell_map(self, cells: HeadCellMap) -> None:
         """Follow a newer map of cells. Raises StaleMapError for one that is not newer."""
         assert isinstance(self.module, CellScheduler), "a head without cells has no map"
         self.module.apply_map(cells)
@@ -287,7 +288,7 @@
                 if text == known:
                     continue
                 known = text
-                self.take_cells(head_map(path, self.settings.volumes))
+                self.apply_cell_map(head_map(path, self.settings.volumes))
             except StaleMapError:
                 pass  # the one in hand, or an older one put back
             except (OSError, SettingsError) as error:
@@ -326,7 +327,7 @@
 
     def answer(self, request: ClientRequest) -> None:
         """Hand a final answer to whoever asked."""
-        self.reception.ended(request)
+        self.reception.release(request)
         if self._counting is not None:
             self._counting.count_answer(self.hub.now(), request)
         request.requester.answer(request)
@@ -337,7 +338,7 @@
 
     def ask_list(self) -> None:
         """Ask for the node list now."""
-        self._listing.ask_now()
+        self._listing.request_now()
 
     def wake_at(self, when: int) -> None:
         """Flush the core at a time."""
--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -37,9 +37,9 @@
 
 FAULTS = (
     Fault("the dead are never found", "views", f"{SWIM}.suspects:SuspectTimers.run_out", "return over", "self.first_at = now + 10**9\n    return []"),
-    Fault("nobody objects", "views", f"{SWIM}.updates:Updates._handle_own_record", "self.take(now, member.updated_record(incarnation=record.incarnation + 1))", "pass"),
-    Fault("a share is lent before it is back", "budgets", f"{LEDGER}:BudgetAccount.committed", "slip.committed", "slip.granted"),
-    Fault("a term opens at once", "budgets", f"{TERMS}.handle_acquire", "now + earlier", "now"),
+    Fault("nobody objects", "views", f"{SWIM}.updates:Updates._handle_own_record", "self.apply(now, member.updated_record(incarnation=record.incarnation + 1))", "pass"),
+    Fault("a share is lent before it is back", "budgets", f"{LEDGER}:BudgetAccount.committed", "holding.committed", "holding.granted"),
+    Fault("a term opens at once", "budgets", f"{TERMS}.handle_acquire", "now + earlier_us", "now"),
     Fault("a ledger ends leases early", "budgets", f"{BUDGETS}:BudgetRules.granter_lease_us", "lease_us * (1 + self.clock_error)", "lease_us * 0.2"),
     Fault("a share never lapses", "budgets", f"{HOLDER}._drop", "held.share.drop_leased(now)", "pass"),
     Fault("a restored record is left", "record", f"{KEEPING}:put_back", "there.revision >= known.revision", "True"),
@@ -48,7 +48,7 @@
           "newer = found is not None"),
     Fault("what is newer is not fetched", "record", f"{FOLLOWING}.observe_revision", "if revision > max(self.highest_seen, self.record.revision):", "if False:"),
     Fault("a zone that is out stays out", "zones", f"{ZONES}.resume", "ZoneState(word.stage, now", "ZoneState(word.stage, now + 10**9"),
-    Fault("a head alone leaves a zone", "zones", f"{ZONES}.summarize", "if not any(sight.responding for sight in seen.sights) and len(seen.sights) != 1:", "if False:"),
+    Fault("a head alone leaves a zone", "zones", f"{ZONES}.summarize", "if not any(one.responding for one in report.observations) and len(report.observations) != 1:", "if False:"),
     Fault("a fence opens in doubt", "closes", f"{CLOSING}.fences:Fence.state", "reading.high < after[0].at_us", "reading.low < after[0].at_us"),
     Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.closes_to_purge", "min(reading.low, confirmed_until)", "min(reading.high, confirmed_until)"),
     Fault("slices are done untrimmed", "closes", f"{CLOSING}.sweeps:Sweep.done_slices", "if not extents", "if True"),
@@ -57,7 +57,7 @@
     Fault("a stage ends unheard", "rollouts", f"{ROLLOUT}.rollout:Rollout._unmet_condition", "if missing > int(self.plan.missing * len(named)) or not running:", "if not running:"),
     Fault("two versions change at once", "rollouts", f"{ROLLOUT}.rollout:blocking_version", "if running is not None:", "if False:"),
     Fault("a version is never taken back", "rollouts", f"{ROLLOUT}.rollout:Rollout._continue_rollback", "VersionState.REVERTING", "VersionState.ADVANCING"),
-    Fault("weights have no bound on bytes", "scores", "membership.fleet.topics:TopicNotes.refill", "min(self._rate, self._spare + self._rate * max(0, now - self._at) / 1e6)", "10.0**9"),
+    Fault("weights have no bound on bytes", "scores", "membership.fleet.topics:TopicNotes.refill", "min(self._rate, self._tokens + self._rate * max(0, now - self._refilled_at) / 1e6)", "10.0**9"),
 )  # fmt: skip
 
 
