--- a/harriertrack/gateway/fleet/rollout/remembered.py
+++ b/harriertrack/gateway/fleet/rollout/remembered.py
@@ -19,7 +19,7 @@
     """One head's file. If it can't be read or written, that is logged and other heads' baselines are used."""
 
     def __init__(self, kept: ChangesCache, note: Callable[..., None]) -> None:
-        self._file, self._note = kept.beside(FILE), note
+        self._file, self._note = kept.sibling(FILE), note
 
     def write(self, wall: int, before: Baseline) -> None:
         """Store a baseline; `wall`: the wall clock, in microseconds since 1970."""
--- a/harriertrack/gateway/mover.py
+++ b/harriertrack/gateway/mover.py
@@ -43,7 +43,7 @@
                 if misplaced_extents(home, fixed, cells.shards):
                     self._note("can't move", volume=name, why="its extents were allocated beforehand")
                 continue
-            left = misplaced_extents(home, self._core.placements.placed(name), cells.shards)
+            left = misplaced_extents(home, self._core.placements.placements_of(name), cells.shards)
             before = self.moves.get(name)
             # The extent in progress ends up where its write was sent, perhaps outside the new cell.
             if before is not None and before.extent_in_progress >= 0:
@@ -61,7 +61,7 @@
             while not self._may_act(move.volume):
                 self._hub.sleep(WAIT_US)
             if move.state is MoveState.SETTLING:
-                placed = self._core.placements.placed(move.volume)
+                placed = self._core.placements.placements_of(move.volume)
                 move.finish_check(misplaced_extents(cells.volumes[move.volume], placed, cells.shards))
                 continue
             extent = move.next_extent(self._hub.now())
@@ -80,7 +80,7 @@
     def _trim_leftovers(self, move: Move, cells: HeadCellMap) -> None:
         """Trim the extents left at old shards, by this move or by an earlier one that a kill interrupted."""
         placements, volume = self._core.placements, move.volume
-        trims = move.leftover_trims(placements.left(volume), dict(placements.placed(volume)))
+        trims = move.leftover_trims(placements.leftovers(volume), dict(placements.placements_of(volume)))
         count = len(trims.remaining)
         while self._version == cells.version and (left := trims.next_trim()) is not None:
             extent, shard = left
@@ -89,7 +89,7 @@
             done = self._do(volume, Kind.TRIM, start, length, at_shard=shard)
             assert done.outcome is not None
             if done.outcome is Outcome.SERVED:
-                placements.forgot(volume, extent, shard)
+                placements.remove_leftover(volume, extent, shard)
             self._hub.sleep_until(trims.finish_trim(self._hub.now(), done.outcome))
         if count:
             trimmed = count - trims.given_up - len(trims.remaining)
--- a/harriertrack/service/head.py
+++ b/harriertrack/service/head.py
@@ -30,7 +30,7 @@
     def shard_of(self, volume: str, extent: int) -> int | None:
         """Return None: no placement is known."""
 
-    def placed(self, volume: str) -> Iterator[tuple[int, int]]:
+    def placements_of(self, volume: str) -> Iterator[tuple[int, int]]:
         """Return an empty iterator."""
         return iter(())
 
@@ -38,11 +38,11 @@
         """Raise RuntimeError: requests that carry their placement place no extents."""
         raise RuntimeError("the platform's requests place no extents")
 
-    def left(self, volume: str) -> list[tuple[int, int]]:
+    def leftovers(self, volume: str) -> list[tuple[int, int]]:
         """Return an empty list."""
         return []
 
-    def forgot(self, volume: str, extent: int, shard: int) -> None:
+    def remove_leftover(self, volume: str, extent: int, shard: int) -> None:
         """Do nothing: there is no placement to forget."""
 
 
