--- a/harriertrack/lab/interleaving/scenarios/links.py
+++ b/harriertrack/lab/interleaving/scenarios/links.py
@@ -78,7 +78,7 @@
             nodes = SimpleNamespace(find=lambda _name: SimpleNamespace(address=(NODE, 1)))
             parts = SimpleNamespace(
                 hub=hub, network=world.network, settings=own, core=_Core(), nodes=nodes, head_id=7,
-                scope=scope, note=lambda *_args, **_fields: None, name=HEAD, portions=None,
+                scope=scope, note=lambda *_args, **_fields: None, name=HEAD, budget_shares=None,
             )  # fmt: skip
             return cast(HeadParts, parts)
 
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -187,7 +187,7 @@
         )
     else:
         monkeypatch.setattr("harriertrack.membership.fleet.topics.TopicNotes.refill",
-                            lambda self, _now: setattr(self, "_spare", 1e9))  # fmt: skip
+                            lambda self, _now: setattr(self, "_tokens", 1e9))  # fmt: skip
         settings = msgspec.structs.replace(
             day.scoring, say_us=100_000, look_us=100_000, say_bytes=5000, again_us=100_000
         )
