--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -164,16 +164,16 @@
         "max-hint": core._retry_queue.patience.rules.most_us,
         "class: deadline": core._state.deadlines["read"],
         "limits: connections": reception.shares.limits.connections,
-        "limits: in-flight": reception.door.bounds.requests,
-        "limits: in-flight-bytes": reception.door.bounds.request_bytes,
+        "limits: in-flight": reception.admission.bounds.requests,
+        "limits: in-flight-bytes": reception.admission.bounds.request_bytes,
         "limits: offers": core._retry_queue.patience.rules.offers,
         "limits: held": core.rules.max_open_parts,
         "limits: borrow": reception.shares.limits.borrow,
         "limits: dial": limits.dial_us,
         "limits: idle": limits.idle_us,
         "limits: handshake": reception.settings.limits.handshake_us,
-        "fleet: budgets: budget: whole": head._portions.specs[BudgetKind.TRIALS].rate,
-        "fleet: budgets: budget: burst": head._portions.specs[BudgetKind.TRIALS].burst,
+        "fleet: budgets: budget: whole": head._budget_shares.specs[BudgetKind.TRIALS].rate,
+        "fleet: budgets: budget: burst": head._budget_shares.specs[BudgetKind.TRIALS].burst,
     }
     if path in special:
         return special[path]
