--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -41,7 +41,7 @@
     from harriertrack.decisions import scheduler
 
     monkeypatch.setattr(
-        scheduler.Scheduler, "_sendable", lambda self, node: node.entry.state is not NodeState.GONE
+        scheduler.Scheduler, "_accepts_requests", lambda self, node: node.entry.state is not NodeState.GONE
     )
     assert {one.rule for one in checker.check(recording("drain"))} == {3}
 
