--- a/harriertrack/decisions/fleet/closing/calendars.py
+++ b/harriertrack/decisions/fleet/closing/calendars.py
@@ -79,13 +79,10 @@
                 return move(record, VersionState.ABORTED, str(error))
             uncovered = uncovered_purges(purges, _earlier_purges(record, thing, codec))
             if not uncovered:
-                return move(record, VersionState.IN_FORCE, "valid calendar")
+                return move(record, VersionState.IN_FORCE, "a calendar that can be")
             first = uncovered[0]
             until = str(first.end) if first.end else "the end"
-            why = (
-                f"would purge {first.volume} from {first.start} to {until}, "
-                "which no earlier calendar did: resume to confirm"
-            )
+            why = f"would purge {first.volume} from {first.start} to {until}, as none did before: resume it"
             return move(move(record, VersionState.ADVANCING, why), VersionState.PAUSED, why)
         case VersionState.ADVANCING:
             return move(record, VersionState.IN_FORCE, going.reason or "resumed")
--- a/harriertrack/decisions/fleet/closing/fences.py
+++ b/harriertrack/decisions/fleet/closing/fences.py
@@ -56,9 +56,9 @@
         known = {one.number: one.at_us for one in self.schedule.closes if one.number <= self.last_purged}
         for one in schedule.closes:
             if known.get(one.number, one.at_us) != one.at_us:
-                return f"close {one.number} was done here, at another time"
+                return f"close {one.number} is done here, at another time"
         if schedule.last_number < self.last_purged:
-            return f"it ends with close {schedule.last_number}, and {self.last_purged} were done here"
+            return f"it ends with close {schedule.last_number}, and {self.last_purged} are done here"
         self.schedule = schedule
         return ""
 
--- a/harriertrack/decisions/fleet/rollout/controller.py
+++ b/harriertrack/decisions/fleet/rollout/controller.py
@@ -241,7 +241,7 @@
             return ""
         mine, others = tracked.evidence.crash_counts()
         if plan.bounds.crashes and mine - others >= plan.bounds.crashes:
-            return f"{mine} unrequested exits with it, {others} without"
+            return f"{mine} heads with it ended unasked, {others} without"
         excess = excess_usage(tracked.evidence, plan)
         # A single measurement may be momentary: the excess has to last from one check to the next.
         found, tracked.excess = (excess if tracked.excess else ""), excess
--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -136,7 +136,7 @@
             self.first_seen_at = now
             return None
         if now < self.first_seen_at + self.plan.before_us:
-            self.waiting_for = "heads are observed before the change"
+            self.waiting_for = "heads are watched as they are"
             return None
         return self._name_heads(version, 1, (), members, me)
 
@@ -203,7 +203,7 @@
         return None
 
     def _put_in_force(self, version: Version) -> Step:
-        return Step(version, VersionState.IN_FORCE, "all reporting heads run it", version.stage, ())
+        return Step(version, VersionState.IN_FORCE, "all that are heard run it", version.stage, ())
 
     def _unmet_condition(self, now: int, stage: Stage, named: tuple[str, ...],
                          members: Mapping[str, HeadState], finding: Finding) -> str:  # fmt: skip
@@ -214,10 +214,10 @@
         missing = len(named) - len(running)
         if missing > int(self.plan.missing * len(named)) or not running:
             examples = ", ".join(sorted(set(named) - set(running))[:3])
-            return f"{missing} of {len(named)} heads do not report that they run it: {examples}"
+            return f"{missing} of {len(named)} heads are not heard to run it: {examples}"
         left = max(self.running_since[name] for name in running) + stage.soak_us - now
         if left > 0:
-            return f"soak: {left / 1e6:.0f} s left"
+            return f"soaks {left / 1e6:.0f} s more"
         return "" if finding.verdict is Verdict.NOT_WORSE else f"{finding.verdict.value}: {finding.why}"
 
     # -- back
@@ -258,7 +258,7 @@
                 VersionState.STOPPED if version.reason.startswith(STOPPED_PREFIX) else VersionState.ABORTED
             )
             return Step(version, final, version.reason, version.stage, ())
-        self.waiting_for = "heads that go back are away" if named else "heads still report that they run it"
+        self.waiting_for = "heads that go back are away" if named else "heads are still heard to run it"
         return None
 
 
--- a/harriertrack/decisions/fleet/rollout/sequential_test.py
+++ b/harriertrack/decisions/fleet/rollout/sequential_test.py
@@ -161,7 +161,7 @@
                 who = "all heads" if alone else "the other heads"
                 return Finding(Verdict.FLEET_WORSE, f"{measure.value}: {who} are worse than before")
         if not least:
-            return Finding(Verdict.NOT_WORSE, "no answers are required")
+            return Finding(Verdict.NOT_WORSE, "nothing is waited for")
         first = [one for key, one in self.comparisons.items() if key[1] and key[0] is self.plan.measures[0]]
         total = sum(one.new.n + one.old.n for one in first)
         for key, one in self.comparisons.items():
@@ -171,7 +171,9 @@
             if one.new.n >= least and ratios[key][1] > passes:
                 return Finding(Verdict.NOT_YET, _describe(key, one))
         if not any(one.new.n for one in first):
-            left_out = "; ".join(f"{head} is left out, {why}" for head, why in sorted(self.outliers.items()))
+            left_out = "; ".join(
+                f"{head} is not believed, {why}" for head, why in sorted(self.outliers.items())
+            )
             return Finding(Verdict.NOT_YET, f"no answers yet{left_out and ': ' + left_out}")
         return Finding(Verdict.NOT_WORSE, f"{sum(one.new.n for one in first)} answers")
 
--- a/harriertrack/decisions/fleet/scoring/scorer_guard.py
+++ b/harriertrack/decisions/fleet/scoring/scorer_guard.py
@@ -94,7 +94,7 @@
             self._transition(ScorerState.SUSPENDED)
             return False
         if self.state is not ScorerState.PENDING:
-            raise IllegalScorerStep(f"an answer without a query in state {self.state.value}")
+            raise IllegalScorerStep(f"nothing was asked, it {self.state.value}")
         try:
             validated = self._validate(answers)
         except InvalidScores as bad:
@@ -116,7 +116,7 @@
             if answer.took_us > self._rules.slow_us:
                 raise InvalidScores(
                     ScorerFault.SLOW,
-                    f"{answer.took_us / 1e3:.0f} ms, at most {self._rules.slow_us / 1e3:g} are allowed",
+                    f"{answer.took_us / 1e3:.0f} ms, {self._rules.slow_us / 1e3:g} may be",
                 )
             scores = validate_scores(answer.snapshot, answer.scores)
             for snapshot, before in known:
