--- a/harriertrack/decisions/fleet/rollout/controller.py
+++ b/harriertrack/decisions/fleet/rollout/controller.py
@@ -265,7 +265,7 @@
         return ""
     reporting = len({head for head, _ in tracked.test.baseline})
     outliers = "".join(f"; not {head}, {why}" for head, why in sorted(tracked.test.outliers.items()))
-    return f" (baseline of {reporting} of {tracked.weighed_heads} heads{outliers})"
+    return f" (before as {reporting} of {tracked.weighed_heads} heads tell it{outliers})"
 
 
 def _withdraw(version: Version, why: str) -> Step | None:
--- a/harriertrack/decisions/requests/closes.py
+++ b/harriertrack/decisions/requests/closes.py
@@ -14,7 +14,7 @@
 from harriertrack.decisions.requests.state import CoreState
 from harriertrack.decisions.splitting import Outcome
 
-CLOSED = "a close of business may have purged this range"
+CLOSED = "a close may have come"
 
 
 class CloseHandling:
--- a/harriertrack/gateway/front.py
+++ b/harriertrack/gateway/front.py
@@ -208,7 +208,7 @@
     def _peer_command(self, event: Request) -> None:
         regional, report = self._front.regional, None
         if regional is None or self.origin is not Origin.RELAY:
-            self._reject(event, Errno.EINVAL, "only the other region's head may send this command")
+            self._reject(event, Errno.EINVAL, "only the other region's head may say so")
             return
         if event.command is Command.DIGEST:
             self._digest(event)
--- a/harriertrack/membership/fleet/status_document.py
+++ b/harriertrack/membership/fleet/status_document.py
@@ -124,7 +124,7 @@
 class ZoneLeaveCost(msgspec.Struct, frozen=True):
     """The cost of leaving a zone now, in requests a second, from the observations of all heads."""
 
-    served: float  # there
+    served: float  # in the zone
     stays: float  # of these, for data stored there: they would be refused
     moves: float  # ... for new objects, which would go elsewhere
     reserved: float  # of `moves`, those of plans with a reservation
