--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -18,9 +18,9 @@
 from harriertrack.gateway.client import NbdClient
 from harriertrack.gateway.nvme_client import NvmeClient, io_sqe
 from harriertrack.protocol.nbd.wire import Command
-from harriertrack.protocol.nvme.admin import BLOCK, Io
+from harriertrack.protocol.nvme.admin import BLOCK_BYTES, IoOpcode
 from harriertrack.protocol.nvme.transport import NO_DIGESTS
-from harriertrack.protocol.nvme.wire import Dgst, Status
+from harriertrack.protocol.nvme.wire import DigestFlags, Status
 from harriertrack.runtime.hub import Hub, Scope
 from harriertrack.runtime.streams import SocketNetwork
 
@@ -60,14 +60,15 @@
             if front == "nbd":
                 asks = [lambda at, client=client: ask_nbd(client, at) for client in nbd(scope)]
             else:
-                digests = Dgst.HEADER | Dgst.DATA if "digests" in front else NO_DIGESTS
+                digests = DigestFlags.HEADER | DigestFlags.DATA if "digests" in front else NO_DIGESTS
                 host = NvmeClient(hub, SocketNetwork(hub), ("127.0.0.1", port), digests)
                 host.connect(scope, NQN)
                 queues = [host.io(scope) for _ in range(depth)]
 
                 def ask(at: int, queue) -> bool:  # type: ignore[no-untyped-def]
-                    sqe = io_sqe(Io.READ if kind == "read" else Io.WRITE, 1, at // BLOCK, BYTES // BLOCK,
-                                 expects=BYTES if kind == "read" else 0)  # fmt: skip
+                    opcode = IoOpcode.READ if kind == "read" else IoOpcode.WRITE
+                    expects = BYTES if kind == "read" else 0
+                    sqe = io_sqe(opcode, 1, at // BLOCK_BYTES, BYTES // BLOCK_BYTES, expects=expects)
                     data = b"" if kind == "read" else b"x" * BYTES
                     return bool(queue.call(sqe, data).cqe.status == Status.SUCCESS)
 
--- a/harriertrack/cli/nvme.py
+++ b/harriertrack/cli/nvme.py
@@ -10,9 +10,9 @@
 
 from harriertrack.cli.common import fail
 from harriertrack.gateway.nvme_client import NvmeClient, NvmeError, io_sqe
-from harriertrack.protocol.nvme.admin import BLOCK, DISCOVERY_NQN, Io
+from harriertrack.protocol.nvme.admin import BLOCK_BYTES, DISCOVERY_NQN, IoOpcode
 from harriertrack.protocol.nvme.transport import NO_DIGESTS
-from harriertrack.protocol.nvme.wire import Dgst, Sqe
+from harriertrack.protocol.nvme.wire import DigestFlags, Sqe
 from harriertrack.runtime.hub import DeadlineExceeded, Hub, Scope
 from harriertrack.runtime.streams import SocketNetwork
 
@@ -38,7 +38,7 @@
     at = (match[1], int(match[2] or (8009 if nqn == DISCOVERY_NQN else 4420)))
 
     def run() -> None:
-        asked = Dgst.HEADER | Dgst.DATA if digests else NO_DIGESTS
+        asked = DigestFlags.HEADER | DigestFlags.DATA if digests else NO_DIGESTS
         client = NvmeClient(hub, SocketNetwork(hub), at, asked)
         deadline = hub.now() + TIMEOUT_US
         with hub.scope("nvme") as scope:
@@ -75,7 +75,7 @@
     def use(client: NvmeClient, _scope: Scope, deadline: int) -> None:
         info = client.info
         click.echo(f"controller {info.cntlid}, {info.model} {info.serial}")
-        click.echo(f"transfers up to {info.most_transfer} bytes, {info.in_capsule} in a capsule; "
+        click.echo(f"transfers up to {info.max_transfer} bytes, {info.in_capsule} in a capsule; "
                    f"retry delays {info.retry_delays} x 100 ms")  # fmt: skip
         for nsid, one in client.namespaces(deadline).items():
             only = ", read only" if one.read_only else ""
@@ -85,15 +85,15 @@
 
 
 def _blocks(offset: int, length: int) -> tuple[int, int]:
-    if offset % BLOCK or length % BLOCK or not length:
-        fail(f"offset and length have to be multiples of {BLOCK} bytes")
-    return offset // BLOCK, length // BLOCK
+    if offset % BLOCK_BYTES or length % BLOCK_BYTES or not length:
+        fail(f"offset and length have to be multiples of {BLOCK_BYTES} bytes")
+    return offset // BLOCK_BYTES, length // BLOCK_BYTES
 
 
 @nvme.command("read")
 @address
 @click.argument("offset", type=click.IntRange(0))
-@click.argument("length", type=click.IntRange(BLOCK, MOST))
+@click.argument("length", type=click.IntRange(BLOCK_BYTES, MOST))
 @nqn_option
 @nsid_option
 @digests_option
@@ -102,7 +102,7 @@
     block, blocks = _blocks(offset, length)
 
     def use(client: NvmeClient, scope: Scope, deadline: int) -> None:
-        sqe = io_sqe(Io.READ, nsid, block, blocks, expects=length)
+        sqe = io_sqe(IoOpcode.READ, nsid, block, blocks, expects=length)
         sys.stdout.buffer.write(client.io(scope, deadline).must(sqe, deadline=deadline).data)
         sys.stdout.buffer.flush()
 
@@ -119,12 +119,12 @@
 def nvme_write(address: str, offset: int, text: str, nqn: str, nsid: int, digests: bool) -> None:
     """Write TEXT at OFFSET, filled up with zeroes to whole blocks, and flush; "-" takes standard input."""
     data = sys.stdin.buffer.read(MOST) if text == "-" else text.encode()
-    data = data.ljust(-(-len(data) // BLOCK) * BLOCK, b"\0")
+    data = data.ljust(-(-len(data) // BLOCK_BYTES) * BLOCK_BYTES, b"\0")
     block, blocks = _blocks(offset, len(data))
 
     def use(client: NvmeClient, scope: Scope, deadline: int) -> None:
         queue = client.io(scope, deadline)
-        queue.must(io_sqe(Io.WRITE, nsid, block, blocks), data, deadline)
-        queue.must(Sqe(Io.FLUSH, 0, nsid), deadline=deadline)
+        queue.must(io_sqe(IoOpcode.WRITE, nsid, block, blocks), data, deadline)
+        queue.must(Sqe(IoOpcode.FLUSH, 0, nsid), deadline=deadline)
 
     _with(address, nqn, digests, use)
--- a/harriertrack/gateway/client.py
+++ b/harriertrack/gateway/client.py
@@ -4,7 +4,13 @@
 
 from collections.abc import Callable, Sequence
 
-from harriertrack.protocol.nbd.client import ClientConnection, ClientState, Greeted, OptionDone, Reply
+from harriertrack.protocol.nbd.client import (
+    ClientConnection,
+    ClientState,
+    GreetingReceived,
+    OptionEnded,
+    Reply,
+)
 from harriertrack.protocol.nbd.wire import BASE_ALLOCATION, Command, ProtocolViolation, TransmissionFlags
 from harriertrack.runtime.hub import Hub, Scope, answer_of
 from harriertrack.runtime.streams import Network, Stream
@@ -25,7 +31,7 @@
         self._stream: Stream | None = None
         self._cookie = 0
         self._callbacks: dict[int, Callable[[Reply | None], None]] = {}
-        self._events: list[Greeted | OptionDone | Reply] = []
+        self._events: list[GreetingReceived | OptionEnded | Reply] = []
         self.size = 0
         self.flags = TransmissionFlags(0)
         self.block_sizes = (1, 4096, 0)
@@ -50,7 +56,7 @@
 
     def names(self, deadline: int | None = None) -> list[str]:
         """Return the names of the exports. Raises NbdClientError."""
-        self._nbd.ask_list()
+        self._nbd.send_list()
         return self._option(deadline).names
 
     def go(
@@ -63,24 +69,24 @@
     ) -> None:
         """Select an export; from then on a task of `scope` reads replies. Raises NbdClientError."""
         if structured:
-            self._nbd.ask_structured()
+            self._nbd.send_structured_reply()
             requested = self._contexts if contexts is None else contexts
             if not self._option(deadline, must=False).error and requested:
-                self._nbd.ask_contexts(export, requested)
+                self._nbd.send_meta_contexts(export, requested)
                 self._option(deadline, must=False)
-        self._nbd.ask_go(export)
+        self._nbd.send_go(export)
         done = self._option(deadline)
         self.size, self.flags, self.block_sizes = done.size, TransmissionFlags(done.flags), done.block_sizes
         scope.spawn(f"{self._name} replies", self._replies)
 
-    def _option(self, deadline: int | None, must: bool = True) -> OptionDone:
+    def _option(self, deadline: int | None, must: bool = True) -> OptionEnded:
         event = self._await(deadline)
-        assert isinstance(event, OptionDone)
+        assert isinstance(event, OptionEnded)
         if event.error and must:
             raise NbdClientError(event.message or f"the server answered {event.error:#x}")
         return event
 
-    def _await(self, deadline: int | None) -> Greeted | OptionDone | Reply:
+    def _await(self, deadline: int | None) -> GreetingReceived | OptionEnded | Reply:
         self._push()
         while not self._events:
             assert self._stream is not None
@@ -159,7 +165,7 @@
             if self._nbd.state is ClientState.TRANSMISSION:
                 self._nbd.disconnect()
             elif self._nbd.state is ClientState.OPTIONS:
-                self._nbd.ask_abort()
+                self._nbd.send_abort()
             self._push()
             self._stream.close()
 
--- a/harriertrack/gateway/front.py
+++ b/harriertrack/gateway/front.py
@@ -26,10 +26,10 @@
     identity_of,
 )  # fmt: skip
 from harriertrack.protocol.nbd.server import (
-    Aborted,
     Disconnect,
     ExportInfo,
-    Opened,
+    ExportOpened,
+    HandshakeAborted,
     Request,
     ServerConnection,
     ServerState,
@@ -146,11 +146,11 @@
                 self._push()  # error replies, which come without an event
                 for event in events:
                     match event:
-                        case Request(command=Command.TICK | Command.CAUGHT | Command.DIGEST):
+                        case Request(command=Command.TICK | Command.CAUGHT_UP | Command.DIGEST):
                             self._peer_command(event)
                         case Request():
                             self._request(event)
-                        case Opened():
+                        case ExportOpened():
                             self.volume = event.export.name
                             if not self._identify(event.contexts):
                                 return
@@ -162,7 +162,7 @@
                                        hears_hints=self.supports_hints)  # fmt: skip
                         case Disconnect():
                             self._finish_open()
-                        case Aborted():
+                        case HandshakeAborted():
                             return
                 if self._nbd.state is ServerState.CLOSED:
                     break
@@ -238,7 +238,7 @@
                 0,
                 requester,
                 origin=self.origin,
-                tick=event.token,
+                tick=event.tick,
                 reader=self,
                 generation=self._generation,
             )
@@ -276,7 +276,7 @@
         catch_up_read = self.origin is Origin.RELAY and kind is Kind.READ and event.flags & CommandFlags.DF
         request = ClientRequest(
             volume, kind, event.offset, event.length, event.data, event.flags, self,
-            origin=self.origin, epoch=self._epoch, tick=event.token, reader=self if catch_up_read else None,
+            origin=self.origin, epoch=self._epoch, tick=event.tick, reader=self if catch_up_read else None,
             generation=self._generation, arrived_at=self._stream.came_at,
         )  # fmt: skip
         if not self.supports_hints:
--- a/harriertrack/gateway/links.py
+++ b/harriertrack/gateway/links.py
@@ -13,7 +13,13 @@
 from harriertrack.decisions.requests import Attempt
 from harriertrack.decisions.splitting import Kind
 from harriertrack.gateway.parts import HeadParts
-from harriertrack.protocol.nbd.client import ClientConnection, ClientState, Greeted, OptionDone, Reply
+from harriertrack.protocol.nbd.client import (
+    ClientConnection,
+    ClientState,
+    GreetingReceived,
+    OptionEnded,
+    Reply,
+)
 from harriertrack.protocol.nbd.extension import context_of, cookie_of
 from harriertrack.protocol.nbd.wire import Command, ProtocolViolation
 from harriertrack.runtime.hub import Cancelled, DeadlineExceeded, Timer
@@ -113,7 +119,7 @@
         self._links.core.attempt_sent(attempt)
 
     def _cancel(self, cookie: int) -> None:
-        if self._nbd.extended:
+        if self._nbd.has_extension:
             self._nbd.cancel(cookie)
             self._push()
 
@@ -166,24 +172,24 @@
         deadline = self._hub.now() + self._links.settings.limits.dial_us
         self._links.await_connection(self, deadline)
         self._stream = self._links.network.connect(self.address, deadline, self._links.name)
-        self._await(Greeted, deadline)
-        self._nbd.ask_structured()
+        self._await(GreetingReceived, deadline)
+        self._nbd.send_structured_reply()
         if not self._option(deadline).error:
-            self._nbd.ask_contexts(self.volume, [context_of(self._links.head_id, self.epoch)])
+            self._nbd.send_meta_contexts(self.volume, [context_of(self._links.head_id, self.epoch)])
             self._option(deadline)
-        if not self._nbd.extended and not self._links.settings.plain_nodes:
+        if not self._nbd.has_extension and not self._links.settings.plain_nodes:
             raise LinkError("the node drops no repeats (plain NBD), and (plain-nodes yes) is not set")
-        self._nbd.ask_go(self.volume)
+        self._nbd.send_go(self.volume)
         done = self._option(deadline)
         if done.error:
             raise LinkError(f"export {self.volume}: {done.message or hex(done.error)}")
         if done.size < self._links.sizes[self.volume]:
             raise LinkError(f"export {self.volume} has {done.size} bytes; the volume is larger")
 
-    def _option(self, deadline: int) -> OptionDone:
-        return self._await(OptionDone, deadline)
+    def _option(self, deadline: int) -> OptionEnded:
+        return self._await(OptionEnded, deadline)
 
-    def _await(self, kind: type, deadline: int) -> OptionDone:
+    def _await(self, kind: type, deadline: int) -> OptionEnded:
         self._push()
         stream = self._stream
         assert stream is not None
@@ -198,7 +204,7 @@
 
     def _answered(self, reply: Reply) -> None:
         attempt = self.lifecycle.match_reply(reply.cookie)
-        result = api.Result.FULL if reply.unseen else api.Result.ERROR if reply.error else api.Result.OK
+        result = api.Result.FULL if reply.never_ran else api.Result.ERROR if reply.error else api.Result.OK
         self._links.core.attempt_ended(self._hub.now(), attempt, result, reply.data, reply.report)
         self._close_if_spent()
         if not self.lifecycle.busy:
--- a/harriertrack/gateway/nvme.py
+++ b/harriertrack/gateway/nvme.py
@@ -22,49 +22,53 @@
 from harriertrack.protocol.nbd.wire import CommandFlags
 from harriertrack.protocol.nvme.admin import (
     ALL_NAMESPACES,
-    BLOCK,
-    Admin,
-    Ana,
-    Entry,
-    Fabrics,
-    Io,
+    BLOCK_BYTES,
+    AdminOpcode,
+    AnaState,
+    ControllerTraits,
+    DiscoveryEntry,
+    FabricsCommandType,
+    IoOpcode,
     Namespace,
-    Traits,
 )
 from harriertrack.protocol.nvme.controller import (
-    AbortAsked,
-    Asked,
+    AbortRequested,
+    CommandCompleted,
     Connect,
     Controller,
-    Done,
+    DataReturned,
+    IoCommand,
     Subsystem,
-    Told,
-    read_io,
+    parse_io_command,
 )
 from harriertrack.protocol.nvme.transport import (
-    AskedBytes,
-    Broken,
+    CommandSubmitted,
+    ConnectionState,
+    ConnectionTerminated,
     ControllerConnection,
     Limits,
-    Phase,
-    Submitted,
+    RequestedBytes,
 )
-from harriertrack.protocol.nvme.wire import Cqe, Dgst, Sqe, Status
+from harriertrack.protocol.nvme.wire import Cqe, DigestFlags, Sqe, Status
 from harriertrack.runtime.hub import DeadlineExceeded
 from harriertrack.runtime.streams import Listener, Stream
 
 FUA = int(CommandFlags.FUA)  # the core's requests use NBD's flags
 ANA_US = 100_000  # how often the holders of volumes are checked
 DELAY_UNIT_US = 100_000
-DIGESTS = {Digest.HEADER: Dgst.HEADER, Digest.DATA: Dgst.DATA}
-ROUTES = {Route.HERE: Ana.OPTIMIZED, Route.OTHER: Ana.NON_OPTIMIZED, Route.REFUSE: Ana.INACCESSIBLE}
+DIGESTS = {Digest.HEADER: DigestFlags.HEADER, Digest.DATA: DigestFlags.DATA}
+ROUTES = {
+    Route.HERE: AnaState.OPTIMIZED,
+    Route.OTHER: AnaState.NON_OPTIMIZED,
+    Route.REFUSE: AnaState.INACCESSIBLE,
+}
 KINDS = {
-    Io.READ: Kind.READ,
-    Io.COMPARE: Kind.READ,
-    Io.WRITE: Kind.WRITE,
-    Io.WRITE_ZEROES: Kind.ZERO,
-    Io.DATASET: Kind.TRIM,
-    Io.FLUSH: Kind.FLUSH,
+    IoOpcode.READ: Kind.READ,
+    IoOpcode.COMPARE: Kind.READ,
+    IoOpcode.WRITE: Kind.WRITE,
+    IoOpcode.WRITE_ZEROES: Kind.ZERO,
+    IoOpcode.DATASET_MANAGEMENT: Kind.TRIM,
+    IoOpcode.FLUSH: Kind.FLUSH,
 }
 
 
@@ -83,7 +87,7 @@
     """An I/O command and the requests that it consists of; it completes once all are answered."""
 
     queue: Queue
-    parsed: Asked
+    parsed: IoCommand
     sqe: Sqe
     data: bytes
     open: set[ClientRequest] = field(default_factory=set)
@@ -116,23 +120,23 @@
     @property
     def supports_hints(self) -> bool:
         """Whether the host honors Command Retry Delay."""
-        return self.controller is not None and self.controller.delays_retries
+        return self.controller is not None and self.controller.honors_retry_delay
 
     def run(self) -> None:
         """Serve the connection until it ends (its task)."""
         front = self._front
         try:
             deadline = front.hub.now() + front.reception.settings.limits.handshake_us
-            while self._nvme.phase is not Phase.CLOSED:
+            while self._nvme.state is not ConnectionState.CLOSED:
                 data = self._stream.read(None if self.controller else deadline)
                 if not data:
                     break
                 for event in self._nvme.receive(data):
                     match event:
-                        case Submitted():
+                        case CommandSubmitted():
                             self._handle_command(event.sqe, event.data)
-                        case Broken():
-                            front.note("client closed", peer=self._stream.peer, why=event.why)
+                        case ConnectionTerminated():
+                            front.note("client closed", peer=self._stream.peer, why=event.reason)
                 self.push()
                 self._stream.drain()
         except DeadlineExceeded:
@@ -140,7 +144,7 @@
         except OSError as error:
             front.note("client broke", peer=self._stream.peer, why=str(error))
         finally:
-            self._nvme.ended()
+            self._nvme.release()
             self._leave()
             front.remove_queue(self)
             self._stream.close()
@@ -175,38 +179,38 @@
     def _handle_command(self, sqe: Sqe, data: bytes) -> None:
         front, now = self._front, self._front.hub.now()
         if self.controller is None:
-            if sqe.opcode == Admin.FABRICS and sqe.nsid & 0xFF == Fabrics.CONNECT:
+            if sqe.opcode == AdminOpcode.FABRICS and sqe.nsid & 0xFF == FabricsCommandType.CONNECT:
                 self._connect(sqe, data)
             else:
                 self.complete(Cqe(sqe.cid, Status.SEQUENCE, dnr=True))
             return
-        self.controller.heard(now)
+        self.controller.record_host_activity(now)
         if self.number:
             self._io(sqe, data)
             return
         match self.controller.admin(sqe, now, data):
-            case Done(cqe):
+            case CommandCompleted(cqe):
                 self.complete(cqe)
-            case Told(payload):
+            case DataReturned(payload):
                 # No more than fits in the host's buffer; it requests the rest with an offset.
                 self._nvme.complete_read(sqe.cid, payload[: sqe.length])
-            case AbortAsked() as abort:
+            case AbortRequested() as abort:
                 queue = front.queue(self.controller, abort.queue)
                 done = queue is not None and queue.abort(abort.target)
                 self.complete(Cqe(abort.cid, dw0=0 if done else 1))
-        if self.controller.queues_end:
+        if self.controller.must_close_io_queues:
             front.end_io(self.controller)
 
     def _connect(self, sqe: Sqe, data: bytes) -> None:
         front = self._front
-        connect = Connect.read(sqe, data)
+        connect = Connect.parse(sqe, data)
         result = connect if isinstance(connect, Cqe) else front.subsystem.connect(connect, front.hub.now())
         if isinstance(result, Cqe) or isinstance(connect, Cqe):
             assert isinstance(result, Cqe)
             self.complete(result)
             return
         self.controller, self.number = result, connect.queue
-        self._nvme.depth, self._nvme.flow_off = connect.entries, connect.flow_off
+        self._nvme.depth, self._nvme.flow_control_disabled = connect.entries, connect.flow_control_disabled
         front.register_queue(self)
         self.complete(Cqe(sqe.cid, dw0=result.cntlid))
         front.note("client opened", peer=self._stream.peer, host=result.host, queue=connect.queue)
@@ -219,7 +223,7 @@
             if command is None:
                 return False
             self._drop(command)
-        elif not self.controller.aborted_event(cid):
+        elif not self.controller.abort_event_request(cid):
             return False
         self.complete(Cqe(cid, Status.ABORT_REQUESTED))
         return True
@@ -227,7 +231,7 @@
     def _io(self, sqe: Sqe, data: bytes) -> None:
         front, controller = self._front, self.controller
         assert controller is not None
-        parsed = read_io(sqe, data, controller.namespaces, front.limits.most_transfer)
+        parsed = parse_io_command(sqe, data, controller.namespaces, front.limits.max_transfer)
         if isinstance(parsed, Cqe):
             self.complete(parsed)
             return
@@ -256,9 +260,9 @@
         if command.worst is not None:
             self.complete(self._front.completion_of(cid, command.worst))
             return
-        if command.parsed.opcode in (Io.READ, Io.COMPARE):
+        if command.parsed.opcode in (IoOpcode.READ, IoOpcode.COMPARE):
             data = request.bytes_read()
-            if command.parsed.opcode is Io.READ:
+            if command.parsed.opcode is IoOpcode.READ:
                 self._nvme.complete_read(cid, data)
                 self.push()
                 return
@@ -274,29 +278,31 @@
     def __init__(self, reception: Reception, settings: NvmeSettings, listen: tuple[str, int]) -> None:
         self.reception, self.hub, self.note = reception, reception.hub, reception.note
         regional = any(volume.regions for volume in reception.settings.volumes)
-        traits = Traits(
+        traits = ControllerTraits(
             settings.nqn, uuid.uuid5(uuid.NAMESPACE_URL, settings.nqn).hex[:20], version("harriertrack"),
-            ana=regional, entries=settings.entries, queues=settings.queues,
+            ana=regional, queue_entries=settings.entries, io_queues=settings.queues,
         )  # fmt: skip
         volumes = by_namespace_id(reception.settings.volumes)
         self._names = {nsid: one.name for nsid, one in volumes.items()}
         namespaces = {
-            nsid: Namespace(nsid, one.size_bytes // BLOCK, guid_of(settings.nqn, one.name), one.read_only)
+            nsid: Namespace(
+                nsid, one.size_bytes // BLOCK_BYTES, guid_of(settings.nqn, one.name), one.read_only
+            )
             for nsid, one in volumes.items()
         }
-        self.subsystem = Subsystem(traits, namespaces, (Entry(settings.nqn, *listen),))
-        granted = Dgst(0)
+        self.subsystem = Subsystem(traits, namespaces, (DiscoveryEntry(settings.nqn, *listen),))
+        granted = DigestFlags(0)
         for one in settings.digests:
             granted |= DIGESTS[one]
         self.limits = Limits(
             in_capsule=traits.in_capsule,
-            most_transfer=traits.most_transfer,
-            asked=settings.asked_bytes,
+            max_transfer=traits.max_transfer,
+            requested_bytes=settings.asked_bytes,
             digests=granted,
         )
         self._queues: dict[tuple[int, int], Queue] = {}
         self.patience_us = settings.patience_us
-        self.requested_bytes = AskedBytes(reception.settings.limits.held_bytes)
+        self.requested_bytes = RequestedBytes(reception.settings.limits.held_bytes)
 
     def serve(self, listener: Listener) -> None:
         """Accept hosts until the listener is closed (the front's task)."""
@@ -311,18 +317,18 @@
                 admin = self._queues.get((controller.cntlid, 0))
                 if admin is None:
                     continue
-                lost_at = controller.lost_at()
+                lost_at = controller.keep_alive_expires_at()
                 if lost_at is not None and lost_at <= now:
                     self.note("keep alive lost", host=controller.host)
                     admin.close()
-                elif controller.traits.ana and (event := controller.ana_became(self._access(now))):
+                elif controller.traits.ana and (event := controller.update_ana_states(self._access(now))):
                     admin.complete(event)
 
-    def _access(self, now: int) -> Mapping[int, Ana]:
+    def _access(self, now: int) -> Mapping[int, AnaState]:
         regional = self.reception.regional
         assert regional is not None
         return {
-            nsid: ROUTES[regional.route(name, now)] if name in regional.volumes else Ana.OPTIMIZED
+            nsid: ROUTES[regional.route(name, now)] if name in regional.volumes else AnaState.OPTIMIZED
             for nsid, name in self._names.items()
         }
 
@@ -346,7 +352,7 @@
         controller.queues.discard(queue.number)
         if not queue.number:
             self.end_io(controller)
-            self.subsystem.end(controller)
+            self.subsystem.remove_controller(controller)
 
     def end_io(self, controller: Controller) -> None:
         """End the I/O queues of a controller that was reset, shut down, or removed."""
@@ -360,8 +366,12 @@
         parsed, kind = command.parsed, KINDS[command.parsed.opcode]
         nsids = list(self._names) if parsed.nsid == ALL_NAMESPACES else [parsed.nsid]
         volumes = [self.reception.core.volumes[self._names[nsid]] for nsid in nsids]
-        pieces = parsed.ranges if parsed.opcode is Io.DATASET else ((parsed.offset, parsed.length),)
-        data = command.data if parsed.opcode is Io.WRITE else b""
+        pieces = (
+            parsed.ranges
+            if parsed.opcode is IoOpcode.DATASET_MANAGEMENT
+            else ((parsed.offset, parsed.length),)
+        )
+        data = command.data if parsed.opcode is IoOpcode.WRITE else b""
         return [
             ClientRequest(
                 volume, kind, offset, length, data, FUA if parsed.fua else 0, command, arrived_at=arrived_at
@@ -375,7 +385,7 @@
         if request.outcome is Outcome.FAILED:
             return Cqe(cid, Status.INTERNAL, dnr=request.kind in MODIFYING_KINDS)
         if request.reason == NOT_HOLDER:
-            return Cqe(cid, Status.INACCESSIBLE)
+            return Cqe(cid, Status.ANA_INACCESSIBLE)
         if request.reason == CLOSING.why:
             return Cqe(cid, Status.ABORT_REQUESTED)
         delays = self.subsystem.traits.retry_delays
--- a/harriertrack/gateway/nvme_client.py
+++ b/harriertrack/gateway/nvme_client.py
@@ -7,29 +7,35 @@
 
 from harriertrack.protocol.nvme.admin import (
     DISCOVERY_NQN,
-    DYNAMIC,
+    DYNAMIC_CONTROLLER_ID,
     HOST_BEHAVIOR_BYTES,
     IDENTIFY_BYTES,
-    PAGE,
-    Admin,
+    MIN_PAGE_BYTES,
+    AdminOpcode,
     Cns,
     ConnectData,
     ControllerInfo,
-    Entry,
-    Fabrics,
+    DiscoveryEntry,
+    FabricsCommandType,
     Feature,
+    LogPage,
     NamespaceInfo,
-    Page,
     Property,
-    parse_discovery,
+    parse_discovery_log,
 )
-from harriertrack.protocol.nvme.transport import NO_DIGESTS, Broken, Completed, HostConnection, Initialized
-from harriertrack.protocol.nvme.wire import Cqe, Dgst, Sqe, Status
+from harriertrack.protocol.nvme.transport import (
+    NO_DIGESTS,
+    ConnectionTerminated,
+    HostConnection,
+    Initialized,
+    ResponseReceived,
+)
+from harriertrack.protocol.nvme.wire import Cqe, DigestFlags, Sqe, Status
 from harriertrack.runtime.hub import Hub, Scope, answer_of
 from harriertrack.runtime.streams import Network, Stream
 
 ENTRIES = 128
-Then = Callable[[Completed | None], None]
+Then = Callable[[ResponseReceived | None], None]
 
 
 class NvmeError(Exception):
@@ -40,7 +46,7 @@
     """One connection. `call` waits for a command's completion; `start` passes it to a callback."""
 
     def __init__(
-        self, hub: Hub, network: Network, address: tuple[str, int], digests: Dgst, name: str
+        self, hub: Hub, network: Network, address: tuple[str, int], digests: DigestFlags, name: str
     ) -> None:
         self._hub, self._network, self._address, self._name = hub, network, address, name
         self._nvme = HostConnection(digests=digests)
@@ -55,7 +61,7 @@
     def open(self, scope: Scope, deadline: int | None = None) -> None:
         """Connect; from then on a task of `scope` reads completions. Raises OSError, DeadlineExceeded."""
         stream = self._stream = self._network.connect(self._address, deadline, self._name)
-        self._nvme.begin()
+        self._nvme.send_ic_req()
         self._push()
         while True:
             data = stream.read(deadline)
@@ -77,10 +83,10 @@
             while data := self._stream.read():
                 for event in self._nvme.receive(data):
                     match event:
-                        case Completed():
+                        case ResponseReceived():
                             self._callbacks.pop(event.cqe.cid)(event)
-                        case Broken():
-                            self.broken = event.why
+                        case ConnectionTerminated():
+                            self.broken = event.reason
                 self._push()
                 if self.broken:
                     break
@@ -115,7 +121,7 @@
         self._push()
         return self._cid
 
-    def call(self, sqe: Sqe, data: bytes = b"", deadline: int | None = None) -> Completed:
+    def call(self, sqe: Sqe, data: bytes = b"", deadline: int | None = None) -> ResponseReceived:
         """Send a command and wait for its completion. Raises ConnectionError if the connection is lost."""
 
         def send(then: Then) -> None:
@@ -126,7 +132,7 @@
             raise ConnectionError(self.broken or "the connection was lost")
         return completed
 
-    def must(self, sqe: Sqe, data: bytes = b"", deadline: int | None = None) -> Completed:
+    def must(self, sqe: Sqe, data: bytes = b"", deadline: int | None = None) -> ResponseReceived:
         """Send a command that must succeed. Raises NvmeError, ConnectionError."""
         done = self.call(sqe, data, deadline)
         if done.cqe.status != Status.SUCCESS:
@@ -148,13 +154,19 @@
 class NvmeClient:
     """One controller: its admin queue, and I/O queues on request."""
 
-    def __init__(self, hub: Hub, network: Network, address: tuple[str, int], digests: Dgst = NO_DIGESTS,
-                 name: str = "host") -> None:  # fmt: skip
+    def __init__(
+        self,
+        hub: Hub,
+        network: Network,
+        address: tuple[str, int],
+        digests: DigestFlags = NO_DIGESTS,
+        name: str = "host",
+    ) -> None:
         self._hub, self._network, self._address, self._digests = hub, network, address, digests
         self._name = name
         self._host_id = uuid.uuid5(uuid.NAMESPACE_URL, name).bytes
         self._nqn = ""
-        self.cntlid = DYNAMIC
+        self.cntlid = DYNAMIC_CONTROLLER_ID
         self.info: ControllerInfo
         self.admin = NvmeQueue(hub, network, address, digests, f"{name} admin")
         self._queues = 0
@@ -179,7 +191,7 @@
         )
         # Without flow control: see SUCCESS.
         cdw = (number << 16, entries - 1 | 0b100 << 16, keep_alive_ms, 0, 0, 0)
-        done = queue.must(Sqe(Admin.FABRICS, 0, Fabrics.CONNECT, cdw), data.pack(), deadline)
+        done = queue.must(Sqe(AdminOpcode.FABRICS, 0, FabricsCommandType.CONNECT, cdw), data.pack(), deadline)
         return done.cqe.dw0 & 0xFFFF
 
     def io(self, scope: Scope, deadline: int | None = None) -> NvmeQueue:
@@ -195,46 +207,52 @@
 
     def property_get(self, offset: Property, wide: bool = False, deadline: int | None = None) -> int:
         """Read a property. Raises NvmeError."""
-        sqe = Sqe(Admin.FABRICS, 0, Fabrics.PROPERTY_GET, (int(wide), offset, 0, 0, 0, 0))
+        sqe = Sqe(AdminOpcode.FABRICS, 0, FabricsCommandType.PROPERTY_GET, (int(wide), offset, 0, 0, 0, 0))
         return self.admin.must(sqe, deadline=deadline).cqe.dw0
 
     def property_set(self, offset: Property, value: int, deadline: int | None = None) -> None:
         """Write a property. Raises NvmeError."""
-        sqe = Sqe(Admin.FABRICS, 0, Fabrics.PROPERTY_SET, (0, offset, value, 0, 0, 0))
+        sqe = Sqe(AdminOpcode.FABRICS, 0, FabricsCommandType.PROPERTY_SET, (0, offset, value, 0, 0, 0))
         self.admin.must(sqe, deadline=deadline)
 
     def identify(self, cns: Cns, nsid: int = 0, deadline: int | None = None) -> bytes:
         """Return Identify data. Raises NvmeError."""
-        sqe = Sqe(Admin.IDENTIFY, 0, nsid, (cns, 0, 0, 0, 0, 0), length=IDENTIFY_BYTES)
+        sqe = Sqe(AdminOpcode.IDENTIFY, 0, nsid, (cns, 0, 0, 0, 0, 0), length=IDENTIFY_BYTES)
         return self.admin.must(sqe, deadline=deadline).data
 
     def namespaces(self, deadline: int | None = None) -> dict[int, NamespaceInfo]:
         """Return all namespaces. Raises NvmeError."""
         raw = self.identify(Cns.ACTIVE_LIST, deadline=deadline)
-        nsids = [int.from_bytes(raw[at : at + 4], "little") for at in range(0, PAGE, 4)]
+        nsids = [int.from_bytes(raw[at : at + 4], "little") for at in range(0, MIN_PAGE_BYTES, 4)]
         return {
             nsid: NamespaceInfo.unpack(self.identify(Cns.NAMESPACE, nsid, deadline)) for nsid in nsids if nsid
         }
 
-    def log(self, page: Page, length: int, offset: int = 0, deadline: int | None = None) -> bytes:
+    def log(self, page: LogPage, length: int, offset: int = 0, deadline: int | None = None) -> bytes:
         """Return a part of a log page. Raises NvmeError."""
         words = length // 4 - 1
         cdw = (page | (words & 0xFFFF) << 16, words >> 16, offset & 0xFFFFFFFF, offset >> 32, 0, 0)
-        return self.admin.must(Sqe(Admin.GET_LOG_PAGE, 0, 0, cdw, length=length), deadline=deadline).data
+        return self.admin.must(
+            Sqe(AdminOpcode.GET_LOG_PAGE, 0, 0, cdw, length=length), deadline=deadline
+        ).data
 
-    def discover(self, deadline: int | None = None) -> list[Entry]:
+    def discover(self, deadline: int | None = None) -> list[DiscoveryEntry]:
         """Return the entries of a discovery controller. Raises NvmeError, ValueError."""
-        count = int.from_bytes(self.log(Page.DISCOVERY, 1024, deadline=deadline)[8:16], "little")
-        return parse_discovery(self.log(Page.DISCOVERY, 1024 * (min(count, 1000) + 1), deadline=deadline))
+        count = int.from_bytes(self.log(LogPage.DISCOVERY, 1024, deadline=deadline)[8:16], "little")
+        return parse_discovery_log(
+            self.log(LogPage.DISCOVERY, 1024 * (min(count, 1000) + 1), deadline=deadline)
+        )
 
     def queues(self, count: int, deadline: int | None = None) -> int:
         """Request a number of I/O queues; return how many the controller grants. Raises NvmeError."""
-        sqe = Sqe(Admin.SET_FEATURES, 0, 0, (Feature.QUEUES, (count - 1) * 0x10001, 0, 0, 0, 0))
+        sqe = Sqe(
+            AdminOpcode.SET_FEATURES, 0, 0, (Feature.NUMBER_OF_QUEUES, (count - 1) * 0x10001, 0, 0, 0, 0)
+        )
         return (self.admin.must(sqe, deadline=deadline).cqe.dw0 & 0xFFFF) + 1
 
     def heed_delays(self, deadline: int | None = None) -> None:
         """Announce that this host honors Command Retry Delay (ACRE). Raises NvmeError."""
-        sqe = Sqe(Admin.SET_FEATURES, 0, 0, (Feature.HOST_BEHAVIOR, 0, 0, 0, 0, 0))
+        sqe = Sqe(AdminOpcode.SET_FEATURES, 0, 0, (Feature.HOST_BEHAVIOR, 0, 0, 0, 0, 0))
         self.admin.must(sqe, b"\1".ljust(HOST_BEHAVIOR_BYTES, b"\0"), deadline)
 
     def close(self) -> None:
@@ -250,4 +268,4 @@
 
 def refused(cqe: Cqe) -> bool:
     """Whether a command was refused without effect, so that a retry is safe."""
-    return cqe.status in (Status.INTERRUPTED, Status.INACCESSIBLE) and not cqe.dnr
+    return cqe.status in (Status.INTERRUPTED, Status.ANA_INACCESSIBLE) and not cqe.dnr
--- a/harriertrack/gateway/peer.py
+++ b/harriertrack/gateway/peer.py
@@ -12,7 +12,7 @@
 from harriertrack.config.settings import RegionSettings
 from harriertrack.gateway.client import NbdClient, NbdClientError
 from harriertrack.protocol.nbd.client import Reply
-from harriertrack.protocol.nbd.extension import COPY_CONTEXT, RELAY_CONTEXT, TOKEN_SHIFT, context_of
+from harriertrack.protocol.nbd.extension import COPY_CONTEXT, RELAY_CONTEXT, TICK_SHIFT, context_of
 from harriertrack.protocol.nbd.wire import Command, ProtocolViolation
 from harriertrack.runtime.hub import Cancelled, DeadlineExceeded, Hub, Scope
 from harriertrack.runtime.streams import Network
@@ -67,7 +67,7 @@
             if self._client is None:
                 once(None)
             else:
-                self._client.start(command, offset, length, data, once, flags | token << TOKEN_SHIFT)
+                self._client.start(command, offset, length, data, once, flags | token << TICK_SHIFT)
 
         timer = self._hub.at(until, lambda: once(None))
         if self._client is not None:
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -717,7 +717,7 @@
             missed |= (own | self._log.open_extents(volume.name)) - {WHOLE}
             compared = (self._pull(volume, extent, True) for extent in sorted(doubtful - missed))
             if all(self._pull(volume, extent, False) for extent in sorted(missed)) and all(compared):
-                if self._request_peer(volume, Command.CAUGHT, 0, 0) is not None:
+                if self._request_peer(volume, Command.CAUGHT_UP, 0, 0) is not None:
                     self._log.forget_open(volume.name)
                     self._log.mark_copied(volume.name, own)
 
@@ -776,7 +776,7 @@
                     is not Outcome.SERVED
                 ):
                     return False
-            return self._request_peer(volume, Command.CAUGHT, start, length) is not None
+            return self._request_peer(volume, Command.CAUGHT_UP, start, length) is not None
         finally:
             volume.locks.release(ticket)
 
--- a/harriertrack/lab/fronts.py
+++ b/harriertrack/lab/fronts.py
@@ -11,9 +11,9 @@
 from harriertrack.gateway.nvme_client import NvmeClient, NvmeError, NvmeQueue, io_sqe
 from harriertrack.protocol.nbd.client import Reply
 from harriertrack.protocol.nbd.wire import Command, Errno
-from harriertrack.protocol.nvme.admin import BLOCK, Io
+from harriertrack.protocol.nvme.admin import BLOCK_BYTES, IoOpcode
 from harriertrack.protocol.nvme.controller import pack_range
-from harriertrack.protocol.nvme.transport import NO_DIGESTS, Completed
+from harriertrack.protocol.nvme.transport import NO_DIGESTS, ResponseReceived
 from harriertrack.protocol.nvme.wire import Sqe, Status
 from harriertrack.runtime.hub import Hub, Scope
 from harriertrack.runtime.streams import Network
@@ -81,21 +81,21 @@
             then(Reply(0, REFUSED, "refused: not done; the queue is full"))
             return
         delays = self._client.info.retry_delays
-        block, blocks, fua = offset // BLOCK, (length or len(data)) // BLOCK, bool(flags & FUA)
+        block, blocks, fua = offset // BLOCK_BYTES, (length or len(data)) // BLOCK_BYTES, bool(flags & FUA)
         match command:
             case Command.READ:
-                sqe = io_sqe(Io.READ, self._nsid, block, blocks, expects=length)
+                sqe = io_sqe(IoOpcode.READ, self._nsid, block, blocks, expects=length)
             case Command.WRITE:
-                sqe = io_sqe(Io.WRITE, self._nsid, block, blocks, fua)
+                sqe = io_sqe(IoOpcode.WRITE, self._nsid, block, blocks, fua)
             case Command.WRITE_ZEROES:
-                sqe = io_sqe(Io.WRITE_ZEROES, self._nsid, block, blocks, fua)
+                sqe = io_sqe(IoOpcode.WRITE_ZEROES, self._nsid, block, blocks, fua)
             case Command.TRIM:
-                sqe = Sqe(Io.DATASET, 0, self._nsid, (0, 0b100, 0, 0, 0, 0))
+                sqe = Sqe(IoOpcode.DATASET_MANAGEMENT, 0, self._nsid, (0, 0b100, 0, 0, 0, 0))
                 data = pack_range(block, blocks)
             case _:
-                sqe = Sqe(Io.FLUSH, 0, self._nsid)
+                sqe = Sqe(IoOpcode.FLUSH, 0, self._nsid)
 
-        def ended(completed: Completed | None) -> None:
+        def ended(completed: ResponseReceived | None) -> None:
             then(None if completed is None else as_reply(completed, delays))
 
         self._queue.start(sqe, data, ended)
@@ -108,14 +108,14 @@
             self._client.admin.abort()
 
 
-def as_reply(completed: Completed, delays: tuple[int, int, int]) -> Reply:
+def as_reply(completed: ResponseReceived, delays: tuple[int, int, int]) -> Reply:
     """Say what became of a command as NBD says it."""
     cqe = completed.cqe
     if cqe.status == Status.SUCCESS:
         return Reply(0, data=completed.data)
     if cqe.status == Status.ABORT_REQUESTED:
         return Reply(0, Errno.ESHUTDOWN, "shutting down")
-    if cqe.status in (Status.INTERRUPTED, Status.INACCESSIBLE):
+    if cqe.status in (Status.INTERRUPTED, Status.ANA_INACCESSIBLE):
         hint = f"; retry-after-us={delays[cqe.crd - 1] * DELAY_UNIT_US}" if cqe.crd else ""
         return Reply(0, REFUSED, f"refused: not done{hint}")
     return Reply(0, FAILED, f"status {cqe.status:#x}")
--- a/harriertrack/protocol/nbd/client.py
+++ b/harriertrack/protocol/nbd/client.py
@@ -49,19 +49,19 @@
     ProtocolViolation,
     Rep,
     TransmissionFlags,
-    put_string,
-    take_string,
+    pack_string,
+    unpack_string,
 )  # fmt: skip
 from harriertrack.protocol.receive_buffer import ReceiveBuffer
 
 
 @dataclass(slots=True)
-class Greeted:
+class GreetingReceived:
     """The server is there; options may be asked."""
 
 
 @dataclass(slots=True)
-class OptionDone:
+class OptionEnded:
     """An option is answered: with what it brought, or with an error."""
 
     option: int
@@ -83,11 +83,11 @@
     message: str = ""
     data: bytes = b""
     extents: list[tuple[int, int]] = field(default_factory=list)
-    unseen: bool = False  # extension: proven that it never ran
+    never_ran: bool = False  # extension: proven that it never ran
     report: extension.Report | None = None
 
 
-ClientEvent = Greeted | OptionDone | Reply
+ClientEvent = GreetingReceived | OptionEnded | Reply
 
 
 class ClientState(Enum):
@@ -117,7 +117,7 @@
         self.outgoing: list[bytes | memoryview] = []
         self.structured = False
         self.contexts: dict[int, str] = {}
-        self._asked: OptionDone | None = None
+        self._asked: OptionEnded | None = None
         self._asked_export_name = False
         self._no_zeroes = False
         self._pending: dict[int, _Pending] = {}
@@ -128,7 +128,7 @@
         return outgoing
 
     @property
-    def extended(self) -> bool:
+    def has_extension(self) -> bool:
         """Whether the project's extension was negotiated."""
         return any(name.startswith(extension.NAMESPACE) for name in self.contexts.values())
 
@@ -143,31 +143,33 @@
         if self.state is not ClientState.OPTIONS or self._asked is not None:
             raise ValueError(f"can't ask {option.name} now")
         self.outgoing.append(OPTION.pack(OPTION_MAGIC, option, len(data)) + data)
-        self._asked = OptionDone(option)
+        self._asked = OptionEnded(option)
 
-    def ask_structured(self) -> None:
+    def send_structured_reply(self) -> None:
         """Ask for structured replies."""
         self._ask(Option.STRUCTURED_REPLY)
 
-    def ask_list(self) -> None:
+    def send_list(self) -> None:
         """Ask for the names of the exports."""
         self._ask(Option.LIST)
 
-    def ask_contexts(self, export: str, queries: Sequence[str], listing: bool = False) -> None:
+    def send_meta_contexts(self, export: str, queries: Sequence[str], listing: bool = False) -> None:
         """Ask to use these meta contexts with an export, or only to list what matches."""
-        body = put_string(export) + U32.pack(len(queries)) + b"".join(put_string(query) for query in queries)
+        body = (
+            pack_string(export) + U32.pack(len(queries)) + b"".join(pack_string(query) for query in queries)
+        )
         self._ask(Option.LIST_META_CONTEXT if listing else Option.SET_META_CONTEXT, body)
 
-    def ask_go(self, export: str, info_only: bool = False) -> None:
+    def send_go(self, export: str, info_only: bool = False) -> None:
         """Ask to use an export, or only about it."""
         wanted = U16.pack(1) + U16.pack(Info.BLOCK_SIZE)
-        self._ask(Option.INFO if info_only else Option.GO, put_string(export) + wanted)
+        self._ask(Option.INFO if info_only else Option.GO, pack_string(export) + wanted)
 
-    def ask_export_name(self, export: str) -> None:
+    def send_export_name(self, export: str) -> None:
         """Use an export the old way, which has no error reply."""
         self._ask(Option.EXPORT_NAME, export.encode())
 
-    def ask_abort(self) -> None:
+    def send_abort(self) -> None:
         """Say that we leave."""
         self._ask(Option.ABORT)
 
@@ -244,7 +246,7 @@
         self._no_zeroes = bool(flags & HandshakeFlags.NO_ZEROES)
         self.outgoing.append(U32.pack(flags & (HandshakeFlags.FIXED_NEWSTYLE | HandshakeFlags.NO_ZEROES)))
         self.state = ClientState.OPTIONS
-        events.append(Greeted())
+        events.append(GreetingReceived())
         return True
 
     def _is_export_name(self) -> bool:
@@ -276,7 +278,7 @@
         if kind & REP_ERROR:
             asked.error, asked.message = kind, data.decode("utf-8", "replace")
         elif kind == Rep.SERVER:
-            asked.names.append(take_string(data, 0, "export name")[0])
+            asked.names.append(unpack_string(data, 0, "export name")[0])
             return True
         elif kind == Rep.META_CONTEXT:
             asked.contexts[U32.unpack_from(data)[0]] = data[4:].decode()
@@ -296,7 +298,7 @@
         events.append(asked)
         return True
 
-    def _acknowledged(self, asked: OptionDone) -> None:
+    def _acknowledged(self, asked: OptionEnded) -> None:
         match asked.option:
             case Option.STRUCTURED_REPLY:
                 self.structured = True
@@ -365,7 +367,7 @@
             if not reply.error or len(data) < ERROR.size + size:
                 raise ProtocolViolation("an error chunk without an error")
             reply.message = data[ERROR.size : ERROR.size + size].decode("utf-8", "replace")
-            reply.unseen = kind == Chunk.ERROR_UNSEEN and self.extended
+            reply.never_ran = kind == Chunk.ERROR_NEVER_RAN and self.has_extension
         elif kind == Chunk.OFFSET_DATA:
             (offset,) = U64.unpack_from(data)
             self._place(pending, offset, data[U64.size :])
@@ -376,7 +378,7 @@
             if context not in self.contexts or (len(data) - U32.size) % EXTENT.size:
                 raise ProtocolViolation(f"block status of context {context}")
             reply.extents.extend(EXTENT.iter_unpack(data[U32.size :]))
-        elif kind == Chunk.REPORT and self.extended:
+        elif kind == Chunk.REPORT and self.has_extension:
             reply.report = extension.Report.unpack(data)
         elif kind != Chunk.NONE:
             raise ProtocolViolation(f"unknown chunk type {kind:#x}")
--- a/harriertrack/protocol/nbd/extension.py
+++ b/harriertrack/protocol/nbd/extension.py
@@ -41,7 +41,7 @@
 # Selected by clients that understand a refusal (ENOMEM with "retry-after-us=N" in its text) and come again by
 # themselves. It changes no message, so it is none of the contexts above.
 HINTS_CONTEXT = "x-harriertrack-client:hints1"
-TOKEN_SHIFT = 6  # request flags below are the specification's
+TICK_SHIFT = 6  # request flags below are the specification's
 ATTEMPT_BITS = 8
 _REPORT = struct.Struct(">IdH")
 
--- a/harriertrack/protocol/nbd/server.py
+++ b/harriertrack/protocol/nbd/server.py
@@ -52,13 +52,13 @@
     ProtocolViolation,
     Rep,
     TransmissionFlags,
-    put_string,
-    take_string,
+    pack_string,
+    unpack_string,
 )  # fmt: skip
 from harriertrack.protocol.receive_buffer import ReceiveBuffer
 
 _WRITE, _DISC = int(Command.WRITE), int(Command.DISC)
-_OURS = frozenset(map(int, (Command.CANCEL, Command.TICK, Command.CAUGHT, Command.DIGEST)))
+_OURS = frozenset(map(int, (Command.CANCEL, Command.TICK, Command.CAUGHT_UP, Command.DIGEST)))
 # Flags that mean something on a command; any other is EINVAL. FUA may stand on all (spec: command flags).
 # Plain
 # numbers: arithmetic on IntFlag is many times dearer, and this is looked at for each request.
@@ -90,9 +90,9 @@
     size: int
     flags: TransmissionFlags
     description: str = ""
-    block_least: int = 1
-    block_preferred: int = 4096
-    block_most: int = MAX_PAYLOAD
+    min_block_size: int = 1
+    preferred_block_size: int = 4096
+    max_payload: int = MAX_PAYLOAD
 
 
 class Exports(Protocol):
@@ -109,7 +109,7 @@
 
 
 @dataclass(slots=True)
-class Opened:
+class ExportOpened:
     """The handshake is over: the client uses this export."""
 
     export: ExportInfo
@@ -126,7 +126,7 @@
     offset: int
     length: int
     data: bytes = b""
-    token: int = 0  # extension: the newest tick of ours that the sender had
+    tick: int = 0  # extension: the newest tick of ours that the sender had
 
 
 @dataclass(slots=True)
@@ -135,11 +135,11 @@
 
 
 @dataclass(slots=True)
-class Aborted:
+class HandshakeAborted:
     """The client left during the handshake: send what is outgoing, then close."""
 
 
-ServerEvent = Opened | Request | Disconnect | Aborted
+ServerEvent = ExportOpened | Request | Disconnect | HandshakeAborted
 
 
 class ServerState(Enum):
@@ -242,7 +242,7 @@
             case Option.ABORT:
                 self._reply(option, Rep.ACK)
                 self.state = ServerState.CLOSED
-                events.append(Aborted())
+                events.append(HandshakeAborted())
             case Option.LIST:
                 self._list(data)
             case Option.INFO | Option.GO:
@@ -269,7 +269,7 @@
         self.state = ServerState.TRANSMISSION
         if self._context_export != export.name:  # contexts hold for the export they were asked for
             self.contexts = {}
-        events.append(Opened(export, tuple(self.contexts.values())))
+        events.append(ExportOpened(export, tuple(self.contexts.values())))
 
     def _export_name(self, data: bytes, events: list[ServerEvent]) -> None:
         # This option has no error reply: all that is left is to close (spec: NBD_OPT_EXPORT_NAME).
@@ -295,12 +295,12 @@
             self._reply(Option.LIST, Rep.ERR_INVALID, b"this option has no data")
             return
         for name in self._exports.names():
-            self._reply(Option.LIST, Rep.SERVER, put_string(name))
+            self._reply(Option.LIST, Rep.SERVER, pack_string(name))
         self._reply(Option.LIST, Rep.ACK)
 
     def _info(self, option: int, data: bytes, events: list[ServerEvent]) -> None:
         try:
-            name, at = take_string(data, 0, "export name")
+            name, at = unpack_string(data, 0, "export name")
             (count,) = U16.unpack_from(data, at)
             if len(data) != at + 2 + 2 * count:
                 raise ValueError("the number of information requests does not fit")
@@ -317,10 +317,10 @@
             self._reply(option, Rep.INFO, U16.pack(Info.NAME) + export.name.encode())
         if Info.DESCRIPTION in wanted and export.description:
             self._reply(option, Rep.INFO, U16.pack(Info.DESCRIPTION) + export.description.encode())
-        sizes = (export.block_least, export.block_preferred, export.block_most)
-        if Info.BLOCK_SIZE in wanted or export.block_least > 1:
+        sizes = (export.min_block_size, export.preferred_block_size, export.max_payload)
+        if Info.BLOCK_SIZE in wanted or export.min_block_size > 1:
             self._reply(option, Rep.INFO, INFO_BLOCK_SIZE.pack(Info.BLOCK_SIZE, *sizes))
-        if option == Option.GO and export.block_least > 1 and Info.BLOCK_SIZE not in wanted:
+        if option == Option.GO and export.min_block_size > 1 and Info.BLOCK_SIZE not in wanted:
             self._reply(option, Rep.ERR_BLOCK_SIZE_REQD, b"ask for NBD_INFO_BLOCK_SIZE")
             return
         self._reply(option, Rep.ACK)
@@ -329,7 +329,7 @@
 
     def _meta(self, option: int, data: bytes) -> None:
         try:
-            name, at = take_string(data, 0, "export name")
+            name, at = unpack_string(data, 0, "export name")
             (count,) = U32.unpack_from(data, at)
             if count > MAX_QUERIES:
                 self._reply(option, Rep.ERR_TOO_BIG, f"at most {MAX_QUERIES} queries".encode())
@@ -337,7 +337,7 @@
             at += 4
             queries = []
             for _ in range(count):
-                query, at = take_string(data, at, "query")
+                query, at = unpack_string(data, at, "query")
                 queries.append(query)
             if at != len(data):
                 raise ValueError("data after the last query")
@@ -390,12 +390,12 @@
                 self.state = ServerState.CLOSED
                 events.append(Disconnect())
                 return False
-            if kind in _OURS and self.extended:
-                token = flags >> extension.TOKEN_SHIFT
+            if kind in _OURS and self.has_extension:
+                token = flags >> extension.TICK_SHIFT
                 events.append(Request(cookie, Command(kind), 0, offset, length, b"", token))
                 return True
-        token = flags >> extension.TOKEN_SHIFT if self.extended else 0
-        flags -= token << extension.TOKEN_SHIFT
+        token = flags >> extension.TICK_SHIFT if self.has_extension else 0
+        flags -= token << extension.TICK_SHIFT
         error, why = self._check(kind, flags, offset, length)
         if error:
             self.reply_error(cookie, error, why)
@@ -422,16 +422,16 @@
         if offset + length > export.size:
             # Writes past the end are told apart (spec: ENOSPC for writes, EINVAL for the rest).
             return (Errno.ENOSPC if command in _CHANGES else Errno.EINVAL), "past the end of the export"
-        if command in (Command.READ, Command.WRITE) and length > export.block_most:
-            return Errno.EOVERFLOW, f"at most {export.block_most} bytes"
+        if command in (Command.READ, Command.WRITE) and length > export.max_payload:
+            return Errno.EOVERFLOW, f"at most {export.max_payload} bytes"
         if command is Command.BLOCK_STATUS and (not self.contexts or not length):
             return Errno.EINVAL, "BLOCK_STATUS needs a negotiated context and a length"
-        if export.block_least > 1 and (offset % export.block_least or length % export.block_least):
-            return Errno.EINVAL, f"not aligned to {export.block_least} bytes"
+        if export.min_block_size > 1 and (offset % export.min_block_size or length % export.min_block_size):
+            return Errno.EINVAL, f"not aligned to {export.min_block_size} bytes"
         return Errno.OK, ""
 
     @property
-    def extended(self) -> bool:
+    def has_extension(self) -> bool:
         """Whether the project's extension was negotiated."""
         return any(name.startswith(extension.NAMESPACE) for name in self.contexts.values())
 
@@ -450,16 +450,16 @@
         self._chunk(cookie, CHUNK_DONE, Chunk.NONE)
 
     def _report(self, cookie: int, report: extension.Report | None) -> None:
-        if report is not None and self.extended:
+        if report is not None and self.has_extension:
             self._chunk(cookie, 0, Chunk.REPORT, report.pack())
 
-    def reply_error(self, cookie: int, error: Errno, message: str = "", unseen: bool = False) -> None:
-        """Answer a request with an error; `unseen` (extension) proves that it never ran."""
+    def reply_error(self, cookie: int, error: Errno, message: str = "", never_ran: bool = False) -> None:
+        """Answer a request with an error; `never_ran` (extension) proves that it never ran."""
         if not self.structured:
             self.outgoing.append(SIMPLE_REPLY.pack(SIMPLE_REPLY_MAGIC, error, cookie))
             return
         text = message.encode()[: MAX_OPTION // 16]
-        kind = Chunk.ERROR_UNSEEN if unseen and self.extended else Chunk.ERROR
+        kind = Chunk.ERROR_NEVER_RAN if never_ran and self.has_extension else Chunk.ERROR
         self._chunk(cookie, CHUNK_DONE, kind, ERROR.pack(error, len(text)) + text)
 
     def reply_read(self, cookie: int, offset: int, pieces: Sequence[bytes | int], one_chunk: bool = False,
--- a/harriertrack/protocol/nbd/wire.py
+++ b/harriertrack/protocol/nbd/wire.py
@@ -113,7 +113,7 @@
     BLOCK_STATUS = 7
     CANCEL = 0x4801  # of the project's extension (extension.py), as the two below
     TICK = 0x4802
-    CAUGHT = 0x4803
+    CAUGHT_UP = 0x4803
     DIGEST = 0x4804
 
 
@@ -137,7 +137,7 @@
     REPORT = 0x4801  # of the project's extension
     ERROR = 0x8001
     ERROR_OFFSET = 0x8002
-    ERROR_UNSEEN = 0xC802  # of the project's extension
+    ERROR_NEVER_RAN = 0xC802  # of the project's extension
 
 
 CHUNK_DONE = 1
@@ -172,7 +172,7 @@
     """The peer broke the protocol in a way that ends the connection."""
 
 
-def take_string(data: bytes, at: int, what: str) -> tuple[str, int]:
+def unpack_string(data: bytes, at: int, what: str) -> tuple[str, int]:
     """Read a 32-bit length and that much UTF-8; return it and where it ends.
 
     Raises ValueError if it is longer than the data or `MAX_NAME`, or no UTF-8.
@@ -185,7 +185,7 @@
     return data[at + 4 : at + 4 + length].decode("utf-8"), at + 4 + length
 
 
-def put_string(text: str) -> bytes:
+def pack_string(text: str) -> bytes:
     """Write a 32-bit length and the text in UTF-8."""
     data = text.encode()
     return U32.pack(len(data)) + data
--- a/harriertrack/protocol/nvme/admin.py
+++ b/harriertrack/protocol/nvme/admin.py
@@ -13,18 +13,18 @@
 from enum import IntEnum
 
 BLOCK_BITS = 9  # of the one LBA format: blocks of 512 bytes
-BLOCK = 1 << BLOCK_BITS
-PAGE = 4096  # the least memory page, which MDTS counts in
+BLOCK_BYTES = 1 << BLOCK_BITS
+MIN_PAGE_BYTES = 4096  # the least memory page, which MDTS counts in
 IDENTIFY_BYTES = 4096
 CONNECT_BYTES = 1024
-DYNAMIC = 0xFFFF  # as a controller id: give me one
+DYNAMIC_CONTROLLER_ID = 0xFFFF  # as a controller id: give me one
 VERSION = 0x00020000  # 2.0.0
 DISCOVERY_NQN = "nqn.2014-08.org.nvmexpress.discovery"
 NQN_BYTES = 223  # the longest NQN
 ALL_NAMESPACES = 0xFFFFFFFF
 
 
-class Admin(IntEnum):
+class AdminOpcode(IntEnum):
     """Admin opcodes."""
 
     GET_LOG_PAGE = 0x02
@@ -37,7 +37,7 @@
     FABRICS = 0x7F
 
 
-class Fabrics(IntEnum):
+class FabricsCommandType(IntEnum):
     """Fabrics command types."""
 
     PROPERTY_SET = 0x00
@@ -46,7 +46,7 @@
     DISCONNECT = 0x08
 
 
-class Io(IntEnum):
+class IoOpcode(IntEnum):
     """Opcodes of the NVM command set."""
 
     FLUSH = 0x00
@@ -54,7 +54,7 @@
     READ = 0x02
     COMPARE = 0x05
     WRITE_ZEROES = 0x08
-    DATASET = 0x09
+    DATASET_MANAGEMENT = 0x09
 
 
 class Property(IntEnum):
@@ -70,7 +70,7 @@
     """Feature identifiers."""
 
     WRITE_CACHE = 0x06
-    QUEUES = 0x07
+    NUMBER_OF_QUEUES = 0x07
     ASYNC_EVENTS = 0x0B
     KEEP_ALIVE = 0x0F
     HOST_BEHAVIOR = 0x16
@@ -79,7 +79,7 @@
 HOST_BEHAVIOR_BYTES = 512  # its first byte is ACRE: the host honours Command Retry Delay
 
 
-class Page(IntEnum):
+class LogPage(IntEnum):
     """Log pages."""
 
     ERROR = 0x01
@@ -98,7 +98,7 @@
     DESCRIPTORS = 0x03
 
 
-class Ana(IntEnum):
+class AnaState(IntEnum):
     """Asymmetric namespace access states."""
 
     OPTIMIZED = 0x1
@@ -117,7 +117,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Traits:
+class ControllerTraits:
     """What a controller says of itself."""
 
     nqn: str
@@ -126,10 +126,10 @@
     model: str = "harriertrack head"
     discovery: bool = False
     ana: bool = False
-    entries: int = 128  # of a queue
-    queues: int = 64  # for I/O
+    queue_entries: int = 128  # of a queue
+    io_queues: int = 64  # for I/O
     in_capsule: int = 8 << 10
-    most_transfer: int = 1 << 20
+    max_transfer: int = 1 << 20
     retry_delays: tuple[int, int, int] = (1, 5, 20)  # CRDT1 to 3, in units of 100 ms
     keep_alive_unit: int = 1  # KAS, in units of 100 ms
     events: int = 4  # Asynchronous Event Requests at a time
@@ -173,9 +173,9 @@
 # -- properties
 
 
-def cap(traits: Traits) -> int:
+def cap(traits: ControllerTraits) -> int:
     """Return the capabilities: entries of a queue, contiguous; 5 s to get ready; the NVM command set."""
-    return (traits.entries - 1) | 1 << 16 | 10 << 24 | 1 << 37
+    return (traits.queue_entries - 1) | 1 << 16 | 10 << 24 | 1 << 37
 
 
 CC_ENABLE, CC_SHUTDOWN = 1 << 0, 0b11 << 14
@@ -189,7 +189,7 @@
     return text.encode("ascii", "replace")[:width].ljust(width)
 
 
-def identify_controller(traits: Traits, cntlid: int, namespaces: int) -> bytes:
+def identify_controller(traits: ControllerTraits, cntlid: int, namespaces: int) -> bytes:
     """Return the Identify Controller data."""
     out = bytearray(IDENTIFY_BYTES)
 
@@ -197,14 +197,14 @@
         struct.pack_into("<" + layout, out, at, *values)
 
     put(4, "20s40s8s", _text(traits.serial, 20), _text(traits.model, 40), _text(traits.firmware, 8))
-    put(76, "BBHI", 0b1010 if traits.ana else 0b10, mdts(traits.most_transfer), cntlid, VERSION)
+    put(76, "BBHI", 0b1010 if traits.ana else 0b10, mdts(traits.max_transfer), cntlid, VERSION)
     # What asynchronous events can tell: ANA changes; of a discovery controller, that its log changed.
     put(92, "I", 1 << 31 if traits.discovery else (1 << 11 if traits.ana else 0))
     put(111, "B", 2 if traits.discovery else 1)
     put(128, "HHH", *traits.retry_delays)
     put(258, "BBBB", 3, traits.events - 1, 0b11, 0)  # ACL, AERL, FRMW, LPA
     put(320, "H", traits.keep_alive_unit)
-    put(514, "H", traits.entries)
+    put(514, "H", traits.queue_entries)
     if not traits.discovery:
         put(512, "BB", 0x66, 0x44)  # entries of 64 and 16 bytes
         put(516, "IH", max(1, namespaces), 1 << 0 | 1 << 2 | 1 << 3)  # NN; Compare, Dataset, Write Zeroes
@@ -219,7 +219,7 @@
 
 def mdts(most_transfer: int) -> int:
     """Return the power of two of pages that one command may transfer."""
-    return max(0, (most_transfer // PAGE).bit_length() - 1)
+    return max(0, (most_transfer // MIN_PAGE_BYTES).bit_length() - 1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -230,7 +230,7 @@
     model: str
     cntlid: int
     nqn: str
-    most_transfer: int
+    max_transfer: int
     in_capsule: int
     retry_delays: tuple[int, int, int]
     ana: bool
@@ -245,7 +245,7 @@
         (capsule,) = struct.unpack_from("<I", data, 1792)
         return cls(
             serial.decode("ascii", "replace").strip(), model.decode("ascii", "replace").strip(), cntlid,
-            data[768:1024].split(b"\0", 1)[0].decode(), PAGE << transfer if transfer else 0,
+            data[768:1024].split(b"\0", 1)[0].decode(), MIN_PAGE_BYTES << transfer if transfer else 0,
             max(0, capsule * 16 - 64), delays, bool(cmic & 0b1000), data[111] == 2,
         )  # fmt: skip
 
@@ -315,7 +315,7 @@
 _ANA_GROUP = struct.Struct("<IIQB15x")
 
 
-def ana_log(states: Mapping[int, Ana], changes: int, groups_only: bool = False) -> bytes:
+def ana_log(states: Mapping[int, AnaState], changes: int, groups_only: bool = False) -> bytes:
     """Return the ANA log: a group for each namespace, of its number; `changes` counts them."""
     out = [struct.pack("<QH6x", changes, len(states))]
     for nsid, state in sorted(states.items()):
@@ -325,14 +325,14 @@
     return b"".join(out)
 
 
-def parse_ana(data: bytes) -> dict[int, Ana]:
+def parse_ana(data: bytes) -> dict[int, AnaState]:
     """Read the states of all groups. Raises ValueError if the log is cut short or names no known state."""
     try:
         _, count = struct.unpack_from("<QH", data)
         at, states = 16, {}
         for _ in range(count):
             group, nsids, _, state = _ANA_GROUP.unpack_from(data, at)
-            states[group] = Ana(state & 0xF)
+            states[group] = AnaState(state & 0xF)
             at += _ANA_GROUP.size + 4 * nsids
     except struct.error as error:
         raise ValueError(f"ANA log: {error}") from error
@@ -340,7 +340,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class DiscoveryEntry:
     """A subsystem that a discovery controller tells of."""
 
     nqn: str
@@ -353,18 +353,18 @@
 TCP, IPV4, IPV6, NVM_SUBSYSTEM = 3, 1, 2, 2
 
 
-def discovery_log(entries: Sequence[Entry], generation: int) -> bytes:
+def discovery_log(entries: Sequence[DiscoveryEntry], generation: int) -> bytes:
     """Return the discovery log."""
     out = [_DISCOVERY_HEAD.pack(generation, len(entries), 0)]
     for number, one in enumerate(entries):
         family = IPV6 if ":" in one.address else IPV4
-        out.append(_ENTRY.pack(TCP, family, NVM_SUBSYSTEM, 0, number, DYNAMIC, 32,
+        out.append(_ENTRY.pack(TCP, family, NVM_SUBSYSTEM, 0, number, DYNAMIC_CONTROLLER_ID, 32,
                                str(one.port).encode().ljust(32), _nqn(one.nqn),
                                one.address.encode().ljust(256)))  # fmt: skip
     return b"".join(out)
 
 
-def parse_discovery(data: bytes) -> list[Entry]:
+def parse_discovery_log(data: bytes) -> list[DiscoveryEntry]:
     """Read the TCP entries of a discovery log. Raises ValueError if it is cut short."""
     found = []
     try:
@@ -374,7 +374,7 @@
         for number in range(count):
             kind, _, _, _, _, _, _, port, nqn, address = _ENTRY.unpack_from(data, 1024 * (number + 1))
             if kind == TCP:
-                found.append(Entry(nqn.split(b"\0", 1)[0].decode(), address.strip(b" \0").decode(),
+                found.append(DiscoveryEntry(nqn.split(b"\0", 1)[0].decode(), address.strip(b" \0").decode(),
                                    int(port.strip(b" \0"))))  # fmt: skip
     except struct.error as error:
         raise ValueError(f"discovery log: {error}") from error
--- a/harriertrack/protocol/nvme/transport.py
+++ b/harriertrack/protocol/nvme/transport.py
@@ -32,7 +32,7 @@
     UNDIGESTED,
     WITH_DATA,
     Cqe,
-    Dgst,
+    DigestFlags,
     Fatal,
     Fes,
     Flags,
@@ -46,11 +46,11 @@
 from harriertrack.protocol.receive_buffer import ReceiveBuffer
 
 BODY = COMMON.size  # where a PDU's own header fields begin
-NO_DIGESTS = Dgst(0)
+NO_DIGESTS = DigestFlags(0)
 MOST_DATA_PDU = 1 << 20  # the most data that this program puts in one PDU
 
 
-class Phase(Enum):
+class ConnectionState(Enum):
     """Where a connection is."""
 
     INIT = auto()  # ICReq or ICResp has not come
@@ -67,16 +67,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class ConnectionTerminated:
     """The connection is to be closed once what is left was sent."""
 
     fes: int
-    why: str
+    reason: str
     by_peer: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Submitted:
+class CommandSubmitted:
     """A command came, with all of its data."""
 
     sqe: Sqe
@@ -84,14 +84,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Completed:
+class ResponseReceived:
     """A command ended."""
 
     cqe: Cqe
     data: bytes
 
 
-Event = Initialized | Broken | Submitted | Completed
+Event = Initialized | ConnectionTerminated | CommandSubmitted | ResponseReceived
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     from_host: bool  # what the peer sends
 
     def __init__(self, most_data: int) -> None:
-        self.phase = Phase.INIT
+        self.state = ConnectionState.INIT
         self.header_digest = self.data_digest = False
         self._align_in = self._align_out = 0  # dwords, zero-based: of data that comes, and that goes
         self._most_data = most_data  # that one PDU of the peer's may bring
@@ -131,7 +131,7 @@
     def receive(self, data: bytes) -> list[Event]:
         """Take bytes of the peer; return what they mean."""
         events: list[Event] = []
-        if self.phase is Phase.CLOSED:
+        if self.state is ConnectionState.CLOSED:
             return events
         self._inbox.add(data)
         header = b""
@@ -139,9 +139,9 @@
             for pdu in self._pdus():
                 header = pdu.header
                 if pdu.kind in (Pdu.H2C_TERM, Pdu.C2H_TERM):
-                    self.phase = Phase.CLOSED
+                    self.state = ConnectionState.CLOSED
                     fes, _ = TERM.unpack_from(pdu.header, BODY)
-                    events.append(Broken(fes, "the peer ended the connection", by_peer=True))
+                    events.append(ConnectionTerminated(fes, "the peer ended the connection", by_peer=True))
                     break
                 events.extend(self._handle(pdu))
         except Fatal as fatal:
@@ -151,13 +151,13 @@
     def _handle(self, pdu: Received) -> Iterator[Event]:
         raise NotImplementedError
 
-    def _terminate(self, fatal: Fatal, header: bytes) -> Broken:
+    def _terminate(self, fatal: Fatal, header: bytes) -> ConnectionTerminated:
         kind = Pdu.C2H_TERM if self.from_host else Pdu.H2C_TERM
         body = header[: MOST_TERM_BYTES - HLEN[kind]]
         common = COMMON.pack(kind, 0, HLEN[kind], 0, HLEN[kind] + len(body))
         self._out.append(common + TERM.pack(fatal.fes, fatal.fei) + body)
-        self.phase = Phase.CLOSED
-        return Broken(fatal.fes, str(fatal))
+        self.state = ConnectionState.CLOSED
+        return ConnectionTerminated(fatal.fes, str(fatal))
 
     # -- what comes
 
@@ -193,7 +193,7 @@
             raise wrong(0, f"{kind.name} comes from the other side alone")
         begins = kind in (Pdu.IC_REQ, Pdu.IC_RESP)
         ends = kind in (Pdu.H2C_TERM, Pdu.C2H_TERM)
-        if begins is not (self.phase is Phase.INIT) and not ends:
+        if begins is not (self.state is ConnectionState.INIT) and not ends:
             raise Fatal(Fes.SEQUENCE, f"{kind.name} does not belong here", header=shown)
         if hlen != HLEN[kind]:
             raise wrong(2, f"{kind.name} of a header of {hlen} bytes")
@@ -258,10 +258,10 @@
     align: int = 0  # CPDA: of the data that hosts send, in dwords, zero-based
     most_h2c: int = 128 << 10  # MAXH2CDATA
     in_capsule: int = 8 << 10  # data that a command's capsule may bring
-    most_transfer: int = 1 << 20  # of one command (MDTS)
+    max_transfer: int = 1 << 20  # of one command (MDTS)
     r2t: int = 128 << 10  # asked for by one R2T
-    asked: int = 8 << 20  # of all commands whose data is asked for; one is always, however large
-    digests: Dgst = Dgst.HEADER | Dgst.DATA
+    requested_bytes: int = 8 << 20  # of all commands whose data is asked for; one is always, however large
+    digests: DigestFlags = DigestFlags.HEADER | DigestFlags.DATA
 
     def __post_init__(self) -> None:
         if not 0 <= self.align <= MOST_ALIGN or self.most_h2c < LEAST_H2C_DATA or self.most_h2c % 4:
@@ -269,10 +269,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class AskedBytes:
+class RequestedBytes:
     """What all connections of one head have asked for; each may always have one command's."""
 
-    most: int
+    limit: int
     used: int = 0
 
 
@@ -304,12 +304,14 @@
 
     from_host = True
 
-    def __init__(self, limits: Limits, together: AskedBytes | None = None) -> None:
+    def __init__(self, limits: Limits, together: RequestedBytes | None = None) -> None:
         super().__init__(max(limits.most_h2c, limits.in_capsule))
-        self._together = together or AskedBytes(limits.asked)
+        self._together = together or RequestedBytes(limits.requested_bytes)
         self.limits = limits
         self.depth = 32  # commands at a time, until Connect says how many
-        self.flow_off = False  # no submission queue flow control: then reads may end without a capsule
+        self.flow_control_disabled = (
+            False  # no submission queue flow control: then reads may end without a capsule
+        )
         self._sqhd = 0
         self._open: dict[int, Sqe] = {}
         self._incoming: dict[int, _Incoming] = {}
@@ -337,9 +339,9 @@
     def complete_read(self, cid: int, data: bytes) -> None:
         """End a command with success and the data that it asked for. Raises KeyError if it is not open."""
         del self._open[cid]
-        last = Flags.LAST_PDU | (Flags.SUCCESS if self.flow_off else 0)
+        last = Flags.LAST_PDU | (Flags.SUCCESS if self.flow_control_disabled else 0)
         self._put_data(Pdu.C2H_DATA, cid, 0, memoryview(data), 0, MOST_DATA_PDU, last)
-        if not self.flow_off or not data:
+        if not self.flow_control_disabled or not data:
             self._respond(Cqe(cid))
 
     def _respond(self, cqe: Cqe) -> None:
@@ -363,10 +365,13 @@
         digests &= self.limits.digests
         body = INIT.pack(0, self.limits.align, digests, self.limits.most_h2c)
         self._put(Pdu.IC_RESP, body.ljust(INIT_BYTES - BODY, b"\0"))
-        self.header_digest, self.data_digest = bool(digests & Dgst.HEADER), bool(digests & Dgst.DATA)
+        self.header_digest, self.data_digest = (
+            bool(digests & DigestFlags.HEADER),
+            bool(digests & DigestFlags.DATA),
+        )
         self._align_in, self._align_out = self.limits.align, align
         self._most_r2t = most_r2t + 1
-        self.phase = Phase.READY
+        self.state = ConnectionState.READY
         return Initialized(self.header_digest, self.data_digest)
 
     def _command(self, pdu: Received) -> Iterator[Event]:
@@ -386,7 +391,7 @@
             self._unasked.append(one)
             self._ask_next()
         else:
-            yield Submitted(sqe, pdu.data[: sqe.length] if sqe.to_controller else b"")
+            yield CommandSubmitted(sqe, pdu.data[: sqe.length] if sqe.to_controller else b"")
 
     def _wrong(self, sqe: Sqe, pdu: Received) -> Status:
         """Return what is wrong with where a command's data is said to be."""
@@ -402,14 +407,17 @@
             return Status.SUCCESS if pdu.intact else Status.TRANSIENT_TRANSPORT
         if sqe.sgl != Sgl.TRANSPORT:
             return Status.SGL_TYPE
-        return Status.INVALID_FIELD if sqe.length > self.limits.most_transfer else Status.SUCCESS
+        return Status.INVALID_FIELD if sqe.length > self.limits.max_transfer else Status.SUCCESS
 
     def _ask_next(self) -> None:
         """Ask for the data of commands in the order they came, while no more than the bound is on its way."""
         while self._unasked:
             one = self._unasked[0]
             length, together = one.sqe.length, self._together
-            beyond = self._granted + length > self.limits.asked or together.used + length > together.most
+            beyond = (
+                self._granted + length > self.limits.requested_bytes
+                or together.used + length > together.limit
+            )
             if self._granted and beyond:
                 return
             self._unasked.popleft()
@@ -427,7 +435,7 @@
             self._unasked.remove(one)
         self._ask_next()
 
-    def ended(self) -> None:
+    def release(self) -> None:
         """The connection is gone: what it had asked for will not come."""
         self._together.used -= self._granted
         self._granted = 0
@@ -479,7 +487,7 @@
         if one.torn:
             self.complete(Cqe(cid, Status.TRANSIENT_TRANSPORT))
         else:
-            yield Submitted(one.sqe, bytes(one.data))
+            yield CommandSubmitted(one.sqe, bytes(one.data))
 
 
 @dataclass(slots=True)
@@ -497,7 +505,7 @@
 
     from_host = False
 
-    def __init__(self, align: int = 0, most_r2t: int = 1, digests: Dgst = NO_DIGESTS) -> None:
+    def __init__(self, align: int = 0, most_r2t: int = 1, digests: DigestFlags = NO_DIGESTS) -> None:
         super().__init__(MOST_DATA_PDU)
         if not 0 <= align <= MOST_ALIGN or most_r2t < 1:
             raise ValueError("alignment or number of R2Ts are outside the specification's bounds")
@@ -506,7 +514,7 @@
         self._sent: dict[int, _Sent] = {}
         self.sqhd = 0  # the controller's newest word of it
 
-    def begin(self) -> None:
+    def send_ic_req(self) -> None:
         """Ask for a connection."""
         body = INIT.pack(0, self._align_in, self._asks, self._most_r2t - 1)
         self._put(Pdu.IC_REQ, body.ljust(INIT_BYTES - BODY, b"\0"))
@@ -544,9 +552,12 @@
             raise Fatal(Fes.INVALID_HEADER, "digests that were not asked for", BODY + 3)
         if most_h2c < LEAST_H2C_DATA:
             raise Fatal(Fes.INVALID_HEADER, f"MAXH2CDATA of {most_h2c}", BODY + 4)
-        self.header_digest, self.data_digest = bool(digests & Dgst.HEADER), bool(digests & Dgst.DATA)
+        self.header_digest, self.data_digest = (
+            bool(digests & DigestFlags.HEADER),
+            bool(digests & DigestFlags.DATA),
+        )
         self._align_out, self._most_h2c = align, most_h2c
-        self.phase = Phase.READY
+        self.state = ConnectionState.READY
         return Initialized(self.header_digest, self.data_digest)
 
     def _known(self, cid: int) -> _Sent:
@@ -585,4 +596,4 @@
             self.sqhd = cqe.sqhd
         if sent.torn and cqe.status == Status.SUCCESS:
             cqe = replace(cqe, status=Status.TRANSIENT_TRANSPORT)
-        yield Completed(cqe, bytes(sent.into) if cqe.status == Status.SUCCESS else b"")
+        yield ResponseReceived(cqe, bytes(sent.into) if cqe.status == Status.SUCCESS else b"")
--- a/harriertrack/protocol/nvme/wire.py
+++ b/harriertrack/protocol/nvme/wire.py
@@ -66,7 +66,7 @@
     SUCCESS = 1 << 3  # C2HData: no response capsule follows, the command was successful
 
 
-class Dgst(IntFlag):
+class DigestFlags(IntFlag):
     """Digests in ICReq and ICResp."""
 
     HEADER = 1 << 0
@@ -119,7 +119,7 @@
     CONNECT_BUSY = 0x181
     CONNECT_INVALID = 0x182
     COMPARE_FAILURE = 0x285
-    INACCESSIBLE = 0x302  # asymmetric access: take another path
+    ANA_INACCESSIBLE = 0x302  # asymmetric access: take another path
 
 
 def crc32c(data: bytes) -> int:
--- a/harriertrack/standin/shelf.py
+++ b/harriertrack/standin/shelf.py
@@ -9,10 +9,10 @@
 from harriertrack.config.settings import ShelfSettings
 from harriertrack.protocol.nbd import extension
 from harriertrack.protocol.nbd.server import (
-    Aborted,
     Disconnect,
     ExportInfo,
-    Opened,
+    ExportOpened,
+    HandshakeAborted,
     Request,
     ServerConnection,
     ServerState,
@@ -145,12 +145,12 @@
                             shelf.cancel(self, event.cookie)
                         case Request():
                             self._request(event)
-                        case Opened():
+                        case ExportOpened():
                             self._volume = event.export.name
                             known = [extension.identity_of(name) for name in event.contexts]
                             self._head, self.epoch = next((one for one in known if one is not None), (0, 0))
                             shelf.rack.fence.admits(self._volume, self.epoch)
-                        case Disconnect() | Aborted():
+                        case Disconnect() | HandshakeAborted():
                             return
                 if self._nbd.state is ServerState.CLOSED:
                     return
@@ -169,7 +169,7 @@
             self.stream.write(data)
 
     def _request(self, request: Request) -> None:
-        self._shelf.receive(self, request, self._volume, self._head, self._nbd.extended)
+        self._shelf.receive(self, request, self._volume, self._head, self._nbd.has_extension)
 
     def break_off(self) -> None:
         """Break the connection with a reset."""
@@ -181,7 +181,7 @@
             return
         request, report = work.request, self._shelf.said(work, result)
         if result == "unseen":
-            self._nbd.reply_error(request.cookie, Errno.ENOMEM, "the queue is full", unseen=True)
+            self._nbd.reply_error(request.cookie, Errno.ENOMEM, "the queue is full", never_ran=True)
         elif request.command is Command.READ:
             pieces = [data] if data else []
             self._nbd.reply_read(
--- a/tests/test_nbd_codec.py
+++ b/tests/test_nbd_codec.py
@@ -6,8 +6,20 @@
 from hypothesis import given, settings, strategies as st
 
 from harriertrack.protocol.nbd import extension
-from harriertrack.protocol.nbd.client import ClientConnection, ClientState, Greeted, OptionDone, Reply
-from harriertrack.protocol.nbd.server import Aborted, Disconnect, ExportInfo, Opened, ServerConnection
+from harriertrack.protocol.nbd.client import (
+    ClientConnection,
+    ClientState,
+    GreetingReceived,
+    OptionEnded,
+    Reply,
+)
+from harriertrack.protocol.nbd.server import (
+    HandshakeAborted,
+    Disconnect,
+    ExportInfo,
+    ExportOpened,
+    ServerConnection,
+)
 from harriertrack.protocol.nbd.wire import (
     BASE_ALLOCATION,
     MAX_PAYLOAD,
@@ -26,7 +38,7 @@
 
 class Exports:
     def __init__(self, least=1, flags=ALL):
-        self.known = {"disk": ExportInfo("disk", 1 << 20, flags, "a disk", block_least=least)}
+        self.known = {"disk": ExportInfo("disk", 1 << 20, flags, "a disk", min_block_size=least)}
 
     def names(self):
         return self.known
@@ -58,7 +70,7 @@
     """A server connection in transmission, with what it said so far thrown away."""
     one = ServerConnection(exports or Exports())
     events = one.receive(FLAGS + (option(8) if structured else b"") + b"".join(sent) + GO)
-    assert isinstance(events[-1], Opened)
+    assert isinstance(events[-1], ExportOpened)
     one.take_outgoing()
     return one
 
@@ -78,7 +90,7 @@
         + head
         + bytes.fromhex("00000001 00000000")
     )
-    assert isinstance(events[0], Opened) and events[0].export.name == "disk"
+    assert isinstance(events[0], ExportOpened) and events[0].export.name == "disk"
 
 
 def test_export_name_with_and_without_zeroes():
@@ -152,7 +164,7 @@
     said(one)
     one.receive(FLAGS + sent)
     assert struct.unpack_from(">QII", said(one))[2] == reply
-    assert isinstance(one.receive(GO)[-1], Opened)
+    assert isinstance(one.receive(GO)[-1], ExportOpened)
 
 
 @pytest.mark.parametrize("sent", [
@@ -213,7 +225,7 @@
     one = server()
     assert isinstance(one.receive(request(2))[0], Disconnect)
     one = ServerConnection(Exports())
-    assert isinstance(one.receive(FLAGS + option(2))[0], Aborted)
+    assert isinstance(one.receive(FLAGS + option(2))[0], HandshakeAborted)
     assert said(one)[-20:] == bytes.fromhex("0003e889045565a9 00000002 00000001 00000000")
 
 
@@ -229,7 +241,7 @@
     ours = extension.context_of(0xABC)
     queries = name("disk") + struct.pack(">I", 3) + name("other:thing") + name(BASE_ALLOCATION) + name(ours)
     one.receive(option(10, queries) + GO)
-    assert one.contexts == {1: BASE_ALLOCATION, 2: ours} and one.extended
+    assert one.contexts == {1: BASE_ALLOCATION, 2: ours} and one.has_extension
     one.receive(request(7, cookie=3, length=1024))
     said(one)
     one.reply_block_status(3, [(512, 0), (512, 3)])
@@ -266,15 +278,15 @@
         carry(one, client, heard)
         return heard, asked
 
-    assert isinstance(turn()[0][0], Greeted)
+    assert isinstance(turn()[0][0], GreetingReceived)
     if structured:
-        client.ask_structured()
+        client.send_structured_reply()
         assert turn()[0][0].error == 0
-        client.ask_contexts("disk", [BASE_ALLOCATION, extension.context_of(7)])
+        client.send_meta_contexts("disk", [BASE_ALLOCATION, extension.context_of(7)])
         assert list(turn()[0][0].contexts.values()) == [BASE_ALLOCATION, extension.context_of(7)]
-    client.ask_go("disk")
+    client.send_go("disk")
     done = turn()[0][0]
-    assert isinstance(done, OptionDone) and done.size == 1 << 20 and client.state is ClientState.TRANSMISSION
+    assert isinstance(done, OptionEnded) and done.size == 1 << 20 and client.state is ClientState.TRANSMISSION
     kinds = {
         "read": Command.READ,
         "write": Command.WRITE,
@@ -342,9 +354,9 @@
 def opened_client():
     client = ClientConnection()
     client.receive(b"NBDMAGICIHAVEOPT\0\x03")
-    client.ask_structured()
+    client.send_structured_reply()
     client.receive(bytes.fromhex("0003e889045565a9 00000008 00000001 00000000"))
-    client.ask_go("disk")
+    client.send_go("disk")
     client.receive(
         bytes.fromhex(
             "0003e889045565a9 00000007 00000003 0000000c 0000 0000000000100000 05ed"
@@ -386,14 +398,14 @@
 def test_both_sides_speak_export_name_with_and_without_zeroes():
     client, one = ClientConnection(), ServerConnection(Exports())
     client.receive(b"".join(one.take_outgoing()))
-    client.ask_export_name("disk")
+    client.send_export_name("disk")
     one.receive(b"".join(client.take_outgoing()))
     (done,) = client.receive(b"".join(one.take_outgoing()))
     assert (done.size, done.flags) == (1 << 20, 0xD6D & ~TransmissionFlags.SEND_DF)
     assert client.state is ClientState.TRANSMISSION
     old = ClientConnection()
     old.receive(b"NBDMAGICIHAVEOPT\0\x01")  # a server that knows no NO_ZEROES sends them
-    old.ask_export_name("disk")
+    old.send_export_name("disk")
     assert old.receive(bytes(133)) == [] and old.receive(b"\0")[0].size == 0
 
 
@@ -401,7 +413,7 @@
     client = opened_client()
     client.request(Command.READ, 1, 0, 4)
     (reply,) = client.receive(chunk(0x8FFF, struct.pack(">IH", 5, 2) + b"no"))
-    assert reply == Reply(1, 5, "no") and not reply.unseen
+    assert reply == Reply(1, 5, "no") and not reply.never_ran
 
 
 @given(st.binary(max_size=200))
--- a/tests/test_nvme_codec.py
+++ b/tests/test_nvme_codec.py
@@ -8,22 +8,33 @@
 from hypothesis import given, settings, strategies as st
 
 from harriertrack.protocol.nvme.transport import (
-    NO_DIGESTS, AskedBytes, Broken, Completed, ControllerConnection, HostConnection, Initialized, Limits, Phase, Submitted,
+    NO_DIGESTS, RequestedBytes, ConnectionTerminated, ResponseReceived, ControllerConnection, HostConnection, Initialized, Limits, ConnectionState, CommandSubmitted,
 )  # fmt: skip
-from harriertrack.protocol.nvme.wire import Cqe, Dgst, Fes, Flags, Pdu, Sgl, Sqe, Status, aligned, crc32c
+from harriertrack.protocol.nvme.wire import (
+    Cqe,
+    DigestFlags,
+    Fes,
+    Flags,
+    Pdu,
+    Sgl,
+    Sqe,
+    Status,
+    aligned,
+    crc32c,
+)
 
 WRITE, READ, FLUSH = 0x01, 0x02, 0x00
-BOTH = Dgst.HEADER | Dgst.DATA
+BOTH = DigestFlags.HEADER | DigestFlags.DATA
 
 
 def pair(digests=NO_DIGESTS, host_align=0, most_r2t=1, depth=64, flow_off=False, **limits):
     """A host and a controller that have begun."""
     host, controller = HostConnection(host_align, most_r2t, digests), ControllerConnection(Limits(**limits))
-    host.begin()
+    host.send_ic_req()
     (begun,) = controller.receive(b"".join(host.take_outgoing()))
-    assert begun == Initialized(bool(digests & Dgst.HEADER), bool(digests & Dgst.DATA))
+    assert begun == Initialized(bool(digests & DigestFlags.HEADER), bool(digests & DigestFlags.DATA))
     assert host.receive(b"".join(controller.take_outgoing())) == [begun]
-    controller.depth, controller.flow_off = depth, flow_off
+    controller.depth, controller.flow_control_disabled = depth, flow_off
     return host, controller
 
 
@@ -43,14 +54,14 @@
 
 def test_icreq_and_icresp_byte_for_byte():
     host = HostConnection(align=3, most_r2t=4, digests=BOTH)
-    host.begin()
+    host.send_ic_req()
     (asked,) = host.take_outgoing()
     assert asked == bytes.fromhex("00 00 80 00 80000000  0000 03 03 03000000") + bytes(112)
     controller = ControllerConnection(Limits(align=1, most_h2c=8192))
     controller.receive(asked)
     (told,) = controller.take_outgoing()
     assert told == bytes.fromhex("01 00 80 00 80000000  0000 01 03 00200000") + bytes(112)
-    assert controller.phase is Phase.READY
+    assert controller.state is ConnectionState.READY
 
 
 def test_a_queue_entry_byte_for_byte():
@@ -117,29 +128,29 @@
         assert len(raw) == (1 if flow_off else 2)
         if not flow_off:
             assert raw[1] == bytes.fromhex("05 00 18 00 18000000 0000000000000000 0100 0000 0300 0000")
-        assert host.receive(b"".join(raw)) == [Completed(Cqe(3, sqhd=0 if flow_off else 1), b"wxyz")]
+        assert host.receive(b"".join(raw)) == [ResponseReceived(Cqe(3, sqhd=0 if flow_off else 1), b"wxyz")]
 
 
 def test_a_termination_request_byte_for_byte():
     controller = ControllerConnection(Limits())
     bad = bytes.fromhex("0a 00 18 00 18000000")
     (event,) = controller.receive(bad)
-    assert isinstance(event, Broken) and event.fes == Fes.INVALID_HEADER and not event.by_peer
+    assert isinstance(event, ConnectionTerminated) and event.fes == Fes.INVALID_HEADER and not event.by_peer
     assert controller.take_outgoing() == [
         bytes.fromhex("03 00 18 00 20000000 0100 00000000 00000000000000000000") + bad
     ]
-    assert controller.phase is Phase.CLOSED and controller.receive(bytes(500)) == []
+    assert controller.state is ConnectionState.CLOSED and controller.receive(bytes(500)) == []
     host = HostConnection()
-    host.begin()
+    host.send_ic_req()
     assert host.receive(bytes.fromhex("03 00 18 00 20000000 0100 00000000 00000000000000000000") + bad) == [
-        Broken(1, "the peer ended the connection", by_peer=True)
+        ConnectionTerminated(1, "the peer ended the connection", by_peer=True)
     ]
 
 
 # -- anything that two right sides can do
 
 shapes = st.fixed_dictionaries({
-    "digests": st.sampled_from([Dgst(0), Dgst.HEADER, Dgst.DATA, BOTH]),
+    "digests": st.sampled_from([DigestFlags(0), DigestFlags.HEADER, DigestFlags.DATA, BOTH]),
     "host_align": st.integers(0, 31), "align": st.integers(0, 31), "most_r2t": st.integers(1, 4),
     "most_h2c": st.sampled_from([4096, 5000, 16384]), "r2t": st.sampled_from([4096, 6000, 1 << 20]),
     "in_capsule": st.sampled_from([0, 512, 8192]), "flow_off": st.booleans(),
@@ -195,12 +206,16 @@
 @settings(max_examples=150, deadline=None)
 def test_no_bytes_do_more_than_end_the_connection(noise, begun, digests):
     host, controller = (
-        pair(BOTH if digests else Dgst(0)) if begun else (HostConnection(), ControllerConnection(Limits()))
+        pair(BOTH if digests else DigestFlags(0))
+        if begun
+        else (HostConnection(), ControllerConnection(Limits()))
     )
     for side in (host, controller):
         events = side.receive(noise) + side.receive(noise)
-        assert sum(isinstance(event, Broken) for event in events) <= 1
-        assert (side.phase is Phase.CLOSED) is any(isinstance(event, Broken) for event in events)
+        assert sum(isinstance(event, ConnectionTerminated) for event in events) <= 1
+        assert (side.state is ConnectionState.CLOSED) is any(
+            isinstance(event, ConnectionTerminated) for event in events
+        )
 
 
 @given(st.integers(0, 1 << 30))
@@ -214,8 +229,12 @@
     raw[rng.randrange(len(raw))] ^= 1 << rng.randrange(8)
     for event in controller.receive(bytes(raw)):
         # At worst the flip lies in the padding, which no digest covers and nobody reads.
-        assert isinstance(event, Broken) or event.data == data
-    if controller.phase is Phase.READY and controller.open == {} and (out := controller.take_outgoing()):
+        assert isinstance(event, ConnectionTerminated) or event.data == data
+    if (
+        controller.state is ConnectionState.READY
+        and controller.open == {}
+        and (out := controller.take_outgoing())
+    ):
         (completed,) = host.receive(b"".join(out))
         assert completed.cqe.status == Status.TRANSIENT_TRANSPORT
 
@@ -229,7 +248,7 @@
 
 
 def test_a_torn_write_ends_that_command_alone():
-    host, controller = pair(Dgst.DATA, r2t=4096, most_h2c=4096)
+    host, controller = pair(DigestFlags.DATA, r2t=4096, most_h2c=4096)
     host.submit(Sqe(WRITE, 1, 1), b"a" * 8192)
     host.submit(Sqe(WRITE, 2, 1), b"b" * 100, in_capsule=True)
     assert [event.sqe.cid for event in moved(host, controller)] == [2]
@@ -239,17 +258,17 @@
     assert controller.receive(bytes(raw)) == []  # the rest is still asked for
     moved(controller, host)
     assert moved(host, controller) == [] and refused(host, controller) == Status.TRANSIENT_TRANSPORT
-    assert list(controller.open) == [2] and controller.phase is Phase.READY
+    assert list(controller.open) == [2] and controller.state is ConnectionState.READY
 
 
 def test_a_torn_read_is_told_as_one():
-    host, controller = pair(Dgst.DATA)
+    host, controller = pair(DigestFlags.DATA)
     host.submit(Sqe(READ, 1, 1, length=512))
     moved(host, controller)
     controller.complete_read(1, bytes(512))
     raw = bytearray(b"".join(controller.take_outgoing()))
     raw[24 + 100] ^= 1
-    assert host.receive(bytes(raw)) == [Completed(Cqe(1, Status.TRANSIENT_TRANSPORT, sqhd=1), b"")]
+    assert host.receive(bytes(raw)) == [ResponseReceived(Cqe(1, Status.TRANSIENT_TRANSPORT, sqhd=1), b"")]
 
 
 def test_an_id_in_use_is_turned_down_and_the_first_command_goes_on():
@@ -288,7 +307,7 @@
     (event,) = moved(controller, host)
     assert event.cqe.status == Status.ABORT_REQUESTED
     host.submit(Sqe(WRITE, 1, 1), b"b" * 4096)
-    assert controller.receive(b"".join(late)) == [] and controller.phase is Phase.READY
+    assert controller.receive(b"".join(late)) == [] and controller.state is ConnectionState.READY
     moved(host, controller)
     moved(controller, host)
     (event,) = moved(host, controller)
@@ -330,7 +349,7 @@
     moved(host, controller)
     controller.take_outgoing()
     (event,) = controller.receive(raw)
-    assert isinstance(event, Broken) and event.fes == fes
+    assert isinstance(event, ConnectionTerminated) and event.fes == fes
     (term,) = controller.take_outgoing()
     assert term[0] == Pdu.C2H_TERM and struct.unpack_from("<HI", term, 8) == (fes, fei)
     assert term[24:32] == raw[:8]
@@ -342,7 +361,7 @@
 ])  # fmt: skip
 def test_a_wrong_beginning(at, value, fes, fei):
     host, controller = HostConnection(), ControllerConnection(Limits())
-    host.begin()
+    host.send_ic_req()
     raw = bytearray(b"".join(host.take_outgoing()))
     raw[at] = value
     (event,) = controller.receive(bytes(raw))
@@ -351,7 +370,7 @@
 
 
 def test_a_wrong_header_digest_ends_the_connection_and_is_told():
-    host, controller = pair(Dgst.HEADER)
+    host, controller = pair(DigestFlags.HEADER)
     host.submit(Sqe(FLUSH, 1, 1))
     raw = bytearray(b"".join(host.take_outgoing()))
     raw[-4:] = b"\x01\x02\x03\x04"
@@ -365,9 +384,11 @@
     for cid in range(3):
         host.submit(Sqe(FLUSH, cid, 1))
     events = moved(host, controller)
-    assert [type(event) for event in events] == [Submitted, Submitted, Broken] and events[
-        -1
-    ].fes == Fes.SEQUENCE
+    assert [type(event) for event in events] == [
+        CommandSubmitted,
+        CommandSubmitted,
+        ConnectionTerminated,
+    ] and events[-1].fes == Fes.SEQUENCE
 
 
 @pytest.mark.parametrize(("raw", "fes"), [
@@ -386,7 +407,7 @@
     host.submit(Sqe(READ, 2, 1, length=8))
     host.take_outgoing()
     (event,) = host.receive(raw)
-    assert isinstance(event, Broken) and event.fes == fes and not event.by_peer
+    assert isinstance(event, ConnectionTerminated) and event.fes == fes and not event.by_peer
     assert host.take_outgoing()[0][0] == Pdu.H2C_TERM
 
 
@@ -407,12 +428,12 @@
 
     def to_controller():
         for event in moved(host, controller):
-            assert isinstance(event, Submitted) and event.data == open_[event.sqe.cid][1]
+            assert isinstance(event, CommandSubmitted) and event.data == open_[event.sqe.cid][1]
             ready.append(event.sqe.cid)
 
     def to_host():
         for event in moved(controller, host):
-            assert isinstance(event, Completed)
+            assert isinstance(event, ResponseReceived)
             ended.append((open_.pop(event.cqe.cid)[0], event.cqe.status))
 
     def complete(cid, status):
@@ -473,7 +494,7 @@
 
 
 def test_data_is_asked_for_within_a_bound_in_the_order_of_the_commands():
-    host, controller = pair(asked=10_000, in_capsule=0)
+    host, controller = pair(requested_bytes=10_000, in_capsule=0)
     for cid, length in ((1, 20_000), (2, 4_000), (3, 5_000), (4, 6_000)):
         host.submit(Sqe(WRITE, cid, 1), bytes([cid]) * length, in_capsule=False)
     done = []
@@ -490,18 +511,18 @@
 
 
 def test_connections_share_a_bound_and_each_may_have_one_commands_data():
-    together = AskedBytes(6_000)
+    together = RequestedBytes(6_000)
     sides = [(pair()[0], ControllerConnection(Limits(in_capsule=0), together)) for _ in range(3)]
     for host, controller in sides:
         begun = HostConnection()
-        begun.begin()
+        begun.send_ic_req()
         controller.receive(b"".join(begun.take_outgoing()))
         controller.take_outgoing()
         for cid in range(1, 4):
             host.submit(Sqe(WRITE, cid, 1), bytes(4_000), in_capsule=False)
         moved(host, controller)
     assert together.used == 12_000 and [controller._granted for _, controller in sides] == [4_000] * 3
-    sides[0][1].ended()
+    sides[0][1].release()
     assert together.used == 8_000
     for host, controller in sides[1:]:
         for _ in range(10):
--- a/tests/test_nvme_front.py
+++ b/tests/test_nvme_front.py
@@ -11,15 +11,15 @@
 from harriertrack.decisions.interface import RequestArrived
 from harriertrack.gateway.nvme_client import NvmeClient, NvmeError, io_sqe, refused
 from harriertrack.protocol.nbd.wire import Command
-from harriertrack.protocol.nvme.admin import ALL_NAMESPACES, Admin, Io, Property
+from harriertrack.protocol.nvme.admin import ALL_NAMESPACES, AdminOpcode, IoOpcode, Property
 from harriertrack.protocol.nvme.transport import NO_DIGESTS
-from harriertrack.protocol.nvme.wire import Dgst, Sqe, Status
+from harriertrack.protocol.nvme.wire import DigestFlags, Sqe, Status
 
 from test_head import EXTENT, both, play
 
 NQN = "nqn.2026-01.example:scores"
 NVME = NvmeSettings(listen=("127.0.0.1", 0), nqn=NQN)
-BOTH = Dgst.HEADER | Dgst.DATA
+BOTH = DigestFlags.HEADER | DigestFlags.DATA
 DISK, SHARED = 1, 2  # by name
 
 
@@ -30,11 +30,11 @@
 
 
 def write(queue, nsid, block, data, **how):
-    return queue.call(io_sqe(Io.WRITE, nsid, block, len(data) // 512, **how), data).cqe.status
+    return queue.call(io_sqe(IoOpcode.WRITE, nsid, block, len(data) // 512, **how), data).cqe.status
 
 
 def read(queue, nsid, block, blocks):
-    return queue.call(io_sqe(Io.READ, nsid, block, blocks, expects=blocks * 512))
+    return queue.call(io_sqe(IoOpcode.READ, nsid, block, blocks, expects=blocks * 512))
 
 
 def open_write(site, client, for_us):
@@ -42,7 +42,7 @@
     queue, ended = client.io(site.scope), []
     for shelf in site.shelves:
         shelf.pause(for_us)
-    cid = queue.start(io_sqe(Io.WRITE, DISK, 0, 1), b"a" * 512, ended.append)
+    cid = queue.start(io_sqe(IoOpcode.WRITE, DISK, 0, 1), b"a" * 512, ended.append)
     site.hub.sleep(10_000)
     return queue, ended, cid
 
@@ -55,7 +55,7 @@
         (entry,) = finder.discover()
         assert (entry.nqn, entry.address, entry.port) == (NQN, "127.0.0.1", site.head.nvme_address[1])
         client = host(site)
-        assert client.info.nqn == NQN and not client.info.ana and client.info.most_transfer == 1 << 20
+        assert client.info.nqn == NQN and not client.info.ana and client.info.max_transfer == 1 << 20
         found = client.namespaces()
         assert {nsid: info.blocks for nsid, info in found.items()} == {
             DISK: 64 * EXTENT // 512,
@@ -87,26 +87,31 @@
                     model[at : at + length] = data
                 case "zero":
                     assert (
-                        queue.call(io_sqe(Io.WRITE_ZEROES, DISK, block, blocks)).cqe.status == Status.SUCCESS
+                        queue.call(io_sqe(IoOpcode.WRITE_ZEROES, DISK, block, blocks)).cqe.status
+                        == Status.SUCCESS
                     )
                     model[at : at + length] = bytes(length)
                 case "trim":
                     ranges = struct.pack("<IIQ", 0, blocks, block)
-                    sqe = Sqe(Io.DATASET, 0, DISK, (0, 0b100, 0, 0, 0, 0))
+                    sqe = Sqe(IoOpcode.DATASET_MANAGEMENT, 0, DISK, (0, 0b100, 0, 0, 0, 0))
                     assert queue.call(sqe, ranges).cqe.status == Status.SUCCESS
                     model[at : at + length] = bytes(length)
                 case "compare":
                     same, other = bytes(model[at : at + length]), b"\x01" + bytes(length - 1)
                     assert (
-                        queue.call(io_sqe(Io.COMPARE, DISK, block, blocks), same).cqe.status == Status.SUCCESS
+                        queue.call(io_sqe(IoOpcode.COMPARE, DISK, block, blocks), same).cqe.status
+                        == Status.SUCCESS
                     )
                     if same != other:
-                        assert queue.call(io_sqe(Io.COMPARE, DISK, block, blocks), other).cqe.status == 0x285
+                        assert (
+                            queue.call(io_sqe(IoOpcode.COMPARE, DISK, block, blocks), other).cqe.status
+                            == 0x285
+                        )
                 case "nbd":
                     data = rng.randbytes(length)
                     assert nbd.call(Command.WRITE, at, data=data).error == 0
                     model[at : at + length] = data
-        assert queues[0].call(Sqe(Io.FLUSH, 0, ALL_NAMESPACES)).cqe.status == Status.SUCCESS
+        assert queues[0].call(Sqe(IoOpcode.FLUSH, 0, ALL_NAMESPACES)).cqe.status == Status.SUCCESS
         assert nbd.call(Command.READ, 0, 3 * EXTENT).data == model[: 3 * EXTENT]
         assert not site.head.reception._counted
 
@@ -119,7 +124,7 @@
         queues, ended = [client.io(site.scope) for _ in range(4)], []
         for queue in queues:
             for number in range(100):
-                queue.start(io_sqe(Io.WRITE, DISK, number * 8, 1), bytes([number]) * 512, ended.append)
+                queue.start(io_sqe(IoOpcode.WRITE, DISK, number * 8, 1), bytes([number]) * 512, ended.append)
         site.hub.sleep(3_000_000)
         assert len(ended) == 400 and all(done is not None for done in ended)
         assert {done.cqe.status for done in ended} <= {Status.SUCCESS, Status.INTERRUPTED}
@@ -138,7 +143,7 @@
         assert write(queue, DISK, 0, bytes(512)) == Status.SUCCESS
         for shelf in site.shelves:
             shelf.stop(silent=True)
-        statuses = [queue.call(io_sqe(Io.WRITE, DISK, 0, 1), bytes(512)).cqe for _ in range(6)]
+        statuses = [queue.call(io_sqe(IoOpcode.WRITE, DISK, 0, 1), bytes(512)).cqe for _ in range(6)]
         failed = [cqe for cqe in statuses if cqe.status == Status.INTERNAL]
         refusals = [cqe for cqe in statuses if cqe.status == Status.INTERRUPTED]
         assert failed and refusals and len(failed) + len(refusals) == 6
@@ -156,14 +161,16 @@
         queue, ended, cid = open_write(site, client, 500_000)
 
         def abort(target, number=1):
-            return client.admin.call(Sqe(Admin.ABORT, 0, 0, (number | target << 16, 0, 0, 0, 0, 0))).cqe.dw0
+            return client.admin.call(
+                Sqe(AdminOpcode.ABORT, 0, 0, (number | target << 16, 0, 0, 0, 0, 0))
+            ).cqe.dw0
 
         assert abort(cid) == 0 and abort(cid) == 1 and abort(7, 9) == 1
         site.hub.sleep(2_000_000)
         assert [done.cqe.status for done in ended] == [Status.ABORT_REQUESTED]
         assert read(queue, DISK, 8, 1).cqe.status == Status.SUCCESS and not site.head.reception._counted
         waiting = []
-        event = client.admin.start(Sqe(Admin.ASYNC_EVENT, 0), b"", waiting.append)
+        event = client.admin.start(Sqe(AdminOpcode.ASYNC_EVENT, 0), b"", waiting.append)
         site.hub.sleep(10_000)
         assert abort(event, 0) == 0
         assert [done.cqe.status for done in waiting] == [Status.ABORT_REQUESTED]
@@ -240,7 +247,7 @@
 
         unconnected = NvmeQueue(site.hub, site.net, site.head.nvme_address, NO_DIGESTS, "unconnected")
         unconnected.open(site.scope)
-        assert unconnected.call(Sqe(Admin.IDENTIFY, 0)).cqe.status == Status.SEQUENCE
+        assert unconnected.call(Sqe(AdminOpcode.IDENTIFY, 0)).cqe.status == Status.SEQUENCE
         with pytest.raises(NvmeError, match="0x182"):
             # A controller id that no Connect to this subsystem returned.
             client._connect_queue(unconnected, 0, 32, 0, None)
@@ -293,7 +300,9 @@
                     ]
                     assert nbd.call(command, block * 512, 0 if data else blocks * 512, data).error == 0
                 else:
-                    opcode = {"read": Io.READ, "write": Io.WRITE, "zero": Io.WRITE_ZEROES}[kind]
+                    opcode = {"read": IoOpcode.READ, "write": IoOpcode.WRITE, "zero": IoOpcode.WRITE_ZEROES}[
+                        kind
+                    ]
                     sqe = io_sqe(opcode, DISK, block, blocks, expects=blocks * 512 if kind == "read" else 0)
                     assert queue.call(sqe, data).cqe.status == Status.SUCCESS
 
@@ -315,7 +324,7 @@
         assert read(refused_queue, SHARED, 0, 1).cqe.status == Status.INTERRUPTED
         ended, started_at = [], site.hub.now()
         for _ in range(20):
-            waiting_queue.start(io_sqe(Io.READ, SHARED, 0, 1, expects=512), b"", ended.append)
+            waiting_queue.start(io_sqe(IoOpcode.READ, SHARED, 0, 1, expects=512), b"", ended.append)
         site.hub.sleep(2_000_000)
         assert not ended and site.head.core.waiting_parts > 0
         for shelf in site.shelves:
@@ -339,7 +348,7 @@
         for shelf in site.shelves:
             shelf.faults.hang = True
         for at in range(100):
-            queue.start(io_sqe(Io.WRITE, DISK, at, 1), bytes(512), lambda ended: None)
+            queue.start(io_sqe(IoOpcode.WRITE, DISK, at, 1), bytes(512), lambda ended: None)
         site.hub.sleep(1_000_000)
         reception = site.head.reception
         assert len(reception.admission) == 1 and site.head.core.open_requests == 8
