--- a/harriertrack/protocol/nbd/__init__.py
+++ b/harriertrack/protocol/nbd/__init__.py
@@ -1,4 +1,4 @@
-"""NBD, both sides, without I/O: feed bytes in, take events and bytes out.
+"""NBD protocol state machines for client and server, without I/O: bytes in, events and bytes out.
 
 Source: the NBD protocol specification (doc/proto.md of the NetworkBlockDevice project), fixed newstyle only.
 """
--- a/harriertrack/protocol/nbd/client.py
+++ b/harriertrack/protocol/nbd/client.py
@@ -1,8 +1,8 @@
-"""The client's side of a connection.
+"""The client's side of an NBD connection.
 
-The handshake goes one option at a time: ask, feed bytes, take the `OptionDone`. In transmission `request`
-adds a request and returns nothing; its one `Reply` comes from `receive`, whatever kinds of replies the server
-sends.
+The handshake negotiates one option at a time: send an option, pass the received bytes to `receive`, and wait
+for its `OptionEnded`. In the transmission phase `request` queues a request; `receive` returns exactly one
+`Reply` for it, whether the server sends a simple reply or structured reply chunks.
 """
 
 from __future__ import annotations
@@ -57,12 +57,12 @@
 
 @dataclass(slots=True)
 class GreetingReceived:
-    """The server is there; options may be asked."""
+    """The server's greeting was received; options may be sent."""
 
 
 @dataclass(slots=True)
 class OptionEnded:
-    """An option is answered: with what it brought, or with an error."""
+    """An option received its final reply; `error` is 0 or the type of the error reply."""
 
     option: int
     error: int = 0
@@ -76,14 +76,14 @@
 
 @dataclass(slots=True)
 class Reply:
-    """The one reply to a request."""
+    """The complete reply to a request; `extents` are (length, status flags)."""
 
     cookie: int
     error: int = 0
     message: str = ""
     data: bytes = b""
     extents: list[tuple[int, int]] = field(default_factory=list)
-    never_ran: bool = False  # extension: proven that it never ran
+    never_ran: bool = False  # extension: the server guarantees that the request never ran
     report: extension.Report | None = None
 
 
@@ -91,7 +91,7 @@
 
 
 class ClientState(Enum):
-    """Where a connection is."""
+    """Phase of the protocol."""
 
     GREETING = "greeting"
     OPTIONS = "options"
@@ -105,11 +105,11 @@
     offset: int
     length: int
     reply: Reply
-    pieces: dict[int, bytes | int] = field(default_factory=dict)  # by offset: data, or a number of zeroes
+    pieces: dict[int, bytes | int] = field(default_factory=dict)  # by offset: data, or the length of a hole
 
 
 class ClientConnection:
-    """One connection, seen from the client."""
+    """The client's side of one connection."""
 
     def __init__(self) -> None:
         self._inbox = ReceiveBuffer()
@@ -117,61 +117,61 @@
         self.outgoing: list[bytes | memoryview] = []
         self.structured = False
         self.contexts: dict[int, str] = {}
-        self._asked: OptionEnded | None = None
-        self._asked_export_name = False
+        self._pending_option: OptionEnded | None = None
+        self._sent_export_name = False
         self._no_zeroes = False
         self._pending: dict[int, _Pending] = {}
 
     def take_outgoing(self) -> list[bytes | memoryview]:
-        """Return what is to be sent and forget it."""
+        """Return the bytes to send and clear the queue."""
         outgoing, self.outgoing = self.outgoing, []
         return outgoing
 
     @property
     def has_extension(self) -> bool:
-        """Whether the project's extension was negotiated."""
+        """Whether the harriertrack extension was negotiated."""
         return any(name.startswith(extension.NAMESPACE) for name in self.contexts.values())
 
     @property
     def in_flight(self) -> int:
-        """How many requests have no reply yet."""
+        """Return how many requests have no reply yet."""
         return len(self._pending)
 
     # -- handshake
 
-    def _ask(self, option: Option, data: bytes = b"") -> None:
-        if self.state is not ClientState.OPTIONS or self._asked is not None:
-            raise ValueError(f"can't ask {option.name} now")
+    def _send_option(self, option: Option, data: bytes = b"") -> None:
+        if self.state is not ClientState.OPTIONS or self._pending_option is not None:
+            raise ValueError(f"can't send option {option.name} in this state")
         self.outgoing.append(OPTION.pack(OPTION_MAGIC, option, len(data)) + data)
-        self._asked = OptionEnded(option)
+        self._pending_option = OptionEnded(option)
 
     def send_structured_reply(self) -> None:
-        """Ask for structured replies."""
-        self._ask(Option.STRUCTURED_REPLY)
+        """Negotiate structured replies."""
+        self._send_option(Option.STRUCTURED_REPLY)
 
     def send_list(self) -> None:
-        """Ask for the names of the exports."""
-        self._ask(Option.LIST)
+        """Request the names of the exports."""
+        self._send_option(Option.LIST)
 
-    def send_meta_contexts(self, export: str, queries: Sequence[str], listing: bool = False) -> None:
-        """Ask to use these meta contexts with an export, or only to list what matches."""
+    def send_meta_contexts(self, export: str, queries: Sequence[str], list_only: bool = False) -> None:
+        """Select meta contexts for an export, or only list those that match the queries."""
         body = (
             pack_string(export) + U32.pack(len(queries)) + b"".join(pack_string(query) for query in queries)
         )
-        self._ask(Option.LIST_META_CONTEXT if listing else Option.SET_META_CONTEXT, body)
+        self._send_option(Option.LIST_META_CONTEXT if list_only else Option.SET_META_CONTEXT, body)
 
     def send_go(self, export: str, info_only: bool = False) -> None:
-        """Ask to use an export, or only about it."""
-        wanted = U16.pack(1) + U16.pack(Info.BLOCK_SIZE)
-        self._ask(Option.INFO if info_only else Option.GO, pack_string(export) + wanted)
+        """Select an export and start transmission, or only request information about it."""
+        info_requests = U16.pack(1) + U16.pack(Info.BLOCK_SIZE)
+        self._send_option(Option.INFO if info_only else Option.GO, pack_string(export) + info_requests)
 
     def send_export_name(self, export: str) -> None:
-        """Use an export the old way, which has no error reply."""
-        self._ask(Option.EXPORT_NAME, export.encode())
+        """Select an export by EXPORT_NAME, the older option that has no error reply."""
+        self._send_option(Option.EXPORT_NAME, export.encode())
 
     def send_abort(self) -> None:
-        """Say that we leave."""
-        self._ask(Option.ABORT)
+        """Abort the handshake."""
+        self._send_option(Option.ABORT)
 
     # -- transmission
 
@@ -184,12 +184,14 @@
         data: bytes | memoryview = b"",
         flags: int = 0,
     ) -> None:
-        """Add a request to what is outgoing; `length` is that of the data where there is some.
+        """Queue a request to be sent; `length` is ignored if there is data.
 
-        Raises ValueError for a cookie that is in flight, or outside transmission.
+        Raises ValueError if the cookie is in flight or the connection is not in transmission.
         """
         if self.state is not ClientState.TRANSMISSION or cookie in self._pending:
-            raise ValueError(f"can't send cookie {cookie} now")
+            raise ValueError(
+                f"can't send a request with cookie {cookie}: not in transmission, or it is in flight"
+            )
         length = len(data) or length
         if command not in (Command.DISC, Command.CANCEL):
             self._pending[cookie] = _Pending(command, offset, length, Reply(cookie))
@@ -198,18 +200,18 @@
             self.outgoing.append(data)
 
     def cancel(self, cookie: int) -> None:
-        """Call an attempt off (extension); its reply may still come."""
+        """Cancel an attempt (extension); a reply to it may still be received."""
         self.outgoing.append(REQUEST.pack(REQUEST_MAGIC, 0, Command.CANCEL, cookie, 0, 0))
 
     def disconnect(self) -> None:
-        """Say that we leave."""
+        """Send DISC."""
         self.request(Command.DISC, 0)
         self.state = ClientState.CLOSED
 
     # -- receiving
 
     def receive(self, data: bytes) -> list[ClientEvent]:
-        """Take bytes; return what they mean. Raises ProtocolViolation where the connection must be closed."""
+        """Parse received bytes; return events. Raises ProtocolViolation if the connection must be closed."""
         self._inbox.add(data)
         events: list[ClientEvent] = []
         try:
@@ -226,23 +228,27 @@
     def _step(self, events: list[ClientEvent]) -> bool:
         match self.state:
             case ClientState.TRANSMISSION:
-                return self._reply(events)
+                return self._parse_reply(events)
             case ClientState.OPTIONS:
-                return self._export_size(events) if self._is_export_name() else self._option_reply(events)
+                return (
+                    self._parse_export_size(events)
+                    if self._is_export_name()
+                    else self._parse_option_reply(events)
+                )
             case ClientState.GREETING:
-                return self._greeting(events)
+                return self._parse_greeting(events)
         return False
 
-    def _greeting(self, events: list[ClientEvent]) -> bool:
-        head = self._inbox.peek(GREETING)
-        if head is None:
+    def _parse_greeting(self, events: list[ClientEvent]) -> bool:
+        fields = self._inbox.peek(GREETING)
+        if fields is None:
             return False
         self._inbox.skip(GREETING.size)
-        magic, option_magic, flags = head
+        magic, option_magic, flags = fields
         if (magic, option_magic) != (NBD_MAGIC, OPTION_MAGIC):
-            raise ProtocolViolation("not an NBD server of the newstyle")
+            raise ProtocolViolation("the server is not an NBD server with newstyle negotiation")
         if not flags & HandshakeFlags.FIXED_NEWSTYLE:
-            raise ProtocolViolation("the server is not fixed newstyle")
+            raise ProtocolViolation("the server does not support fixed newstyle negotiation")
         self._no_zeroes = bool(flags & HandshakeFlags.NO_ZEROES)
         self.outgoing.append(U32.pack(flags & (HandshakeFlags.FIXED_NEWSTYLE | HandshakeFlags.NO_ZEROES)))
         self.state = ClientState.OPTIONS
@@ -250,82 +256,87 @@
         return True
 
     def _is_export_name(self) -> bool:
-        return self._asked is not None and self._asked.option == Option.EXPORT_NAME
+        return self._pending_option is not None and self._pending_option.option == Option.EXPORT_NAME
 
-    def _export_size(self, events: list[ClientEvent]) -> bool:
+    def _parse_export_size(self, events: list[ClientEvent]) -> bool:
         size = EXPORT_SIZE.size + (0 if self._no_zeroes else 124)
-        head = self._inbox.peek(EXPORT_SIZE)
-        if head is None or len(self._inbox) < size or self._asked is None:
+        fields = self._inbox.peek(EXPORT_SIZE)
+        if fields is None or len(self._inbox) < size or self._pending_option is None:
             return False
         self._inbox.skip(size)
-        self._asked.size, self._asked.flags = head
-        events.append(self._asked)
-        self._asked, self.state = None, ClientState.TRANSMISSION
+        self._pending_option.size, self._pending_option.flags = fields
+        events.append(self._pending_option)
+        self._pending_option, self.state = None, ClientState.TRANSMISSION
         return True
 
-    def _option_reply(self, events: list[ClientEvent]) -> bool:
-        head = self._inbox.peek(OPTION_REPLY)
-        if head is None:
+    def _parse_option_reply(self, events: list[ClientEvent]) -> bool:
+        fields = self._inbox.peek(OPTION_REPLY)
+        if fields is None:
             return False
-        magic, option, kind, length = head
-        asked = self._asked
-        if magic != OPTION_REPLY_MAGIC or asked is None or option != asked.option or length > MAX_OPTION:
-            raise ProtocolViolation(f"reply {kind:#x} to option {option} was not asked for")
+        magic, option, kind, length = fields
+        option_result = self._pending_option
+        if (
+            magic != OPTION_REPLY_MAGIC
+            or option_result is None
+            or option != option_result.option
+            or length > MAX_OPTION
+        ):
+            raise ProtocolViolation(f"unexpected reply {kind:#x} to option {option}, {length} bytes")
         if len(self._inbox) < OPTION_REPLY.size + length:
             return False
         self._inbox.skip(OPTION_REPLY.size)
         data = self._inbox.consume(length)
         if kind & REP_ERROR:
-            asked.error, asked.message = kind, data.decode("utf-8", "replace")
+            option_result.error, option_result.message = kind, data.decode("utf-8", "replace")
         elif kind == Rep.SERVER:
-            asked.names.append(unpack_string(data, 0, "export name")[0])
+            option_result.names.append(unpack_string(data, 0, "export name")[0])
             return True
         elif kind == Rep.META_CONTEXT:
-            asked.contexts[U32.unpack_from(data)[0]] = data[4:].decode()
+            option_result.contexts[U32.unpack_from(data)[0]] = data[4:].decode()
             return True
         elif kind == Rep.INFO:
-            (what,) = U16.unpack_from(data)
-            if what == Info.EXPORT:
-                _, asked.size, asked.flags = INFO_EXPORT.unpack(data)
-            elif what == Info.BLOCK_SIZE:
-                asked.block_sizes = INFO_BLOCK_SIZE.unpack(data)[1:]
-            return True  # kinds of information we don't know are skipped
+            (info_type,) = U16.unpack_from(data)
+            if info_type == Info.EXPORT:
+                _, option_result.size, option_result.flags = INFO_EXPORT.unpack(data)
+            elif info_type == Info.BLOCK_SIZE:
+                option_result.block_sizes = INFO_BLOCK_SIZE.unpack(data)[1:]
+            return True  # unknown information types are ignored
         elif kind != Rep.ACK:
             raise ProtocolViolation(f"unknown reply {kind:#x} to option {option}")
         else:
-            self._acknowledged(asked)
-        self._asked = None
-        events.append(asked)
+            self._handle_ack(option_result)
+        self._pending_option = None
+        events.append(option_result)
         return True
 
-    def _acknowledged(self, asked: OptionEnded) -> None:
-        match asked.option:
+    def _handle_ack(self, option_result: OptionEnded) -> None:
+        match option_result.option:
             case Option.STRUCTURED_REPLY:
                 self.structured = True
             case Option.SET_META_CONTEXT:
-                self.contexts = asked.contexts
+                self.contexts = option_result.contexts
             case Option.GO:
-                if not asked.flags & TransmissionFlags.HAS_FLAGS:
-                    raise ProtocolViolation("GO was acknowledged without the export's size")
+                if not option_result.flags & TransmissionFlags.HAS_FLAGS:
+                    raise ProtocolViolation("GO was acknowledged without NBD_INFO_EXPORT")
                 self.state = ClientState.TRANSMISSION
             case Option.ABORT:
                 self.state = ClientState.CLOSED
 
-    def _reply(self, events: list[ClientEvent]) -> bool:
+    def _parse_reply(self, events: list[ClientEvent]) -> bool:
         magic = self._inbox.peek(U32)
         if magic is None:
             return False
         if magic[0] == STRUCTURED_REPLY_MAGIC and self.structured:
-            return self._chunk(events)
+            return self._parse_chunk(events)
         if magic[0] != SIMPLE_REPLY_MAGIC:
             raise ProtocolViolation(f"bad reply magic {magic[0]:#x}")
-        head = self._inbox.peek(SIMPLE_REPLY)
-        if head is None:
+        fields = self._inbox.peek(SIMPLE_REPLY)
+        if fields is None:
             return False
-        _, error, cookie = head
-        pending = self._find(cookie)
+        _, error, cookie = fields
+        pending = self._find_pending(cookie)
         if pending.command == Command.READ and self.structured:
-            raise ProtocolViolation("a simple reply to READ after structured replies were negotiated")
+            raise ProtocolViolation("simple reply to READ after structured replies were negotiated")
         length = pending.length if pending.command == Command.READ and not error else 0
         if len(self._inbox) < SIMPLE_REPLY.size + length:
             return False
@@ -336,76 +347,78 @@
         events.append(pending.reply)
         return True
 
-    def _find(self, cookie: int) -> _Pending:
+    def _find_pending(self, cookie: int) -> _Pending:
         pending = self._pending.get(cookie)
         if pending is None:
-            raise ProtocolViolation(f"a reply to cookie {cookie:#x}, which is not in flight")
+            raise ProtocolViolation(f"reply to cookie {cookie:#x}, which is not in flight")
         return pending
 
-    def _chunk(self, events: list[ClientEvent]) -> bool:
-        head = self._inbox.peek(CHUNK)
-        if head is None:
+    def _parse_chunk(self, events: list[ClientEvent]) -> bool:
+        fields = self._inbox.peek(CHUNK)
+        if fields is None:
             return False
-        _, flags, kind, cookie, length = head
-        pending = self._find(cookie)
+        _, flags, kind, cookie, length = fields
+        pending = self._find_pending(cookie)
         if length > max(MAX_OPTION, pending.length + U64.size):
-            raise ProtocolViolation(f"a chunk of {length} bytes")
+            raise ProtocolViolation(f"reply chunk of {length} bytes is too long")
         if len(self._inbox) < CHUNK.size + length:
             return False
         self._inbox.skip(CHUNK.size)
-        self._take_chunk(pending, kind, self._inbox.consume(length))
+        self._handle_chunk(pending, kind, self._inbox.consume(length))
         if flags & CHUNK_DONE:
             del self._pending[cookie]
-            self._finish(pending)
+            self._assemble_read(pending)
             events.append(pending.reply)
         return True
 
-    def _take_chunk(self, pending: _Pending, kind: int, data: bytes) -> None:
+    def _handle_chunk(self, pending: _Pending, kind: int, data: bytes) -> None:
         reply = pending.reply
         if kind & CHUNK_ERROR:
             reply.error, size = ERROR.unpack_from(data)
             if not reply.error or len(data) < ERROR.size + size:
-                raise ProtocolViolation("an error chunk without an error")
+                raise ProtocolViolation("error chunk without an error value, or with a truncated message")
             reply.message = data[ERROR.size : ERROR.size + size].decode("utf-8", "replace")
             reply.never_ran = kind == Chunk.ERROR_NEVER_RAN and self.has_extension
         elif kind == Chunk.OFFSET_DATA:
             (offset,) = U64.unpack_from(data)
-            self._place(pending, offset, data[U64.size :])
+            self._add_piece(pending, offset, data[U64.size :])
         elif kind == Chunk.OFFSET_HOLE:
-            self._place(pending, *HOLE.unpack(data))
+            self._add_piece(pending, *HOLE.unpack(data))
         elif kind == Chunk.BLOCK_STATUS:
             (context,) = U32.unpack_from(data)
             if context not in self.contexts or (len(data) - U32.size) % EXTENT.size:
-                raise ProtocolViolation(f"block status of context {context}")
+                raise ProtocolViolation(
+                    f"block status of context {context} was not negotiated or is malformed"
+                )
             reply.extents.extend(EXTENT.iter_unpack(data[U32.size :]))
         elif kind == Chunk.REPORT and self.has_extension:
             reply.report = extension.Report.unpack(data)
         elif kind != Chunk.NONE:
             raise ProtocolViolation(f"unknown chunk type {kind:#x}")
 
-    def _place(self, pending: _Pending, offset: int, piece: bytes | int) -> None:
+    def _add_piece(self, pending: _Pending, offset: int, piece: bytes | int) -> None:
         size = piece if isinstance(piece, int) else len(piece)
         end = pending.offset + pending.length
         if pending.command != Command.READ or not size or offset < pending.offset or offset + size > end:
-            raise ProtocolViolation("data outside of what was asked for")
+            raise ProtocolViolation("data outside the requested range")
         if offset in pending.pieces:
-            raise ProtocolViolation("the same data twice")
+            raise ProtocolViolation("two chunks of a read at the same offset")
         pending.pieces[offset] = piece
 
-    def _finish(self, pending: _Pending) -> None:
+    def _assemble_read(self, pending: _Pending) -> None:
         if pending.command != Command.READ or pending.reply.error:
             return
-        at, parts = pending.offset, []
+        end, parts = pending.offset, []
         for offset, piece in sorted(pending.pieces.items()):
-            if offset != at:
-                raise ProtocolViolation("a read's chunks leave a gap or overlap")
+            if offset != end:
+                raise ProtocolViolation("chunks of a read leave a gap or overlap")
             parts.append(bytes(piece))
-            at += len(parts[-1])
-        if at != pending.offset + pending.length:
-            raise ProtocolViolation("a read's chunks do not cover it")
+            end += len(parts[-1])
+        if end != pending.offset + pending.length:
+            raise ProtocolViolation("chunks of a read do not cover the requested range")
         pending.reply.data = b"".join(parts)
 
 
 def errno_name(error: int) -> str:
-    """Name an error value for people."""
+    """Return the name of an error value, for display."""
     return Errno(error).name if error in Errno._value2member_map_ else f"error {error}"
--- a/harriertrack/protocol/nbd/wire.py
+++ b/harriertrack/protocol/nbd/wire.py
@@ -1,4 +1,4 @@
-"""Numbers and layouts of the NBD specification, and the buffer both sides parse from."""
+"""Constants and message layouts of the NBD specification, and the strings of its options."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 SIMPLE_REPLY = struct.Struct(">IIQ")
 CHUNK = struct.Struct(">IHHQI")
 U16, U32, U64 = struct.Struct(">H"), struct.Struct(">I"), struct.Struct(">Q")
-EXPORT_SIZE = struct.Struct(">QH")  # the answer to EXPORT_NAME, and INFO_EXPORT after its type
+EXPORT_SIZE = struct.Struct(">QH")  # the reply to EXPORT_NAME: size and transmission flags of the export
 INFO_EXPORT = struct.Struct(">HQH")
 INFO_BLOCK_SIZE = struct.Struct(">HIII")
 HOLE = struct.Struct(">QI")
@@ -27,9 +27,9 @@
 EXTENT = struct.Struct(">II")
 
 MAX_NAME = 4096  # bytes of an export name or meta context (spec: strings)
-MAX_OPTION = 65_536  # bytes of one option's data that are looked at; more is skipped and answered TOO_BIG
-MAX_SKIPPED = 1 << 20  # bytes of one option's data that are skipped; more closes the connection
-MAX_PAYLOAD = 32 << 20  # bytes of one request's data (spec: maximum payload default)
+MAX_OPTION = 65_536  # bytes of data that an option may have; the data of a longer one is skipped: ERR_TOO_BIG
+MAX_SKIPPED = 1 << 20  # bytes of one option's data that are skipped at most; more closes the connection
+MAX_PAYLOAD = 32 << 20  # bytes of data of one request (the specification's default maximum payload)
 MAX_QUERIES = 64  # meta context queries in one option
 
 
@@ -41,7 +41,7 @@
 
 
 class TransmissionFlags(IntFlag):
-    """What an export offers."""
+    """Transmission flags: properties of an export, and optional commands and flags that it supports."""
 
     HAS_FLAGS = 1 << 0
     READ_ONLY = 1 << 1
@@ -57,7 +57,7 @@
 
 
 class Option(IntEnum):
-    """Options of the handshake."""
+    """Option types (NBD_OPT_*)."""
 
     EXPORT_NAME = 1
     ABORT = 2
@@ -71,7 +71,7 @@
 
 
 class Rep(IntEnum):
-    """Replies to options."""
+    """Option reply types (NBD_REP_*)."""
 
     ACK = 1
     SERVER = 2
@@ -88,11 +88,11 @@
     ERR_TOO_BIG = 0x80000009
 
 
-REP_ERROR = 0x80000000  # every reply with this bit is an error
+REP_ERROR = 0x80000000  # set in every error reply type
 
 
 class Info(IntEnum):
-    """Kinds of information about an export."""
+    """Information types of INFO and GO (NBD_INFO_*)."""
 
     EXPORT = 0
     NAME = 1
@@ -101,7 +101,7 @@
 
 
 class Command(IntEnum):
-    """Requests of the transmission phase."""
+    """Request types of the transmission phase (NBD_CMD_*)."""
 
     READ = 0
     WRITE = 1
@@ -111,14 +111,14 @@
     CACHE = 5
     WRITE_ZEROES = 6
     BLOCK_STATUS = 7
-    CANCEL = 0x4801  # of the project's extension (extension.py), as the two below
+    CANCEL = 0x4801  # this and the next three: the harriertrack extension, see extension.py
     TICK = 0x4802
     CAUGHT_UP = 0x4803
     DIGEST = 0x4804
 
 
 class CommandFlags(IntFlag):
-    """Flags of requests."""
+    """Command flags (NBD_CMD_FLAG_*)."""
 
     FUA = 1 << 0
     NO_HOLE = 1 << 1
@@ -128,24 +128,24 @@
 
 
 class Chunk(IntEnum):
-    """Types of structured reply chunks."""
+    """Structured reply chunk types (NBD_REPLY_TYPE_*)."""
 
     NONE = 0
     OFFSET_DATA = 1
     OFFSET_HOLE = 2
     BLOCK_STATUS = 5
-    REPORT = 0x4801  # of the project's extension
+    REPORT = 0x4801  # harriertrack extension
     ERROR = 0x8001
     ERROR_OFFSET = 0x8002
-    ERROR_NEVER_RAN = 0xC802  # of the project's extension
+    ERROR_NEVER_RAN = 0xC802  # harriertrack extension
 
 
-CHUNK_DONE = 1
-CHUNK_ERROR = 0x8000  # every chunk type with this bit is an error
+CHUNK_DONE = 1  # chunk flag: the last chunk of the reply
+CHUNK_ERROR = 0x8000  # set in every error chunk type
 
 
 class Errno(IntEnum):
-    """Error values of replies; numbers are the protocol's, whatever the machine's own are."""
+    """Error values of replies; the protocol defines the numbers, whatever errno the platform has."""
 
     OK = 0
     EPERM = 1
@@ -169,23 +169,23 @@
 
 
 class ProtocolViolation(Exception):
-    """The peer broke the protocol in a way that ends the connection."""
+    """The peer violated the protocol so that the connection must be closed."""
 
 
-def unpack_string(data: bytes, at: int, what: str) -> tuple[str, int]:
-    """Read a 32-bit length and that much UTF-8; return it and where it ends.
+def unpack_string(data: bytes, offset: int, what: str) -> tuple[str, int]:
+    """Parse a 32-bit length and a UTF-8 string at an offset; return the string and the offset of its end.
 
-    Raises ValueError if it is longer than the data or `MAX_NAME`, or no UTF-8.
+    Raises ValueError if the string is longer than the data or `MAX_NAME`, or is not UTF-8.
     """
-    if at + 4 > len(data):
+    if offset + 4 > len(data):
         raise ValueError(f"{what}: cut short")
-    (length,) = U32.unpack_from(data, at)
-    if length > MAX_NAME or at + 4 + length > len(data):
+    (length,) = U32.unpack_from(data, offset)
+    if length > MAX_NAME or offset + 4 + length > len(data):
         raise ValueError(f"{what}: its length {length} does not fit")
-    return data[at + 4 : at + 4 + length].decode("utf-8"), at + 4 + length
+    return data[offset + 4 : offset + 4 + length].decode("utf-8"), offset + 4 + length
 
 
 def pack_string(text: str) -> bytes:
-    """Write a 32-bit length and the text in UTF-8."""
+    """Return a 32-bit length and the text in UTF-8."""
     data = text.encode()
     return U32.pack(len(data)) + data
