--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -61,7 +61,7 @@
     Timed.calls, Timed.counts = 0, True
     emulate(msgspec.structs.replace(day, length_us=3_000_000, troubles=day.troubles[:1]), 1, recorder, Timed)
     Timed.counts = False
-    return Timed.calls / sum(isinstance(record, rec.Take) for record in recorder.records)
+    return Timed.calls / sum(isinstance(record, rec.RequestSent) for record in recorder.records)
 
 
 def main(seconds: float) -> None:
@@ -81,7 +81,7 @@
         began = time.process_time()
         emulate(day, 1, recorder, Timed)
         took = time.process_time() - began
-        asked = sum(isinstance(record, rec.Take) for record in recorder.records)
+        asked = sum(isinstance(record, rec.RequestSent) for record in recorder.records)
         simulated = (recorder.records[-1].t - recorder.records[1].t) / 1e6  # type: ignore[union-attr]
         breaches = len(checker.check(recorder.records)) if heads <= 170 else "not judged"
         print(
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -172,7 +172,7 @@
     one = Division(heads, wholes, seed, rules, clocks=0.01)
     trial = Trial(one)
     trial.run(seconds * S)
-    terms = len({record.term for record in one.records if isinstance(record, rec.GrantedShare)})
+    terms = len({record.term for record in one.records if isinstance(record, rec.ShareGranted)})
     trial.heal()
     for name in one.names:
         one.demand[name, "v0"] = one.demand[name, "v1"] = 0.0
@@ -280,11 +280,11 @@
             play_processes(day, 6, seed, recorder, Path(folder))
         records = recorder.records
         limited = {one.budget.partition("/")[2] for one in records if isinstance(one, rec.BudgetFacts)}
-        names = {one.number: one.head for one in records if isinstance(one, rec.Head) and one.up}
-        got = [one for one in records if isinstance(one, rec.Got) and one.volume in limited]
+        names = {one.number: one.head for one in records if isinstance(one, rec.HeadLifecycle) and one.up}
+        got = [one for one in records if isinstance(one, rec.AttemptReceived) and one.volume in limited]
         after = []
         for still in records:
-            if isinstance(still, rec.Stood) and still.unread and still.us > S:
+            if isinstance(still, rec.HeadPaused) and still.unread and still.us > S:
                 woke = still.t + still.us - WOKE_US
                 mine = [one for one in got if names.get(one.head) == still.head]
                 first = [one.length for one in mine if woke - 10_000 <= one.t < woke + 100_000]
--- a/benchmarks/fleet_closing.py
+++ b/benchmarks/fleet_closing.py
@@ -32,7 +32,7 @@
     """Return for how long blocks of some volumes that a close touches were refused, and the part of tries."""
     mine = [
         one for one in records
-        if isinstance(one, rec.Kept) and one.volume.startswith(volumes)
+        if isinstance(one, rec.BlockOperation) and one.volume.startswith(volumes)
         and at - AROUND_US <= one.t <= at + TRIMS_US and one.outcome in ("served", "refused")
     ]  # fmt: skip
     refused = [one.t for one in mine if one.outcome == "refused"]
@@ -45,9 +45,9 @@
     asked: dict[tuple[str, int], int] = {}
     found = []
     for one in records:
-        if isinstance(one, rec.Take) and any(low <= one.t < high for low, high in windows):
+        if isinstance(one, rec.RequestSent) and any(low <= one.t < high for low, high in windows):
             asked[one.client, one.request] = one.t
-        elif isinstance(one, rec.Answer) and one.outcome == "served":
+        elif isinstance(one, rec.FinalAnswer) and one.outcome == "served":
             if (began := asked.get((one.client, one.request))) is not None:
                 found.append((one.t - began) / 1e3)
     return found
@@ -78,13 +78,13 @@
     found: Figures = {"broken": float(len(checker.check(records)) + len(closing.check(records)))}
     due = [one for one in records if isinstance(one, rec.CloseDue)]
     if closes:
-        after = [one.t - one.at for one in records if isinstance(one, rec.ClosedAt)]
+        after = [one.t - one.at for one in records if isinstance(one, rec.CloseDone)]
         found |= {"first": min(after) / 1e3, "last": max(after) / 1e3, "bound": day.close_bound_us / 1e3}
         for name, volumes in (("one", "desk"), ("several", "market")):
             each = [_refused(records, one.at, volumes) for one in due]
             found[f"{name} s"] = max(lasted for lasted, _ in each)
             found[f"{name} part"] = statistics.mean(part for _, part in each)
-        found["trims"] = sum(isinstance(one, rec.Got) and one.kind == "trim" for one in records)
+        found["trims"] = sum(isinstance(one, rec.AttemptReceived) and one.kind == "trim" for one in records)
         windows = [(one.at, one.at + TRIMS_US) for one in due]
     return found, _took(records, windows), windows
 
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -27,7 +27,7 @@
     return sorted(values)[min(len(values) - 1, int(part * len(values)))]
 
 
-def play(day: FleetDaySettings, heads: int, seed: int, fleet: bool) -> tuple[checker.Story, float]:
+def play(day: FleetDaySettings, heads: int, seed: int, fleet: bool) -> tuple[checker.RunHistory, float]:
     """Play a day over processes; return its story and the share of a core that a head used at rest."""
     recorder = rec.Recorder()
     shares: list[float] = []
@@ -47,14 +47,14 @@
 
     with tempfile.TemporaryDirectory(prefix="harriertrack-") as folder:
         play_processes(day, heads, seed, recorder, Path(folder), fleet, watch)
-    return checker.Story(recorder.records), statistics.fmean(shares) if shares else 0.0
+    return checker.RunHistory(recorder.records), statistics.fmean(shares) if shares else 0.0
 
 
-def row(name: str, fleet: bool, story: checker.Story, share: float) -> str:
+def row(name: str, fleet: bool, story: checker.RunHistory, share: float) -> str:
     """Return a line of a table."""
-    served = [asked for asked in story.asked if asked.answers and asked.answers[0].outcome == "served"]
-    reads = [(one.answers[0].t - one.take.t) / 1000 for one in served if one.take.kind == "read"]
-    part = len(served) / len(story.asked)
+    served = [asked for asked in story.requests if asked.answers and asked.answers[0].outcome == "served"]
+    reads = [(one.answers[0].t - one.request.t) / 1000 for one in served if one.request.kind == "read"]
+    part = len(served) / len(story.requests)
     p50, p99 = quantile(reads, 0.5), quantile(reads, 0.99)
     used = f"{share:.4f}" if share else "-"
     return f"| {name} | {'on' if fleet else 'off'} | {part:.4f} | {p50:.2f} | {p99:.1f} | {used} |"
--- a/benchmarks/fleet_scoring.py
+++ b/benchmarks/fleet_scoring.py
@@ -143,25 +143,25 @@
     classes = {one.name: one for one in rig.classes}
     plans = {one.name: one for one in rig.plans}
     price = {one.name: plans[one.plan].price for one in rig.volumes}
-    takes: dict[tuple[str, int], rec.Take] = {}
+    takes: dict[tuple[str, int], rec.RequestSent] = {}
     earned = possible = 0.0
     took: list[int] = []
     given: dict[str, float] = defaultdict(float)
-    since = next(one.t for one in records if isinstance(one, rec.Take)) + after_us
+    since = next(one.t for one in records if isinstance(one, rec.RequestSent)) + after_us
     for one in records:
-        if isinstance(one, rec.Take | rec.Answer | rec.Got) and one.t < since:
+        if isinstance(one, rec.RequestSent | rec.FinalAnswer | rec.AttemptReceived) and one.t < since:
             continue
-        if isinstance(one, rec.Take):
+        if isinstance(one, rec.RequestSent):
             takes[one.client, one.request] = one
             possible += 0.0 if one.again else classes[one.class_name].worth * price[one.volume]
-        elif isinstance(one, rec.Answer) and one.outcome == "served":
+        elif isinstance(one, rec.FinalAnswer) and one.outcome == "served":
             if (take := takes.get((one.client, one.request))) is None:
                 continue
             kind_of = classes[take.class_name]
             late = one.t - take.t > kind_of.aim_us
             earned += kind_of.worth * price[take.volume] * (kind_of.late_worth if late else 1.0)
             took.append(one.t - take.t)
-        elif isinstance(one, rec.Got):
+        elif isinstance(one, rec.AttemptReceived):
             given[one.node] += 1
     slow = {"differ": {"z1": SLOW}, "returned": {"z1": SLOW}}.get(kind, {})
     if kind == "third":
--- a/benchmarks/fleet_zones.py
+++ b/benchmarks/fleet_zones.py
@@ -35,7 +35,7 @@
     found: dict[str, list[tuple[int, int]]] = {}
     since: dict[str, int] = {}
     for one in records:
-        if isinstance(one, rec.Node):
+        if isinstance(one, rec.NodeLifecycle):
             if one.state == "started":
                 if (began := since.pop(one.node, None)) is not None:
                     found.setdefault(one.node, []).append((began, one.t))
@@ -48,7 +48,7 @@
     """Return after how many seconds no head used a silent zone, and after its return all did."""
     left = back = None
     unused: set[str] = set()
-    heads = {one.head for one in records if isinstance(one, rec.Head) and one.up}
+    heads = {one.head for one in records if isinstance(one, rec.HeadLifecycle) and one.up}
     for one in records:
         if not isinstance(one, rec.ZoneUse) or one.zone != zone or one.t < dark[0]:
             continue
@@ -68,9 +68,9 @@
     recent: dict[str, deque[tuple[int, int]]] = {}
     most = 0.0
     for one in records:
-        if isinstance(one, rec.Node) and one.state == "started" and one.cold_share < 1:
+        if isinstance(one, rec.NodeLifecycle) and one.state == "started" and one.cold_share < 1:
             starts[one.node], recent[one.node] = one, deque()
-        elif isinstance(one, rec.Got) and (start := starts.get(one.node)) is not None:
+        elif isinstance(one, rec.AttemptReceived) and (start := starts.get(one.node)) is not None:
             if one.t >= start.t + start.warm_us:
                 del starts[one.node]
                 continue
@@ -92,9 +92,9 @@
     times = []
     first = after = lost = lost_after = 0
     for one in records:
-        if isinstance(one, rec.Take) and not one.again:
+        if isinstance(one, rec.RequestSent) and not one.again:
             took[one.client, one.request] = one.t
-        elif isinstance(one, rec.Answer) and (since := took.get((one.client, one.request))) is not None:
+        elif isinstance(one, rec.FinalAnswer) and (since := took.get((one.client, one.request))) is not None:
             is_after = any(end <= since < end + AFTER_US for end in ends)
             served = one.outcome == "served"
             first, after = first + 1, after + is_after
@@ -119,7 +119,7 @@
     found = _clients(records, darks)
     found["spent"] = float(
         sum(
-            isinstance(one, rec.Sent) and any(a + S < one.t < b for a, b in darks.get(one.node, ()))
+            isinstance(one, rec.AttemptSent) and any(a + S < one.t < b for a, b in darks.get(one.node, ()))
             for one in records
         )
     )
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -30,8 +30,8 @@
     assert day.two_regions is not None
     day = msgspec.structs.replace(day, two_regions=msgspec.structs.replace(day.two_regions, mode=mode))
     records = play(day, seed, virtual=True).records
-    takes = {(one.client, one.request): one for one in records if isinstance(one, rec.Take)}
-    answers = [one for one in records if isinstance(one, rec.Answer)]
+    takes = {(one.client, one.request): one for one in records if isinstance(one, rec.RequestSent)}
+    answers = [one for one in records if isinstance(one, rec.FinalAnswer)]
     served = [(takes[one.client, one.request], one.t) for one in answers if one.outcome == "served"]
     writes = sorted(t - take.t for take, t in served if take.kind == "write")
     reads = sorted(t - take.t for take, t in served if take.kind == "read")
@@ -42,8 +42,10 @@
         "breaches": float(len([one for one in checker.check(records) if mode is Mode.BOTH or one.rule])),
     }
     if name == DARK:
-        dark = next(one.t for one in records if isinstance(one, rec.Head) and not one.up)
-        back = next(one.t for one in records if isinstance(one, rec.Head) and one.up and one.t > dark)
+        dark = next(one.t for one in records if isinstance(one, rec.HeadLifecycle) and not one.up)
+        back = next(
+            one.t for one in records if isinstance(one, rec.HeadLifecycle) and one.up and one.t > dark
+        )
         homeless = [t for take, t in served if take.volume in ("vol0", "vol2") and take.head == "head-b"]
         figures["first served s"] = (min(t for t in homeless if t > dark + 100_000) - dark) / 1e6
         for phase, since, until in (("dark", dark, back), ("after", back, 1 << 62)):
@@ -60,7 +62,7 @@
     spread = msgspec.structs.replace(day.two_regions, mode=mode)
     day = msgspec.structs.replace(day, two_regions=spread, rate=OVERLOAD, retries=0, length_us=8_000_000)
     records = play(day, seed, virtual=True).records
-    return sum(isinstance(one, rec.Answer) and one.outcome == "served" for one in records) / 8
+    return sum(isinstance(one, rec.FinalAnswer) and one.outcome == "served" for one in records) / 8
 
 
 def main(seeds: int = 20) -> None:
--- a/harriertrack/cli/days.py
+++ b/harriertrack/cli/days.py
@@ -34,7 +34,7 @@
     """Tell what a recording holds and which rules it breaks; return the exit code."""
     try:
         counts, breaches = checker.summary(records), checker.check(records)
-    except checker.Ambiguous as error:
+    except checker.AmbiguousRecording as error:
         click.echo(f"harriertrack: {error}", err=True)
         return BAD_INPUT
     click.echo("; ".join(f"{count} {what}" for what, count in counts.items()))
--- a/harriertrack/cli/fleet_days.py
+++ b/harriertrack/cli/fleet_days.py
@@ -16,7 +16,7 @@
 from harriertrack.lab.fleet.processes import FleetProcessError, play_processes
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.rules import checker, recording as rec
-from harriertrack.rules.everything import judge
+from harriertrack.rules.all_rules import check_all
 
 
 @click.command("days")
@@ -61,11 +61,11 @@
         recorder.close()
     records = recorder.records
     for one in records:
-        if isinstance(one, rec.Agreed):
+        if isinstance(one, rec.AgreementCheck):
             end = f"after {one.after_us / 1e6:.2f} s" if one.reached else "NOT REACHED"
             click.echo(f"{len(one.members)} agree {end} (within {one.within_us / 1e6:g} s)")
     click.echo("; ".join(f"{count} {what}" for what, count in checker.summary(records).items()))
-    judged = judge(records, plan.detect_us)
+    judged = check_all(records, plan.detect_us)
     for what, breaches in judged.items():
         tell(breaches, f"{what}: ")
     broken = any(judged.values())
--- a/harriertrack/lab/emulator.py
+++ b/harriertrack/lab/emulator.py
@@ -368,7 +368,7 @@
     def record(self, head: int, entry: api.NodeEntry) -> None:
         """Record what a head is told of a node that it did not know."""
         if self._recorder is not None:
-            self._recorder.add(rec.Told(t=self._hub.now(), head=head, node=entry.node,
+            self._recorder.add(rec.NodeListed(t=self._hub.now(), head=head, node=entry.node,
                                         state=entry.state.value, started_us=entry.started_us))  # fmt: skip
 
 
@@ -407,7 +407,7 @@
     def leave(self) -> None:
         """Break the connection from the client's side."""
         if self._here:
-            self._recorder.add(rec.Left(t=self._hub.now(), client=self.name))
+            self._recorder.add(rec.ClientLeft(t=self._hub.now(), client=self.name))
             self.broken(self._slot.head)
 
     def broken(self, head: Head | None) -> None:
--- a/harriertrack/lab/fleet/division/division.py
+++ b/harriertrack/lab/fleet/division/division.py
@@ -342,7 +342,7 @@
                 units = self._use(member, budget, came)
                 tally.served += units
                 if units:
-                    self.records.append(rec.Drawn(t=self.now, budget=budget, holder=name, units=units))
+                    self.records.append(rec.BudgetUsed(t=self.now, budget=budget, holder=name, units=units))
         for budget, came in came_of.items():
             self.tally[budget].ideal += self._ideal[budget].serve(self.now, came)
 
--- a/harriertrack/lab/fleet/launched.py
+++ b/harriertrack/lab/fleet/launched.py
@@ -97,7 +97,7 @@
 
     def _tell(self, away: bool, version: int) -> None:
         self._host.recorder.add(
-            rec.HandedOver(t=self._host.hub.now(), head=self._slot.name, away=away, version=version)
+            rec.HeadHandover(t=self._host.hub.now(), head=self._slot.name, away=away, version=version)
         )
 
     def _act(self) -> None:
--- a/harriertrack/lab/fleet/limits.py
+++ b/harriertrack/lab/fleet/limits.py
@@ -83,7 +83,7 @@
 
     def _follow(self) -> None:
         rig, now = self._rig, self._rig.hub.now()
-        for times in {self._told.get(name, 1.0) for name in rig.views.running}:
+        for times in {self._told.get(name, 1.0) for name in rig.views.alive}:
             self._until[times] = now + self._settles_us
         allowed = max((times for times, until in self._until.items() if until >= now), default=self._allowed)
         if allowed != self._allowed:
@@ -98,7 +98,7 @@
         for volume in rig.volumes:
             if (plan := plans.get(volume.plan)) is not None:
                 rate, burst, now = plan.limit * times, plan.limit_burst, rig.hub.now()
-                rig.recorder.add(rec.LimitNow(t=now, volume=volume.name, rate=rate, burst=burst))
+                rig.recorder.add(rec.LimitChanged(t=now, volume=volume.name, rate=rate, burst=burst))
                 rig.recorder.add(
                     rec.BudgetFacts(t=now, budget=f"limits/{volume.name}", rate=rate, burst=burst,
                                     moving=(1 - fixed) * rate)
--- a/harriertrack/lab/fleet/markets.py
+++ b/harriertrack/lab/fleet/markets.py
@@ -147,7 +147,7 @@
         ended.wait()
         outcome, read = told[0]
         self._recorder.add(
-            rec.Kept(t=began, ended=hub.now(), client=self._name, head=connection.head,
+            rec.BlockOperation(t=began, ended=hub.now(), client=self._name, head=connection.head,
                      volume=connection.volume, offset=block * SECTOR, is_write=is_write,
                      outcome=outcome, value=self._value if is_write else read)  # type: ignore[arg-type]
         )  # fmt: skip
@@ -297,6 +297,6 @@
         if event == "close done":
             at = int(str(fields["at_us"])) - self._true_ahead
             self._rig.recorder.add(
-                rec.ClosedAt(t=self._rig.hub.now(), head=slot.name, calendar=str(fields["calendar"]),
+                rec.CloseDone(t=self._rig.hub.now(), head=slot.name, calendar=str(fields["calendar"]),
                              number=int(str(fields["number"])), at=at)
             )  # fmt: skip
--- a/harriertrack/lab/fleet/processes/fleet.py
+++ b/harriertrack/lab/fleet/processes/fleet.py
@@ -246,7 +246,7 @@
         self.lived(slot, "killed")
         self._turn_clients_away(slot)
         process = self.children.running.pop(slot.name)
-        self.recorder.add(rec.Head(t=self.hub.now(), head=slot.name, number=0, up=False))
+        self.recorder.add(rec.HeadLifecycle(t=self.hub.now(), head=slot.name, number=0, up=False))
         process.signal(signal.SIGKILL)
         while not process.ended:  # not waited for: what others send passes this process
             self.hub.sleep(TURN_US)
@@ -261,7 +261,7 @@
 
         def go_on() -> None:
             stood = self.hub.now() - since + WOKE_US
-            self.recorder.add(rec.Stood(t=since, head=slot.name, us=stood, unread=True))
+            self.recorder.add(rec.HeadPaused(t=since, head=slot.name, us=stood, unread=True))
             if self.children.running.get(slot.name) is process:
                 self.lived(slot, "went-on")
             process.signal(signal.SIGCONT)
--- a/harriertrack/lab/fleet/processes/logs.py
+++ b/harriertrack/lab/fleet/processes/logs.py
@@ -34,7 +34,7 @@
                 if process.ended:
                     self._leaving.remove((slot, process))
                     self._take(slot, process)
-                    rig.recorder.add(rec.Head(t=rig.hub.now(), head=slot.name, number=0, up=False))
+                    rig.recorder.add(rec.HeadLifecycle(t=rig.hub.now(), head=slot.name, number=0, up=False))
             rig.hub.sleep(LOOK_US)
 
     def read(self, slot: HeadSlot) -> None:
@@ -57,7 +57,7 @@
             event = str(line.get("event", ""))
             if event == "head starts":
                 number = int(str(line["head"]), 16)
-                rig.recorder.add(rec.Head(t=rig.hub.now(), head=slot.name, number=number, up=True))
+                rig.recorder.add(rec.HeadLifecycle(t=rig.hub.now(), head=slot.name, number=number, up=True))
             if event.startswith("launch: "):
                 launchers.heard(rig, slot, event, line)
             rig.hearing.log_line(slot, event, line)
--- a/harriertrack/lab/fleet/processes/machine.py
+++ b/harriertrack/lab/fleet/processes/machine.py
@@ -49,5 +49,5 @@
                 seen[process] = waited = process.waited_us
                 found = stood(before, now, waited - known.get(process, waited))
                 if found is not None:
-                    rig.recorder.add(rec.Stood(t=found[0], head=slot.name, us=found[1]))
+                    rig.recorder.add(rec.HeadPaused(t=found[0], head=slot.name, us=found[1]))
             known, before = seen, now
--- a/harriertrack/lab/fleet/rig/facts.py
+++ b/harriertrack/lab/fleet/rig/facts.py
@@ -11,10 +11,10 @@
 from harriertrack.rules import recording as rec
 
 
-def of_rollouts(day: FleetDaySettings) -> Iterator[rec.RolloutEnd]:
+def of_rollouts(day: FleetDaySettings) -> Iterator[rec.RolloutExpected]:
     """Tell how versions are to end."""
     for end in day.ends:
-        yield rec.RolloutEnd(t=0, thing=end.name, version=end.version)
+        yield rec.RolloutExpected(t=0, thing=end.name, version=end.version)
 
 
 def of_zones(day: FleetDaySettings) -> Iterator[rec.ZoneFacts]:
@@ -27,13 +27,13 @@
 
 
 def of_regions(day: FleetDaySettings, plans: Iterable[PlanSettings],
-               volumes: Iterable[VolumeSettings]) -> Iterator[rec.MoveFacts]:  # fmt: skip
+               volumes: Iterable[VolumeSettings]) -> Iterator[rec.VolumeMoveFacts]:  # fmt: skip
     """Tell at what pace volumes may change regions, where they belong, and who comes first."""
     paces = [one for one in day.budgets.budgets if one.name is BudgetUse.TAKEOVERS] if day.budgets else []
     reserves = {plan.name: plan.reserve for plan in plans}
     spread = [one for one in volumes if one.regions is not None]
     for pace in paces:
-        yield rec.MoveFacts(
+        yield rec.VolumeMoveFacts(
             t=0, rate=pace.whole, burst=pace.burst,
             homes={one.name: one.regions.home for one in spread if one.regions is not None},
             reserves={one.name: reserves[one.plan] for one in spread},
--- a/harriertrack/lab/fleet/rig/faults.py
+++ b/harriertrack/lab/fleet/rig/faults.py
@@ -54,9 +54,9 @@
     def _changed(self) -> None:
         """Tell that faults began or ended."""
         rig, now = self._rig, self._rig.hub.now()
-        rig.recorder.add(rec.Weather(t=now, faults=len(self.weather)))
+        rig.recorder.add(rec.ActiveFaults(t=now, faults=len(self.weather)))
         self._cut = self._cut if len(self.weather) else []
-        rig.recorder.add(rec.CutOff(t=now, heads=self._cut))
+        rig.recorder.add(rec.HeadsPartitioned(t=now, heads=self._cut))
         rig.weather_changed()
 
     def starve(self, slot: HeadSlot, step: StepSettings) -> None:
@@ -64,7 +64,7 @@
         rig, hub = self._rig, self._rig.hub
         rig.lasts(step.for_us + 2 * step.every_us)
         until, still = hub.now() + step.for_us, int(step.share * step.every_us)
-        while hub.now() < until and slot.name in rig.views.running:
+        while hub.now() < until and slot.name in rig.views.alive:
             rig.pause(slot, still)
-            rig.recorder.add(rec.Stood(t=hub.now(), head=slot.name, us=still))
+            rig.recorder.add(rec.HeadPaused(t=hub.now(), head=slot.name, us=still))
             hub.sleep(rig.drawn.randrange(step.every_us // 2, 3 * step.every_us // 2))
--- a/harriertrack/lab/fleet/rig/fleet.py
+++ b/harriertrack/lab/fleet/rig/fleet.py
@@ -20,7 +20,7 @@
 from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings, Verb
 from harriertrack.lab.rig import SETTLE_US, HeadSlot, Rig
 from harriertrack.rules import recording as rec
-from harriertrack.rules.fleet import Views
+from harriertrack.rules.fleet import FleetViews
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryNetwork, Network
 from harriertrack.standin.listservice import ListService
@@ -43,7 +43,7 @@
         super().__init__(hub, network, day_of(day, heads), seed, recorder, state_dir)
         self.faults = Faults(self, Weather(seed, DELAY_US if isinstance(network, MemoryNetwork) else (0, 0)))
         self.streams = Streams(hub, network)
-        self.views = Views()
+        self.views = FleetViews()
         self.drawn = random.Random(seed)
         self._last_until = 0  # when what the day did to the fleet is over
         self.markets = markets.Markets(self, seed) if day.closing is not None else None
@@ -107,23 +107,23 @@
         match step.name:
             case Verb.START:
                 for slot in who:
-                    if slot.name not in self.views.running and not self.launched(slot):
+                    if slot.name not in self.views.alive and not self.launched(slot):
                         self.launch(slot, step)
             case Verb.KILL:
                 for slot in who:
-                    if slot.name in self.views.running:
+                    if slot.name in self.views.alive:
                         self.kill(slot)
             case Verb.STOP:
                 for slot in who:
-                    if slot.name in self.views.awake():
+                    if slot.name in self.views.running_members():
                         self.stand(slot, step.for_us)
             case Verb.STARVE:
                 for slot in who:
-                    if slot.name in self.views.awake():
+                    if slot.name in self.views.running_members():
                         self.scope.spawn(f"starves {slot.name}", self.faults.starve, slot, step)
             case Verb.LEAVE:
                 for slot in who:
-                    if slot.name in self.views.awake():
+                    if slot.name in self.views.running_members():
                         self.lived(slot, "leaving")
                         self.leave(slot)
             case Verb.WEATHER:
@@ -131,7 +131,7 @@
             case Verb.HEAL:
                 self.faults.heal()
             case Verb.AGREE:
-                awake = self.views.awake()
+                awake = self.views.running_members()
                 self._agree([slot.name for slot in who if slot.name in awake], step.within_us)
             case Verb.DEMAND:
                 self._lead([slot.name for slot in who], step.times)
@@ -186,7 +186,7 @@
             self.hub.sleep_until(self._last_until)
         self.await_witness()
         self.faults.heal()
-        self.recorder.add(rec.Quiet(t=self.hub.now()))
+        self.recorder.add(rec.FaultsOver(t=self.hub.now()))
 
     def await_witness(self) -> None:
         """Wait until the witness is there again, where it was taken away."""
@@ -215,11 +215,13 @@
 
     def _agree(self, names: list[str], within_us: int) -> None:
         began = self.hub.now()
-        while not (reached := self.views.agree(names)) and self.hub.now() - began < within_us:
+        while not (reached := self.views.is_agreed_by(names)) and self.hub.now() - began < within_us:
             self.hub.sleep(LOOK_US)
         now = self.hub.now()
         self.recorder.add(
-            rec.Agreed(t=now, members=names, within_us=within_us, after_us=now - began, reached=reached)
+            rec.AgreementCheck(
+                t=now, members=names, within_us=within_us, after_us=now - began, reached=reached
+            )
         )
 
     def place_head(self, number: int) -> HeadSlot:
@@ -260,8 +262,8 @@
 
     def lived(self, slot: HeadSlot, how: str) -> None:
         """Record what became of a head."""
-        record = rec.Lived(t=self.hub.now(), member=slot.name, how=how)  # type: ignore[arg-type]
-        self.views.take(record)
+        record = rec.MemberLifecycle(t=self.hub.now(), member=slot.name, how=how)  # type: ignore[arg-type]
+        self.views.apply(record)
         self.recorder.add(record)
 
     # -- what heads are made of
--- a/harriertrack/lab/fleet/rig/hearing.py
+++ b/harriertrack/lab/fleet/rig/hearing.py
@@ -48,10 +48,10 @@
         if event == "fleet changes":
             numbers = {name: int(str(fields[name])) for name in ("revision", "digest", "epoch")}
             latest = msgspec.convert(fields["latest"], dict[str, int])
-            record(rec.WentBy(t=now, head=slot.name, latest=latest, **numbers))
+            record(rec.ChangeRecordApplied(t=now, head=slot.name, latest=latest, **numbers))
         if event in ("fleet change taken", "fleet change turned down"):
             record(
-                rec.TookVersion(t=now, head=slot.name, thing=str(fields["thing"]),
+                rec.VersionApplied(t=now, head=slot.name, thing=str(fields["thing"]),
                                 version=int(str(fields["version"])), why=str(fields.get("why", "")))
             )  # fmt: skip
         if (said := weights.told(now, slot.name, event, fields)) is not None:
@@ -59,7 +59,7 @@
         if event == "fleet budgets: term begins" and int(str(fields["ledger"])) == DECISION_LOCK:
             self.decider = slot.name
         if event in ("fleet budgets: term begins", "fleet budgets: term over"):
-            record(rec.Keeps(t=now, head=slot.name, ledger=int(str(fields["ledger"])),
+            record(rec.LedgerOwnership(t=now, head=slot.name, ledger=int(str(fields["ledger"])),
                              keeps=event.endswith("begins")))  # fmt: skip
             if event.endswith("begins"):
                 self.keepers[int(str(fields["ledger"]))] = slot.name
@@ -68,8 +68,8 @@
         if event == "fleet member":
             told = {name: fields[name] for name in TOLD}
             told.update(t=now, member=slot.name, about=fields["member"])
-            viewed = msgspec.convert(told, rec.Viewed)
-            rig.views.take(viewed)
+            viewed = msgspec.convert(told, rec.ViewReported)
+            rig.views.apply(viewed)
             record(viewed)
 
     def datagram(self, name: str, data: bytes, arrives: bool) -> None:
--- a/harriertrack/lab/fleet/rig/operating.py
+++ b/harriertrack/lab/fleet/rig/operating.py
@@ -53,7 +53,7 @@
         found = keeping.write(witness, make)
         last = found.record.in_progress(thing) or found.record.versions_of(thing)[-1]
     rig.recorder.add(
-        rec.Proposed(t=rig.hub.now(), thing=thing, version=last.number, standing=last.standing.value)
+        rec.VersionProposed(t=rig.hub.now(), thing=thing, version=last.number, standing=last.standing.value)
     )
     staged = rig.fleet_day.changes is not None and rig.fleet_day.changes.rollout is not None
     if step.name is Verb.PROPOSE and staged and is_staged(thing):
@@ -74,7 +74,7 @@
     while rig.hub.now() < until:
         records = rig.recorder.records
         for one in records[read:]:
-            if isinstance(one, rec.Proposed | rec.RolloutStep) and one.thing == step.thing:
+            if isinstance(one, rec.VersionProposed | rec.RolloutStep) and one.thing == step.thing:
                 if last is None or one.version >= last.version:
                     last = one
         read = len(records)
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -145,7 +145,7 @@
 
     def start_child(self, slot: HeadSlot, rehearsal: Rehearsal) -> None:
         """Start a head of a version; it serves when this returns, unless it is mute."""
-        if slot.name not in self.views.running:
+        if slot.name not in self.views.alive:
             self.lived(slot, "started")
         if rehearsal.class_name:
             self._bad[slot.name] = rehearsal
@@ -169,9 +169,9 @@
     def stand(self, slot: HeadSlot, us: int) -> None:
         """Let a head stand still for a time."""
         self.lived(slot, "stopped")
-        self.recorder.add(rec.Stood(t=self.hub.now(), head=slot.name, us=us))
+        self.recorder.add(rec.HeadPaused(t=self.hub.now(), head=slot.name, us=us))
         self.pause(slot, us)
-        self.later(us, lambda: self.lived(slot, "went-on") if slot.name in self.views.running else None)
+        self.later(us, lambda: self.lived(slot, "went-on") if slot.name in self.views.alive else None)
 
     def pause(self, slot: HeadSlot, us: int) -> None:
         """Let a head stand still for a moment that nobody need hear of."""
--- a/harriertrack/lab/fleet/staging.py
+++ b/harriertrack/lab/fleet/staging.py
@@ -32,14 +32,14 @@
     return msgspec.convert({**told, "t": now, "by": by}, rec.RolloutStep)
 
 
-def there(last: rec.RolloutStep | rec.Proposed, stage: int) -> bool:
+def there(last: rec.RolloutStep | rec.VersionProposed, stage: int) -> bool:
     """Whether a version is in force or taken back, or (from 1) heads of a stage are named."""
     if VersionState(last.standing) in (*FINISHED, VersionState.IN_FORCE):
         return True
     return isinstance(last, rec.RolloutStep) and 0 < stage <= last.stage and bool(last.heads)
 
 
-def lacks_evidence(last: rec.RolloutStep | rec.Proposed) -> bool:
+def lacks_evidence(last: rec.RolloutStep | rec.VersionProposed) -> bool:
     """Whether a version is paused for want of evidence, and of nothing else."""
     return (isinstance(last, rec.RolloutStep) and last.standing == VersionState.PAUSED.value
             and last.why.startswith(INSUFFICIENT_PREFIX))  # fmt: skip
--- a/harriertrack/lab/fleet/storm/playing.py
+++ b/harriertrack/lab/fleet/storm/playing.py
@@ -15,8 +15,8 @@
 from harriertrack.lab.fleet.scenario import FleetDaySettings
 from harriertrack.lab.fleet.storm.shrinking import Shrinking, Told
 from harriertrack.rules import recording as rec
+from harriertrack.rules.all_rules import check_all
 from harriertrack.rules.checker import Breach
-from harriertrack.rules.everything import judge
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryNetwork
 
@@ -66,9 +66,9 @@
     except Exception as error:  # of whatever part of the program: that is what is looked for
         fell = [Breach(0, _end(recorder.records), type(error).__name__, str(error))]
     records = recorder.records
-    found = {f"{FELL}: {fell[0].who}": fell} if fell else judge(records, day.detect_us)
-    took = sum(isinstance(one, rec.Take) for one in records)
-    first = min((one.t for one in records if isinstance(one, rec.Lived)), default=0)
+    found = {f"{FELL}: {fell[0].who}": fell} if fell else check_all(records, day.detect_us)
+    took = sum(isinstance(one, rec.RequestSent) for one in records)
+    first = min((one.t for one in records if isinstance(one, rec.MemberLifecycle)), default=0)
     return Verdict(found, _end(records) - first, took)
 
 
--- a/harriertrack/lab/fleet/weights.py
+++ b/harriertrack/lab/fleet/weights.py
@@ -146,5 +146,5 @@
         return msgspec.convert({"t": now, "head": head, **said}, rec.Weights)
     if event in ("scorer lost its vote", "scorer has its vote back"):
         has, scorer = event.endswith("back"), str(fields["scorer"])
-        return rec.Vote(t=now, head=head, scorer=scorer, has=has, why=str(fields.get("why", "")))
+        return rec.ScorerVote(t=now, head=head, scorer=scorer, has=has, why=str(fields.get("why", "")))
     return None
--- a/harriertrack/lab/load.py
+++ b/harriertrack/lab/load.py
@@ -101,7 +101,7 @@
         if self._client is not None and self._client.violation:
             # An answer that fits no open request among them: nothing a head may send.
             now = self._hub.now()
-            self._recorder.add(rec.Answer(t=now, client=self.name, request=0, outcome="violation"))
+            self._recorder.add(rec.FinalAnswer(t=now, client=self.name, request=0, outcome="violation"))
         self._client = None
         self.forget_unsent()
 
@@ -114,7 +114,7 @@
     def leave(self) -> None:
         """Break the connection from the client's side."""
         if self._client is not None:
-            self._recorder.add(rec.Left(t=self._hub.now(), client=self.name))
+            self._recorder.add(rec.ClientLeft(t=self._hub.now(), client=self.name))
             client, self._client = self._client, None
             client.abort()
 
@@ -129,7 +129,7 @@
         self._requests += 1
         request = self._requests
         self._recorder.add(
-            rec.Take(
+            rec.RequestSent(
                 t=self._hub.now(),
                 head=self.head,
                 client=name,
@@ -150,7 +150,7 @@
             now = self._hub.now()
             if reply is None:
                 then("left", None)
-                self._recorder.add(rec.Left(t=now, client=name))
+                self._recorder.add(rec.ClientLeft(t=now, client=name))
                 return
             outcome, hint = "failed", HINT.search(reply.message)
             if not reply.error:
@@ -159,7 +159,7 @@
                 outcome = "refused"
             right = then(outcome, reply)
             self._recorder.add(
-                rec.Answer(
+                rec.FinalAnswer(
                     t=now,
                     client=name,
                     request=request,
@@ -212,7 +212,7 @@
         is_write = self._random.random() < 0.5
         value = self._number * 1_000_000 + number if is_write else 0
         self._recorder.add(
-            rec.Called(
+            rec.OperationCalled(
                 t=self._hub.now(),
                 client=name,
                 number=number,
@@ -229,7 +229,9 @@
             read = int.from_bytes(reply.data[:8]) if reply is not None and reply.data else 0
             now = self._hub.now()
             self._recorder.add(
-                rec.Returned(t=now, client=name, number=number, certain=served, refused=refused, value=read)
+                rec.OperationReturned(
+                    t=now, client=name, number=number, certain=served, refused=refused, value=read
+                )
             )
             done()
 
--- a/harriertrack/lab/rig.py
+++ b/harriertrack/lab/rig.py
@@ -290,7 +290,7 @@
             if took >= WATCH_US + LATE_US:
                 # It may have stood still since right after the last look.
                 for slot in self.heads:
-                    self.recorder.add(rec.Stood(t=last_look, head=slot.name, us=took, machine=True))
+                    self.recorder.add(rec.HeadPaused(t=last_look, head=slot.name, us=took, machine=True))
 
     def build(self) -> None:
         """Start the machines."""
@@ -406,7 +406,7 @@
         slot.task = self.scope.spawn(slot.name, slot.head.run)
         slot.head.ready.wait()
         number = slot.head.head_id
-        self.recorder.add(rec.Head(t=self.hub.now(), head=slot.name, number=number, up=True))
+        self.recorder.add(rec.HeadLifecycle(t=self.hub.now(), head=slot.name, number=number, up=True))
         for connection in slot.connections:
             connection.address = self.entrance(slot)
 
@@ -419,14 +419,16 @@
     def _stamp(self, head: int, attempt: Attempt) -> None:
         """Record the sender's time of a send."""
         key, node = attempt.part.number, attempt.member.entry.node
-        self.recorder.add(rec.Sent(t=self.hub.now(), head=head, key=key, attempt=attempt.number, node=node))
+        self.recorder.add(
+            rec.AttemptSent(t=self.hub.now(), head=head, key=key, attempt=attempt.number, node=node)
+        )
 
     def kill_head(self, slot: HeadSlot) -> None:
         """Kill a head outright: nothing is answered or sent any more, and its connections break."""
         assert slot.task is not None
         for connection in slot.connections:
             connection.address = None
-        self.recorder.add(rec.Head(t=self.hub.now(), head=slot.name, number=0, up=False))
+        self.recorder.add(rec.HeadLifecycle(t=self.hub.now(), head=slot.name, number=0, up=False))
         slot.task.cancel()
         while not slot.task.done:
             self.hub.sleep(1_000)
--- a/harriertrack/lab/scores.py
+++ b/harriertrack/lab/scores.py
@@ -152,7 +152,7 @@
     classes: dict[str, ClassSettings] = {one.name: one for one in classes_of(day)}
     plans: dict[str, PlanSettings] = {one.name: one for one in plans_of(day)}
     volumes: dict[str, VolumeSettings] = {one.name: one for one in volumes_of(day)}
-    start = min((one.t for one in records if isinstance(one, rec.Take)), default=0)
+    start = min((one.t for one in records if isinstance(one, rec.RequestSent)), default=0)
     count = max(1, -(-day.length_us // STEP_US))
     steps = [Step(t_us=at * STEP_US) for at in range(count)]
     latencies: list[list[int]] = [[] for _ in steps]
@@ -163,13 +163,13 @@
     units: dict[str, list[float]] = {name: [0.0] * count for name in volumes}
     sizes: dict[tuple[int, int], tuple[str, float]] = {}
     hints: Counter[str] = Counter()
-    takes: dict[tuple[str, int], rec.Take] = {}
+    takes: dict[tuple[str, int], rec.RequestSent] = {}
     totals: Counter[str] = Counter()
     cells: dict[str, str] = next((one.cell_of_volume for one in records if isinstance(one, rec.Facts)), {})
     by_cell: dict[str, Earned] = defaultdict(Earned)
     cell_steps = {cell: [Earned() for _ in steps] for cell in sorted(set(cells.values()))}
 
-    def groups_of(take: rec.Take) -> list[Earned]:
+    def groups_of(take: rec.RequestSent) -> list[Earned]:
         groups = [by_plan[volumes[take.volume].plan], by_class[take.class_name], by_volume[take.volume]]
         if cell := cells.get(take.volume):
             groups += (by_cell[cell], cell_steps[cell][step_at(take.t)])
@@ -180,7 +180,7 @@
 
     for record in records:
         match record:
-            case rec.Take():
+            case rec.RequestSent():
                 takes[record.client, record.request] = record
                 if not record.again:
                     worth = classes[record.class_name].worth * plans[volumes[record.volume].plan].price
@@ -191,7 +191,7 @@
                     for group in groups_of(record):
                         group.asked += 1
                         group.possible += worth
-            case rec.Answer() if (take := takes.pop((record.client, record.request), None)) is not None:
+            case rec.FinalAnswer() if (take := takes.pop((record.client, record.request), None)) is not None:
                 one, plan = classes[take.class_name], volumes[take.volume].plan
                 took, at = record.t - take.t, step_at(record.t)
                 groups = groups_of(take)
@@ -216,11 +216,13 @@
                     steps[at].failed += 1
                     for group in groups:
                         group.failed += 1
-            case rec.Got():
+            case rec.AttemptReceived():
                 size = units_of(record.length, day.unit_bytes)
                 sizes[record.head, record.key] = (record.volume, size)
                 totals["sends"] += 1
-            case rec.Ran() if record.key and (found := sizes.get((record.head, record.key))) is not None:
+            case rec.AttemptExecuted() if (
+                record.key and (found := sizes.get((record.head, record.key))) is not None
+            ):
                 units[found[0]][step_at(record.t)] += found[1]
     for step, took_all in zip(steps, latencies, strict=True):
         if took_all:
--- a/harriertrack/lab/troubles.py
+++ b/harriertrack/lab/troubles.py
@@ -245,7 +245,7 @@
     while rig.hub.now() < until:
         for slot in rig.heads:
             still = int(trouble.size * 1000)
-            rig.recorder.add(rec.Stood(t=rig.hub.now(), head=slot.name, us=still))
+            rig.recorder.add(rec.HeadPaused(t=rig.hub.now(), head=slot.name, us=still))
             rig.hub.freeze(slot.head, still)
             rig.hub.sleep(trouble.every_us)
 
--- a/harriertrack/rules/everything.py
+++ b/harriertrack/rules/all_rules.py
@@ -19,7 +19,7 @@
 from harriertrack.rules.checker import Breach
 
 
-def judge(records: Iterable[rec.Record], detect_us: int) -> dict[str, list[Breach]]:
+def check_all(records: Iterable[rec.Record], detect_us: int) -> dict[str, list[Breach]]:
     """Return the breaches of a recording by subject; `detect_us`: how long a death may go unnoticed."""
     every = list(records)
     return {
--- a/harriertrack/rules/budgets.py
+++ b/harriertrack/rules/budgets.py
@@ -23,7 +23,10 @@
 EXACT = 1e-6  # of a whole: what floating point may add up to
 GONE = ("killed", "ended", "leaving")
 
-Known = rec.BudgetFacts | rec.AskedShare | rec.GrantedShare | rec.Drawn | rec.Lived | rec.Quiet | rec.Keeps
+Known = (
+    rec.BudgetFacts | rec.ShareRequested | rec.ShareGranted | rec.BudgetUsed
+    | rec.MemberLifecycle | rec.FaultsOver | rec.LedgerOwnership
+)  # fmt: skip
 
 
 @dataclass(slots=True)
@@ -36,7 +39,7 @@
     asked: dict[int, int] = field(default_factory=dict)  # when each number was sent
     shares: dict[str, dict[int, float]] = field(default_factory=dict)  # by budget and version
 
-    def ask(self, one: rec.AskedShare) -> None:
+    def ask(self, one: rec.ShareRequested) -> None:
         """Follow what it says of itself."""
         if (self.term, self.tenure) != (one.term, one.tenure):
             if self.term == one.term and one.tenure < self.tenure:
@@ -49,7 +52,7 @@
             for version in [version for version in versions if version < applied]:
                 del versions[version]
 
-    def grant(self, one: rec.GrantedShare) -> list[str]:
+    def grant(self, one: rec.ShareGranted) -> list[str]:
         """Follow what it was granted; return the budgets of which it may have more now."""
         if (self.term, self.tenure) != (one.term, one.tenure):
             return []
@@ -79,9 +82,9 @@
         if isinstance(one, rec.BudgetFacts):
             moving[one.budget] = one.moving
             told = [one.budget]
-        elif isinstance(one, rec.AskedShare):
+        elif isinstance(one, rec.ShareRequested):
             using[one.holder, one.instance, one.ledger].ask(one)
-        elif isinstance(one, rec.GrantedShare):
+        elif isinstance(one, rec.ShareGranted):
             key = (one.holder, one.instance, one.ledger)
             told = using[key].grant(one)
             for budget in told:
@@ -106,7 +109,7 @@
                 held = min(earlier.burst, before + earlier.rate * (one.t - at) / 1e6)
                 level[one.budget] = (min(one.burst, held), one.t)
             facts[one.budget] = one
-        if not isinstance(one, rec.Drawn) or (fact := facts.get(one.budget)) is None:
+        if not isinstance(one, rec.BudgetUsed) or (fact := facts.get(one.budget)) is None:
             continue
         before, at = level.get(one.budget, (fact.burst, one.t))
         left = min(fact.burst, before + fact.rate * (one.t - at) / 1e6) - one.units
@@ -119,26 +122,26 @@
 def whole_again(records: Sequence[Known]) -> Iterator[Breach]:
     """3: at the end of a quiet time ledgers are kept, and asks are answered."""
     using: dict[tuple[str, int, int], _Using] = defaultdict(_Using)
-    last: dict[tuple[str, int], rec.AskedShare] = {}
+    last: dict[tuple[str, int], rec.ShareRequested] = {}
     keepers: dict[int, set[str]] = defaultdict(set)
     alive: set[str] = set()
     quiet, end, lease = False, 0, 0
     for one in records:
         end = one.t
         match one:
-            case rec.Quiet():
+            case rec.FaultsOver():
                 quiet = True
-            case rec.Lived():
+            case rec.MemberLifecycle():
                 (alive.discard if one.how in GONE else alive.add)(one.member)
                 if one.how in GONE or one.how == "started":
                     for heads in keepers.values():
                         heads.discard(one.member)
-            case rec.Keeps():
+            case rec.LedgerOwnership():
                 (keepers[one.ledger].add if one.keeps else keepers[one.ledger].discard)(one.head)
-            case rec.AskedShare():
+            case rec.ShareRequested():
                 last[one.holder, one.ledger] = one
                 using[one.holder, one.instance, one.ledger].ask(one)
-            case rec.GrantedShare():
+            case rec.ShareGranted():
                 lease = one.lease_us
                 using[one.holder, one.instance, one.ledger].grant(one)
     if not quiet:
--- a/harriertrack/rules/changes.py
+++ b/harriertrack/rules/changes.py
@@ -18,32 +18,32 @@
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
     """Judge a recording's record of changes. In order of time."""
-    kinds = (rec.Proposed, rec.WentBy, rec.TookVersion, rec.Lived)
+    kinds = (rec.VersionProposed, rec.ChangeRecordApplied, rec.VersionApplied, rec.MemberLifecycle)
     mine = sorted((one for one in records if isinstance(one, kinds)), key=lambda one: one.t)
-    if not any(isinstance(one, rec.Proposed) for one in mine):
+    if not any(isinstance(one, rec.VersionProposed) for one in mine):
         return []
-    goes_by: dict[str, rec.WentBy] = {}
+    goes_by: dict[str, rec.ChangeRecordApplied] = {}
     alive: set[str] = set()
     proposed: dict[str, set[int]] = defaultdict(set)
     breaches, last, newest = [], 0, 0
     for one in mine:
         last = one.t
         match one:
-            case rec.Lived():
+            case rec.MemberLifecycle():
                 if one.how == "started":
                     alive.add(one.member)
                     goes_by.pop(one.member, None)  # it says anew what it kept
                 elif one.how in ("killed", "ended", "leaving"):
                     alive.discard(one.member)
-            case rec.Proposed():
+            case rec.VersionProposed():
                 proposed[one.thing].add(one.version)
-            case rec.WentBy():
+            case rec.ChangeRecordApplied():
                 before = goes_by.get(one.head)
                 if before is not None and one.revision < before.revision:
                     back = f"back to {one.revision} from {before.revision}"
                     breaches.append(Breach(2, one.t, one.head, back))
                 goes_by[one.head], newest = one, max(newest, one.revision)
-            case rec.TookVersion():
+            case rec.VersionApplied():
                 known = proposed.get(one.thing)  # what no operator proposes is written by who decides
                 if one.version and not one.why and known is not None and one.version not in known:
                     told = f"runs version {one.version} of {one.thing}, which nobody proposed"
--- a/harriertrack/rules/checker.py
+++ b/harriertrack/rules/checker.py
@@ -15,13 +15,13 @@
 from dataclasses import dataclass, field
 
 from harriertrack.rules import recording as rec
-from harriertrack.rules.linear import broken_blocks
+from harriertrack.rules.linearizability import broken_blocks
 
 CHANGING = ("write", "trim", "write-zeroes")
 EARLY_US = 10_000  # a last refusal comes a little before the end of its client's patience
 
 
-class Ambiguous(Exception):
+class AmbiguousRecording(Exception):
     """The recording does not tell whose request a node received: its clients reused a place."""
 
 
@@ -39,119 +39,121 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class RequestHistory:
     """A client's request and all that belongs to it."""
 
-    take: rec.Take
-    deadline: int
-    answers: list[rec.Answer] = field(default_factory=list)
-    got: list[rec.Got] = field(default_factory=list)
-    excused_at: int | None = None  # its client left or its head was killed then
+    request: rec.RequestSent
+    deadline_at_us: int
+    answers: list[rec.FinalAnswer] = field(default_factory=list)
+    received: list[rec.AttemptReceived] = field(default_factory=list)
+    excused_at_us: int | None = None  # its client left or its head was killed then
 
     @property
     def name(self) -> str:
         """Name the request for people."""
-        take = self.take
+        sent = self.request
         return (
-            f"request {take.request} of {take.client} ({take.kind} {take.volume}@{take.offset}+{take.length})"
+            f"request {sent.request} of {sent.client} ({sent.kind} {sent.volume}@{sent.offset}+{sent.length})"
         )
 
 
-class Story:
+class RunHistory:
     """A recording, put in order and joined."""
 
     def __init__(self, records: Iterable[rec.Record]) -> None:
         records = list(records)
-        self.operations = [one for one in records if isinstance(one, rec.Called | rec.Returned)]
+        self.operations = [
+            one for one in records if isinstance(one, rec.OperationCalled | rec.OperationReturned)
+        ]
         self.facts = next(record for record in records if isinstance(record, rec.Facts))
         self.classes = {one.name: one for one in self.facts.classes}
-        self.asked: list[Asked] = []
-        self.got: list[rec.Got] = []
-        self.sent: list[rec.Sent] = []
-        self.attempts: dict[tuple[int, int], list[rec.Got]] = defaultdict(list)
-        self.ran: dict[tuple[int, int], list[rec.Ran]] = defaultdict(list)
-        self.said: dict[tuple[int, int, int], list[rec.Said]] = defaultdict(list)
-        self.told: list[rec.Told] = []
-        self.nodes: list[rec.Node] = []
-        self.limits_now: list[rec.LimitNow] = []
+        self.requests: list[RequestHistory] = []
+        self.received: list[rec.AttemptReceived] = []
+        self.attempts_sent: list[rec.AttemptSent] = []
+        self.attempts: dict[tuple[int, int], list[rec.AttemptReceived]] = defaultdict(list)
+        self.executed: dict[tuple[int, int], list[rec.AttemptExecuted]] = defaultdict(list)
+        self.node_answers: dict[tuple[int, int, int], list[rec.AttemptAnswered]] = defaultdict(list)
+        self.node_listings: list[rec.NodeListed] = []
+        self.node_events: list[rec.NodeLifecycle] = []
+        self.limit_changes: list[rec.LimitChanged] = []
         self.heads: dict[int, str] = {}
-        self.takes_of: dict[str, list[int]] = defaultdict(list)
-        self.stray_answers: list[rec.Answer] = []
-        self.still: dict[int, int] = {}  # when the whole machine stood still, and for how long
-        by_request: dict[tuple[str, int], Asked] = {}
-        open_of: dict[str, dict[int, Asked]] = defaultdict(dict)
+        self.request_times: dict[str, list[int]] = defaultdict(list)
+        self.stray_answers: list[rec.FinalAnswer] = []
+        self.machine_pauses: dict[int, int] = {}  # when the whole machine stood still, and for how long
+        by_request: dict[tuple[str, int], RequestHistory] = {}
+        open_of: dict[str, dict[int, RequestHistory]] = defaultdict(dict)
         by_head: dict[str, set[str]] = defaultdict(set)
-        stood: dict[str, list[rec.Stood]] = defaultdict(list)
+        stood: dict[str, list[rec.HeadPaused]] = defaultdict(list)
         for record in sorted(
             (one for one in records if not isinstance(one, rec.Facts)), key=lambda one: one.t
         ):
             match record:
-                case rec.Take():
+                case rec.RequestSent():
                     limit = max(self.classes[record.class_name].deadline_us, record.patience_us)
-                    asked = Asked(record, record.t + limit)
-                    self.asked.append(asked)
+                    asked = RequestHistory(record, record.t + limit)
+                    self.requests.append(asked)
                     by_request[record.client, record.request] = asked
                     open_of[record.client][record.request] = asked
                     by_head[record.head].add(record.client)
-                    self.takes_of[record.head].append(record.t)
-                case rec.Answer():
+                    self.request_times[record.head].append(record.t)
+                case rec.FinalAnswer():
                     found = by_request.get((record.client, record.request))
                     if found is None:
                         self.stray_answers.append(record)
                     else:
                         found.answers.append(record)
                         open_of[record.client].pop(record.request, None)
-                case rec.Left():
+                case rec.ClientLeft():
                     for asked in open_of.pop(record.client, {}).values():
-                        asked.excused_at = record.t
-                case rec.Stood():
+                        asked.excused_at_us = record.t
+                case rec.HeadPaused():
                     stood[record.head].append(record)
                     if record.machine:
-                        self.still[record.t] = max(self.still.get(record.t, 0), record.us)
-                case rec.Head() if record.up:
+                        self.machine_pauses[record.t] = max(self.machine_pauses.get(record.t, 0), record.us)
+                case rec.HeadLifecycle() if record.up:
                     self.heads[record.number] = record.head
-                case rec.Head():
+                case rec.HeadLifecycle():
                     for client in by_head[record.head]:
                         for asked in open_of.pop(client, {}).values():
-                            asked.excused_at = record.t
-                case rec.Sent():
-                    self.sent.append(record)
-                case rec.Got():
-                    self.got.append(record)
+                            asked.excused_at_us = record.t
+                case rec.AttemptSent():
+                    self.attempts_sent.append(record)
+                case rec.AttemptReceived():
+                    self.received.append(record)
                     self.attempts[record.head, record.key].append(record)
-                case rec.Ran():
-                    self.ran[record.head, record.key].append(record)
-                case rec.Said():
-                    self.said[record.head, record.key, record.attempt].append(record)
-                case rec.Told():
-                    self.told.append(record)
-                case rec.Node():
-                    self.nodes.append(record)
-                case rec.LimitNow():
-                    self.limits_now.append(record)
-        for asked in self.asked:
-            for still in stood[asked.take.head]:
+                case rec.AttemptExecuted():
+                    self.executed[record.head, record.key].append(record)
+                case rec.AttemptAnswered():
+                    self.node_answers[record.head, record.key, record.attempt].append(record)
+                case rec.NodeListed():
+                    self.node_listings.append(record)
+                case rec.NodeLifecycle():
+                    self.node_events.append(record)
+                case rec.LimitChanged():
+                    self.limit_changes.append(record)
+        for asked in self.requests:
+            for still in stood[asked.request.head]:
                 until = still.t + still.us
-                if still.unread and still.t <= asked.take.t < until:
-                    asked.deadline += until - asked.take.t
-                elif still.t <= asked.deadline < until:
-                    asked.deadline = until
+                if still.unread and still.t <= asked.request.t < until:
+                    asked.deadline_at_us += until - asked.request.t
+                elif still.t <= asked.deadline_at_us < until:
+                    asked.deadline_at_us = until
         self._join()
-        self.owner: dict[tuple[int, int], Asked] = {}
-        for asked in self.asked:
-            for got in asked.got:
+        self.request_of_key: dict[tuple[int, int], RequestHistory] = {}
+        for asked in self.requests:
+            for got in asked.received:
                 if got.key:
-                    self.owner[got.head, got.key] = asked
+                    self.request_of_key[got.head, got.key] = asked
 
     def _join(self) -> None:
-        starts: dict[tuple[str, str, int], list[Asked]] = defaultdict(list)
-        ends: dict[tuple[str, str, int], list[Asked]] = defaultdict(list)
-        for asked in self.asked:
-            take = asked.take
+        starts: dict[tuple[str, str, int], list[RequestHistory]] = defaultdict(list)
+        ends: dict[tuple[str, str, int], list[RequestHistory]] = defaultdict(list)
+        for asked in self.requests:
+            take = asked.request
             if take.kind != "flush":
                 starts[take.volume, take.kind, take.offset].append(asked)
                 ends[take.volume, take.kind, take.offset + take.length].append(asked)
-        for got in self.got:
+        for got in self.received:
             end = got.offset + got.length
             found = {id(one): one for one in starts.get((got.volume, got.kind, got.offset), ())}
             found.update((id(one), one) for one in ends.get((got.volume, got.kind, end), ()))
@@ -161,77 +163,81 @@
             fitting = [
                 one
                 for one in found.values()
-                if one.take.t <= got.t
-                and max(one.take.offset, low) == got.offset
-                and min(one.take.offset + one.take.length, low + self.facts.extent_bytes) == end
+                if one.request.t <= got.t
+                and max(one.request.offset, low) == got.offset
+                and min(one.request.offset + one.request.length, low + self.facts.extent_bytes) == end
             ]
             if len(fitting) > 1:
-                raise Ambiguous(
+                raise AmbiguousRecording(
                     f"{got.kind} {got.volume}@{got.offset}+{got.length} may belong to several requests"
                 )
             if fitting:
-                fitting[0].got.append(got)
+                fitting[0].received.append(got)
 
-    def on_its_way(self, since: int, until: int) -> int:
+    def max_flight_us(self, since: int, until: int) -> int:
         """Return how long what was sent by a moment may have been on its way at another."""
-        return self.facts.flight_us + self.stood_still(since, until)
+        return self.facts.flight_us + self.machine_paused_us(since, until)
 
-    def stood_still(self, since: int, until: int) -> int:
+    def machine_paused_us(self, since: int, until: int) -> int:
         """Return how long the whole machine stood still between two moments."""
-        stills = ((max(t, since), min(t + us, until)) for t, us in self.still.items())
+        stills = ((max(t, since), min(t + us, until)) for t, us in self.machine_pauses.items())
         return sum(max(0, end - begin) for begin, end in stills)
 
-    def units(self, got: rec.Got) -> float:
+    def units(self, got: rec.AttemptReceived) -> float:
         """Return what a request counts: whole units, at least one."""
         return float(max(1, -(-got.length // self.facts.unit_bytes)))
 
-    def for_client(self, asked: Asked, got: rec.Got) -> bool:
+    def is_sent_for_client(self, asked: RequestHistory, got: rec.AttemptReceived) -> bool:
         """Whether a client waits for this sending.
 
         Of two regions, only what the first head to send it sends.
         """
-        return not self.facts.regions or got.head == asked.got[0].head
+        return not self.facts.regions or got.head == asked.received[0].head
 
-    def unseen(self, got: rec.Got) -> bool:
+    def is_proven_unexecuted(self, got: rec.AttemptReceived) -> bool:
         """Whether the node proved that this attempt never ran."""
-        return any(said.result == "unseen" for said in self.said.get((got.head, got.key, got.attempt), ()))
+        return any(
+            said.result == "unseen" for said in self.node_answers.get((got.head, got.key, got.attempt), ())
+        )
 
 
-def every_request_answered_once(story: Story) -> Iterator[Breach]:
+def every_request_answered_once(story: RunHistory) -> Iterator[Breach]:
     """Rule 1: one final answer in time, and nothing sent for the request afterwards."""
     slack, flight = story.facts.answer_slack_us, story.facts.flight_us
     for stray in story.stray_answers:
         yield Breach(1, stray.t, f"{stray.client}", "an answer that no open request fits")
-    for asked in story.asked:
+    for asked in story.requests:
         answers = asked.answers
         if len(answers) > 1:
             yield Breach(1, answers[1].t, asked.name, f"{len(answers)} final answers")
-        if not answers and asked.excused_at is None:
-            yield Breach(1, asked.deadline, asked.name, "no final answer")
-        over = asked.excused_at if not answers else answers[0].t
-        late_us = answers[0].t - asked.deadline if answers else 0
-        if late_us > slack and late_us > slack + story.stood_still(asked.deadline, answers[0].t):
+        if not answers and asked.excused_at_us is None:
+            yield Breach(1, asked.deadline_at_us, asked.name, "no final answer")
+        over = asked.excused_at_us if not answers else answers[0].t
+        late_us = answers[0].t - asked.deadline_at_us if answers else 0
+        if late_us > slack and late_us > slack + story.machine_paused_us(asked.deadline_at_us, answers[0].t):
             yield Breach(1, answers[0].t, asked.name, f"answered {late_us} us after its time was up")
-        for got in asked.got:
-            late = over is not None and got.t > over + flight and got.t > over + story.on_its_way(over, got.t)
-            if over is not None and late and story.for_client(asked, got):
+        for got in asked.received:
+            late = (
+                over is not None and got.t > over + flight and got.t > over + story.max_flight_us(over, got.t)
+            )
+            if over is not None and late and story.is_sent_for_client(asked, got):
                 yield Breach(1, got.t, asked.name, f"sent to {got.node} {got.t - over} us after it was over")
 
 
-def no_effect_twice(story: Story) -> Iterator[Breach]:
+def no_effect_twice(story: RunHistory) -> Iterator[Breach]:
     """Rule 2: nothing runs twice that must not, repeats only as the class allows, refusals had no effect."""
-    for key, ran in story.ran.items():
+    for key, ran in story.executed.items():
         first = story.attempts[key][0] if key[1] and story.attempts[key] else None
         if first is not None and first.kind in CHANGING and len(ran) > 1:
-            owner = story.owner.get(key)
-            if owner is None or story.classes[owner.take.class_name].effect != "safe":
+            owner = story.request_of_key.get(key)
+            if owner is None or story.classes[owner.request.class_name].effect != "safe":
                 yield Breach(2, ran[1].t, _name(story, key), f"ran {len(ran)} times")
     for key, attempts in story.attempts.items():
-        owner = story.owner.get(key)
+        owner = story.request_of_key.get(key)
         if owner is None or not key[1]:
             continue
-        facts = story.classes[owner.take.class_name]
-        earlier: list[rec.Got] = []  # attempts that may have run
+        facts = story.classes[owner.request.class_name]
+        earlier: list[rec.AttemptReceived] = []  # attempts that may have run
         for got in attempts:
             if earlier and facts.effect == "unsafe":
                 yield Breach(2, got.t, owner.name, f"sent again to {got.node} though it may have run")
@@ -240,21 +246,21 @@
                     yield Breach(2, got.t, owner.name, f"sent again outside the rack, to {got.node}")
                 if got.t > earlier[0].t + facts.window_us + story.facts.flight_us:
                     yield Breach(2, got.t, owner.name, f"sent again to {got.node} after the rack's window")
-            if not story.unseen(got):
+            if not story.is_proven_unexecuted(got):
                 earlier.append(got)
-    for asked in story.asked:
-        if asked.take.kind not in CHANGING or not any(one.outcome == "refused" for one in asked.answers):
+    for asked in story.requests:
+        if asked.request.kind not in CHANGING or not any(one.outcome == "refused" for one in asked.answers):
             continue
-        for got in asked.got:
+        for got in asked.received:
             # A node that speaks no extension tells no key: there only what was received counts.
-            if story.ran.get((got.head, got.key)) if got.key else True:
+            if story.executed.get((got.head, got.key)) if got.key else True:
                 yield Breach(2, got.t, asked.name, f"refused, though it ran or may have run at {got.node}")
 
 
-def drains_kept(story: Story) -> Iterator[Breach]:
+def drains_kept(story: RunHistory) -> Iterator[Breach]:
     """Rule 3: nothing new to a node later than the grace after the head was told."""
-    news: dict[tuple[int, str], list[rec.Told]] = defaultdict(list)
-    for one in story.told:
+    news: dict[tuple[int, str], list[rec.NodeListed]] = defaultdict(list)
+    for one in story.node_listings:
         news[one.head, one.node].append(one)
     for t, head, node, flight in _sends(story):
         late = _after_drain(news.get((head, node), ()), t)
@@ -263,12 +269,12 @@
             yield Breach(3, t, who, f"sent {late} us after it was told of the drain")
 
 
-def drains_kept_by_all(story: Story) -> Iterator[Breach]:
+def drains_kept_by_all(story: RunHistory) -> Iterator[Breach]:
     """Rule 3 in its stricter reading, for two regions: the grace runs from when any head was told."""
     if not story.facts.regions:
         return
-    news: dict[str, list[rec.Told]] = defaultdict(list)
-    for one in story.told:
+    news: dict[str, list[rec.NodeListed]] = defaultdict(list)
+    for one in story.node_listings:
         news[one.node].append(one)
     for t, _, node, flight in _sends(story):
         late = _after_drain(news[node], t)
@@ -276,15 +282,15 @@
             yield Breach(3, t, node, f"sent {late} us after some head was told of the drain")
 
 
-def _sends(story: Story) -> Iterator[tuple[int, int, str, int]]:
+def _sends(story: RunHistory) -> Iterator[tuple[int, int, str, int]]:
     """Yield (time, head, node, allowance) of each send: by the sender's stamp, and by the receiver's."""
-    for sent in story.sent:
+    for sent in story.attempts_sent:
         yield sent.t, sent.head, sent.node, 0
-    for got in story.got:
+    for got in story.received:
         yield got.t, got.head, got.node, story.facts.flight_us
 
 
-def _after_drain(news: Iterable[rec.Told], t: int) -> int:
+def _after_drain(news: Iterable[rec.NodeListed], t: int) -> int:
     """Return how long after the news of a drain that still holds a moment is; below 0 if none does."""
     since: int | None = None
     for one in news:
@@ -294,50 +300,50 @@
     return -1 if since is None else t - since
 
 
-def cells_kept(story: Story) -> Iterator[Breach]:
+def cells_kept(story: RunHistory) -> Iterator[Breach]:
     """Rule 8, where the fleet is divided: a request is sent to nodes of its volume's cell alone."""
     facts = story.facts
-    for got in story.got if facts.cell_of_volume else ():
+    for got in story.received if facts.cell_of_volume else ():
         cell, there = facts.cell_of_volume.get(got.volume), facts.cell_of_shard.get(str(got.shard))
         if cell is not None and cell != there:
             yield Breach(8, got.t, f"{got.volume} to {got.node}", f"{cell} reached a node of {there}")
 
 
-def patience_kept(story: Story) -> Iterator[Breach]:
+def patience_kept(story: RunHistory) -> Iterator[Breach]:
     """Rule 9, where clients wait in their heads: none is refused before the end of its patience.
 
     What was refused earlier could have waited on; a failure may come at any time.
     """
     slack = story.facts.answer_slack_us + EARLY_US
-    for asked in story.asked:
-        if not asked.take.patience_us:
+    for asked in story.requests:
+        if not asked.request.patience_us:
             continue
-        ends = asked.take.t + asked.take.patience_us
+        ends = asked.request.t + asked.request.patience_us
         for answer in asked.answers:
             if answer.outcome == "refused" and answer.t < ends - slack:
                 left = ends - answer.t
                 yield Breach(9, answer.t, asked.name, f"refused {left} us before its patience was over")
 
 
-def cold_nodes_spared(story: Story) -> Iterator[Breach]:
+def cold_nodes_spared(story: RunHistory) -> Iterator[Breach]:
     """Rule 4: all heads together send a cold node no more than a multiple of what it can do just then."""
     facts = story.facts
-    for node in story.nodes:
+    for node in story.node_events:
         if node.state == "fell":
             yield Breach(4, node.t, node.node, "fell over")
     if not facts.fall_us:
         return
-    by_node: dict[str, list[rec.Got]] = defaultdict(list)
-    for got in story.got:
+    by_node: dict[str, list[rec.AttemptReceived]] = defaultdict(list)
+    for got in story.received:
         by_node[got.node].append(got)
-    for start in story.nodes:
+    for start in story.node_events:
         if start.state != "started" or start.cold_share >= 1:
             continue
         warm = start.t + start.warm_us
         got_of = [got for got in by_node[start.node] if start.t <= got.t < warm]
         informed = {
             one.head
-            for one in story.told
+            for one in story.node_listings
             if one.node == start.node and one.state == "up" and one.started_us >= start.t
         }
         first = 0
@@ -356,14 +362,14 @@
                 break
 
 
-def order_kept(story: Story) -> Iterator[Breach]:
+def order_kept(story: RunHistory) -> Iterator[Breach]:
     """Rule 5: of a class in order, one request a key at a time, in the order they were taken."""
     if not any(one.in_order for one in story.classes.values()):
         return
-    lines: dict[tuple[int, str, int], list[tuple[rec.Got, Asked]]] = defaultdict(list)
+    lines: dict[tuple[int, str, int], list[tuple[rec.AttemptReceived, RequestHistory]]] = defaultdict(list)
     for key, attempts in story.attempts.items():
-        owner = story.owner.get(key)
-        if owner is not None and story.classes[owner.take.class_name].in_order:
+        owner = story.request_of_key.get(key)
+        if owner is not None and story.classes[owner.request.class_name].in_order:
             for got in attempts:
                 extent = got.offset // story.facts.extent_bytes
                 lines[got.head, got.volume, extent].append((got, owner))
@@ -373,10 +379,10 @@
             for before, earlier in line[:at]:
                 if earlier is owner:
                     continue
-                if (earlier.take.t, earlier.take.request) > (owner.take.t, owner.take.request):
+                if (earlier.request.t, earlier.request.request) > (owner.request.t, owner.request.request):
                     yield Breach(5, got.t, owner.name, f"sent after {earlier.name}, which was taken later")
                     continue
-                said = story.said.get((before.head, before.key, before.attempt))
+                said = story.node_answers.get((before.head, before.key, before.attempt))
                 over = min((one.t for one in earlier.answers), default=None)
                 if said and said[0].t <= got.t:
                     continue
@@ -386,7 +392,7 @@
                     yield Breach(5, got.t, owner.name, f"sent before the rest after {earlier.name} was over")
 
 
-def budget_kept(story: Story) -> Iterator[Breach]:
+def budget_kept(story: RunHistory) -> Iterator[Breach]:
     """Rule 6: one head's attempts beyond each request's first stay within the budget of any window."""
     facts = story.facts
     if not facts.budget_window_us:
@@ -397,7 +403,7 @@
             further[got.head].append(got.t)
     for head, times in further.items():
         times.sort()
-        takes = story.takes_of[story.heads.get(head, "")]
+        takes = story.request_times[story.heads.get(head, "")]
         for at, t in enumerate(times):
             since = t - facts.budget_window_us
             count = at + 1 - bisect_left(times, since + facts.flight_us)
@@ -408,7 +414,7 @@
                 break
 
 
-def limits_kept(story: Story) -> Iterator[Breach]:
+def limits_kept(story: RunHistory) -> Iterator[Breach]:
     """Rule 7: what all heads together send first for a volume keeps to its limit, within the slack.
 
     A limit may change in service: its store keeps its level, up to the new most.
@@ -420,13 +426,13 @@
         # way.
         slack = limit.slack + limit.rate * story.facts.flight_us / 1e6
         rate, most = limit.rate, limit.burst
-        changes = [one for one in story.limits_now if one.volume == limit.volume]
+        changes = [one for one in story.limit_changes if one.volume == limit.volume]
         for got in firsts:
             if got.volume != limit.volume or got.kind == "flush":
                 continue
             if story.facts.regions:
-                owner = story.owner.get((got.head, got.key))
-                if owner is None or not story.for_client(owner, got):
+                owner = story.request_of_key.get((got.head, got.key))
+                if owner is None or not story.is_sent_for_client(owner, got):
                     continue  # a copy: it was counted when its own region sent it
             while changes and changes[0].t <= got.t:
                 now = changes.pop(0)
@@ -442,7 +448,7 @@
                 break
 
 
-def blocks_are_linearizable(story: Story) -> Iterator[Breach]:
+def blocks_are_linearizable(story: RunHistory) -> Iterator[Breach]:
     """Beside the seven.
 
     Each block that several clients write and read at once behaves as one register (rule 0).
@@ -451,15 +457,15 @@
         yield Breach(0, 0, f"{volume} block {block}", "no order explains what was read")
 
 
-def reads_are_right(story: Story) -> Iterator[Breach]:
+def reads_are_right(story: RunHistory) -> Iterator[Breach]:
     """Beside the seven: what was read is what the clients' model of the volume allows (rule 0)."""
-    for asked in story.asked:
+    for asked in story.requests:
         for answer in asked.answers:
             if not answer.data_ok:
                 yield Breach(0, answer.t, asked.name, "its data is not what was written")
 
 
-RULES: tuple[Callable[[Story], Iterator[Breach]], ...] = (
+RULES: tuple[Callable[[RunHistory], Iterator[Breach]], ...] = (
     reads_are_right,
     blocks_are_linearizable,
     every_request_answered_once,
@@ -475,25 +481,29 @@
 )
 
 
-def _name(story: Story, key: tuple[int, int]) -> str:
-    owner = story.owner.get(key)
+def _name(story: RunHistory, key: tuple[int, int]) -> str:
+    owner = story.request_of_key.get(key)
     return owner.name if owner is not None else f"key {key[1]} of {story.heads.get(key[0], key[0])}"
 
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
     """Judge a recording; return all breaches in order of time. Raises Ambiguous."""
-    story = Story(records)
+    story = RunHistory(records)
     return sorted((breach for rule in RULES for breach in rule(story)), key=lambda breach: breach.t)
 
 
 def summary(records: Iterable[rec.Record]) -> dict[str, int]:
     """Count what a recording holds, for reports."""
-    story = Story(records)
-    answers = [answer for asked in story.asked for answer in asked.answers]
-    counts = {"requests": len(story.asked), "sends": len(story.got)}
+    story = RunHistory(records)
+    answers = [answer for asked in story.requests for answer in asked.answers]
+    counts = {"requests": len(story.requests), "sends": len(story.received)}
     for outcome in ("served", "refused", "failed"):
         counts[outcome] = sum(answer.outcome == outcome for answer in answers)
-    counts["excused"] = sum(asked.excused_at is not None and not asked.answers for asked in story.asked)
-    counts["repeats dropped"] = sum(one.result == "repeat" for said in story.said.values() for one in said)
-    counts["unanswered by nodes"] = len(story.got) - sum(len(said) for said in story.said.values())
+    counts["excused"] = sum(asked.excused_at_us is not None and not asked.answers for asked in story.requests)
+    counts["repeats dropped"] = sum(
+        one.result == "repeat" for said in story.node_answers.values() for one in said
+    )
+    counts["unanswered by nodes"] = len(story.received) - sum(
+        len(said) for said in story.node_answers.values()
+    )
     return counts
--- a/harriertrack/rules/closing.py
+++ b/harriertrack/rules/closing.py
@@ -44,7 +44,7 @@
             for value in gone:
                 del self.may[value]
 
-    def wrote(self, kept: rec.Kept) -> None:
+    def wrote(self, kept: rec.BlockOperation) -> None:
         """A write ended."""
         if kept.outcome == "served":
             self.may = {kept.value: (kept.t, kept.ended)}
@@ -57,9 +57,9 @@
 
 
 def _clients(records: list[rec.Record], closes: list[rec.CloseDue]) -> Iterator[Breach]:
-    blocks: dict[tuple[str, int], list[rec.Kept]] = defaultdict(list)
+    blocks: dict[tuple[str, int], list[rec.BlockOperation]] = defaultdict(list)
     for one in records:
-        if isinstance(one, rec.Kept):
+        if isinstance(one, rec.BlockOperation):
             blocks[one.volume, one.offset].append(one)
     for (volume, offset), operations in sorted(blocks.items()):
         mine = [close for close in closes if _touches(close, volume, offset)]
@@ -86,9 +86,9 @@
     end = 0
     for one in records:
         end = one.t if not isinstance(one, rec.Facts) else end
-        if isinstance(one, rec.Lived):
+        if isinstance(one, rec.MemberLifecycle):
             (alive.discard if one.how in ("killed", "ended", "leaving") else alive.add)(one.member)
-        if not isinstance(one, rec.ClosedAt):
+        if not isinstance(one, rec.CloseDone):
             continue
         key, who = (one.calendar, one.number), f"{one.head}: close {one.number} of {one.calendar}"
         if moments.setdefault(key, one.at) != one.at:
@@ -128,22 +128,22 @@
     def __init__(self, facts: rec.Facts, closes: list[rec.CloseDue]) -> None:
         self._size, self._closes = facts.extent_bytes, closes
         self._lies: dict[tuple[str, str, int], list[Written]] = defaultdict(list)
-        self._got: dict[tuple[str, int, int, int], rec.Got] = {}
+        self._got: dict[tuple[str, int, int, int], rec.AttemptReceived] = {}
         self._sent: dict[tuple[int, int, int], int] = {}
 
     def follow(self, one: rec.Record) -> Iterator[Breach]:
         """Take a record."""
-        if isinstance(one, rec.Sent):
+        if isinstance(one, rec.AttemptSent):
             self._sent[one.head, one.key, one.attempt] = one.t
-        elif isinstance(one, rec.Got):
+        elif isinstance(one, rec.AttemptReceived):
             self._got[one.node, one.head, one.key, one.attempt] = one
-        elif isinstance(one, rec.Ran):
+        elif isinstance(one, rec.AttemptExecuted):
             got = self._got.get((one.node, one.head, one.key, one.attempt))
             mine = [due for due in self._closes if got is not None and _touches(due, got.volume, got.offset)]
             if got is not None and mine:
                 yield from self._ran(one.t, got, mine)
 
-    def _ran(self, t: int, got: rec.Got, closes: list[rec.CloseDue]) -> Iterator[Breach]:
+    def _ran(self, t: int, got: rec.AttemptReceived, closes: list[rec.CloseDue]) -> Iterator[Breach]:
         extent = got.offset // self._size
         lies, who = self._lies[got.node, got.volume, extent], f"{got.node} {got.volume} extent {extent}"
         sent = self._sent.get((got.head, got.key, got.attempt))
--- a/harriertrack/rules/linear.py
+++ b/harriertrack/rules/linearizability.py
@@ -56,12 +56,12 @@
 
 def histories(records: Iterable[rec.Record]) -> dict[tuple[str, int], list[Operation]]:
     """Gather the operations on each block of a recording's register clients."""
-    called: dict[tuple[str, int], rec.Called] = {}
+    called: dict[tuple[str, int], rec.OperationCalled] = {}
     blocks: dict[tuple[str, int], list[Operation]] = defaultdict(list)
     for record in records:
-        if isinstance(record, rec.Called):
+        if isinstance(record, rec.OperationCalled):
             called[record.client, record.number] = record
-        elif isinstance(record, rec.Returned):
+        elif isinstance(record, rec.OperationReturned):
             call = called.pop((record.client, record.number))
             if record.certain:
                 value = call.value if call.is_write else record.value
--- a/harriertrack/rules/recording.py
+++ b/harriertrack/rules/recording.py
@@ -56,7 +56,7 @@
     regions: bool = False  # nodes also get copies of writes, and what a region catches up with
 
 
-class Head(msgspec.Struct, kw_only=True, tag="head", tag_field="what"):
+class HeadLifecycle(msgspec.Struct, kw_only=True, tag="head", tag_field="what"):
     """A head came up (`up`) or was killed; `number` is how it names itself to storage nodes."""
 
     t: int
@@ -65,7 +65,7 @@
     up: bool
 
 
-class Stood(msgspec.Struct, kw_only=True, tag="stood", tag_field="what"):
+class HeadPaused(msgspec.Struct, kw_only=True, tag="stood", tag_field="what"):
     """A head's machine stood still for `us`: while it does, it is no running head.
 
     `unread`: its process was stopped, and what clients sent filled its socket: the rest lay in theirs, and
@@ -79,7 +79,7 @@
     machine: bool = False  # so did all else on this machine, relays too: what was sent took longer on its way
 
 
-class Take(msgspec.Struct, kw_only=True, tag="take", tag_field="what"):
+class RequestSent(msgspec.Struct, kw_only=True, tag="take", tag_field="what"):
     """A client sent a request to a head."""
 
     t: int
@@ -95,7 +95,7 @@
     patience_us: int = 0  # a client that hears no hints gives up no earlier than after this
 
 
-class Answer(msgspec.Struct, kw_only=True, tag="answer", tag_field="what"):
+class FinalAnswer(msgspec.Struct, kw_only=True, tag="answer", tag_field="what"):
     """A client got a final answer: served, refused or failed."""
 
     t: int
@@ -106,14 +106,14 @@
     hint_us: int = 0  # after which time a refusal says that trying again may help; 0: it does not say
 
 
-class Left(msgspec.Struct, kw_only=True, tag="left", tag_field="what"):
+class ClientLeft(msgspec.Struct, kw_only=True, tag="left", tag_field="what"):
     """A client closed its connection, or lost it: what was open is not owed an answer any more."""
 
     t: int
     client: str
 
 
-class Called(msgspec.Struct, kw_only=True, tag="called", tag_field="what"):
+class OperationCalled(msgspec.Struct, kw_only=True, tag="called", tag_field="what"):
     """A register client began an operation on a block: a write of `value`, or a read."""
 
     t: int
@@ -125,7 +125,7 @@
     value: int = 0
 
 
-class Returned(msgspec.Struct, kw_only=True, tag="returned", tag_field="what"):
+class OperationReturned(msgspec.Struct, kw_only=True, tag="returned", tag_field="what"):
     """It ended: served (`certain`, with what a read brought), refused (nothing was done), or nobody knows."""
 
     t: int
@@ -136,7 +136,7 @@
     value: int = 0
 
 
-class Sent(msgspec.Struct, kw_only=True, tag="sent", tag_field="what"):
+class AttemptSent(msgspec.Struct, kw_only=True, tag="sent", tag_field="what"):
     """A head handed an attempt to its link: the sender's time stamp beside the receiver's (`Got`)."""
 
     t: int
@@ -146,7 +146,7 @@
     node: str
 
 
-class Got(msgspec.Struct, kw_only=True, tag="got", tag_field="what"):
+class AttemptReceived(msgspec.Struct, kw_only=True, tag="got", tag_field="what"):
     """A node received a request. `head` and `key` are 0 where the extension was not negotiated."""
 
     t: int
@@ -161,7 +161,7 @@
     length: int
 
 
-class Ran(msgspec.Struct, kw_only=True, tag="ran", tag_field="what"):
+class AttemptExecuted(msgspec.Struct, kw_only=True, tag="ran", tag_field="what"):
     """A node did what a request asks."""
 
     t: int
@@ -171,7 +171,7 @@
     attempt: int
 
 
-class Said(msgspec.Struct, kw_only=True, tag="said", tag_field="what"):
+class AttemptAnswered(msgspec.Struct, kw_only=True, tag="said", tag_field="what"):
     """A node answered an attempt: done, repeat (dropped as one), unseen, error."""
 
     t: int
@@ -182,7 +182,7 @@
     result: str
 
 
-class Told(msgspec.Struct, kw_only=True, tag="told", tag_field="what"):
+class NodeListed(msgspec.Struct, kw_only=True, tag="told", tag_field="what"):
     """The list service sent a head a list that says this of a node."""
 
     t: int
@@ -192,7 +192,7 @@
     started_us: int
 
 
-class Node(msgspec.Struct, kw_only=True, tag="node", tag_field="what"):
+class NodeLifecycle(msgspec.Struct, kw_only=True, tag="node", tag_field="what"):
     """A node started, fell over, or stopped.
 
     `rate` is units a second when warm; it starts at `cold_share` of it.
@@ -206,7 +206,7 @@
     warm_us: int = 0
 
 
-class Lived(msgspec.Struct, kw_only=True, tag="lived", tag_field="what"):
+class MemberLifecycle(msgspec.Struct, kw_only=True, tag="lived", tag_field="what"):
     """What became of a member of a fleet: started, killed, stopped, went on, leaving, or ended by itself."""
 
     t: int
@@ -214,7 +214,7 @@
     how: Literal["started", "killed", "stopped", "went-on", "leaving", "ended"]
 
 
-class Viewed(msgspec.Struct, kw_only=True, tag="viewed", tag_field="what"):
+class ViewReported(msgspec.Struct, kw_only=True, tag="viewed", tag_field="what"):
     """A member told what it holds of one (`about`) from now on, and of how many in all by which digest."""
 
     t: int
@@ -228,14 +228,14 @@
     by: str = ""
 
 
-class Weather(msgspec.Struct, kw_only=True, tag="weather", tag_field="what"):
+class ActiveFaults(msgspec.Struct, kw_only=True, tag="weather", tag_field="what"):
     """From now on there are so many faults between members, of which some part whom they strike wholly."""
 
     t: int
     faults: int
 
 
-class Agreed(msgspec.Struct, kw_only=True, tag="agreed", tag_field="what"):
+class AgreementCheck(msgspec.Struct, kw_only=True, tag="agreed", tag_field="what"):
     """These members were to agree within a time, and did, or not, `after_us`."""
 
     t: int
@@ -245,7 +245,7 @@
     reached: bool
 
 
-class Quiet(msgspec.Struct, kw_only=True, tag="quiet", tag_field="what"):
+class FaultsOver(msgspec.Struct, kw_only=True, tag="quiet", tag_field="what"):
     """From now on nothing is at fault: what has to come to pass by itself does, before the recording ends."""
 
     t: int
@@ -265,7 +265,7 @@
     slack: float = 0.0
 
 
-class AskedShare(msgspec.Struct, kw_only=True, tag="asked-share", tag_field="what"):
+class ShareRequested(msgspec.Struct, kw_only=True, tag="asked-share", tag_field="what"):
     """A head's ask to a ledger left it; `applied`: the versions of its shares that it says to have."""
 
     t: int
@@ -278,7 +278,7 @@
     applied: list[tuple[str, int]]
 
 
-class GrantedShare(msgspec.Struct, kw_only=True, tag="granted-share", tag_field="what"):
+class ShareGranted(msgspec.Struct, kw_only=True, tag="granted-share", tag_field="what"):
     """A ledger's answer to an ask (`answers`), or its news (0), came to a head: budget, version, rate."""
 
     t: int
@@ -292,7 +292,7 @@
     shares: list[tuple[str, int, float]]
 
 
-class Keeps(msgspec.Struct, kw_only=True, tag="keeps", tag_field="what"):
+class LedgerOwnership(msgspec.Struct, kw_only=True, tag="keeps", tag_field="what"):
     """A head keeps a ledger from now on, or does not any more."""
 
     t: int
@@ -301,7 +301,7 @@
     keeps: bool
 
 
-class Drawn(msgspec.Struct, kw_only=True, tag="drawn", tag_field="what"):
+class BudgetUsed(msgspec.Struct, kw_only=True, tag="drawn", tag_field="what"):
     """So many units of a budget arrived where it counts, through some head."""
 
     t: int
@@ -337,7 +337,7 @@
     word: bool = True
 
 
-class MoveFacts(msgspec.Struct, kw_only=True, tag="moves", tag_field="what"):
+class VolumeMoveFacts(msgspec.Struct, kw_only=True, tag="moves", tag_field="what"):
     """Volumes of two regions: how many may change regions in a second, `burst` more at once, by all heads.
 
     `homes`: the region of each; `reserves`: what its plan reserves, by which volumes have their turns.
@@ -360,7 +360,7 @@
     held: bool
 
 
-class Proposed(msgspec.Struct, kw_only=True, tag="proposed", tag_field="what"):
+class VersionProposed(msgspec.Struct, kw_only=True, tag="proposed", tag_field="what"):
     """An operator proposed a version of a thing, or said what becomes of it."""
 
     t: int
@@ -369,7 +369,7 @@
     standing: str
 
 
-class WentBy(msgspec.Struct, kw_only=True, tag="went-by", tag_field="what"):
+class ChangeRecordApplied(msgspec.Struct, kw_only=True, tag="went-by", tag_field="what"):
     """A head goes by this record of changes from now on."""
 
     t: int
@@ -380,7 +380,7 @@
     latest: dict[str, int] = {}  # of each thing that has versions
 
 
-class TookVersion(msgspec.Struct, kw_only=True, tag="took-version", tag_field="what"):
+class VersionApplied(msgspec.Struct, kw_only=True, tag="took-version", tag_field="what"):
     """A head runs a version of a thing from now on (0: what it began with), or did not take it: `why`."""
 
     t: int
@@ -405,7 +405,7 @@
     end: int = 0  # 0: the volume's end
 
 
-class ClosedAt(msgspec.Struct, kw_only=True, tag="closed-at", tag_field="what"):
+class CloseDone(msgspec.Struct, kw_only=True, tag="closed-at", tag_field="what"):
     """A head told that close `number` of a calendar, which was at `at`, is done there."""
 
     t: int
@@ -415,7 +415,7 @@
     at: int
 
 
-class Kept(msgspec.Struct, kw_only=True, tag="kept", tag_field="what"):
+class BlockOperation(msgspec.Struct, kw_only=True, tag="kept", tag_field="what"):
     """A client wrote `value` to a block, or read it: from `t` to `ended`, one operation a block at a time."""
 
     t: int
@@ -460,7 +460,7 @@
     joined: dict[str, dict[str, float]]
 
 
-class Vote(msgspec.Struct, kw_only=True, tag="vote", tag_field="what"):
+class ScorerVote(msgspec.Struct, kw_only=True, tag="vote", tag_field="what"):
     """A scorer at a head lost its vote, or has it back."""
 
     t: int
@@ -479,7 +479,7 @@
     bytes: int
 
 
-class LimitNow(msgspec.Struct, kw_only=True, tag="limit-now", tag_field="what"):
+class LimitChanged(msgspec.Struct, kw_only=True, tag="limit-now", tag_field="what"):
     """From now on a volume's limit is another: units a second, units at once."""
 
     t: int
@@ -509,7 +509,7 @@
     missing: float  # the part of a stage's heads that need not be heard
 
 
-class RolloutEnd(msgspec.Struct, kw_only=True, tag="rollout-end", tag_field="what"):
+class RolloutExpected(msgspec.Struct, kw_only=True, tag="rollout-end", tag_field="what"):
     """What all heads are to run at the day's end: 0 is what they were started with.
 
     `settled`: whatever was decided last, instead; then nothing is under way any more.
@@ -535,7 +535,7 @@
     why: str
 
 
-class HandedOver(msgspec.Struct, kw_only=True, tag="handed-over", tag_field="what"):
+class HeadHandover(msgspec.Struct, kw_only=True, tag="handed-over", tag_field="what"):
     """A head was asked to end (`away`) so that another version runs in its place, or is back."""
 
     t: int
@@ -544,7 +544,7 @@
     version: int  # that is to run, or runs
 
 
-class CutOff(msgspec.Struct, kw_only=True, tag="cut-off", tag_field="what"):
+class HeadsPartitioned(msgspec.Struct, kw_only=True, tag="cut-off", tag_field="what"):
     """These heads reach no others, and no others them, from now on."""
 
     t: int
@@ -552,11 +552,13 @@
 
 
 Record = (
-    Facts | Head | Stood | Take | Answer | Left | Sent | Got | Ran | Said | Told | Node | Called | Returned
-    | Lived | Viewed | Weather | Agreed | BudgetFacts | AskedShare | GrantedShare | Drawn | ZoneFacts
-    | ZoneUse | MoveFacts | VolumeMoved | Proposed | WentBy | TookVersion | CloseDue | ClosedAt | Kept
-    | WeightFacts | Weights | Vote
-    | NotesSent | LimitNow | RolloutFacts | RolloutEnd | RolloutStep | HandedOver | CutOff | Quiet | Keeps
+    Facts | HeadLifecycle | HeadPaused | RequestSent | FinalAnswer | ClientLeft | AttemptSent
+    | AttemptReceived | AttemptExecuted | AttemptAnswered | NodeListed | NodeLifecycle | OperationCalled
+    | OperationReturned | MemberLifecycle | ViewReported | ActiveFaults | AgreementCheck | BudgetFacts
+    | ShareRequested | ShareGranted | BudgetUsed | ZoneFacts | ZoneUse | VolumeMoveFacts | VolumeMoved
+    | VersionProposed | ChangeRecordApplied | VersionApplied | CloseDue | CloseDone | BlockOperation
+    | WeightFacts | Weights | ScorerVote | NotesSent | LimitChanged | RolloutFacts | RolloutExpected
+    | RolloutStep | HeadHandover | HeadsPartitioned | FaultsOver | LedgerOwnership
 )  # fmt: skip
 _DECODER = msgspec.json.Decoder(Record)
 
--- a/harriertrack/rules/regions.py
+++ b/harriertrack/rules/regions.py
@@ -21,7 +21,7 @@
 def check(records: Iterable[rec.Record]) -> list[Breach]:
     """Judge a recording's volumes of two regions. In order of time."""
     every = list(records)
-    facts = next((one for one in every if isinstance(one, rec.MoveFacts)), None)
+    facts = next((one for one in every if isinstance(one, rec.VolumeMoveFacts)), None)
     if facts is None:
         return []
     moves = sorted((one for one in every if isinstance(one, rec.VolumeMoved)), key=lambda one: one.t)
@@ -46,7 +46,7 @@
     return found
 
 
-def _too_fast(facts: rec.MoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
+def _too_fast(facts: rec.VolumeMoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
     for last, one in enumerate(moves):
         heads: set[str] = set()
         for first in range(last, -1, -1):
@@ -59,7 +59,7 @@
     return []
 
 
-def _out_of_order(facts: rec.MoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
+def _out_of_order(facts: rec.VolumeMoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
     latest: dict[str, rec.VolumeMoved] = {}
     for one in moves:
         if not one.held:
@@ -74,7 +74,7 @@
     return []
 
 
-def _away(facts: rec.MoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
+def _away(facts: rec.VolumeMoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
     last = {one.volume: one for one in moves}
     end = moves[-1].t if moves else 0
     return [
--- a/harriertrack/rules/rollout.py
+++ b/harriertrack/rules/rollout.py
@@ -41,7 +41,7 @@
     asleep: set[str] = field(default_factory=set)
     cut: set[str] = field(default_factory=set)
     away: dict[str, int] = field(default_factory=dict)
-    ends: dict[str, rec.RolloutEnd] = field(default_factory=dict)
+    ends: dict[str, rec.RolloutExpected] = field(default_factory=dict)
     quiet: bool = False
     deciders: dict[int, str] = field(default_factory=dict)
 
@@ -105,7 +105,7 @@
         now.went_back.setdefault(key, one.t)
 
 
-def _took(now: Fleet, one: rec.TookVersion, steps: list[rec.RolloutStep]) -> Iterator[Breach]:
+def _took(now: Fleet, one: rec.VersionApplied, steps: list[rec.RolloutStep]) -> Iterator[Breach]:
     key, what = (one.thing, one.version), f"{one.thing} {one.version}"
     if key not in now.facts:
         return
@@ -126,7 +126,7 @@
         yield Breach(1, one.t, one.head, f"takes {what}, which does not name it")
 
 
-def _away(now: Fleet, one: rec.HandedOver) -> Iterator[Breach]:
+def _away(now: Fleet, one: rec.HeadHandover) -> Iterator[Breach]:
     facts = next((each for key, each in sorted(now.facts.items(), key=lambda item: -item[1].t)
                   if key[0] == "program"), None)  # fmt: skip
     if facts is None:
@@ -151,29 +151,29 @@
     match one:
         case rec.RolloutFacts():
             now.facts[one.thing, one.version] = one
-        case rec.Quiet():
+        case rec.FaultsOver():
             now.quiet = True
-        case rec.RolloutEnd():
+        case rec.RolloutExpected():
             now.ends[one.thing] = one
         case rec.RolloutStep():
             yield from _step(now, one)
             _follow(now, one)
-        case rec.TookVersion():
+        case rec.VersionApplied():
             if not one.why:
                 yield from _took(now, one, steps)
                 now.runs[one.head][one.thing] = one.version
-        case rec.HandedOver():
+        case rec.HeadHandover():
             if one.away:
                 now.away[one.head] = one.version
                 yield from _away(now, one)
             else:
                 now.away.pop(one.head, None)
-                took = rec.TookVersion(t=one.t, head=one.head, thing="program", version=one.version)
+                took = rec.VersionApplied(t=one.t, head=one.head, thing="program", version=one.version)
                 yield from _took(now, took, steps)
                 now.runs[one.head]["program"] = one.version
-        case rec.CutOff():
+        case rec.HeadsPartitioned():
             now.cut = set(one.heads)
-        case rec.Lived():
+        case rec.MemberLifecycle():
             now.asleep.discard(one.member)
             if one.how == "stopped":
                 now.asleep.add(one.member)
@@ -187,8 +187,8 @@
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
     """Judge a recording's rollouts. In order of time."""
-    kinds = (rec.RolloutFacts, rec.RolloutEnd, rec.RolloutStep, rec.TookVersion, rec.HandedOver, rec.CutOff,
-             rec.Lived, rec.Quiet)  # fmt: skip
+    kinds = (rec.RolloutFacts, rec.RolloutExpected, rec.RolloutStep, rec.VersionApplied, rec.HeadHandover,
+             rec.HeadsPartitioned, rec.MemberLifecycle, rec.FaultsOver)  # fmt: skip
     mine = sorted((one for one in records if isinstance(one, kinds)), key=lambda one: one.t)
     now, last = Fleet(), 0
     breaches: list[Breach] = []
@@ -203,7 +203,7 @@
     return breaches
 
 
-def _ended(now: Fleet, thing: str, end: rec.RolloutEnd, last: int) -> Iterator[Breach]:
+def _ended(now: Fleet, thing: str, end: rec.RolloutExpected, last: int) -> Iterator[Breach]:
     runs = {name: now.runs[name].get(thing, 0) for name in sorted(now.alive)}
     if not end.settled:
         odd = [name for name, version in runs.items() if version != end.version]
--- a/harriertrack/rules/scoring.py
+++ b/harriertrack/rules/scoring.py
@@ -18,7 +18,9 @@
 from harriertrack.rules import recording as rec
 from harriertrack.rules.checker import Breach
 
-_Judged = rec.WeightFacts | rec.Weights | rec.Vote | rec.NotesSent | rec.Lived | rec.Weather
+_Judged = (
+    rec.WeightFacts | rec.Weights | rec.ScorerVote | rec.NotesSent | rec.MemberLifecycle | rec.ActiveFaults
+)
 ROUNDED = 1e-3  # of a power of two: what is told is rounded
 LATE_US = 1_000_000  # told once a second at worst: what a head thought in between is not on record
 SWAY_US = 10_000_000
@@ -40,7 +42,7 @@
     """2. Between two tellings of one life; a node that was not named had an even share."""
     last: dict[str, rec.Weights] = {}
     for one in records:
-        if isinstance(one, rec.Lived) and one.how == "started":
+        if isinstance(one, rec.MemberLifecycle) and one.how == "started":
             last.pop(one.member, None)
         if not isinstance(one, rec.Weights):
             continue
@@ -64,9 +66,9 @@
     awake: set[str] = set()
     struck, too_many_until = False, 0
     for one in records:
-        if isinstance(one, rec.Weather):
+        if isinstance(one, rec.ActiveFaults):
             struck = bool(one.faults)
-        elif isinstance(one, rec.Lived):
+        elif isinstance(one, rec.MemberLifecycle):
             (awake.add if one.how in ("started", "went-on") else awake.discard)(one.member)
         if struck:
             too_many_until = one.t + window  # until all have heard each other again
@@ -95,7 +97,7 @@
     began: dict[str, int] = {}
     told: set[tuple[str, str]] = set()
     for one in records:
-        if isinstance(one, rec.Lived) and one.how == "started":
+        if isinstance(one, rec.MemberLifecycle) and one.how == "started":
             began[one.member] = one.t
             for key in [key for key in tracks if key[0] == one.member]:
                 del tracks[key]
@@ -129,11 +131,11 @@
     last = 0
     for one in records:
         last = max(last, one.t)
-        if isinstance(one, rec.Vote) and not one.has:
+        if isinstance(one, rec.ScorerVote) and not one.has:
             lost.add((one.head, one.scorer))
             if one.scorer not in facts.broken:
                 yield Breach(6, one.t, one.head, f"{one.scorer} lost its vote: {one.why}")
-        elif isinstance(one, rec.Lived) and one.how == "started":
+        elif isinstance(one, rec.MemberLifecycle) and one.how == "started":
             began[one.member] = one.t
         elif isinstance(one, rec.Weights):
             for scorer in {*one.own, *one.joined}:
@@ -150,7 +152,14 @@
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
     """Judge a recording's weights. In order of time; nothing is judged of a day without any."""
-    kinds = (rec.WeightFacts, rec.Weights, rec.Vote, rec.NotesSent, rec.Lived, rec.Weather)
+    kinds = (
+        rec.WeightFacts,
+        rec.Weights,
+        rec.ScorerVote,
+        rec.NotesSent,
+        rec.MemberLifecycle,
+        rec.ActiveFaults,
+    )
     mine = sorted((one for one in records if isinstance(one, kinds)), key=lambda one: one.t)
     facts = next((one for one in mine if isinstance(one, rec.WeightFacts)), None)
     if facts is None:
--- a/harriertrack/rules/zones.py
+++ b/harriertrack/rules/zones.py
@@ -115,7 +115,7 @@
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
     """Judge a recording's zones. In order of time."""
-    kinds = (rec.ZoneFacts, rec.ZoneUse, rec.Lived, rec.Head)
+    kinds = (rec.ZoneFacts, rec.ZoneUse, rec.MemberLifecycle, rec.HeadLifecycle)
     mine = sorted((one for one in records if isinstance(one, kinds)), key=lambda one: one.t)
     facts = next((one for one in mine if isinstance(one, rec.ZoneFacts)), None)
     if facts is None:
@@ -126,10 +126,10 @@
         fleet.passed(one.t)
         if isinstance(one, rec.ZoneUse):
             fleet.used(one)
-        elif isinstance(one, rec.Head):
+        elif isinstance(one, rec.HeadLifecycle):
             if one.up:
                 fleet.up(one.t, one.head)
-        elif isinstance(one, rec.Lived):
+        elif isinstance(one, rec.MemberLifecycle):
             if one.how == "started":
                 fleet.started(one.member)
             elif one.how in ("killed", "ended", "leaving"):
--- a/harriertrack/standin/listservice.py
+++ b/harriertrack/standin/listservice.py
@@ -99,7 +99,7 @@
         for member in members:
             entry = member.entry
             self._recorder.add(
-                rec.Told(
+                rec.NodeListed(
                     t=self._hub.now(),
                     head=int(number, 16),
                     node=entry.node,
--- a/harriertrack/standin/node.py
+++ b/harriertrack/standin/node.py
@@ -238,7 +238,7 @@
     def _record_state(self, state: str, cold_share: float = 1.0) -> None:
         settings = self.settings
         self.record(
-            rec.Node(
+            rec.NodeLifecycle(
                 t=self.timing.now(),
                 node=settings.name,
                 state=state,
@@ -264,7 +264,7 @@
         key, attempt = extension.split_cookie(request.cookie) if extended else (0, 0)
         work = Work(session, request, volume, head, key, attempt, self.timing.now())
         self.record(
-            rec.Got(
+            rec.AttemptReceived(
                 t=work.arrived,
                 node=self.settings.name,
                 shard=self.settings.shard,
@@ -282,7 +282,7 @@
     def said(self, work: Work, result: str) -> extension.Report | None:
         """Record an answer that leaves now; return what is told beside it."""
         self.record(
-            rec.Said(
+            rec.AttemptAnswered(
                 t=self.timing.now(),
                 node=self.settings.name,
                 head=work.head,
@@ -431,7 +431,9 @@
                 self.rack.write(work.volume, request.offset, bytes(request.length))
         work.done = True
         settings = self.settings
-        self.record(rec.Ran(t=now, node=settings.name, head=work.head, key=work.key, attempt=work.attempt))
+        self.record(
+            rec.AttemptExecuted(t=now, node=settings.name, head=work.head, key=work.key, attempt=work.attempt)
+        )
         if self.meter is not None:
             units = units_of(request.length, settings.unit_bytes)
             self.meter.add(now, work.volume, units)
--- a/tests/changes/test_changes_carrier.py
+++ b/tests/changes/test_changes_carrier.py
@@ -31,7 +31,7 @@
 def test_all_heads_converge_on_one_record_through_a_partition_a_restart_and_a_restored_witness():
     records = day()
     assert rules.check(records) == []
-    last = {one.head: one.revision for one in records if isinstance(one, rec.WentBy)}
+    last = {one.head: one.revision for one in records if isinstance(one, rec.ChangeRecordApplied)}
     assert len(last) == 6 and len(set(last.values())) == 1
     assert max(last.values()) >= 5, "written back above the lost revision, and one more"
 
@@ -60,11 +60,13 @@
 
 
 def went(t, head, revision, digest=5, version=1):
-    return rec.WentBy(t=t, head=head, revision=revision, digest=digest, epoch=0, latest={"settings": version})
+    return rec.ChangeRecordApplied(
+        t=t, head=head, revision=revision, digest=digest, epoch=0, latest={"settings": version}
+    )
 
 
-BEGUN = [rec.Lived(t=0, member=name, how="started") for name in ("a", "b")] + [
-    rec.Proposed(t=1, thing="settings", version=1, standing="proposed"),
+BEGUN = [rec.MemberLifecycle(t=0, member=name, how="started") for name in ("a", "b")] + [
+    rec.VersionProposed(t=1, thing="settings", version=1, standing="proposed"),
     went(2, "a", 1),
 ]
 
@@ -75,10 +77,10 @@
     ([went(3, "b", 2, 6)], [4]),
     ([went(3, "b", 2, 6), went(4, "b", 1)], [2, 4, 4]),
     ([], [4]),
-    ([rec.Lived(t=3, member="b", how="killed")], []),
-    ([went(3, "b", 1), rec.TookVersion(t=4, head="b", thing="settings", version=2)], [3]),
-    ([went(3, "b", 1), rec.TookVersion(t=4, head="b", thing="settings", version=2, why="no")], []),
-    ([went(3, "b", 1), rec.Proposed(t=4, thing="settings", version=2, standing="proposed")], [5, 5]),
+    ([rec.MemberLifecycle(t=3, member="b", how="killed")], []),
+    ([went(3, "b", 1), rec.VersionApplied(t=4, head="b", thing="settings", version=2)], [3]),
+    ([went(3, "b", 1), rec.VersionApplied(t=4, head="b", thing="settings", version=2, why="no")], []),
+    ([went(3, "b", 1), rec.VersionProposed(t=4, thing="settings", version=2, standing="proposed")], [5, 5]),
 ])  # fmt: skip
 def test_the_rules_find_exactly_these_breaches(more, broken):
     assert [one.rule for one in rules.check([*BEGUN, *more])] == broken
--- a/tests/closing/test_closing_days.py
+++ b/tests/closing/test_closing_days.py
@@ -30,9 +30,9 @@
     records = play(name)
     assert closing.check(records) == [] and checker.check(records) == [] and changes.check(records) == []
     due = [one for one in records if isinstance(one, rec.CloseDue)]
-    done = {(one.head, one.calendar, one.at) for one in records if isinstance(one, rec.ClosedAt)}
+    done = {(one.head, one.calendar, one.at) for one in records if isinstance(one, rec.CloseDone)}
     assert due and {(head, one.calendar, one.at) for one in due for head in ("head0", "head3")} <= done
-    served = [one for one in records if isinstance(one, rec.Kept) and one.outcome == "served"]
+    served = [one for one in records if isinstance(one, rec.BlockOperation) and one.outcome == "served"]
     assert any(one.value for one in served if not one.is_write) and len(served) > 300
 
 
--- a/tests/closing/test_closing_rules.py
+++ b/tests/closing/test_closing_rules.py
@@ -15,7 +15,7 @@
 
 
 def client_write(t, value, is_write=True, outcome="served", offset=0, took=10_000):
-    return rec.Kept(t=t, ended=t + took, client="c", head="h0", volume="v", offset=offset, is_write=is_write,
+    return rec.BlockOperation(t=t, ended=t + took, client="c", head="h0", volume="v", offset=offset, is_write=is_write,
                     outcome=outcome, value=value)  # fmt: skip
 
 
@@ -28,10 +28,10 @@
 
 def did(t, kind, length=4096, offset=0, sent=True):
     key = next(_NUMBER)
-    one = [rec.Sent(t=t, head=1, key=key, attempt=0, node="n0")] if sent else []
+    one = [rec.AttemptSent(t=t, head=1, key=key, attempt=0, node="n0")] if sent else []
     return [
         *one,
-        rec.Got(
+        rec.AttemptReceived(
             t=t + 100,
             node="n0",
             shard=0,
@@ -43,15 +43,15 @@
             offset=offset,
             length=length,
         ),
-        rec.Ran(t=t + 200, node="n0", head=1, key=key, attempt=0),
+        rec.AttemptExecuted(t=t + 200, node="n0", head=1, key=key, attempt=0),
     ]
 
 
 def closed(t=AT + 100_000, number=1, at=AT, head="h0"):
-    return rec.ClosedAt(t=t, head=head, calendar="calendar/x", number=number, at=at)
+    return rec.CloseDone(t=t, head=head, calendar="calendar/x", number=number, at=at)
 
 
-LIVED = [rec.Lived(t=0, member=head, how="started") for head in ("h0", "h1")]
+LIVED = [rec.MemberLifecycle(t=0, member=head, how="started") for head in ("h0", "h1")]
 CLOSED = [closed(head="h0"), closed(head="h1")]
 
 
@@ -129,11 +129,11 @@
     ],
 )
 def test_each_close_is_one_generation_everywhere(records, said):
-    assert any(said in why for why in broken(LIVED, records, rec.Left(t=20 * S, client="c")))
+    assert any(said in why for why in broken(LIVED, records, rec.ClientLeft(t=20 * S, client="c")))
 
 
 def test_killed_head_needs_no_close():
-    assert broken(LIVED, closed(head="h0"), rec.Lived(t=AT - S, member="h1", how="killed")) == []
+    assert broken(LIVED, closed(head="h0"), rec.MemberLifecycle(t=AT - S, member="h1", how="killed")) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/live/test_limits_day.py
+++ b/tests/live/test_limits_day.py
@@ -27,15 +27,15 @@
 def test_a_limit_that_is_lowered_and_raised_in_service_is_kept_by_all_heads_together():
     records = play()
     assert checker.check(records) == budgets.check(records) == changes.check(records) == []
-    told = [one for one in records if isinstance(one, rec.TookVersion)]
+    told = [one for one in records if isinstance(one, rec.VersionApplied)]
     assert not any(one.why for one in told) and {one.head for one in told} == {
         f"head{number}" for number in range(4)
     }
     facts = next(one for one in records if isinstance(one, rec.Facts))
     limit = facts.limits[0]
-    now = [one for one in records if isinstance(one, rec.LimitNow) and one.volume == limit.volume]
+    now = [one for one in records if isinstance(one, rec.LimitChanged) and one.volume == limit.volume]
     assert [round(one.rate / limit.rate, 3) for one in now] == [0.3, 2.0]
-    story = checker.Story(records)
+    story = checker.RunHistory(records)
     firsts = [
         one[0] for one in story.attempts.values() if one[0].volume == limit.volume and one[0].kind != "flush"
     ]
--- a/tests/rollout/test_rollout_rules.py
+++ b/tests/rollout/test_rollout_rules.py
@@ -29,11 +29,11 @@
 
 
 def away(t, head, version=1):
-    return rec.HandedOver(t=t * S, head=head, away=True, version=version)
+    return rec.HeadHandover(t=t * S, head=head, away=True, version=version)
 
 
 def back(t, head, version=1):
-    return rec.HandedOver(t=t * S, head=head, away=False, version=version)
+    return rec.HeadHandover(t=t * S, head=head, away=False, version=version)
 
 
 def facts(thing="program", version=1):
@@ -45,14 +45,14 @@
 
 def correct_rollout():
     """Return the records of a correct rollout."""
-    found = [rec.RolloutEnd(t=0, thing="program", version=1), facts()]
-    found += [rec.Lived(t=0, member=name, how="started") for name in HEADS]
+    found = [rec.RolloutExpected(t=0, thing="program", version=1), facts()]
+    found += [rec.MemberLifecycle(t=0, member=name, how="started") for name in HEADS]
     named = []
     for at, name in enumerate(HEADS):
         stage, t = (1 if at == 0 else 2 if at < 3 else 3), 10 + 10 * at
         named = [*named, name]
-        found += [step(t, "going", stage, list(named)), away(t + 1, name), rec.Lived(t=(t + 1) * S, member=name, how="leaving"),
-                  rec.Lived(t=(t + 2) * S, member=name, how="started"), back(t + 3, name)]  # fmt: skip
+        found += [step(t, "going", stage, list(named)), away(t + 1, name), rec.MemberLifecycle(t=(t + 1) * S, member=name, how="leaving"),
+                  rec.MemberLifecycle(t=(t + 2) * S, member=name, how="started"), back(t + 3, name)]  # fmt: skip
     return [*found, step(100, "in force", 3, [])]
 
 
@@ -64,7 +64,7 @@
 
 def test_correct_rollout_breaks_no_rule():
     assert broken_rules() == set()
-    assert rollout.check([rec.Lived(t=0, member="head0", how="started")]) == []
+    assert rollout.check([rec.MemberLifecycle(t=0, member="head0", how="started")]) == []
 
 
 @pytest.mark.parametrize(("rule", "fault"), [
@@ -76,14 +76,14 @@
     (2, [step(20.5, "back", 2, ["head0"]), step(21, "back", 2, []), back(99, "head1")]),
     (3, [away(21.5, "head4")]),
     (3, [away(21.5, "head2")]),
-    (3, [rec.Lived(t=5 * S, member=name, how="killed") for name in ("head2", "head3", "head5")]),
-    (4, [rec.Lived(t=15 * S, member="head0", how="stopped")]),
-    (4, [rec.Lived(t=15 * S, member="head0", how="killed")]),
-    (4, [rec.CutOff(t=15 * S, heads=["head0"]), rec.CutOff(t=45 * S, heads=[])]),
+    (3, [rec.MemberLifecycle(t=5 * S, member=name, how="killed") for name in ("head2", "head3", "head5")]),
+    (4, [rec.MemberLifecycle(t=15 * S, member="head0", how="stopped")]),
+    (4, [rec.MemberLifecycle(t=15 * S, member="head0", how="killed")]),
+    (4, [rec.HeadsPartitioned(t=15 * S, heads=["head0"]), rec.HeadsPartitioned(t=45 * S, heads=[])]),
     (5, [step(30, "going", 2, HEADS[:3], by="head5")]),
     (5, [facts("settings"), step(35, "going", 1, ["head1"], thing="settings")]),
-    (6, [rec.HandedOver(t=101 * S, head="head3", away=False, version=0)]),
-    (6, [rec.Lived(t=101 * S, member="head3", how="started")]),
+    (6, [rec.HeadHandover(t=101 * S, head="head3", away=False, version=0)]),
+    (6, [rec.MemberLifecycle(t=101 * S, member="head3", how="started")]),
 ])  # fmt: skip
 def test_each_seeded_fault_is_found(rule, fault):
     assert rule in broken_rules(*fault)
@@ -91,7 +91,7 @@
 
 def test_stage_that_ends_before_its_head_changed_is_found():
     assert 4 in broken_rules(
-        drop=lambda one: isinstance(one, rec.HandedOver) and not one.away and one.head == "head0"
+        drop=lambda one: isinstance(one, rec.HeadHandover) and not one.away and one.head == "head0"
     )
 
 
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -226,7 +226,7 @@
     applied = {
         (one.head, one.thing, one.version, bool(one.why))
         for one in recorder.records
-        if isinstance(one, rec.TookVersion)
+        if isinstance(one, rec.VersionApplied)
     }
     assert {("head0", "scorer/main", 1, False), ("head0", "scorer/other", 1, True)} <= applied
     weights = [one for one in recorder.records if isinstance(one, rec.Weights) and one.head == "head0"]
--- a/tests/scoring/test_scoring_rules.py
+++ b/tests/scoring/test_scoring_rules.py
@@ -18,7 +18,7 @@
 
 
 def started(at, head="a"):
-    return rec.Lived(t=int(at * S), member=head, how="started")
+    return rec.MemberLifecycle(t=int(at * S), member=head, how="started")
 
 
 GOOD = [
@@ -26,7 +26,7 @@
     *(weights(2 + at / 2, min(2.0, at / 4)) for at in range(60)),
     *(weights(2 + at / 2, -2.0, head="b") for at in range(60)),
     rec.NotesSent(t=9 * S, head="a", us=S, bytes=4000),
-    rec.Vote(t=9 * S, head="a", scorer="bad", has=False, why="raised"),
+    rec.ScorerVote(t=9 * S, head="a", scorer="bad", has=False, why="raised"),
 ]  # fmt: skip
 
 
@@ -44,7 +44,7 @@
     ("a restart excuses no oscillation after it", 4,
      [started(40), *(weights(51 + at / 2, 0.4 * (at % 2), own=2.0) for at in range(12))]),
     ("no bound on notes", 5, [rec.NotesSent(t=40 * S, head="a", us=S, bytes=4001)]),
-    ("a good scorer is suspended", 6, [rec.Vote(t=40 * S, head="a", scorer="x", has=False, why="?")]),
+    ("a good scorer is suspended", 6, [rec.ScorerVote(t=40 * S, head="a", scorer="x", has=False, why="?")]),
     ("a broken one is not suspended", 6,
      [started(40, "c"),
       rec.Weights(t=60 * S, head="c", used={}, own={"bad": {}}, joined={"bad": {}})]),
--- a/tests/storms/test_playing.py
+++ b/tests/storms/test_playing.py
@@ -58,19 +58,19 @@
 
 # -- the quiet time, and what is judged at its end
 
-LIVED = [rec.Lived(t=1, member=name, how="started") for name in ("a", "b")]
-KEPT = rec.Keeps(t=2, head="a", ledger=0, keeps=True)
-QUIET = rec.Quiet(t=3)
+LIVED = [rec.MemberLifecycle(t=1, member=name, how="started") for name in ("a", "b")]
+KEPT = rec.LedgerOwnership(t=2, head="a", ledger=0, keeps=True)
+QUIET = rec.FaultsOver(t=3)
 
 
 def ask(t, number):
-    return rec.AskedShare(
+    return rec.ShareRequested(
         t=t, holder="b", instance=1, ledger=0, term=(1, 1), tenure=1, number=number, applied=[]
     )
 
 
 def grant(t, number):
-    return rec.GrantedShare(t=t, holder="b", instance=1, ledger=0, term=(1, 1), tenure=1, answers=number,
+    return rec.ShareGranted(t=t, holder="b", instance=1, ledger=0, term=(1, 1), tenure=1, answers=number,
                             lease_us=S, shares=[])  # fmt: skip
 
 
@@ -78,8 +78,8 @@
     ([KEPT, QUIET, ask(8 * S, 1), grant(8 * S + 1, 1), ask(9 * S, 2)], ""),
     ([KEPT, ask(8 * S, 1)], ""),  # nobody said that it was quiet
     ([KEPT, grant(5, 0), QUIET, ask(8 * S, 1)], "asks ledger 0, and has no lease"),
-    ([KEPT, QUIET, rec.Lived(t=4, member="a", how="killed")], "nobody keeps it"),
-    ([KEPT, QUIET, rec.Keeps(t=4, head="b", ledger=0, keeps=True)], "a, b keeps it"),
+    ([KEPT, QUIET, rec.MemberLifecycle(t=4, member="a", how="killed")], "nobody keeps it"),
+    ([KEPT, QUIET, rec.LedgerOwnership(t=4, head="b", ledger=0, keeps=True)], "a, b keeps it"),
 ])  # fmt: skip
 def test_budgets_are_whole_again_after_quiet(records, why):
     first = grant(4 * S, 0)  # which tells how long leases are
@@ -90,11 +90,11 @@
 def test_versions_are_settled_after_quiet():
     facts = rec.RolloutFacts(t=1, thing="settings", version=1, zones={"a": "z0", "b": "z1"}, volumes={},
                              stages=[rec.StageFacts(heads=1, share=0)], away=1, back_away=1, missing=0)  # fmt: skip
-    end = rec.RolloutEnd(t=0, thing="settings", version=0, settled=True)
+    end = rec.RolloutExpected(t=0, thing="settings", version=0, settled=True)
     going = rec.RolloutStep(
         t=5, by="a", epoch=1, thing="settings", version=1, standing="going", stage=1, heads=["a"], why=""
     )
-    took = rec.TookVersion(t=6, head="a", thing="settings", version=1)
+    took = rec.VersionApplied(t=6, head="a", thing="settings", version=1)
     told = [one.why for one in rollout.check([facts, end, *LIVED, going, took, QUIET])]
     assert told == ["at the end heads run {'a': 1, 'b': 0}", "version 1 is going at the end"]
     assert rollout.check([facts, end, *LIVED, going, took]) == []
--- a/tests/test_cell_scheduler.py
+++ b/tests/test_cell_scheduler.py
@@ -137,7 +137,7 @@
     emulate(day, 2, recorder, lambda settings, seed, _look: CellScheduler(settings, seed, cells))
     assert checker.summary(recorder.records)["served"] > 500
     assert [str(one) for one in checker.check(recorder.records)] == []
-    got = [one for one in recorder.records if isinstance(one, rec.Got)]
+    got = [one for one in recorder.records if isinstance(one, rec.AttemptReceived)]
     assert got and all(int(one.volume[3:]) % 2 == one.shard % 2 for one in got)
 
 
@@ -162,13 +162,15 @@
     for day in (calm, flood):
         recorder = rec.Recorder()
         emulate(day, 3, recorder, lambda settings, seed, _look: CellScheduler(settings, seed, cells))
-        takes = {(one.client, one.request): one for one in recorder.records if isinstance(one, rec.Take)}
+        takes = {
+            (one.client, one.request): one for one in recorder.records if isinstance(one, rec.RequestSent)
+        }
         counts = {name: 0 for name in cells.volumes}
         for take in takes.values():
             counts[take.volume] += 1
         served = {name: 0 for name in cells.volumes}
         for one in recorder.records:
-            if isinstance(one, rec.Answer) and one.outcome == "served":
+            if isinstance(one, rec.FinalAnswer) and one.outcome == "served":
                 served[takes[one.client, one.request].volume] += 1
         shares.append({name: served[name] / counts[name] for name in counts})
         hot = max(counts, key=counts.__getitem__)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -69,7 +69,7 @@
             played.run()
 
     hub.run(main)
-    stood = [record for record in recorder.records if isinstance(record, rec.Stood)]
+    stood = [record for record in recorder.records if isinstance(record, rec.HeadPaused)]
     longest = max(stood, key=lambda record: record.us)
     # It is on record from its beginning: what was due right after that could not be answered either.
     assert longest.us >= 280_000 and longest.t <= began_at[0]
@@ -99,7 +99,7 @@
     assert (done.exit_code, "all rules held" in done.output) == (0, True)
     assert run(main, ["rules", path]).exit_code == 0
     records = rec.read(path)
-    late = next(record for record in records if isinstance(record, rec.Answer))
+    late = next(record for record in records if isinstance(record, rec.FinalAnswer))
     recorder = rec.Recorder(str(broken))
     for record in records:
         if record is not late:
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -346,9 +346,9 @@
     one.cut = lambda source, target: "head1" in (source, target)
     one.witness.dark = True
     one.run(6 * S)
-    before = sum(r.units for r in one.records if isinstance(r, rec.Drawn) and r.holder == "head1")
+    before = sum(r.units for r in one.records if isinstance(r, rec.BudgetUsed) and r.holder == "head1")
     one.run(10 * S)
-    after = sum(r.units for r in one.records if isinstance(r, rec.Drawn) and r.holder == "head1")
+    after = sum(r.units for r in one.records if isinstance(r, rec.BudgetUsed) and r.holder == "head1")
     assert after - before == pytest.approx(10 * 200 * 0.5 / 4, rel=0.05)
     assert one.members["head1"].holder.budgets["v0"].share.leased == 0
 
--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -528,17 +528,17 @@
 
 
 def requested_share(t, holder="a", number=1, tenure=1, applied=(), term=(1, 1), instance=1):
-    return rec.AskedShare(t=t, holder=holder, instance=instance, ledger=0, term=term, tenure=tenure, number=number,
+    return rec.ShareRequested(t=t, holder=holder, instance=instance, ledger=0, term=term, tenure=tenure, number=number,
                           applied=list(applied))  # fmt: skip
 
 
 def granted_share(t, rate, holder="a", answers=1, version=1, tenure=1, term=(1, 1), instance=1):
-    return rec.GrantedShare(t=t, holder=holder, instance=instance, ledger=0, term=term, tenure=tenure, answers=answers,
+    return rec.ShareGranted(t=t, holder=holder, instance=instance, ledger=0, term=term, tenure=tenure, answers=answers,
                             lease_us=S, shares=[("b", version, rate)])  # fmt: skip
 
 
 def drawn(t, units):
-    return rec.Drawn(t=t, budget="b", holder="a", units=units)
+    return rec.BudgetUsed(t=t, budget="b", holder="a", units=units)
 
 
 @pytest.mark.parametrize(("broken", "records"), [
@@ -568,7 +568,7 @@
 
 def test_a_day_grants_shares_and_without_a_safeguard_breaks_the_rules(monkeypatch):
     records = day("budget-jump")
-    most = max(rate for one in records if isinstance(one, rec.GrantedShare) for _, _, rate in one.shares)
+    most = max(rate for one in records if isinstance(one, rec.ShareGranted) for _, _, rate in one.shares)
     movable = next(one.moving for one in records if isinstance(one, rec.BudgetFacts))
     assert 0.8 * movable < most <= movable * (1 + 1e-6)
 
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -13,7 +13,7 @@
 from harriertrack.membership.fleet.swim.suspects import SuspectTimers
 from harriertrack.membership.fleet.swim.updates import Updates
 from harriertrack.rules import fleet, recording as rec
-from harriertrack.rules.everything import judge
+from harriertrack.rules.all_rules import check_all
 from harriertrack.standin.relay import Fault, Weather
 from tests.test_settings import GOOD
 
@@ -112,16 +112,16 @@
 )
 def test_a_fleet_day_keeps_all_rules_in_simulated_time(name):
     _, records, day = play(name)
-    assert {what: found for what, found in judge(records, day.detect_us).items() if found} == {}
-    asked = [one for one in records if isinstance(one, rec.Agreed)]
+    assert {what: found for what, found in check_all(records, day.detect_us).items() if found} == {}
+    asked = [one for one in records if isinstance(one, rec.AgreementCheck)]
     assert len(asked) == sum(step.name is scenario.Verb.AGREE for step in day.steps) and asked[-1].reached
-    assert sum(isinstance(one, rec.Answer) for one in records) > 300
+    assert sum(isinstance(one, rec.FinalAnswer) for one in records) > 300
 
 
 def test_one_seed_one_recording():
     first, second = (play("fleet-crash", 5)[1] for _ in range(2))
-    assert [one for one in first if isinstance(one, rec.Viewed)] == [
-        one for one in second if isinstance(one, rec.Viewed)
+    assert [one for one in first if isinstance(one, rec.ViewReported)] == [
+        one for one in second if isinstance(one, rec.ViewReported)
     ]
 
 
@@ -142,7 +142,7 @@
 def test_what_keeps_starved_members_from_suspecting_each_other(monkeypatch, where, care, more):
     def suspicions():
         _, records, day = play("fleet-starved")
-        seen = sum(isinstance(one, rec.Viewed) and one.state == "suspect" for one in records)
+        seen = sum(isinstance(one, rec.ViewReported) and one.state == "suspect" for one in records)
         return seen, {breach.rule for breach in fleet.check(records, day.detect_us)}
 
     with_care, broken = suspicions()
@@ -160,6 +160,6 @@
         recorder = rec.Recorder()
         simulate(msgspec.structs.replace(day, steps=(steps[0], scenario.StepSettings(name=scenario.Verb.REST, for_us=5_000_000))), 6, 3,
                  recorder, with_fleet)  # fmt: skip
-        story = [one for one in recorder.records if isinstance(one, rec.Answer)]
+        story = [one for one in recorder.records if isinstance(one, rec.FinalAnswer)]
         answers[with_fleet] = sum(one.outcome == "served" for one in story) / len(story)
     assert answers[True] == answers[False] == 1.0
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,7 +18,7 @@
 from harriertrack.lab.fleet.processes.machine import stood
 from harriertrack.membership.fleet.status_document import parse_document
 from harriertrack.rules import fleet, recording as rec
-from harriertrack.rules.everything import judge
+from harriertrack.rules.all_rules import check_all
 
 pytestmark = pytest.mark.real_time
 HEADS = 5
@@ -64,8 +64,10 @@
 def test_a_fleet_day_keeps_all_rules_over_processes(name, tmp_path):
     day, recorder = scenario.load(name), rec.Recorder()
     play_processes(day, HEADS, 1, recorder, tmp_path)
-    assert {what: found for what, found in judge(recorder.records, day.detect_us).items() if found} == {}
-    assert any(isinstance(one, rec.Got) for one in recorder.records), "nodes' recordings are part of it"
+    assert {what: found for what, found in check_all(recorder.records, day.detect_us).items() if found} == {}
+    assert any(isinstance(one, rec.AttemptReceived) for one in recorder.records), (
+        "nodes' recordings are part of it"
+    )
     assert not running(tmp_path)
 
 
@@ -157,7 +159,7 @@
 
     def spoil(rig):
         def told(life):
-            return any(isinstance(one, rec.Viewed) and (one.member, one.about, one.state) == ("head0", "head1", "alive")
+            return any(isinstance(one, rec.ViewReported) and (one.member, one.about, one.state) == ("head0", "head1", "alive")
                        and one.life > life for one in rig.recorder.records)  # fmt: skip
 
         def wait(what, life):
@@ -170,7 +172,7 @@
             return max(
                 one.life
                 for one in rig.recorder.records
-                if isinstance(one, rec.Viewed) and one.about == "head1"
+                if isinstance(one, rec.ViewReported) and one.about == "head1"
             )
 
         def twin():
@@ -207,7 +209,7 @@
         at_first_rest(rig, move)
 
     play_processes(day, 3, 1, recorder, tmp_path, started=spoil)
-    assert all(one.reached for one in recorder.records if isinstance(one, rec.Agreed))
+    assert all(one.reached for one in recorder.records if isinstance(one, rec.AgreementCheck))
     assert fleet.check(recorder.records, day.detect_us) == []
 
 
--- a/tests/test_fleet_regions.py
+++ b/tests/test_fleet_regions.py
@@ -6,10 +6,10 @@
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.rules import recording as rec, regions as rules
-from harriertrack.rules.everything import judge
+from harriertrack.rules.all_rules import check_all
 
 S = 1_000_000
-FACTS = rec.MoveFacts(t=0, rate=2.0, burst=1.0, homes={f"v{one}": "a" for one in range(9)},
+FACTS = rec.VolumeMoveFacts(t=0, rate=2.0, burst=1.0, homes={f"v{one}": "a" for one in range(9)},
                       reserves={f"v{one}": 9.0 - one for one in range(9)})  # fmt: skip
 
 
@@ -47,8 +47,8 @@
 
 def test_a_dark_regions_volumes_come_over_and_go_home_at_the_fleets_pace():
     records = played()
-    assert not {about: found for about, found in judge(records, 20 * S).items() if found}
-    dark = next(one.t for one in records if isinstance(one, rec.Lived) and one.how == "killed")
+    assert not {about: found for about, found in check_all(records, 20 * S).items() if found}
+    dark = next(one.t for one in records if isinstance(one, rec.MemberLifecycle) and one.how == "killed")
     over = {one.volume: one.t for one in records
             if isinstance(one, rec.VolumeMoved) and one.held and one.region == "b"}  # fmt: skip
     # Twelve at three a second, of which dead heads' fixed parts lie idle; a waiting volume's need is not forgotten.
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -8,16 +8,16 @@
 
 
 def lived(t, member, how="started"):
-    return rec.Lived(t=t, member=member, how=how)
+    return rec.MemberLifecycle(t=t, member=member, how=how)
 
 
 def viewed(t, member, about, state="alive", life=1, incarnation=0, there=0, digest="d", by=""):
-    return rec.Viewed(t=t, member=member, about=about, state=state, life=life, incarnation=incarnation, there=there,
+    return rec.ViewReported(t=t, member=member, about=about, state=state, life=life, incarnation=incarnation, there=there,
                       digest=digest, by=by)  # fmt: skip
 
 
 def agreed(t, *members, reached=True, after=1 * S, within=5 * S):
-    return rec.Agreed(t=t, members=list(members), within_us=within, after_us=after, reached=reached)
+    return rec.AgreementCheck(t=t, members=list(members), within_us=within, after_us=after, reached=reached)
 
 
 def good():
@@ -29,8 +29,8 @@
     for name in ("a", "b"):
         records += [viewed(62 * S, name, "c", "suspect"), viewed(66 * S, name, "c", "dead", digest="e")]
         records.append(viewed(66 * S, name, name, digest="e"))
-    records += [agreed(67 * S, "a", "b"), rec.Weather(t=100 * S, faults=1)]
-    records += [viewed(105 * S, "a", "b", "dead", digest="f"), rec.Weather(t=110 * S, faults=0)]
+    records += [agreed(67 * S, "a", "b"), rec.ActiveFaults(t=100 * S, faults=1)]
+    records += [viewed(105 * S, "a", "b", "dead", digest="f"), rec.ActiveFaults(t=110 * S, faults=0)]
     records += [viewed(112 * S, "a", "b", "alive", incarnation=1, digest="e"), agreed(113 * S, "a", "b")]
     return records
 
@@ -65,8 +65,8 @@
 def test_what_happens_under_faults_and_just_after_is_no_wrong_burial():
     records = [one for one in good() if one.t < 100 * S]
     records += [
-        rec.Weather(t=100 * S, faults=1),
-        rec.Weather(t=101 * S, faults=0),
+        rec.ActiveFaults(t=100 * S, faults=1),
+        rec.ActiveFaults(t=101 * S, faults=0),
         viewed(110 * S, "a", "b", "dead"),
     ]
     assert broken(records) == []
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -538,17 +538,17 @@
     ([2], [use(1, "b", False), use(5, "b", True)]),
     ([2, 1], [use(1, "a", False), use(2, "b", False), use(3, "a", True), use(3, "b", True)]),
     ([3], [use(1, "a", False)]),
-    ([], [use(1, "a", False), rec.Lived(t=2, member="h", how="killed")]),
-    ([], [use(1, "a", False), rec.Lived(t=2, member="h", how="killed"), rec.Lived(t=3, member="h", how="started")]),
+    ([], [use(1, "a", False), rec.MemberLifecycle(t=2, member="h", how="killed")]),
+    ([], [use(1, "a", False), rec.MemberLifecycle(t=2, member="h", how="killed"), rec.MemberLifecycle(t=3, member="h", how="started")]),
 ])  # fmt: skip
 def test_the_zone_rules_find_each_breach(broken, records):
-    found = rules.check([FACTS, rec.Lived(t=0, member="h", how="started"), *records])
+    found = rules.check([FACTS, rec.MemberLifecycle(t=0, member="h", how="started"), *records])
     assert sorted(one.rule for one in found) == sorted(broken)
 
 
 def returning(us, word=True, heads=40):
     names = [f"h{number}" for number in range(heads)]
-    found = [rec.Lived(t=0, member=name, how="started") for name in names]
+    found = [rec.MemberLifecycle(t=0, member=name, how="started") for name in names]
     found += [use(S, "a", False, name) for name in names]
     return found + [rec.ZoneUse(t=2 * S + number * us, head=name, zone="a", used=True, word=word)
                     for number, name in enumerate(names)]  # fmt: skip
@@ -561,12 +561,12 @@
 
 
 def test_a_head_started_while_a_zone_is_unused_must_receive_the_decision():
-    left = [rec.Lived(t=0, member=name, how="started") for name in "ghi"] + [
+    left = [rec.MemberLifecycle(t=0, member=name, how="started") for name in "ghi"] + [
         use(S, "a", False, name) for name in "ghi"
     ]
     fresh = [
-        rec.Lived(t=2 * S - 900_000, member="j", how="started"),
-        rec.Head(t=2 * S, head="j", number=1, up=True),
+        rec.MemberLifecycle(t=2 * S - 900_000, member="j", how="started"),
+        rec.HeadLifecycle(t=2 * S, head="j", number=1, up=True),
     ]
     back = [use(9 * S, "a", True, name) for name in "ghij"]
     assert not rules.check([FACTS, *left, *fresh, use(2 * S + 1000, "a", False, "j"), *back])
@@ -603,12 +603,12 @@
         simulate(day, day.processes, 1, recorder)
         down = {}
         for one in recorder.records:
-            if isinstance(one, rec.Node):
+            if isinstance(one, rec.NodeLifecycle):
                 down.setdefault(one.node, []).append((one.t, one.state))
         zone = {f"node{number}" for number in range(6) if number % 3 == 1}
         dark = [(t, t + 5 * S) for t, state in down["node1"] if state not in ("up", "started", "cold")]
         assert dark
-        return sum(isinstance(one, rec.Sent) and one.node in zone and any(a + S < one.t < b for a, b in dark)
+        return sum(isinstance(one, rec.AttemptSent) and one.node in zone and any(a + S < one.t < b for a, b in dark)
                    for one in recorder.records)  # fmt: skip
 
     alone, together = spent(False), spent(True)
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -162,7 +162,7 @@
             shelf.faults.lose_replies = 1.0
         reply = client.call(Command.WRITE, 0, data=b"goal")
         assert reply.error == Errno.EIO and "failed" in reply.message
-        ran = [one for one in site.recorder.records if isinstance(one, rec.Ran)]
+        ran = [one for one in site.recorder.records if isinstance(one, rec.AttemptExecuted)]
         assert len(ran) == 1
         for shelf in site.shelves:
             shelf.faults.lose_replies = 0.0
@@ -183,14 +183,16 @@
         site.shelves[0].faults.reset_replies = 1.0
         replies = []
         client.start(Command.WRITE, 0, 0, b"goal", replies.append)
-        while not any(isinstance(one, rec.Ran) for one in site.recorder.records):
+        while not any(isinstance(one, rec.AttemptExecuted) for one in site.recorder.records):
             site.hub.sleep(500)
         site.shelves[0].faults.reset_replies = 0.0
         while not replies:
             site.hub.sleep(1_000)
         assert replies[0].error == 0
-        assert sum(isinstance(one, rec.Ran) for one in site.recorder.records) == 1
-        assert [one.result for one in site.recorder.records if isinstance(one, rec.Said)][-1] == "repeat"
+        assert sum(isinstance(one, rec.AttemptExecuted) for one in site.recorder.records) == 1
+        assert [one.result for one in site.recorder.records if isinstance(one, rec.AttemptAnswered)][
+            -1
+        ] == "repeat"
 
     play(test, real)
 
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -394,7 +394,7 @@
     def act(rig):
         rig.hub.sleep(3_200_000)
         slot, _ = where(rig)
-        rig.recorder.add(rec.Stood(t=rig.hub.now(), head=slot.name, us=1_000_000))
+        rig.recorder.add(rec.HeadPaused(t=rig.hub.now(), head=slot.name, us=1_000_000))
         rig.hub.freeze(slot.head, 1_000_000)
 
     rig = strike(LONG, act)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -30,7 +30,7 @@
 from harriertrack.lab import day as days, regions, rig
 from harriertrack.membership import leases
 from harriertrack.rules import checker, recording as rec
-from harriertrack.rules.linear import NEVER, Operation, linearizable
+from harriertrack.rules.linearizability import NEVER, Operation, linearizable
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryNetwork, SocketNetwork
 from harriertrack.standin.witness import Witness
@@ -453,14 +453,14 @@
 
 
 def served_after(records, region, since):
-    return [one for one in records if isinstance(one, rec.Answer) and one.outcome == "served" and one.t > since
+    return [one for one in records if isinstance(one, rec.FinalAnswer) and one.outcome == "served" and one.t > since
             and f"@head-{region}" in one.client]  # fmt: skip
 
 
 def test_the_surviving_region_serves_all_volumes_and_the_failed_one_returns():
     records = play("two-regions-dark")
-    dark = next(one.t for one in records if isinstance(one, rec.Head) and not one.up)
-    back = next(one.t for one in records if isinstance(one, rec.Head) and one.up and one.t > dark)
+    dark = next(one.t for one in records if isinstance(one, rec.HeadLifecycle) and not one.up)
+    back = next(one.t for one in records if isinstance(one, rec.HeadLifecycle) and one.up and one.t > dark)
     survivors = [one for one in served_after(records, "b", dark) if one.t < back]
     assert {one.client.split("@")[0] for one in survivors} == {"vol0", "vol1", "vol2", "vol3"}
     homes = {"vol0", "vol2"}  # their home is the region that failed; they return there
@@ -514,13 +514,15 @@
     """After the home failed, every acknowledged write older than the bound must be present."""
     records = play("two-regions-dark", mode=Mode.HOME, behind_us=500_000)
     assert broken(records) - {0} == set()
-    dark = next(one.t for one in records if isinstance(one, rec.Head) and not one.up)
-    takes = {(one.client, one.request): one for one in records if isinstance(one, rec.Take)}
+    dark = next(one.t for one in records if isinstance(one, rec.HeadLifecycle) and not one.up)
+    takes = {(one.client, one.request): one for one in records if isinstance(one, rec.RequestSent)}
     wrong = [
-        takes[one.client, one.request] for one in records if isinstance(one, rec.Answer) and not one.data_ok
+        takes[one.client, one.request]
+        for one in records
+        if isinstance(one, rec.FinalAnswer) and not one.data_ok
     ]
     writes = [(takes[one.client, one.request], one.t) for one in records
-              if isinstance(one, rec.Answer) and one.outcome == "served" and takes[one.client, one.request].kind != "read"]  # fmt: skip
+              if isinstance(one, rec.FinalAnswer) and one.outcome == "served" and takes[one.client, one.request].kind != "read"]  # fmt: skip
     for lost in wrong:  # each wrong read overlaps a write acknowledged shortly before the failure
         over = [t for take, t in writes if take.volume == lost.volume and take.offset < lost.offset + lost.length
                 and lost.offset < take.offset + take.length]  # fmt: skip
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,7 +30,7 @@
     """A recording in the making: one head, one client."""
 
     def __init__(self, **changes):
-        self.records = [facts(**changes), rec.Head(t=0, head="h", number=HEAD, up=True)]
+        self.records = [facts(**changes), rec.HeadLifecycle(t=0, head="h", number=HEAD, up=True)]
 
     def add(self, record):
         self.records.append(record)
@@ -38,26 +38,28 @@
 
     def take(self, number, t, kind="read", name="read", place=None, length=4096):
         place = number * 65536 if place is None else place
-        return self.add(rec.Take(t=t, head="h", client="c", request=number, volume="v", kind=kind, class_name=name,
+        return self.add(rec.RequestSent(t=t, head="h", client="c", request=number, volume="v", kind=kind, class_name=name,
                                  offset=place, length=length))  # fmt: skip
 
     def answer(self, number, t, outcome="served", **more):
-        return self.add(rec.Answer(t=t, client="c", request=number, outcome=outcome, **more))
+        return self.add(rec.FinalAnswer(t=t, client="c", request=number, outcome=outcome, **more))
 
     def got(self, number, t, kind="read", attempt=0, node="n", shard=0, place=None, length=4096):
         place = number * 65536 if place is None else place
-        return self.add(rec.Got(t=t, node=node, shard=shard, head=HEAD, key=number, attempt=attempt, volume="v",
+        return self.add(rec.AttemptReceived(t=t, node=node, shard=shard, head=HEAD, key=number, attempt=attempt, volume="v",
                                 kind=kind, offset=place, length=length))  # fmt: skip
 
     def ran(self, number, t, attempt=0, result="done"):
-        self.add(rec.Ran(t=t, node="n", head=HEAD, key=number, attempt=attempt))
+        self.add(rec.AttemptExecuted(t=t, node="n", head=HEAD, key=number, attempt=attempt))
         return self.said(number, t, attempt, result)
 
     def said(self, number, t, attempt=0, result="done"):
-        return self.add(rec.Said(t=t, node="n", head=HEAD, key=number, attempt=attempt, result=result))
+        return self.add(
+            rec.AttemptAnswered(t=t, node="n", head=HEAD, key=number, attempt=attempt, result=result)
+        )
 
     def told(self, t, state="up", started=0):
-        return self.add(rec.Told(t=t, head=HEAD, node="n", state=state, started_us=started))
+        return self.add(rec.NodeListed(t=t, head=HEAD, node="n", state=state, started_us=started))
 
     def broken(self):
         return {breach.rule for breach in checker.check(self.records)}
@@ -76,7 +78,7 @@
     def tale(*stood):
         one = Tale().take(1, 0).answer(1, 100_000).got(1, 100_000 + 400_000)
         for t, us, machine in stood:
-            one.add(rec.Stood(t=t, head="h", us=us, machine=machine))
+            one.add(rec.HeadPaused(t=t, head="h", us=us, machine=machine))
         return [breach.rule for breach in checker.check(one.records)]
 
     assert tale() == [1] and tale((150_000, 390_000, False)) == [1], "a head's standstill holds no network up"
@@ -92,7 +94,7 @@
     def tale(*stood):
         one = Tale().take(1, 0).answer(1, S + late_us)
         for after_us, us, machine in stood:
-            one.add(rec.Stood(t=S + after_us, head="h", us=us, machine=machine))
+            one.add(rec.HeadPaused(t=S + after_us, head="h", us=us, machine=machine))
         return one.broken()
 
     assert tale() == {1} and tale((1_000, 130_000, False)) == {1}, "a head's own standstill is its own"
@@ -115,8 +117,8 @@
     "keyed after its window": (2, lambda: good().take(9, 10, "write", "keyed").got(9, 11, "write").got(9, S + 1012, "write", 1).answer(9, S + 1013, "failed")),
     "refused though it ran": (2, lambda: good().take(9, 10, "write", "keyed").got(9, 11, "write").ran(9, 12).answer(9, 13, "refused")),
     "after a drain": (3, lambda: good().told(5).told(10, "draining").take(9, S + 900).got(9, S + 1011).answer(9, S + 1012)),
-    "after a drain, by the sender's stamp": (3, lambda: good().told(10, "draining").add(rec.Sent(t=S + 11, head=HEAD, key=9, attempt=0, node="n"))),
-    "fell over": (4, lambda: good().add(rec.Node(t=9, node="n", state="fell"))),
+    "after a drain, by the sender's stamp": (3, lambda: good().told(10, "draining").add(rec.AttemptSent(t=S + 11, head=HEAD, key=9, attempt=0, node="n"))),
+    "fell over": (4, lambda: good().add(rec.NodeLifecycle(t=9, node="n", state="fell"))),
     "out of order": (5, lambda: good().take(8, 10, name="line", place=0).take(9, 11, name="line", place=8192).got(9, 12, place=8192).got(8, 13, place=0).answer(8, 20).answer(9, 20)),
     "two of a key at once": (5, lambda: good().take(8, 10, name="line", place=0).take(9, 11, name="line", place=8192).got(8, 12, place=0).got(9, 13, place=8192).answer(8, 5000).answer(9, 5000)),
     "over its budget": (6, lambda: good().take(9, 10).got(9, 11).got(9, 12, attempt=1).got(9, 13, attempt=2).got(9, 14, attempt=3).answer(9, 15)),
@@ -132,7 +134,7 @@
 
 def cold(units, informed=True):
     tale = Tale().told(2 * S, started=S if informed else 0)
-    tale.add(rec.Node(t=S, node="n", state="started", rate=20, cold_share=0.2, warm_us=10 * S))
+    tale.add(rec.NodeLifecycle(t=S, node="n", state="started", rate=20, cold_share=0.2, warm_us=10 * S))
     for number in range(100, 100 + units):
         tale.take(number, 2 * S + number).got(number, 2 * S + number + 1).answer(number, 2 * S + number + 2)
     return tale.broken()
@@ -158,26 +160,26 @@
 
 
 def test_killed_heads_and_clients_that_left_are_owed_nothing():
-    assert Tale().take(1, 10).add(rec.Head(t=20, head="h", number=0, up=False)).broken() == set()
-    assert Tale().take(1, 10).add(rec.Left(t=20, client="c")).broken() == set()
-    assert Tale().take(1, 10).got(1, 2000).add(rec.Left(t=20, client="c")).broken() == {1}
+    assert Tale().take(1, 10).add(rec.HeadLifecycle(t=20, head="h", number=0, up=False)).broken() == set()
+    assert Tale().take(1, 10).add(rec.ClientLeft(t=20, client="c")).broken() == set()
+    assert Tale().take(1, 10).got(1, 2000).add(rec.ClientLeft(t=20, client="c")).broken() == {1}
 
 
 def test_what_was_sent_to_a_stopped_process_may_reach_it_only_when_it_goes_on():
     late = Tale().take(1, 2 * S).answer(1, 8 * S - 1)
     assert late.broken() == {1}
-    late.add(rec.Stood(t=S, head="h", us=6 * S))
+    late.add(rec.HeadPaused(t=S, head="h", us=6 * S))
     assert late.broken() == {1}, "what it had read before it stood still is due when it goes on"
     late.records[-1].unread = True
     assert late.broken() == set()
     assert Tale().take(1, 2 * S).answer(1, 9 * S).add(
-        rec.Stood(t=S, head="h", us=6 * S, unread=True)
+        rec.HeadPaused(t=S, head="h", us=6 * S, unread=True)
     ).broken() == {1}
 
 
 def test_clients_that_reuse_a_place_make_a_recording_ambiguous():
     tale = Tale().take(1, 10, place=0).take(2, 11, place=0).got(1, 12, place=0)
-    with pytest.raises(checker.Ambiguous):
+    with pytest.raises(checker.AmbiguousRecording):
         checker.check(tale.records)
 
 
--- a/tests/test_standin_list.py
+++ b/tests/test_standin_list.py
@@ -62,7 +62,7 @@
         process.send_signal(signal.SIGTERM)
         process.communicate(timeout=30)
     assert process.returncode == 0
-    told = [one for one in rec.read(str(record)) if isinstance(one, rec.Told)]
+    told = [one for one in rec.read(str(record)) if isinstance(one, rec.NodeListed)]
     assert {one.head for one in told} == {0x2A} and "draining" in {one.state for one in told}
     assert json.loads(record.read_bytes().splitlines()[0])["what"] == "told"
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -364,7 +364,9 @@
         found = exercise(site, Load(2, 16, 4096, 8192, 4096, span=16 * EXTENT), 10_000 * MS)
         elapsed = (site.hub.now() - began) / 1e6
         units = sum(
-            max(1, -(-got.length // 4096)) for got in site.recorder.records if type(got).__name__ == "Got"
+            max(1, -(-got.length // 4096))
+            for got in site.recorder.records
+            if type(got).__name__ == "AttemptReceived"
         )
         assert 0.6 * limit * elapsed < units < limit * elapsed + 64 and site.head.core.counts.refused == 0
         assert found.done > 300
@@ -413,12 +415,12 @@
         site.hub.sleep(5 * MS)
         assert site.head.core.open_requests == 0 and len(reception.admission) == 0 and reception.sessions == 0
         assert not reception._counted and not site.head.core.waiting_parts
-        got = sum(type(one).__name__ == "Got" for one in site.recorder.records)
+        got = sum(type(one).__name__ == "AttemptReceived" for one in site.recorder.records)
         for shelf in site.shelves:
             shelf.faults.hang = False
             shelf.wake()
         site.hub.sleep(5_000 * MS)
-        assert sum(type(one).__name__ == "Got" for one in site.recorder.records) == got
+        assert sum(type(one).__name__ == "AttemptReceived" for one in site.recorder.records) == got
 
     play(test, classes=PATIENT)
 
