--- a/harriertrack/gateway/fleet/locks.py
+++ b/harriertrack/gateway/fleet/locks.py
@@ -66,7 +66,8 @@
     """The seats' locks at the witness; a task for each lock."""
 
     def __init__(self, parts: HeadParts, settings: FleetBudgetSettings, swim: Swim,
-                 wake_soon: Callable[[], None], on_release: Callable[[WitnessLock, Term], None]) -> None:  # fmt: skip
+                 wake_soon: Callable[[], None],
+                 on_release: Callable[[WitnessLock, Term], None]) -> None:  # fmt: skip
         self._parts, self._hub, self._settings, self._swim = parts, parts.hub, settings, swim
         self.witness = WitnessClient(parts.hub, parts.network, settings.witness, settings.timeout_us,
                                      swim.me.name)  # fmt: skip
