--- a/harriertrack/config/__init__.py
+++ b/harriertrack/config/__init__.py
@@ -1,1 +1,1 @@
-"""S-expression settings, checked into frozen dataclasses."""
+"""Settings and other S-expression files, converted to validated frozen structs."""
--- a/harriertrack/config/cells.py
+++ b/harriertrack/config/cells.py
@@ -1,4 +1,4 @@
-"""Maps of cells: `(cell-map (version 3) (rack "r1" (cell "cell0") (shards 0 1)) (tenant ...))`."""
+"""Cell maps: `(cell-map (version 3) (rack "r1" (cell "cell0") (shards 0 1)) (tenant ...))`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RackPlacement(SettingsStruct, frozen=True, kw_only=True):
-    """A rack, its cell, and the shards that its nodes hold."""
+    """A rack, its cell, and the shards whose data its nodes hold."""
 
     name: Name
     cell: Name
@@ -38,16 +38,16 @@
 
 
 class MapChange(SettingsStruct, frozen=True, kw_only=True):
-    """One time that a map was put in force."""
+    """When, where and by whom a version of a map was put in force."""
 
     version: NonNegativeInt
     by: str
-    on: str  # which machine
+    on: str  # host name of the machine
     at: str  # ISO 8601, UTC
 
 
 class CellMapSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A map of cells, and who put it and those before it in force."""
+    """A cell map, and when and by whom each of its versions was put in force."""
 
     version: NonNegativeInt
     changes: tuple[MapChange, ...] = ()
@@ -56,49 +56,49 @@
 
 
 def read_map(path: str) -> CellMapSettings:
-    """Read and check a map. Raises SettingsError with file, line and field."""
+    """Read and validate a cell map. Raises SettingsError with file, line and field."""
     form = read_file(path)
-    given = bind(form, CellMapSettings, path)
-    for what, names in (
-        ("rack", [one.name for one in given.racks]),
-        ("tenant", [one.name for one in given.tenants]),
-        ("shard", [str(shard) for rack in given.racks for shard in rack.shards]),
+    settings = bind(form, CellMapSettings, path)
+    for section, names in (
+        ("rack", [one.name for one in settings.racks]),
+        ("tenant", [one.name for one in settings.tenants]),
+        ("shard", [str(shard) for rack in settings.racks for shard in rack.shards]),
     ):
-        if twice := find_duplicates(names):
-            raise SettingsError(f"{path}:{form.line}: {what} {min(twice)}: given twice")
-    return given
+        if duplicates := find_duplicates(names):
+            raise SettingsError(f"{path}:{form.line}: {section} {min(duplicates)}: given twice")
+    return settings
 
 
 def load_map(path: str) -> CellMap:
-    """Return a map as the planner has it. Raises SettingsError."""
+    """Read a cell map in the planner's form. Raises SettingsError."""
     return to_cell_map(read_map(path))
 
 
-def to_cell_map(given: CellMapSettings) -> CellMap:
-    """Return a map as the planner has it."""
-    racks = {one.name: one.cell for one in given.racks}
-    return CellMap(given.version, racks, {one.name: one.cell for one in given.tenants})
+def to_cell_map(settings: CellMapSettings) -> CellMap:
+    """Convert a cell map to the planner's form."""
+    racks = {one.name: one.cell for one in settings.racks}
+    return CellMap(settings.version, racks, {one.name: one.cell for one in settings.tenants})
 
 
 def load_head_cell_map(path: str, volumes: Iterable[VolumeSettings]) -> HeadCellMap:
-    """Return what a head needs of a map: its volumes' cells, by tenant. Raises SettingsError.
+    """Read the part of a cell map that a head uses: the cells of shards and of its volumes, by their tenants.
 
-    A volume whose tenant the map does not place would be served by nobody: that is an error.
+    A volume whose tenant is in no cell would be served by no node, which is an error. Raises SettingsError.
     """
-    given = read_map(path)
-    tenants = {one.name: one.cell for one in given.tenants}
-    placed: dict[str, str] = {}
+    settings = read_map(path)
+    tenants = {one.name: one.cell for one in settings.tenants}
+    volume_cells: dict[str, str] = {}
     for volume in volumes:
         tenant = volume.tenant or volume.name
         if tenant not in tenants:
             raise SettingsError(f"{path}:1: cell-map: tenant {tenant} of volume {volume.name} is in no cell")
-        placed[volume.name] = tenants[tenant]
-    shards = {shard: rack.cell for rack in given.racks for shard in rack.shards}
-    return HeadCellMap(given.version, shards, placed)
+        volume_cells[volume.name] = tenants[tenant]
+    shards = {shard: rack.cell for rack in settings.racks for shard in rack.shards}
+    return HeadCellMap(settings.version, shards, volume_cells)
 
 
 def record_map_change(version: int) -> MapChange:
-    """Return that this user puts a version in force here and now."""
+    """Return the entry for a version that the current user puts in force now, on this machine."""
     now = datetime.now(UTC).isoformat(timespec="seconds")
     return MapChange(version=version, by=getpass.getuser(), on=socket.gethostname(), at=now)
 
@@ -106,13 +106,13 @@
 def format_map(
     cells: CellMap, shards: Mapping[str, tuple[int, ...]], changes: Iterable[MapChange] = ()
 ) -> str:
-    """Return a map as an S-expression; `shards` are those of each rack."""
+    """Format a cell map as an S-expression; `shards`: the shards of each rack."""
     lines = [f"(cell-map (version {cells.version})"]
     for one in changes:
         lines.append(f'  (change (version {one.version}) (by "{one.by}") (on "{one.on}") (at "{one.at}"))')
     for name, cell in sorted(cells.racks.items()):
-        held = "".join(f" {shard}" for shard in shards.get(name, ()))
-        lines.append(f'  (rack "{name}" (cell "{cell}")' + (f" (shards{held}))" if held else ")"))
+        numbers = "".join(f" {shard}" for shard in shards.get(name, ()))
+        lines.append(f'  (rack "{name}" (cell "{cell}")' + (f" (shards{numbers}))" if numbers else ")"))
     lines.extend(f'  (tenant "{name}" (cell "{cell}"))' for name, cell in sorted(cells.tenants.items()))
     return "\n".join(lines) + ")\n"
 
@@ -120,10 +120,10 @@
 def save_map(
     path: str, cells: CellMap, shards: Mapping[str, tuple[int, ...]], changes: Iterable[MapChange] = ()
 ) -> None:
-    """Write a map; a reader sees the old one or the new one, also after a crash. Raises OSError."""
-    beside = Path(f"{path}.new")
-    with open(beside, "w", encoding="utf-8") as file:
+    """Write a cell map atomically: readers see the old or the new one, also after a crash. Raises OSError."""
+    temporary = Path(f"{path}.new")
+    with open(temporary, "w", encoding="utf-8") as file:
         file.write(format_map(cells, shards, changes))
         file.flush()
         os.fsync(file.fileno())
-    beside.replace(path)
+    temporary.replace(path)
--- a/harriertrack/config/formatting.py
+++ b/harriertrack/config/formatting.py
@@ -1,4 +1,4 @@
-"""Checked settings written as S-expressions: what `sexp.bind` reads back as the same value."""
+"""Formats settings as S-expressions that `sexp.bind` reads back as the same value."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from harriertrack.config.sexp import setting_names
 
 
-def format_settings(word: str, value: msgspec.Struct, indent: int = 0) -> str:
-    """Return a form of that word; fields at their defaults are left out."""
+def format_settings(keyword: str, settings: msgspec.Struct, indent: int = 0) -> str:
+    """Return a form that begins with `keyword`; fields that have their default values are omitted."""
     pad = "  " * indent
-    parts = [f"{pad}({word}"]
-    words = setting_names(type(value))
-    for field in msgspec.structs.fields(value):
-        held = getattr(value, field.name)
-        if field.default is not msgspec.NODEFAULT and held == field.default:
+    parts = [f"{pad}({keyword}"]
+    names = setting_names(type(settings))
+    for field in msgspec.structs.fields(settings):
+        value = getattr(settings, field.name)
+        if field.default is not msgspec.NODEFAULT and value == field.default:
             continue
-        name = words[field.name]
+        name = names[field.name]
         if field.name == "name":
-            parts[0] += f" {_atom(held, '')}"
-        elif isinstance(held, msgspec.Struct):
-            parts.append(format_settings(name, held, indent + 1))
-        elif isinstance(held, tuple) and held and isinstance(held[0], msgspec.Struct):
-            parts.extend(format_settings(name, one, indent + 1) for one in held)
-        elif isinstance(held, tuple):
-            parts.append(f"{pad}  ({name} {' '.join(_atom(one, field.name) for one in held)})")
-        elif held is not None:
-            parts.append(f"{pad}  ({name} {_atom(held, field.name)})")
+            parts[0] += f" {_atom(value, '')}"
+        elif isinstance(value, msgspec.Struct):
+            parts.append(format_settings(name, value, indent + 1))
+        elif isinstance(value, tuple) and value and isinstance(value[0], msgspec.Struct):
+            parts.extend(format_settings(name, item, indent + 1) for item in value)
+        elif isinstance(value, tuple):
+            parts.append(f"{pad}  ({name} {' '.join(_atom(item, field.name) for item in value)})")
+        elif value is not None:
+            parts.append(f"{pad}  ({name} {_atom(value, field.name)})")
     return "\n".join(parts) + ")"
 
 
--- a/harriertrack/config/settings/__init__.py
+++ b/harriertrack/config/settings/__init__.py
@@ -1,7 +1,7 @@
 """The settings of a head and of a storage node stand-in, checked before anything starts.
 
-Fields ending in `_us` are durations in microseconds, `_bytes` sizes in bytes. Rates are units a second for a
-volume over all heads; a unit is `unit_bytes` of payload.
+Fields ending in `_us` are durations in microseconds, fields ending in `_bytes` are sizes in bytes. Rates are
+units per second of one volume, over all heads; a unit is `unit_bytes` of payload.
 """
 
 from harriertrack.config.settings.basis import (
--- a/harriertrack/config/settings/basis.py
+++ b/harriertrack/config/settings/basis.py
@@ -1,4 +1,4 @@
-"""What all settings are made of: checked structs and the values in them."""
+"""The base class of all settings sections, and the types of their values."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 T = TypeVar("T")
 RELOADABLE = msgspec.Meta(extra={"in_service": True})
-# A setting that a running head can take anew (`config/settings/reload.py`). All others need a restart:
-# addresses and files, what is written down (sizes, extents), what others go by while they do not know of a
-# change (parts that are fixed, leases, the windows of racks), and what belongs to one process.
+# A setting that can change while a head runs (`config/settings/reload.py`). All others need a restart:
+# addresses and files, properties of stored data (sizes, extents), what other processes rely on while they do
+# not know of a change (fixed parts of budgets, leases, the windows in which racks drop repeats), and what
+# belongs to one process.
 Reloadable = Annotated[T, RELOADABLE]
 
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
@@ -25,9 +26,9 @@
 
 
 class SettingsStruct(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A part of the settings: unknown fields are errors."""
+    """A section of the settings; unknown fields are errors."""
 
 
 def find_duplicates(names: Iterable[str]) -> list[str]:
-    """Return the names that are given more than once, in the order of their first appearance."""
-    return [name for name, times in Counter(names).items() if times > 1]
+    """Return the names that occur more than once, in the order of their first occurrence."""
+    return [name for name, count in Counter(names).items() if count > 1]
--- a/harriertrack/config/settings/checks.py
+++ b/harriertrack/config/settings/checks.py
@@ -1,4 +1,4 @@
-"""What the types of fields can't check: references, doubles, sums."""
+"""Checks beyond the types of fields: references, duplicate names, and relations between fields."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.splitting import Kind
 
-OWN = (Kind.OWN_READ, Kind.CATCH_UP, Kind.MOVE)  # kinds that no client asks
+INTERNAL_KINDS = (Kind.OWN_READ, Kind.CATCH_UP, Kind.MOVE)  # requests of the head itself, never of clients
 
 
 def check_head(head: HeadSettings, where: str) -> None:
-    """Check what the fields' types can't: references, doubles, sums. Raises SettingsError."""
+    """Check references, duplicate names and relations between fields. Raises SettingsError."""
 
     def fail(field: str, why: str) -> None:
         raise SettingsError(f"{where}: {field}: {why}")
 
-    def needs(field: str, *kinds: Kind) -> None:
+    def require_class(field: str, *kinds: Kind) -> None:
         for kind in kinds:
             if not any(kind in one.kinds for one in head.classes):
                 fail(field, f"no class takes {kind.value}")
 
-    for what, items in (("class", head.classes), ("plan", head.plans), ("volume", head.volumes)):
+    for section, items in (("class", head.classes), ("plan", head.plans), ("volume", head.volumes)):
         if not items:
-            fail(what, "at least one is needed")
+            fail(section, "at least one is needed")
         for name in find_duplicates(item.name for item in items):
-            fail(f"{what} {name}", "given twice")
+            fail(f"{section} {name}", "given twice")
     for kind in Kind:
-        takes_all = any(kind in one.kinds and not one.at_least_bytes for one in head.classes)
-        if kind not in (Kind.CACHE, *OWN) and not takes_all:
+        accepts_all = any(kind in one.kinds and not one.at_least_bytes for one in head.classes)
+        if kind not in (Kind.CACHE, *INTERNAL_KINDS) and not accepts_all:
             fail("class", f"no class takes every {kind.value}")
     for one in head.classes:
         if one.aim_us > one.deadline_us:
@@ -42,7 +42,7 @@
         if one.effect is api.Effect.KEYED and not one.window_us:
             fail(f"class {one.name}: window", "a keyed class needs the time for which repeats are dropped")
     if head.cell_map:
-        needs("cell-map", Kind.OWN_READ, Kind.MOVE)
+        require_class("cell-map", Kind.OWN_READ, Kind.MOVE)
     plans = {plan.name for plan in head.plans}
     for volume in head.volumes:
         if volume.plan not in plans:
@@ -51,18 +51,18 @@
             fail(f"volume {volume.name}: size", "not a multiple of 512 bytes")
         if volume.hosts > 1 and not volume.shards:
             fail(f"volume {volume.name}: shards", "several heads need extents allocated beforehand")
-        if (spread := volume.regions) is not None:
-            where_ = f"volume {volume.name}: regions"
+        if (regions := volume.regions) is not None:
+            field = f"volume {volume.name}: regions"
             if head.region is None:
-                fail(where_, "the head's own region is not set")
-            elif spread.home not in (head.region.name, head.region.other):
-                fail(where_, f"home {spread.home} is neither {head.region.name} nor {head.region.other}")
+                fail(field, "the head's own region is not set")
+            elif regions.home not in (head.region.name, head.region.other):
+                fail(field, f"home {regions.home} is neither {head.region.name} nor {head.region.other}")
             if volume.hosts > 1:
-                fail(where_, "such a volume is served by one head in each region")
-            needs(where_, Kind.OWN_READ, Kind.CATCH_UP)
+                fail(field, "such a volume is served by one head in each region")
+            require_class(field, Kind.OWN_READ, Kind.CATCH_UP)
             for one in head.classes if head.cell_map else ():
-                if Kind.MOVE in one.kinds and one.deadline_us > spread.copy_us:
-                    # Copies that wait for an extent to be moved would make the other region count as gone.
+                if Kind.MOVE in one.kinds and one.deadline_us > regions.copy_us:
+                    # Copies that wait for the move of an extent would make the other region count as gone.
                     fail(f"class {one.name}: deadline", f"longer than volume {volume.name} waits for a copy")
         if volume.hosts > head.heads:
             fail(f"volume {volume.name}: hosts", f"{volume.hosts}, but there are {head.heads} heads")
@@ -93,9 +93,9 @@
     if not any(Kind.MOVE in one.kinds for one in head.classes):
         fail("fleet: closing", f"no class takes {Kind.MOVE.value}, which trims are")
     for volume in head.volumes:
-        touched = any(fnmatchcase(volume.name, one) for one in closing.volumes)
-        if volume.regions is not None and volume.shards and touched:
-            # Each region would have to sweep its own nodes, and sweeps are told by volume alone.
+        is_purged = any(fnmatchcase(volume.name, one) for one in closing.volumes)
+        if volume.regions is not None and volume.shards and is_purged:
+            # Each region would have to sweep its own nodes, but sweeps are announced by volume alone.
             why = f"{volume.name} is of two regions, with extents allocated beforehand: not purged"
             fail("fleet: closing: volumes", why)
     if closing.ask_us * 4 > closing.notice_us * 3:
@@ -103,14 +103,14 @@
 
 
 def _check_fleet(fleet: FleetSettings, fail: Callable[[str, str], None]) -> None:
-    shown = fleet.advertise if fleet.advertise[0] else fleet.listen
-    hosts = [("listen", fleet.listen[0]), ("advertise", shown[0])]
+    advertised = fleet.advertise if fleet.advertise[0] else fleet.listen
+    hosts = [("listen", fleet.listen[0]), ("advertise", advertised[0])]
     hosts += [(f"seed {seed.name}: address", seed.address[0]) for seed in fleet.seeds]
     for field, host in hosts:
         try:
             address = ip_address(host)
         except ValueError:
-            # A name would be looked up at each datagram, and the head stand still meanwhile.
+            # A host name would be resolved for each datagram, and the resolver would block the head.
             fail(f"fleet: {field}", f"{host} is no IP address")
         if address.is_unspecified and field != "listen":
             fail(f"fleet: {field}", f"others can't reach {host}: say what to advertise")
@@ -120,40 +120,43 @@
         fail("fleet: answer", "must be shorter than probe, so that others can be asked in time")
 
 
-def _check_budgets(head: HeadSettings, set_: FleetBudgetSettings, fail: Callable[[str, str], None]) -> None:
+def _check_budgets(
+    head: HeadSettings, budgets: FleetBudgetSettings, fail: Callable[[str, str], None]
+) -> None:
     if head.heads < 2:
         fail("fleet: budgets", "there is nothing to divide: heads is 1")
-    if 2 * set_.ask_us > set_.lease_us:
+    if 2 * budgets.ask_us > budgets.lease_us:
         fail("fleet: budgets: ask", "longer than half a lease: one lost message would end it")
-    if set_.term_us < 2 * set_.lease_us:
+    if budgets.term_us < 2 * budgets.lease_us:
         fail("fleet: budgets: term", "shorter than two leases")
-    for name in find_duplicates(one.name.value for one in set_.budgets):
+    for name in find_duplicates(one.name.value for one in budgets.budgets):
         fail(f"fleet: budget {name}", "given twice")
-    for one in set_.budgets:
-        at = f"fleet: budget {one.name.value}"
+    for one in budgets.budgets:
+        field = f"fleet: budget {one.name.value}"
         if one.name in (BudgetName.LIMITS, BudgetName.COLD):
             if one.whole or one.burst:
-                fail(f"{at}: whole", "the plans and rules say how much that is")
+                fail(f"{field}: whole", "the plans and rules say how much that is")
         elif one.name is BudgetName.LINKS:
             if one.whole * one.fixed < head.heads or one.burst:
-                fail(f"{at}: whole", "needs no burst, and a fixed part of at least one for each head")
+                fail(f"{field}: whole", "needs no burst, and a fixed part of at least one for each head")
         elif one.whole <= 0 or one.burst < 1:
-            fail(f"{at}: whole", "needs a whole above 0 and a burst of at least 1")
+            fail(f"{field}: whole", "needs a whole above 0 and a burst of at least 1")
         if one.name is BudgetName.ATTEMPTS and not head.rules.budget_window_us:
-            fail(at, "the rules set no budget-window")
+            fail(field, "the rules set no budget-window")
         if one.name is BudgetName.TAKEOVERS and head.region is None:
-            fail(at, "the head's own region is not set")
+            fail(field, "the head's own region is not set")
         if one.name is BudgetName.COLD and not head.rules.cold_units:
-            fail(at, "the rules set no cold-units")
+            fail(field, "the rules set no cold-units")
         if one.name is BudgetName.LIST_CALLS and head.node_list.consul is None:
-            fail(at, "the node list is a file")
+            fail(field, "the node list is a file")
         if one.name is not BudgetName.LIMITS:
             continue
         plans = {plan.name: plan for plan in head.plans}
         for volume in head.volumes:
             plan = plans[volume.plan]
-            alone = plan.limit_burst * one.fixed / volume.hosts  # what a head that reaches nobody has
-            if volume.hosts > 1 and plan.limit and alone < head.most_units:
+            # the burst of a head that reaches no other head
+            burst = plan.limit_burst * one.fixed / volume.hosts
+            if volume.hosts > 1 and plan.limit and burst < head.most_units:
                 fail(f"plan {plan.name}: limit-burst",
-                     f"the fixed part of each of {volume.hosts} hosts of volume {volume.name} is {alone:g}, "
+                     f"the fixed part of each of {volume.hosts} hosts of volume {volume.name} is {burst:g}, "
                      f"below most-units: a head alone could never send the largest request")  # fmt: skip
--- a/harriertrack/config/settings/fleet.py
+++ b/harriertrack/config/settings/fleet.py
@@ -1,4 +1,4 @@
-"""A head as a member of a fleet: who is there, budgets that heads divide, zones that they leave together."""
+"""A head as a member of a fleet: membership, budgets that heads divide, zones, changes and closes."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class FleetSeedSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A member that is asked on joining."""
+    """A member that the head contacts to join the fleet."""
 
     name: Name
     address: tuple[str, Port]
 
 
 class BudgetName(Enum):
-    """What heads divide among themselves; decisions/fleet/budget_shares.py tells what each is."""
+    """Budgets that heads divide among themselves; decisions/fleet/budget_shares.py describes each."""
 
     LIMITS = "limits"
     ATTEMPTS = "attempts"
@@ -41,16 +41,16 @@
 
 
 class BudgetSettings(SettingsStruct, frozen=True, kw_only=True):
-    """One kind of budget. Plans say the wholes of limits, the rules those of cold nodes."""
+    """One kind of budget. The totals of limits are given by the plans, those of cold nodes by the rules."""
 
     name: BudgetName
-    fixed: Share = 0.1  # the part that is divided evenly beforehand and never moves
-    whole: Reloadable[NonNegativeFloat] = 0.0  # a second; of links: at a time
-    burst: Reloadable[NonNegativeFloat] = 0.0  # at once
+    fixed: Share = 0.1  # the part that is divided evenly in advance and never moves
+    whole: Reloadable[NonNegativeFloat] = 0.0  # total per second; of links: at a time
+    burst: Reloadable[NonNegativeFloat] = 0.0  # that may be used at once
 
 
 class BudgetParameters(SettingsStruct, frozen=True, kw_only=True):
-    """The figures of dividing; decisions/fleet/budgets.py tells what each is."""
+    """Parameters of leases, ledgers and terms; decisions/fleet/budgets.py describes each."""
 
     lease_us: PositiveInt = 1_000_000
     ask_us: PositiveInt = 300_000
@@ -64,7 +64,7 @@
 
 
 class FleetBudgetSettings(BudgetParameters, frozen=True, kw_only=True):
-    """What the heads of a fleet divide anew as each needs it, and where the lock on that is."""
+    """The budgets that heads divide by demand, and the witness that has the locks of their ledgers."""
 
     witness: tuple[str, Port]
     timeout_us: PositiveInt = 1_000_000
@@ -73,7 +73,7 @@
 
 
 class ZonesSettings(SettingsStruct, frozen=True, kw_only=True):
-    """How the fleet leaves zones and returns; decisions/fleet/zones/zone_decision.py explains each."""
+    """How the fleet leaves zones and returns; decisions/fleet/zones/zone_decision.py describes each."""
 
     gone: Reloadable[Share] = 0.8
     gone_us: Reloadable[PositiveInt] = 300_000
@@ -93,39 +93,39 @@
 
 
 class RolloutSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A head's part in bringing versions about in stages."""
+    """A head's part in rollouts, which bring a version to the fleet in stages."""
 
-    report_us: PositiveInt = 1_000_000  # it reports so often what it answered
-    look_us: PositiveInt = 1_000_000  # who decides looks so often what is due
+    report_us: PositiveInt = 1_000_000  # interval of a head's reports on its answers
+    look_us: PositiveInt = 1_000_000  # interval in which the deciding head checks what is due
 
 
 class ChangesSettings(SettingsStruct, frozen=True, kw_only=True):
-    """How a head follows the fleet's record of changes; it lies at the budgets' witness."""
+    """How a head follows the fleet's record of changes, which is stored at the budgets' witness."""
 
-    look_us: PositiveInt = 1_000_000  # who decides looks so often whether operators changed it
-    spread_us: PositiveInt = 2_000_000  # heads that hear of a newer one fetch it within this, not all at once
-    rollout: RolloutSettings | None = None  # None: the head takes versions, and brings none about
+    look_us: PositiveInt = 1_000_000  # interval in which the deciding head checks for changes by operators
+    spread_us: PositiveInt = 2_000_000  # heads that learn of a newer record fetch it spread over this time
+    rollout: RolloutSettings | None = None  # None: the head applies versions, but decides no rollouts
 
 
 class ClosingSettings(SettingsStruct, frozen=True, kw_only=True):
-    """Purges at local close; decisions/fleet/closing tells what each figure is.
+    """Purges at a market's local close; decisions/fleet/closing describes each parameter.
 
-    `volumes` are patterns of those that calendars may touch, on this head.
+    `volumes`: patterns of the volumes of this head that calendars may purge.
     """
 
     volumes: tuple[str, ...]
     notice_us: Annotated[int, msgspec.Meta(ge=1_000_000)] = 60_000_000
     ask_us: PositiveInt = 5_000_000
-    error_us: PositiveInt = 250_000  # a sane machine's wall clock is at most so far from true time
+    error_us: PositiveInt = 250_000  # the largest distance of a correct machine's wall clock from true time
     drift: Annotated[float, msgspec.Meta(ge=0, le=0.05)] = 0.0005
-    rate: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 200.0  # trims a second, all heads together
+    rate: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 200.0  # trims per second of all heads together
     burst: Annotated[float, msgspec.Meta(ge=1, le=1e4)] = 8.0
     in_flight: PositiveInt = 4
     spread_us: NonNegativeInt = 500_000
 
 
 class FleetParameters(SettingsStruct, frozen=True, kw_only=True):
-    """The figures of a fleet's protocol; membership/fleet/swim/rules.py tells what each is."""
+    """Parameters of the fleet's membership protocol; membership/fleet/swim/rules.py describes each."""
 
     probe_us: Reloadable[PositiveInt] = 1_000_000
     answer_us: Reloadable[PositiveInt] = 500_000
@@ -147,16 +147,16 @@
 
 
 class FleetSettings(FleetParameters, frozen=True, kw_only=True):
-    """The head as a member of a fleet."""
+    """A head's membership of a fleet."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._:-]+$")]
-    listen: tuple[str, Port]  # datagrams, and over TCP whoever asks for the view
-    advertise: tuple[str, Port] = ("", 0)  # where others reach it, if elsewhere
+    listen: tuple[str, Port]  # for datagrams, and over TCP for queries of the view
+    advertise: tuple[str, Port] = ("", 0)  # the address at which others reach it, if a different one
     fleet: Annotated[str, msgspec.Meta(min_length=1, max_length=64)] = "fleet"
     cell: Annotated[str, msgspec.Meta(max_length=64)] = ""
     seeds: tuple[FleetSeedSettings, ...] = ()
-    budgets: FleetBudgetSettings | None = None  # None: each head takes an even part
-    zones: ZonesSettings | None = None  # None: each head helps itself when a zone fails
-    changes: ChangesSettings | None = None  # None: what runs is what the head was started with
+    budgets: FleetBudgetSettings | None = None  # None: each head uses an even share
+    zones: ZonesSettings | None = None  # None: each head reacts alone when a zone fails
+    changes: ChangesSettings | None = None  # None: settings and program stay as at the head's start
     closing: ClosingSettings | None = None  # None: nothing is purged at closes
     scoring: ScoringSettings | None = None  # None: heads share no weights of nodes
--- a/harriertrack/config/settings/head.py
+++ b/harriertrack/config/settings/head.py
@@ -1,4 +1,4 @@
-"""Everything that a head is told at its start."""
+"""The settings of a head."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RuleSettings(SettingsStruct, frozen=True, kw_only=True):
-    """The figures of the rules; zero means that a thing does not apply."""
+    """Parameters of the scheduling rules; zero means that a rule does not apply."""
 
     drain_grace_us: Reloadable[NonNegativeInt] = 2_000_000
     fall_multiple: Reloadable[NonNegativeFloat] = 2.0
@@ -38,15 +38,16 @@
 
 
 class LimitSettings(SettingsStruct, frozen=True, kw_only=True):
-    """What bounds a head's memory and connections."""
+    """Limits on a head's memory and connections."""
 
     connections: Reloadable[PositiveInt] = 1024
     in_flight: Reloadable[PositiveInt] = 128
     in_flight_bytes: Reloadable[PositiveInt] = 32 << 20  # of the open writes of one connection
-    offers: Reloadable[Annotated[float, msgspec.Meta(ge=1, le=1e6)]] = 2_000.0  # a second, of what waited
+    offers: Reloadable[Annotated[float, msgspec.Meta(ge=1, le=1e6)]] = 2_000.0  # parts a second that waited
     held: Reloadable[PositiveInt] = 20_000
-    held_bytes: PositiveInt = 256 << 20  # of open writes
-    borrow: Reloadable[Share] = 0.0  # the part of these that cells may use beyond their even parts
+    held_bytes: PositiveInt = 256 << 20  # of the data of open writes
+    # The part of `connections`, `held` and `held_bytes` that cells may use beyond their even shares.
+    borrow: Reloadable[Share] = 0.0
     orphans: PositiveInt = 1024
     dial_us: Reloadable[PositiveInt] = 250_000
     idle_us: Reloadable[PositiveInt] = 30_000_000
@@ -54,7 +55,7 @@
 
 
 class Digest(StrEnum):
-    """What NVMe/TCP may protect with a CRC32C."""
+    """Parts of an NVMe/TCP PDU that a CRC32C may protect."""
 
     HEADER = "header"
     DATA = "data"
@@ -65,15 +66,15 @@
 
     listen: tuple[str, Port]
     nqn: Annotated[str, msgspec.Meta(pattern=r"^nqn\.\d{4}-\d{2}\.[^\s:]+:\S+$", max_length=223)]
-    digests: tuple[Digest, ...] = (Digest.HEADER, Digest.DATA)  # granted to hosts that ask
-    queues: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 64  # for I/O, of one controller
-    entries: Annotated[int, msgspec.Meta(ge=32, le=1024)] = 128  # of one queue
-    asked_bytes: PositiveInt = 8 << 20  # of one queue's commands: data that was asked for and is on its way
-    patience_us: PositiveInt = 20_000_000  # hosts that wait do so no longer: theirs reset a mute controller
+    digests: tuple[Digest, ...] = (Digest.HEADER, Digest.DATA)  # granted to hosts that request them
+    queues: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 64  # I/O queues of one controller
+    entries: Annotated[int, msgspec.Meta(ge=32, le=1024)] = 128  # commands of one queue
+    asked_bytes: PositiveInt = 8 << 20  # of one queue: write data that was requested and has not arrived
+    patience_us: PositiveInt = 20_000_000  # of waiting commands: hosts reset a controller that stays silent
 
 
 class HeadSettings(SettingsStruct, frozen=True, kw_only=True):
-    """Everything that a head is told at its start."""
+    """All settings of a head."""
 
     listen: tuple[str, Port] = ("127.0.0.1", 10809)
     state_dir: str
@@ -94,9 +95,9 @@
     rules: RuleSettings = RuleSettings()
     limits: LimitSettings = LimitSettings()
     region: RegionSettings | None = None
-    cell_map: str = ""  # a file; empty: the whole fleet is one cell
+    cell_map: str = ""  # path of a cell map; empty: the fleet is a single cell
     nvme: NvmeSettings | None = None
-    fleet: FleetSettings | None = None  # None: the head knows of no other
+    fleet: FleetSettings | None = None  # None: the head knows of no other heads
     classes: tuple[ClassSettings, ...]
     plans: tuple[PlanSettings, ...]
     volumes: tuple[VolumeSettings, ...]
--- a/harriertrack/config/settings/module.py
+++ b/harriertrack/config/settings/module.py
@@ -1,4 +1,4 @@
-"""What the decision module and the core of a head are told."""
+"""Builds the settings of a head's decision module and the rules of its core from the head's settings."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def module_settings(head: HeadSettings) -> api.Settings:
-    """Build what the decision module is told.
+    """Build the settings of the decision module.
 
-    On plain nodes no rack drops repeats: there every class that would be keyed is unsafe.
+    On plain nodes no rack drops repeats of requests, so classes that are keyed otherwise are unsafe there.
     """
     return api.Settings(
         heads=head.heads,
@@ -60,7 +60,7 @@
 
 
 def request_rules(head: HeadSettings) -> RequestRules:
-    """Build what the core of a head is told."""
+    """Build the rules of the core of a head."""
     return RequestRules(
         extent_bytes=head.extent_bytes,
         unit_bytes=head.unit_bytes,
--- a/harriertrack/config/settings/node_stand_in.py
+++ b/harriertrack/config/settings/node_stand_in.py
@@ -1,4 +1,4 @@
-"""A storage node stand-in."""
+"""Settings of a storage node stand-in."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ServiceTimeDistribution(Enum):
-    """How a storage node's service times are distributed around their mean."""
+    """The distribution of a storage node's service times around their mean."""
 
     FIXED = "fixed"
     EXPONENTIAL = "exponential"
@@ -31,7 +31,7 @@
 
 
 class NodeStandInSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A storage node stand-in: an NBD server that models a node's time."""
+    """A storage node stand-in: an NBD server that simulates a node's service times."""
 
     listen: tuple[str, Port] = ("127.0.0.1", 10810)
     name: Name = "shelf"
--- a/harriertrack/config/settings/nodes.py
+++ b/harriertrack/config/settings/nodes.py
@@ -1,4 +1,4 @@
-"""Storage nodes as lists name them, where a head finds its list, and stand-ins for list services."""
+"""Entries of node lists, the source of a head's node list, and stand-ins for list services."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class NodeSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A storage node of a list in a file."""
+    """A storage node in a node list file."""
 
     name: Name
     address: tuple[str, Port]
@@ -15,11 +15,11 @@
     zone: str = ""
     state: api.NodeState = api.NodeState.UP
     started_us: NonNegativeInt = 0
-    kind: str = ""  # of machine: a cold replacement of the same kind gets its predecessor's rate
+    kind: str = ""  # of machine: a cold replacement of the same kind starts at its predecessor's rate
 
 
 class ListEndpointSettings(SettingsStruct, frozen=True, kw_only=True):
-    """An address of a list service stand-in, and the nodes it names there: each asker may have its own."""
+    """An address of a list service stand-in, and the nodes that it lists to the clients of that address."""
 
     name: Name
     listen: tuple[str, Port]
@@ -33,7 +33,7 @@
 
 
 class ConsulSettings(SettingsStruct, frozen=True, kw_only=True):
-    """Where the node list is asked: a health endpoint as Consul's HTTP API has it."""
+    """The HTTP source of the node list: a health endpoint of Consul's API."""
 
     address: tuple[str, Port]
     service: Name = "shelf"
@@ -42,7 +42,7 @@
 
 
 class NodeListSettings(SettingsStruct, frozen=True, kw_only=True):
-    """The node list's source: a file that is read again when it changes, or HTTP."""
+    """The source of the node list: a file that is read again when it changes, or HTTP."""
 
     file: str = ""
     poll_us: PositiveInt = 500_000
--- a/harriertrack/config/settings/reading.py
+++ b/harriertrack/config/settings/reading.py
@@ -1,4 +1,4 @@
-"""Settings files read and checked."""
+"""Reads and checks settings files."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read_file(path: str) -> Form:
-    """Read a file that holds one form. Raises SettingsError."""
+    """Parse a file that contains one form. Raises SettingsError."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -27,37 +27,37 @@
 
 
 def parse(form: Form, source: str) -> HeadSettings | NodeStandInSettings:
-    """Check a form of a head or a shelf. Raises SettingsError with file, line and field."""
-    word = form_keyword(form, source)
-    if word == "head":
+    """Check a form `(head ...)` or `(shelf ...)`. Raises SettingsError with file, line and field."""
+    keyword = form_keyword(form, source)
+    if keyword == "head":
         head = bind(form, HeadSettings, source)
         check_head(head, f"{source}:{form.line}")
         return head
-    if word == "shelf":
+    if keyword == "shelf":
         return bind(form, NodeStandInSettings, source)
-    raise SettingsError(f"{source}:{form.line}: {word}: expected (head ...) or (shelf ...)")
+    raise SettingsError(f"{source}:{form.line}: {keyword}: expected (head ...) or (shelf ...)")
 
 
 def load_nodes(path: str) -> tuple[NodeSettings, ...]:
     """Read a node list file, `(node-list (node ...) ...)`. Raises SettingsError."""
 
     class NodeListFile(SettingsStruct, frozen=True, kw_only=True):
-        """The file's one form."""
+        """The form in the file."""
 
         nodes: tuple[NodeSettings, ...] = ()
 
     nodes = bind(read_file(path), NodeListFile, path).nodes
-    if twice := find_duplicates(node.name for node in nodes):
-        raise SettingsError(f"{path}:1: node-list: {', '.join(sorted(twice))} is named twice")
+    if duplicates := find_duplicates(node.name for node in nodes):
+        raise SettingsError(f"{path}:1: node-list: {', '.join(sorted(duplicates))} is named twice")
     return nodes
 
 
 def load_list_service(path: str) -> ListServiceSettings:
-    """Read a list service's file, `(list-service (entrance ...) ...)`. Raises SettingsError."""
+    """Read the file of a list service stand-in, `(list-service (entrance ...) ...)`. Raises SettingsError."""
     form = read_file(path)
     if form_keyword(form, path) != "list-service":
         raise SettingsError(f"{path}:{form.line}: expected (list-service ...)")
     settings = bind(form, ListServiceSettings, path)
-    if twice := find_duplicates(one.name for one in settings.entrances):
-        raise SettingsError(f"{path}:{form.line}: entrance {twice[0]}: given twice")
+    if duplicates := find_duplicates(one.name for one in settings.entrances):
+        raise SettingsError(f"{path}:{form.line}: entrance {duplicates[0]}: given twice")
     return settings
--- a/harriertrack/config/settings/scoring.py
+++ b/harriertrack/config/settings/scoring.py
@@ -1,4 +1,4 @@
-"""How heads score storage nodes and share the weights."""
+"""How heads score storage nodes and share their weights."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class ScorerSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A scorer that heads run; which there are is told by `harriertrack fleet scorers`."""
+    """A scorer that heads run; `harriertrack fleet scorers` lists those available."""
 
     name: Name
-    kind: str = ""  # empty: as it is named
+    kind: str = ""  # empty: the same as the name
     version: PositiveInt = 1
     parameters: tuple[ParameterSettings, ...] = ()
 
 
 class ScoringSettings(SettingsStruct, frozen=True, kw_only=True):
-    """How heads score nodes and share weights; decisions/fleet/scoring/rules.py tells what each figure is."""
+    """How heads score nodes and share weights; decisions/fleet/scoring/rules.py describes each parameter."""
 
     scorers: Annotated[tuple[ScorerSettings, ...], msgspec.Meta(max_length=2)] = ()
-    alone: bool = False  # each head goes by what it sees itself
-    tell_us: NonNegativeInt = 0  # weights are logged so often; 0: never
+    alone: bool = False  # each head uses only its own observations
+    tell_us: NonNegativeInt = 0  # interval of logging the weights; 0: never
     look_us: PositiveInt = 500_000
     slow_us: PositiveInt = 50_000
     hung_looks: PositiveInt = 6
--- a/harriertrack/config/settings/traffic.py
+++ b/harriertrack/config/settings/traffic.py
@@ -1,4 +1,4 @@
-"""Classes of requests, plans, and volumes with the regions that share them."""
+"""Request classes, plans, and volumes with the regions that share them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ClassSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A class of requests, and which requests belong to it: the first class whose kind and size fit."""
+    """A class of requests. A request belongs to the first class that matches its kind and size."""
 
     name: Name
     kinds: tuple[Kind, ...]
@@ -39,7 +39,7 @@
 
 
 class PlanSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A service plan, per volume over all heads."""
+    """A service plan; its rates and limits are per volume, over all heads."""
 
     name: Name
     rate: Reloadable[NonNegativeFloat] = 0.0
@@ -52,7 +52,7 @@
 
 
 class VolumeRegionSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A volume of two regions: where it belongs, and when a write is acknowledged."""
+    """A volume of two regions: its home region, and when a write is acknowledged."""
 
     home: Name
     mode: Mode = Mode.BOTH
@@ -64,7 +64,7 @@
 
 
 class RegionSettings(SettingsStruct, frozen=True, kw_only=True):
-    """The head's region, the other one, that one's head, and the witness."""
+    """The head's region, the other region and its head (`peer`), and the witness."""
 
     name: Name
     other: Name
@@ -77,7 +77,7 @@
 
 
 class VolumeSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A volume, which is one export. `shards` names where its extents were allocated beforehand, in turn."""
+    """A volume, which is one export. `shards`: where its extents were allocated in advance, in turn."""
 
     name: Name
     size_bytes: PositiveInt
@@ -85,7 +85,7 @@
     hosts: PositiveInt = 1
     shards: tuple[NonNegativeInt, ...] = ()
     read_only: bool = False
-    tenant: str = ""  # whose it is, for cells; empty: the volume's own name
+    tenant: str = ""  # its owner, for cells; empty: the volume's own name
     waiting: WaitMode = WaitMode.BY_CLIENT
-    patience_us: PositiveInt = 300_000_000  # how long a waiting client waits before it is refused
+    patience_us: PositiveInt = 300_000_000  # how long a request of a client waits before it is refused
     regions: VolumeRegionSettings | None = None
--- a/harriertrack/config/sexp.py
+++ b/harriertrack/config/sexp.py
@@ -1,8 +1,8 @@
-"""S-expressions with line numbers, bound to checked types.
+"""S-expressions with line numbers, and their conversion to checked msgspec Structs.
 
-A setting is written `(name value)`; a part with settings of its own is `(name "its-name" (setting value)
-...)`. Durations carry a unit (`250us`, `300ms`, `1.5s`), sizes too (`512B`, `4KiB`, `64MiB`); truth is `yes`
-or `no`. Every error names file, line and field.
+A setting is written `(name value)`; a section with settings of its own is `(name "its-name" (setting value)
+...)`. Durations have a unit (`250us`, `300ms`, `1.5s`), sizes too (`512B`, `4KiB`, `64MiB`); booleans are
+`yes` or `no`. Every error names file, line and field.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class SettingsError(Exception):
-    """Settings that cannot be; the text says file, line, field and why."""
+    """Invalid settings; the text gives file, line, field and the reason."""
 
 
 class Form(list):
-    """A list of an S-expression that knows its line."""
+    """A list of an S-expression, with the line that it starts on."""
 
     line = 0
 
@@ -39,14 +39,14 @@
 
 
 def read_text(text: str, source: str) -> Form:
-    """Read a text that holds exactly one form. Raises SettingsError if it does not."""
+    """Parse a text that contains exactly one form. Raises SettingsError if it does not."""
     line = text.count("\n") + 1
     try:
         parser = _Parser(text, nil="", true="", false="")
         forms = parser.parse()
     except (sexpdata.ExpectClosingBracket, sexpdata.ExpectNothing, sexpdata.ExpectSExp) as error:
         raise SettingsError(f"{source}:{line}: brackets do not match ({error})") from error
-    except (AttributeError, IndexError) as error:  # what the parser raises for a string without its end
+    except (AttributeError, IndexError) as error:  # sexpdata raises these for an unterminated string
         raise SettingsError(f"{source}:{line}: a string is not closed") from error
     if len(forms) != 1 or not isinstance(forms[0], Form):
         raise SettingsError(f"{source}:1: expected one form, (head ...) or the like, and found {len(forms)}")
@@ -54,14 +54,14 @@
 
 
 def form_keyword(form: Form, source: str) -> str:
-    """Return the word that a form begins with. Raises SettingsError if it begins with none."""
+    """Return the symbol that a form begins with. Raises SettingsError if it begins with anything else."""
     if not form or not isinstance(form[0], sexpdata.Symbol):
         raise SettingsError(f"{source}:{form.line}: a form must begin with a word")
     return str(form[0])
 
 
 def _scalar(value: Any, field: str) -> Any:
-    """Turn one atom into a plain value; `field` tells by its ending which unit it must carry."""
+    """Convert one atom to a plain value; the suffix of the field's name says which unit is required."""
     if isinstance(value, Form):
         raise ValueError("expected a value, not a list")
     if field.endswith(("_us", "_bytes")):
@@ -80,123 +80,126 @@
     return value
 
 
-def bind(form: Form, kind: type[T], source: str, over: T | None = None) -> T:
-    """Make a checked value of a msgspec Struct type from a form. Raises SettingsError.
+def bind(form: Form, struct_type: type[T], source: str, base: T | None = None) -> T:
+    """Convert a form to a validated value of a msgspec Struct type. Raises SettingsError.
 
-    `over`: a value whose fields hold where the form does not give them; parts with names are found by these.
+    `base`: supplies the fields that the form does not give; named sections are matched by their names.
     """
     lines: dict[str, int] = {}
-    plain: Any = _plain(form, kind, source, "$", lines)
-    if over is not None:
-        given, lines = lines, {}
-        plain = _laid_over(msgspec.to_builtins(over), plain, ("$", "$"), given, lines)
+    plain: Any = _plain(form, struct_type, source, "$", lines)
+    if base is not None:
+        form_lines, lines = lines, {}
+        plain = _merge(msgspec.to_builtins(base), plain, ("$", "$"), form_lines, lines)
     try:
-        return msgspec.convert(plain, kind)
+        return msgspec.convert(plain, struct_type)
     except msgspec.ValidationError as error:
         message, _, path = str(error).partition(" - at `")
         path = path.rstrip("`")
-        near = path
-        while near and near not in lines:
-            near = near[: max(near.rfind("."), near.rfind("["))] if len(near) > 1 else ""
+        ancestor = path  # the closest path whose line is known
+        while ancestor and ancestor not in lines:
+            ancestor = ancestor[: max(ancestor.rfind("."), ancestor.rfind("["))] if len(ancestor) > 1 else ""
         field = path.removeprefix("$").lstrip(".").replace("_", "-") or form_keyword(form, source)
-        raise SettingsError(f"{source}:{lines.get(near, form.line)}: {field}: {message}") from error
+        raise SettingsError(f"{source}:{lines.get(ancestor, form.line)}: {field}: {message}") from error
 
 
-def _laid_over(base: Any, plain: Any, paths: tuple[str, str], given: dict[str, int],
-               lines: dict[str, int]) -> Any:  # fmt: skip
-    """Return plain values with those of a form in their place; note their lines by the path in the whole."""
-    whole_path, path = paths
-    if path in given:
-        lines[whole_path] = given[path]
+def _merge(base: Any, plain: Any, paths: tuple[str, str], form_lines: dict[str, int],
+           lines: dict[str, int]) -> Any:  # fmt: skip
+    """Return the plain values of `base` with those of a form in their place.
+
+    `paths`: in the merged value and in the form. `lines` receives the form's lines by merged path.
+    """
+    merged_path, form_path = paths
+    if form_path in form_lines:
+        lines[merged_path] = form_lines[form_path]
     if isinstance(base, dict) and isinstance(plain, dict):
-        laid = dict(base)
+        fields = dict(base)
         for name, value in plain.items():
-            inner = f"{whole_path}.{name}", f"{path}.{name}"
-            laid[name] = _laid_over(base.get(name), value, inner, given, lines)
-        return laid
-    if isinstance(base, list | tuple) and isinstance(plain, list) and _named(plain) and _named(base):
-        whole = list(base)
-        at = {one["name"]: number for number, one in enumerate(whole)}
-        for number, one in enumerate(plain):
-            place = at.setdefault(one["name"], len(whole))
-            if place == len(whole):
-                whole.append(None)
-            inner = f"{whole_path}[{place}]", f"{path}[{number}]"
-            whole[place] = _laid_over(whole[place], one, inner, given, lines)
-        return whole
+            inner = f"{merged_path}.{name}", f"{form_path}.{name}"
+            fields[name] = _merge(base.get(name), value, inner, form_lines, lines)
+        return fields
+    if isinstance(base, list | tuple) and isinstance(plain, list) and _all_named(plain) and _all_named(base):
+        items = list(base)
+        indexes = {item["name"]: index for index, item in enumerate(items)}
+        for form_index, item in enumerate(plain):
+            index = indexes.setdefault(item["name"], len(items))
+            if index == len(items):
+                items.append(None)
+            inner = f"{merged_path}[{index}]", f"{form_path}[{form_index}]"
+            items[index] = _merge(items[index], item, inner, form_lines, lines)
+        return items
     return plain
 
 
-def _named(items: Any) -> bool:
-    return all(isinstance(one, dict) and "name" in one for one in items)
+def _all_named(items: Any) -> bool:
+    return all(isinstance(item, dict) and "name" in item for item in items)
 
 
-def _plain(form: Form, kind: Any, source: str, path: str, lines: dict[str, int]) -> dict[str, Any]:
-    word = form_keyword(form, source)
+def _plain(form: Form, struct_type: Any, source: str, path: str, lines: dict[str, int]) -> dict[str, Any]:
+    keyword = form_keyword(form, source)
     lines[path] = form.line
-    words = setting_names(kind)
-    fields = {words[field.name]: field for field in msgspec.structs.fields(kind)}
+    names = setting_names(struct_type)
+    fields = {names[field.name]: field for field in msgspec.structs.fields(struct_type)}
     result: dict[str, Any] = {}
     for item in form[1:]:
         if not isinstance(item, Form):
             if "name" not in fields or "name" in result:
-                raise SettingsError(f"{source}:{form.line}: {word}: {item} does not belong here")
+                raise SettingsError(f"{source}:{form.line}: {keyword}: {item} does not belong here")
             result["name"] = str(item)
             continue
         name = form_keyword(item, source)
         field = fields.get(name)
         if field is None:
             known = ", ".join(sorted(fields))
-            raise SettingsError(f"{source}:{item.line}: {word}: unknown setting {name}; known are {known}")
-        shape = msgspec.inspect.type_info(field.type)
-        inner = shape.item_type if isinstance(shape, msgspec.inspect.VarTupleType) else shape
+            raise SettingsError(f"{source}:{item.line}: {keyword}: unknown setting {name}; known are {known}")
+        field_type = msgspec.inspect.type_info(field.type)
+        inner = field_type.item_type if isinstance(field_type, msgspec.inspect.VarTupleType) else field_type
         if isinstance(inner, msgspec.inspect.UnionType):
             inner = next(one for one in inner.types if not isinstance(one, msgspec.inspect.NoneType))
-        where = f"{path}.{field.name}"
+        field_path = f"{path}.{field.name}"
         repeated = _is_repeated(field.type)
         if field.name in result and not repeated:
-            raise SettingsError(f"{source}:{item.line}: {word}: {name} is given twice")
+            raise SettingsError(f"{source}:{item.line}: {keyword}: {name} is given twice")
         if repeated:
-            where = f"{where}[{len(result.get(field.name, ()))}]"
-        lines[where] = item.line
+            field_path = f"{field_path}[{len(result.get(field.name, ()))}]"
+        lines[field_path] = item.line
         try:
             if isinstance(inner, _STRUCT):
-                part = _plain(item, inner.cls, source, where, lines)
+                section = _plain(item, inner.cls, source, field_path, lines)
                 if repeated:
-                    result.setdefault(field.name, []).append(part)
+                    result.setdefault(field.name, []).append(section)
                 else:
-                    result[field.name] = part
-            elif isinstance(shape, msgspec.inspect.VarTupleType | msgspec.inspect.TupleType):
+                    result[field.name] = section
+            elif isinstance(field_type, msgspec.inspect.VarTupleType | msgspec.inspect.TupleType):
                 result[field.name] = [_scalar(value, field.name) for value in item[1:]]
             elif len(item) != 2:
                 raise ValueError(f"expected one value, not {len(item) - 1}")
             else:
                 result[field.name] = _scalar(item[1], field.name)
         except ValueError as error:
-            raise SettingsError(f"{source}:{item.line}: {word}: {name}: {error}") from error
+            raise SettingsError(f"{source}:{item.line}: {keyword}: {name}: {error}") from error
     return result
 
 
-def _is_repeated(kind: Any) -> bool:
-    shape = msgspec.inspect.type_info(kind)
-    return isinstance(shape, msgspec.inspect.VarTupleType) and isinstance(shape.item_type, _STRUCT)
+def _is_repeated(field_type: Any) -> bool:
+    info = msgspec.inspect.type_info(field_type)
+    return isinstance(info, msgspec.inspect.VarTupleType) and isinstance(info.item_type, _STRUCT)
 
 
-def setting_names(kind: Any) -> dict[str, str]:
-    """Return how each field of a part is written: without its unit, with dashes, singular where repeated.
+def setting_names(struct_type: Any) -> dict[str, str]:
+    """Return the written name of each field: without its unit, with dashes, singular where it repeats.
 
-    Of several that would be written the same one is: that without a unit, else the last; the others keep
-    theirs, as `held-bytes` beside `held`.
+    Where several fields would get the same name, the one without a unit gets it, else the last; the others
+    keep their units, such as `held-bytes` and `held`.
     """
-    bare = {}
-    for field in msgspec.structs.fields(kind):
+    short_names = {}
+    for field in msgspec.structs.fields(struct_type):
         name = field.name
         if _is_repeated(field.type):
             name = {"classes": "class"}.get(name, name.removesuffix("s"))
-        bare[field.name] = name.removesuffix("_us").removesuffix("_bytes")
-    owners = {name: whole for whole, name in bare.items()}
-    owners.update({name: name for name in bare if bare[name] == name})
-    words = {}
-    for whole, name in bare.items():
-        words[whole] = (name if owners[name] == whole else whole).replace("_", "-")
-    return words
+        short_names[field.name] = name.removesuffix("_us").removesuffix("_bytes")
+    owners = {short: name for name, short in short_names.items()}
+    owners.update({name: name for name in short_names if short_names[name] == name})
+    names = {}
+    for name, short in short_names.items():
+        names[name] = (short if owners[short] == name else name).replace("_", "-")
+    return names
--- a/harriertrack/planning/__init__.py
+++ b/harriertrack/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Plans found by a solver."""
+"""Cell plans, found by a constraint solver."""
--- a/harriertrack/planning/settings.py
+++ b/harriertrack/planning/settings.py
@@ -1,4 +1,4 @@
-"""A fleet as an S-expression: `(fleet "name" (cells 4) (rack ...) (tenant ...))`."""
+"""The description of a fleet for the cell planner: `(fleet "name" (cells 4) (rack ...) (tenant ...))`."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from harriertrack.config.sexp import Form, SettingsError, bind
 from harriertrack.decisions.cells import CellRules, Fleet, Rack, Tenant
 
-Part = Annotated[float, msgspec.Meta(gt=0, le=1)]
+PositiveShare = Annotated[float, msgspec.Meta(gt=0, le=1)]
 
 
 class CellNode(SettingsStruct, frozen=True, kw_only=True):
-    """A storage node: what it does in units a second."""
+    """A storage node and its capacity in units a second."""
 
     name: Name
     units: NonNegativeFloat
@@ -35,11 +35,11 @@
     name: Name
     region: Name
     nodes: tuple[CellNode, ...]
-    shards: tuple[NonNegativeInt, ...] = ()  # whose data its nodes hold, as heads know it
+    shards: tuple[NonNegativeInt, ...] = ()  # the shards whose data its nodes hold
 
 
 class TenantSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A tenant: expected load and reserve in units a second, its size, the regions that hold it."""
+    """A tenant: its expected load and reserve in units a second, its size, and the regions of its data."""
 
     name: Name
     load: NonNegativeFloat
@@ -49,12 +49,12 @@
 
 
 class FleetSettings(SettingsStruct, frozen=True, kw_only=True):
-    """What there is to be divided, and the rules of the cells."""
+    """The racks and tenants to divide into cells, and the rules; decisions/cells.py describes the rules."""
 
     name: Name
     cells: PositiveInt
-    headroom: Part = 0.7
-    reserved: Part = 0.6
+    headroom: PositiveShare = 0.7
+    reserved: PositiveShare = 0.6
     least_racks: PositiveInt = 2
     large: Share = 0.3
     crowd: Annotated[float, msgspec.Meta(ge=1, le=1000)] = 1.5
@@ -63,41 +63,46 @@
 
 
 def load_fleet(path: str) -> Fleet:
-    """Read and check a fleet. Raises SettingsError with file, line and field."""
+    """Read and validate a fleet. Raises SettingsError with file, line and field."""
     return parse_fleet(read_file(path), path)
 
 
 def parse_fleet(form: Form, source: str) -> Fleet:
-    """Check a form of a fleet. Raises SettingsError."""
-    given = bind(form, FleetSettings, source)
+    """Validate a form `(fleet ...)`. Raises SettingsError."""
+    settings = bind(form, FleetSettings, source)
     where = f"{source}:{form.line}"
-    for what, names in (
-        ("rack", [rack.name for rack in given.racks]),
-        ("node", [node.name for rack in given.racks for node in rack.nodes]),
-        ("tenant", [one.name for one in given.tenants]),
+    for section, names in (
+        ("rack", [rack.name for rack in settings.racks]),
+        ("node", [node.name for rack in settings.racks for node in rack.nodes]),
+        ("tenant", [one.name for one in settings.tenants]),
     ):
-        if twice := find_duplicates(names):
-            raise SettingsError(f"{where}: {what} {min(twice)}: given twice")
-    for rack in given.racks:
+        if duplicates := find_duplicates(names):
+            raise SettingsError(f"{where}: {section} {min(duplicates)}: given twice")
+    for rack in settings.racks:
         if not rack.nodes:
             raise SettingsError(f"{where}: rack {rack.name}: node: at least one is needed")
-    for one in given.tenants:
-        if not one.regions:
-            raise SettingsError(f"{where}: tenant {one.name}: regions: at least one is needed")
+    for tenant in settings.tenants:
+        if not tenant.regions:
+            raise SettingsError(f"{where}: tenant {tenant.name}: regions: at least one is needed")
     racks = tuple(
         Rack(
-            one.name,
-            one.region,
-            tuple(node.name for node in one.nodes),
-            sum(n.units for n in one.nodes),
-            one.shards,
+            rack.name,
+            rack.region,
+            tuple(node.name for node in rack.nodes),
+            sum(node.units for node in rack.nodes),
+            rack.shards,
         )
-        for one in given.racks
+        for rack in settings.racks
     )
     tenants = tuple(
-        Tenant(one.name, one.load, one.reserve, one.size_bytes, one.regions) for one in given.tenants
+        Tenant(one.name, one.load, one.reserve, one.size_bytes, one.regions) for one in settings.tenants
     )
     rules = CellRules(
-        given.cells, given.headroom, given.reserved, given.least_racks, given.large, given.crowd
+        settings.cells,
+        settings.headroom,
+        settings.reserved,
+        settings.least_racks,
+        settings.large,
+        settings.crowd,
     )
     return Fleet(racks, tenants, rules)
