--- a/harriertrack/gateway/nvme.py
+++ b/harriertrack/gateway/nvme.py
@@ -188,7 +188,7 @@
         if self.number:
             self._io(sqe, data)
             return
-        match self.controller.admin(sqe, now, data):
+        match self.controller.handle_admin_command(sqe, now, data):
             case CommandCompleted(cqe):
                 self.complete(cqe)
             case DataReturned(payload):
--- a/harriertrack/protocol/nvme/__init__.py
+++ b/harriertrack/protocol/nvme/__init__.py
@@ -1,1 +1,1 @@
-"""NVMe over TCP, sans-I/O: the transport's PDUs and the structures that they carry."""
+"""NVMe over TCP without I/O: the transport's PDUs, and the commands and data structures that they carry."""
--- a/harriertrack/protocol/nvme/transport.py
+++ b/harriertrack/protocol/nvme/transport.py
@@ -1,9 +1,9 @@
-"""The NVMe/TCP transport, both sides, without I/O.
+"""The NVMe/TCP transport, host and controller side, without I/O.
 
-`receive` takes bytes and returns events; what is to be sent gathers until `take_outgoing`. A connection is
-one queue. What the peer does wrong in a PDU is fatal to the connection: a termination request with the status
-that the specification asks for is left to be sent, and the last event is `Broken`. What is wrong with one
-command, or with the digest of its data, ends that command alone.
+`receive` parses received bytes and returns events; PDUs to send are queued until `take_outgoing`. A
+connection is one queue. An invalid PDU of the peer is fatal to the connection: a termination request with the
+status that the specification requires is queued, and the last event is `ConnectionTerminated`. An error of
+one command, or in the digest of its data, fails only that command.
 
 Sources: NVM Express TCP Transport Specification 1.0, sections 3.3 to 3.6.
 """
@@ -23,9 +23,9 @@
     HLEN,
     INIT,
     INIT_BYTES,
-    LEAST_H2C_DATA,
-    MOST_ALIGN,
-    MOST_TERM_BYTES,
+    MAX_ALIGN,
+    MAX_TERM_BYTES,
+    MIN_H2C_DATA,
     R2T,
     SQE_BYTES,
     TERM,
@@ -33,7 +33,7 @@
     WITH_DATA,
     Cqe,
     DigestFlags,
-    Fatal,
+    FatalTransportError,
     Fes,
     Flags,
     Pdu,
@@ -45,22 +45,22 @@
 )  # fmt: skip
 from harriertrack.protocol.receive_buffer import ReceiveBuffer
 
-BODY = COMMON.size  # where a PDU's own header fields begin
+BODY = COMMON.size  # the offset of the PDU-specific header, after the common header
 NO_DIGESTS = DigestFlags(0)
-MOST_DATA_PDU = 1 << 20  # the most data that this program puts in one PDU
+MAX_DATA_PDU = 1 << 20  # the most data that is sent in one PDU
 
 
 class ConnectionState(Enum):
-    """Where a connection is."""
+    """State of a connection."""
 
-    INIT = auto()  # ICReq or ICResp has not come
+    INIT = auto()  # ICReq or ICResp was not received yet
     READY = auto()
-    CLOSED = auto()  # a termination request was sent or came
+    CLOSED = auto()  # a termination request was sent or received
 
 
 @dataclass(frozen=True, slots=True)
 class Initialized:
-    """The connection may carry commands."""
+    """The connection was initialized: commands may be sent."""
 
     header_digest: bool
     data_digest: bool
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionTerminated:
-    """The connection is to be closed once what is left was sent."""
+    """The connection must be closed, after the outgoing bytes were sent."""
 
     fes: int
     reason: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandSubmitted:
-    """A command came, with all of its data."""
+    """A command and all of its data were received."""
 
     sqe: Sqe
     data: bytes
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived:
-    """A command ended."""
+    """A command completed; `data` is what a successful one transferred to the host."""
 
     cqe: Cqe
     data: bytes
@@ -95,41 +95,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
-    """One PDU, checked as far as its type alone allows."""
+class ReceivedPdu:
+    """A PDU with a valid common header."""
 
     kind: Pdu
     flags: int
     header: bytes
     data: bytes
-    intact: bool  # its data's digest is right
+    intact: bool  # the data digest is correct or not in use
 
-    def fields(self) -> tuple[int, int, int, int]:
-        """Return the four numbers of a data PDU or an R2T."""
-        a, b, c, d = DATA.unpack_from(self.header, BODY)
-        return a, b, c, d
+    def transfer_fields(self) -> tuple[int, int, int, int]:
+        """Return command id, transfer tag, offset and length of a data PDU or an R2T."""
+        cid, tag, offset, length = DATA.unpack_from(self.header, BODY)
+        return cid, tag, offset, length
 
 
-class _Side:
-    """What both sides do alike: cut PDUs out of the stream, check them, and write them."""
+class _Connection:
+    """Common part of both sides: splits the stream into PDUs, checks their headers, and builds PDUs."""
 
-    from_host: bool  # what the peer sends
+    from_host: bool  # whether the received PDUs are the host's
 
-    def __init__(self, most_data: int) -> None:
+    def __init__(self, max_pdu_data: int) -> None:
         self.state = ConnectionState.INIT
         self.header_digest = self.data_digest = False
-        self._align_in = self._align_out = 0  # dwords, zero-based: of data that comes, and that goes
-        self._most_data = most_data  # that one PDU of the peer's may bring
+        self._align_in = self._align_out = 0  # of received and sent data; dwords, zero-based
+        self._max_pdu_data = max_pdu_data  # bytes of data in one received PDU
         self._inbox = ReceiveBuffer()
-        self._out: list[bytes] = []
+        self._outgoing: list[bytes] = []
 
     def take_outgoing(self) -> list[bytes]:
-        """Return what is to be sent, and forget it."""
-        out, self._out = self._out, []
-        return out
+        """Return the bytes to send and clear the queue."""
+        outgoing, self._outgoing = self._outgoing, []
+        return outgoing
 
     def receive(self, data: bytes) -> list[Event]:
-        """Take bytes of the peer; return what they mean."""
+        """Parse bytes received from the peer; return events."""
         events: list[Event] = []
         if self.state is ConnectionState.CLOSED:
             return events
@@ -144,257 +144,263 @@
                     events.append(ConnectionTerminated(fes, "the peer ended the connection", by_peer=True))
                     break
                 events.extend(self._handle(pdu))
-        except Fatal as fatal:
-            events.append(self._terminate(fatal, fatal.header or header))
+        except FatalTransportError as error:
+            events.append(self._terminate(error, error.header or header))
         return events
 
-    def _handle(self, pdu: Received) -> Iterator[Event]:
+    def _handle(self, pdu: ReceivedPdu) -> Iterator[Event]:
         raise NotImplementedError
 
-    def _terminate(self, fatal: Fatal, header: bytes) -> ConnectionTerminated:
+    def _terminate(self, error: FatalTransportError, header: bytes) -> ConnectionTerminated:
         kind = Pdu.C2H_TERM if self.from_host else Pdu.H2C_TERM
-        body = header[: MOST_TERM_BYTES - HLEN[kind]]
+        body = header[: MAX_TERM_BYTES - HLEN[kind]]
         common = COMMON.pack(kind, 0, HLEN[kind], 0, HLEN[kind] + len(body))
-        self._out.append(common + TERM.pack(fatal.fes, fatal.fei) + body)
+        self._outgoing.append(common + TERM.pack(error.fes, error.fei) + body)
         self.state = ConnectionState.CLOSED
-        return ConnectionTerminated(fatal.fes, str(fatal))
+        return ConnectionTerminated(error.fes, str(error))
 
-    # -- what comes
+    # -- receiving
 
-    def _pdus(self) -> Iterator[Received]:
+    def _pdus(self) -> Iterator[ReceivedPdu]:
         while (common := self._inbox.peek(COMMON)) is not None:
-            kind, digest, tail = self._check(common)
+            kind, header_digest_size, data_digest_size = self._check_header(common)
             _, flags, hlen, pdo, plen = common
             if len(self._inbox) < plen:
                 return
             raw = self._inbox.consume(plen)
             header = raw[:hlen]
-            if digest:
-                (sent,) = DIGEST.unpack_from(raw, hlen)
-                if sent != crc32c(header):
-                    raise Fatal(Fes.HEADER_DIGEST, "a header's digest is wrong", sent, header)
-            data = raw[pdo : plen - tail] if kind in WITH_DATA and pdo else b""
-            intact = not tail or DIGEST.unpack_from(raw, plen - tail)[0] == crc32c(data)
-            yield Received(kind, flags, header, data, intact)
-
-    def _check(self, common: tuple[int, ...]) -> tuple[Pdu, int, int]:
-        """Check a common header; return the type, and how long its digests are. Raises Fatal."""
+            if header_digest_size:
+                (received_digest,) = DIGEST.unpack_from(raw, hlen)
+                if received_digest != crc32c(header):
+                    raise FatalTransportError(
+                        Fes.HEADER_DIGEST, "incorrect header digest", received_digest, header
+                    )
+            data = raw[pdo : plen - data_digest_size] if kind in WITH_DATA and pdo else b""
+            intact = not data_digest_size or DIGEST.unpack_from(raw, plen - data_digest_size)[0] == crc32c(
+                data
+            )
+            yield ReceivedPdu(kind, flags, header, data, intact)
+
+    def _check_header(self, common: tuple[int, ...]) -> tuple[Pdu, int, int]:
+        """Check a common header; return the type, and the lengths of header and data digest.
+
+        Raises FatalTransportError.
+        """
         number, flags, hlen, pdo, plen = common
-        shown = COMMON.pack(*common)
+        packed = COMMON.pack(*common)
 
-        def wrong(at: int, why: str) -> Fatal:
-            return Fatal(Fes.INVALID_HEADER, why, at, shown)
+        def invalid_field(offset: int, reason: str) -> FatalTransportError:
+            return FatalTransportError(Fes.INVALID_HEADER, reason, offset, packed)
 
         try:
             kind = Pdu(number)
         except ValueError:
-            raise wrong(0, f"PDU type {number:#x} is unknown") from None
+            raise invalid_field(0, f"unknown PDU type {number:#x}") from None
         if (kind in FROM_HOST) is not self.from_host:
-            raise wrong(0, f"{kind.name} comes from the other side alone")
-        begins = kind in (Pdu.IC_REQ, Pdu.IC_RESP)
-        ends = kind in (Pdu.H2C_TERM, Pdu.C2H_TERM)
-        if begins is not (self.state is ConnectionState.INIT) and not ends:
-            raise Fatal(Fes.SEQUENCE, f"{kind.name} does not belong here", header=shown)
+            raise invalid_field(0, f"{kind.name} is sent only by the other side")
+        is_initialization = kind in (Pdu.IC_REQ, Pdu.IC_RESP)
+        is_termination = kind in (Pdu.H2C_TERM, Pdu.C2H_TERM)
+        if is_initialization is not (self.state is ConnectionState.INIT) and not is_termination:
+            raise FatalTransportError(Fes.SEQUENCE, f"unexpected {kind.name} in this state", header=packed)
         if hlen != HLEN[kind]:
-            raise wrong(2, f"{kind.name} of a header of {hlen} bytes")
-        digest = DIGEST.size if self.header_digest and kind not in UNDIGESTED else 0
-        if bool(flags & Flags.HDGST) is not bool(digest):
-            raise wrong(1, "a header digest where none was agreed on, or none where one was")
-        if ends:
-            if not hlen <= plen <= MOST_TERM_BYTES:
-                raise wrong(4, f"{kind.name} of {plen} bytes")
+            raise invalid_field(2, f"{kind.name} with HLEN {hlen}")
+        header_digest_size = DIGEST.size if self.header_digest and kind not in UNDIGESTED else 0
+        if bool(flags & Flags.HDGST) is not bool(header_digest_size):
+            raise invalid_field(1, "the HDGST flag does not match the negotiated header digest")
+        if is_termination:
+            if not hlen <= plen <= MAX_TERM_BYTES:
+                raise invalid_field(4, f"{kind.name} with PLEN {plen}")
             return kind, 0, 0
-        bare = hlen + digest
-        if kind not in WITH_DATA or (kind is Pdu.CAPSULE_CMD and plen == bare):
-            if plen != bare:
-                raise wrong(4, f"{kind.name} of {plen} bytes")
-            return kind, digest, 0
-        if pdo < bare or pdo % ((self._align_in + 1) * 4):
-            raise wrong(3, f"data at {pdo}")
-        tail = DIGEST.size if self.data_digest else 0
-        if bool(flags & Flags.DDGST) is not bool(tail):
-            raise wrong(1, "a data digest where none was agreed on, or none where one was")
-        if plen <= pdo + tail:
-            raise wrong(4, f"{kind.name} of {plen} bytes")
-        if plen - pdo - tail > self._most_data:
-            raise Fatal(Fes.LIMIT_EXCEEDED, f"{plen - pdo - tail} bytes of data in one PDU", header=shown)
-        return kind, digest, tail
-
-    # -- what goes
-
-    def _put(self, kind: Pdu, body: bytes, data: bytes | memoryview = b"", flags: int = 0) -> None:
+        header_end = hlen + header_digest_size
+        if kind not in WITH_DATA or (kind is Pdu.CAPSULE_CMD and plen == header_end):
+            if plen != header_end:
+                raise invalid_field(4, f"{kind.name} with PLEN {plen}")
+            return kind, header_digest_size, 0
+        if pdo < header_end or pdo % ((self._align_in + 1) * 4):
+            raise invalid_field(3, f"{kind.name} with PDO {pdo}")
+        data_digest_size = DIGEST.size if self.data_digest else 0
+        if bool(flags & Flags.DDGST) is not bool(data_digest_size):
+            raise invalid_field(1, "the DDGST flag does not match the negotiated data digest")
+        if plen <= pdo + data_digest_size:
+            raise invalid_field(4, f"{kind.name} with PLEN {plen}")
+        if plen - pdo - data_digest_size > self._max_pdu_data:
+            raise FatalTransportError(
+                Fes.LIMIT_EXCEEDED, f"{plen - pdo - data_digest_size} bytes of data in one PDU", header=packed
+            )
+        return kind, header_digest_size, data_digest_size
+
+    # -- sending
+
+    def _queue_pdu(self, kind: Pdu, body: bytes, data: bytes | memoryview = b"", flags: int = 0) -> None:
         hlen = BODY + len(body)
-        bare = hlen + (DIGEST.size if self.header_digest else 0)
-        pdo = aligned(bare, self._align_out) if data else 0
-        tail = DIGEST.size if data and self.data_digest else 0
+        header_end = hlen + (DIGEST.size if self.header_digest else 0)
+        pdo = aligned(header_end, self._align_out) if data else 0
+        data_digest_size = DIGEST.size if data and self.data_digest else 0
         flags |= Flags.HDGST if self.header_digest else 0
-        flags |= Flags.DDGST if tail else 0
-        plen = pdo + len(data) + tail if data else bare
+        flags |= Flags.DDGST if data_digest_size else 0
+        plen = pdo + len(data) + data_digest_size if data else header_end
         header = COMMON.pack(kind, flags, hlen, pdo, plen) + body
         parts = [header]
         if self.header_digest:
             parts.append(DIGEST.pack(crc32c(header)))
         if data:
-            parts += (bytes(pdo - bare), bytes(data))
-            if tail:
+            parts += (bytes(pdo - header_end), bytes(data))
+            if data_digest_size:
                 parts.append(DIGEST.pack(crc32c(bytes(data))))
-        self._out.append(b"".join(parts))
+        self._outgoing.append(b"".join(parts))
 
-    def _put_data(self, kind: Pdu, cid: int, tag: int, data: memoryview, at: int, most: int,
-                  last: int) -> None:  # fmt: skip
-        """Send data from offset `at` of the command's, in PDUs of at most `most`; `last` flags the last."""
-        done = 0
-        while done < len(data):
-            piece = data[done : done + most]
-            flags = last if done + len(piece) == len(data) else 0
-            self._put(kind, DATA.pack(cid, tag, at + done, len(piece)), piece, flags)
-            done += len(piece)
+    def _queue_data(self, kind: Pdu, cid: int, tag: int, data: memoryview, offset: int, max_pdu_data: int,
+                    last_flags: int) -> None:  # fmt: skip
+        """Queue a command's data from `offset` on, in PDUs of limited size; `last_flags` go into the last."""
+        sent = 0
+        while sent < len(data):
+            piece = data[sent : sent + max_pdu_data]
+            flags = last_flags if sent + len(piece) == len(data) else 0
+            self._queue_pdu(kind, DATA.pack(cid, tag, offset + sent, len(piece)), piece, flags)
+            sent += len(piece)
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     """What a controller offers on a connection; lengths in bytes."""
 
-    align: int = 0  # CPDA: of the data that hosts send, in dwords, zero-based
-    most_h2c: int = 128 << 10  # MAXH2CDATA
-    in_capsule: int = 8 << 10  # data that a command's capsule may bring
-    max_transfer: int = 1 << 20  # of one command (MDTS)
-    r2t: int = 128 << 10  # asked for by one R2T
-    requested_bytes: int = 8 << 20  # of all commands whose data is asked for; one is always, however large
+    align: int = 0  # CPDA: alignment of the data in the host's PDUs, in dwords, zero-based
+    max_h2c_data: int = 128 << 10  # MAXH2CDATA
+    in_capsule: int = 8 << 10  # data in a command capsule
+    max_transfer: int = 1 << 20  # data of one command (MDTS)
+    max_r2t_bytes: int = 128 << 10  # data requested by one R2T
+    # Data of all commands whose data is requested; that of one command is always requested, however large.
+    requested_bytes: int = 8 << 20
     digests: DigestFlags = DigestFlags.HEADER | DigestFlags.DATA
 
     def __post_init__(self) -> None:
-        if not 0 <= self.align <= MOST_ALIGN or self.most_h2c < LEAST_H2C_DATA or self.most_h2c % 4:
-            raise ValueError("alignment or MAXH2CDATA are outside the specification's bounds")
+        if not 0 <= self.align <= MAX_ALIGN or self.max_h2c_data < MIN_H2C_DATA or self.max_h2c_data % 4:
+            raise ValueError("CPDA or MAXH2CDATA are outside the specification's bounds")
 
 
 @dataclass(slots=True, eq=False)
 class RequestedBytes:
-    """What all connections of one head have asked for; each may always have one command's."""
+    """The requested data of all connections of one head; each may always request that of one command."""
 
     limit: int
     used: int = 0
 
 
 @dataclass(slots=True)
-class _Incoming:
-    """A command whose data is asked for."""
+class _Transfer:
+    """The transfer of a command's data by R2Ts."""
 
     sqe: Sqe
     data: bytearray
-    asked: int = 0
-    got: int = 0
-    tags: int = 0  # R2Ts whose data has not all come
-    torn: bool = False  # a digest of its data was wrong
+    requested: int = 0  # bytes
+    received: int = 0  # bytes
+    open_r2ts: int = 0  # R2Ts whose data was not received completely
+    corrupted: bool = False  # a data digest was incorrect
 
 
 @dataclass(slots=True)
-class _Asked:
-    """An R2T; data for a command that has ended meanwhile (`into` None) is let go."""
+class _R2t:
+    """An R2T; its data is discarded if the command has completed (`transfer` is None)."""
 
     cid: int
-    at: int
+    offset: int
     length: int
-    into: _Incoming | None
-    got: int = 0
+    transfer: _Transfer | None
+    received: int = 0
 
 
-class ControllerConnection(_Side):
-    """A queue, at the controller. `depth` and `flow_off` are set once its Connect command is accepted."""
+class ControllerConnection(_Connection):
+    """A queue, controller side. Set `depth` and `flow_control_disabled` when Connect is accepted."""
 
     from_host = True
 
-    def __init__(self, limits: Limits, together: RequestedBytes | None = None) -> None:
-        super().__init__(max(limits.most_h2c, limits.in_capsule))
-        self._together = together or RequestedBytes(limits.requested_bytes)
+    def __init__(self, limits: Limits, shared_requested: RequestedBytes | None = None) -> None:
+        super().__init__(max(limits.max_h2c_data, limits.in_capsule))
+        self._shared_requested = shared_requested or RequestedBytes(limits.requested_bytes)
         self.limits = limits
-        self.depth = 32  # commands at a time, until Connect says how many
-        self.flow_control_disabled = (
-            False  # no submission queue flow control: then reads may end without a capsule
-        )
+        self.depth = 32  # commands at a time, until Connect sets the size of the queue
+        self.flow_control_disabled = False  # if set, a successful read needs no response capsule
         self._sqhd = 0
-        self._open: dict[int, Sqe] = {}
-        self._incoming: dict[int, _Incoming] = {}
-        self._asked: dict[int, _Asked] = {}
-        self._unasked: deque[_Incoming] = deque()  # commands whose data is not asked for yet
-        self._granted = 0  # bytes of those whose data is
-        self._tag = 0
-        self._most_r2t = 1
+        self._open_commands: dict[int, Sqe] = {}
+        self._transfers: dict[int, _Transfer] = {}  # by command id
+        self._r2ts: dict[int, _R2t] = {}  # by transfer tag
+        self._waiting_transfers: deque[_Transfer] = deque()  # not requested yet
+        self._requested_bytes = 0  # of the commands whose data is requested
+        self._last_tag = 0
+        self._max_r2t = 1
 
     @property
-    def open(self) -> dict[int, Sqe]:
-        """Return the commands without a completion, by their ids."""
-        return self._open
+    def open_commands(self) -> dict[int, Sqe]:
+        """Return the commands without a completion, by command id."""
+        return self._open_commands
 
     def complete(self, cqe: Cqe) -> None:
-        """End a command. Raises KeyError if it is not open."""
-        del self._open[cqe.cid]
-        if (one := self._incoming.pop(cqe.cid, None)) is not None:
-            self._let_go(one)
-        for asked in self._asked.values():
-            if asked.cid == cqe.cid:
-                asked.into = None
-        self._respond(cqe)
+        """Complete a command. Raises KeyError if it is not open."""
+        del self._open_commands[cqe.cid]
+        if (transfer := self._transfers.pop(cqe.cid, None)) is not None:
+            self._release_transfer(transfer)
+        for r2t in self._r2ts.values():
+            if r2t.cid == cqe.cid:
+                r2t.transfer = None
+        self._send_response(cqe)
 
     def complete_read(self, cid: int, data: bytes) -> None:
-        """End a command with success and the data that it asked for. Raises KeyError if it is not open."""
-        del self._open[cid]
-        last = Flags.LAST_PDU | (Flags.SUCCESS if self.flow_control_disabled else 0)
-        self._put_data(Pdu.C2H_DATA, cid, 0, memoryview(data), 0, MOST_DATA_PDU, last)
+        """Complete a command with success and its data. Raises KeyError if it is not open."""
+        del self._open_commands[cid]
+        last_flags = Flags.LAST_PDU | (Flags.SUCCESS if self.flow_control_disabled else 0)
+        self._queue_data(Pdu.C2H_DATA, cid, 0, memoryview(data), 0, MAX_DATA_PDU, last_flags)
         if not self.flow_control_disabled or not data:
-            self._respond(Cqe(cid))
+            self._send_response(Cqe(cid))
 
-    def _respond(self, cqe: Cqe) -> None:
-        self._put(Pdu.CAPSULE_RESP, replace(cqe, sqhd=self._sqhd).pack())
+    def _send_response(self, cqe: Cqe) -> None:
+        self._queue_pdu(Pdu.CAPSULE_RESP, replace(cqe, sqhd=self._sqhd).pack())
 
-    def _handle(self, pdu: Received) -> Iterator[Event]:
+    def _handle(self, pdu: ReceivedPdu) -> Iterator[Event]:
         match pdu.kind:
             case Pdu.IC_REQ:
-                yield self._begin(pdu)
+                yield self._handle_ic_req(pdu)
             case Pdu.CAPSULE_CMD:
-                yield from self._command(pdu)
+                yield from self._handle_command(pdu)
             case _:
-                yield from self._data(pdu)
+                yield from self._handle_data(pdu)
 
-    def _begin(self, pdu: Received) -> Event:
-        version, align, digests, most_r2t = INIT.unpack_from(pdu.header, BODY)
+    def _handle_ic_req(self, pdu: ReceivedPdu) -> Event:
+        version, align, digests, max_r2t = INIT.unpack_from(pdu.header, BODY)
         if version:
-            raise Fatal(Fes.UNSUPPORTED, f"PDU format version {version}", BODY)
-        if align > MOST_ALIGN:
-            raise Fatal(Fes.INVALID_HEADER, f"alignment of {align} dwords", BODY + 2)
+            raise FatalTransportError(Fes.UNSUPPORTED, f"PDU format version {version}", BODY)
+        if align > MAX_ALIGN:
+            raise FatalTransportError(Fes.INVALID_HEADER, f"HPDA of {align} dwords", BODY + 2)
         digests &= self.limits.digests
-        body = INIT.pack(0, self.limits.align, digests, self.limits.most_h2c)
-        self._put(Pdu.IC_RESP, body.ljust(INIT_BYTES - BODY, b"\0"))
-        self.header_digest, self.data_digest = (
-            bool(digests & DigestFlags.HEADER),
-            bool(digests & DigestFlags.DATA),
-        )
+        body = INIT.pack(0, self.limits.align, digests, self.limits.max_h2c_data)
+        self._queue_pdu(Pdu.IC_RESP, body.ljust(INIT_BYTES - BODY, b"\0"))
+        self.header_digest = bool(digests & DigestFlags.HEADER)
+        self.data_digest = bool(digests & DigestFlags.DATA)
         self._align_in, self._align_out = self.limits.align, align
-        self._most_r2t = most_r2t + 1
+        self._max_r2t = max_r2t + 1
         self.state = ConnectionState.READY
         return Initialized(self.header_digest, self.data_digest)
 
-    def _command(self, pdu: Received) -> Iterator[Event]:
+    def _handle_command(self, pdu: ReceivedPdu) -> Iterator[Event]:
         sqe = Sqe.unpack(pdu.header[BODY : BODY + SQE_BYTES])
-        if len(self._open) >= self.depth:
-            raise Fatal(Fes.SEQUENCE, f"more than {self.depth} commands at a time")
+        if len(self._open_commands) >= self.depth:
+            raise FatalTransportError(Fes.SEQUENCE, f"more than {self.depth} commands at a time")
         self._sqhd = (self._sqhd + 1) % self.depth
-        if sqe.cid in self._open:
-            self._respond(Cqe(sqe.cid, Status.ID_CONFLICT))
+        if sqe.cid in self._open_commands:
+            self._send_response(Cqe(sqe.cid, Status.ID_CONFLICT))
             return
-        self._open[sqe.cid] = sqe
-        status = self._wrong(sqe, pdu)
+        self._open_commands[sqe.cid] = sqe
+        status = self._check_data_pointer(sqe, pdu)
         if status is not Status.SUCCESS:
             self.complete(Cqe(sqe.cid, status))
         elif sqe.to_controller and sqe.length and sqe.sgl == Sgl.TRANSPORT:
-            one = self._incoming[sqe.cid] = _Incoming(sqe, bytearray())
-            self._unasked.append(one)
-            self._ask_next()
+            transfer = self._transfers[sqe.cid] = _Transfer(sqe, bytearray())
+            self._waiting_transfers.append(transfer)
+            self._request_waiting_transfers()
         else:
             yield CommandSubmitted(sqe, pdu.data[: sqe.length] if sqe.to_controller else b"")
 
-    def _wrong(self, sqe: Sqe, pdu: Received) -> Status:
-        """Return what is wrong with where a command's data is said to be."""
+    def _check_data_pointer(self, sqe: Sqe, pdu: ReceivedPdu) -> Status:
+        """Return the error in a command's data pointer or in-capsule data, or success."""
         if sqe.flags >> 6 != 1:
             return Status.INVALID_FIELD
         if not sqe.length:
@@ -409,191 +415,206 @@
             return Status.SGL_TYPE
         return Status.INVALID_FIELD if sqe.length > self.limits.max_transfer else Status.SUCCESS
 
-    def _ask_next(self) -> None:
-        """Ask for the data of commands in the order they came, while no more than the bound is on its way."""
-        while self._unasked:
-            one = self._unasked[0]
-            length, together = one.sqe.length, self._together
-            beyond = (
-                self._granted + length > self.limits.requested_bytes
-                or together.used + length > together.limit
+    def _request_waiting_transfers(self) -> None:
+        """Request the data of waiting commands in order of arrival, within the limits on requested data."""
+        while self._waiting_transfers:
+            transfer = self._waiting_transfers[0]
+            length, shared = transfer.sqe.length, self._shared_requested
+            exceeds_limit = (
+                self._requested_bytes + length > self.limits.requested_bytes
+                or shared.used + length > shared.limit
             )
-            if self._granted and beyond:
+            if self._requested_bytes and exceeds_limit:
                 return
-            self._unasked.popleft()
-            self._granted += length
-            together.used += length
-            one.data = bytearray(one.sqe.length)
-            self._ask(one)
-
-    def _let_go(self, one: _Incoming) -> None:
-        """A command has its data, or ended without it."""
-        if one.data:
-            self._granted -= one.sqe.length
-            self._together.used -= one.sqe.length
+            self._waiting_transfers.popleft()
+            self._requested_bytes += length
+            shared.used += length
+            transfer.data = bytearray(transfer.sqe.length)
+            self._send_r2ts(transfer)
+
+    def _release_transfer(self, transfer: _Transfer) -> None:
+        """End a transfer that is complete or whose command was completed; request waiting ones."""
+        if transfer.data:
+            self._requested_bytes -= transfer.sqe.length
+            self._shared_requested.used -= transfer.sqe.length
         else:
-            self._unasked.remove(one)
-        self._ask_next()
+            self._waiting_transfers.remove(transfer)
+        self._request_waiting_transfers()
 
     def release(self) -> None:
-        """The connection is gone: what it had asked for will not come."""
-        self._together.used -= self._granted
-        self._granted = 0
-        self._unasked.clear()
-        self._incoming.clear()
-
-    def _ask(self, one: _Incoming) -> None:
-        while one.asked < len(one.data) and one.tags < self._most_r2t:
-            length = min(self.limits.r2t, len(one.data) - one.asked)
-            self._tag = (self._tag + 1) % (1 << 16)
-            while self._tag in self._asked:
-                self._tag = (self._tag + 1) % (1 << 16)
-            self._asked[self._tag] = _Asked(one.sqe.cid, one.asked, length, one)
-            self._put(Pdu.R2T, R2T.pack(one.sqe.cid, self._tag, one.asked, length))
-            one.asked += length
-            one.tags += 1
-
-    def _data(self, pdu: Received) -> Iterator[Event]:
-        cid, tag, at, length = pdu.fields()
-        asked = self._asked.get(tag)
-        if asked is None:
-            raise Fatal(Fes.INVALID_HEADER, f"data for transfer tag {tag}, which was not given", BODY + 2)
-        if cid != asked.cid:
-            raise Fatal(Fes.INVALID_HEADER, f"data for command {cid} with another's tag", BODY)
+        """Release the requested data when the connection has ended: it will not be received."""
+        self._shared_requested.used -= self._requested_bytes
+        self._requested_bytes = 0
+        self._waiting_transfers.clear()
+        self._transfers.clear()
+
+    def _send_r2ts(self, transfer: _Transfer) -> None:
+        while transfer.requested < len(transfer.data) and transfer.open_r2ts < self._max_r2t:
+            length = min(self.limits.max_r2t_bytes, len(transfer.data) - transfer.requested)
+            self._last_tag = (self._last_tag + 1) % (1 << 16)
+            while self._last_tag in self._r2ts:
+                self._last_tag = (self._last_tag + 1) % (1 << 16)
+            self._r2ts[self._last_tag] = _R2t(transfer.sqe.cid, transfer.requested, length, transfer)
+            self._queue_pdu(Pdu.R2T, R2T.pack(transfer.sqe.cid, self._last_tag, transfer.requested, length))
+            transfer.requested += length
+            transfer.open_r2ts += 1
+
+    def _handle_data(self, pdu: ReceivedPdu) -> Iterator[Event]:
+        cid, tag, offset, length = pdu.transfer_fields()
+        r2t = self._r2ts.get(tag)
+        if r2t is None:
+            raise FatalTransportError(Fes.INVALID_HEADER, f"data for unknown transfer tag {tag}", BODY + 2)
+        if cid != r2t.cid:
+            raise FatalTransportError(
+                Fes.INVALID_HEADER, f"data for command {cid} with another command's transfer tag", BODY
+            )
         if length != len(pdu.data):
-            raise Fatal(Fes.INVALID_HEADER, f"{len(pdu.data)} bytes of data, not {length}", BODY + 8)
-        if length > self.limits.most_h2c:
-            raise Fatal(Fes.LIMIT_EXCEEDED, f"{length} bytes of data in one PDU")
-        if at != asked.at + asked.got or asked.got + length > asked.length:
-            raise Fatal(Fes.OUT_OF_RANGE, f"{length} bytes at {at} were not asked for")
-        asked.got += length
-        ended = asked.got == asked.length
-        if bool(pdu.flags & Flags.LAST_PDU) is not ended:
-            raise Fatal(Fes.INVALID_HEADER, "the last PDU of a transfer says so, and no other", 1)
-        if ended:
-            del self._asked[tag]
-        one = asked.into
-        if one is None:
+            raise FatalTransportError(
+                Fes.INVALID_HEADER,
+                f"DATAL is {length}, but there are {len(pdu.data)} bytes of data",
+                BODY + 8,
+            )
+        if length > self.limits.max_h2c_data:
+            raise FatalTransportError(Fes.LIMIT_EXCEEDED, f"{length} bytes of data in one PDU")
+        if offset != r2t.offset + r2t.received or r2t.received + length > r2t.length:
+            raise FatalTransportError(Fes.OUT_OF_RANGE, f"{length} bytes at {offset} were not requested")
+        r2t.received += length
+        is_last = r2t.received == r2t.length
+        if bool(pdu.flags & Flags.LAST_PDU) is not is_last:
+            raise FatalTransportError(
+                Fes.INVALID_HEADER, "the LAST_PDU flag does not match the end of the transfer", 1
+            )
+        if is_last:
+            del self._r2ts[tag]
+        transfer = r2t.transfer
+        if transfer is None:
             return
-        one.data[at : at + length] = pdu.data
-        one.got += length
-        one.torn = one.torn or not pdu.intact
-        one.tags -= ended
-        if one.got < len(one.data):
-            self._ask(one)
+        transfer.data[offset : offset + length] = pdu.data
+        transfer.received += length
+        transfer.corrupted = transfer.corrupted or not pdu.intact
+        transfer.open_r2ts -= is_last
+        if transfer.received < len(transfer.data):
+            self._send_r2ts(transfer)
             return
-        del self._incoming[cid]
-        self._let_go(one)
-        if one.torn:
+        del self._transfers[cid]
+        self._release_transfer(transfer)
+        if transfer.corrupted:
             self.complete(Cqe(cid, Status.TRANSIENT_TRANSPORT))
         else:
-            yield CommandSubmitted(one.sqe, bytes(one.data))
+            yield CommandSubmitted(transfer.sqe, bytes(transfer.data))
 
 
 @dataclass(slots=True)
-class _Sent:
-    """A command at the host, until its end."""
+class _SentCommand:
+    """A command of the host that has not completed."""
 
     sqe: Sqe
     data: memoryview
-    into: bytearray = field(default_factory=bytearray)
-    torn: bool = False
+    received: bytearray = field(default_factory=bytearray)
+    corrupted: bool = False  # a data digest was incorrect
 
 
-class HostConnection(_Side):
-    """A queue, at the host."""
+class HostConnection(_Connection):
+    """A queue, host side."""
 
     from_host = False
 
-    def __init__(self, align: int = 0, most_r2t: int = 1, digests: DigestFlags = NO_DIGESTS) -> None:
-        super().__init__(MOST_DATA_PDU)
-        if not 0 <= align <= MOST_ALIGN or most_r2t < 1:
-            raise ValueError("alignment or number of R2Ts are outside the specification's bounds")
-        self._asks, self._align_in, self._most_r2t = digests, align, most_r2t
-        self._most_h2c = LEAST_H2C_DATA
-        self._sent: dict[int, _Sent] = {}
-        self.sqhd = 0  # the controller's newest word of it
+    def __init__(self, align: int = 0, max_r2t: int = 1, digests: DigestFlags = NO_DIGESTS) -> None:
+        super().__init__(MAX_DATA_PDU)
+        if not 0 <= align <= MAX_ALIGN or max_r2t < 1:
+            raise ValueError("HPDA or MAXR2T are outside the specification's bounds")
+        self._requested_digests, self._align_in, self._max_r2t = digests, align, max_r2t
+        self._max_h2c_data = MIN_H2C_DATA
+        self._commands: dict[int, _SentCommand] = {}
+        self.sqhd = 0  # the submission queue head of the last response capsule
 
     def send_ic_req(self) -> None:
-        """Ask for a connection."""
-        body = INIT.pack(0, self._align_in, self._asks, self._most_r2t - 1)
-        self._put(Pdu.IC_REQ, body.ljust(INIT_BYTES - BODY, b"\0"))
+        """Request initialization of the connection."""
+        body = INIT.pack(0, self._align_in, self._requested_digests, self._max_r2t - 1)
+        self._queue_pdu(Pdu.IC_REQ, body.ljust(INIT_BYTES - BODY, b"\0"))
 
     def submit(self, sqe: Sqe, data: bytes = b"", in_capsule: bool = False) -> None:
-        """Send a command; its data goes in its capsule, or when the controller asks for it.
+        """Send a command, with its data in the capsule or on request of the controller.
 
-        `sqe.length` says how much data it expects if it sends none. Raises ValueError for an id in use.
+        `sqe.length` is the length of the data to receive if none is sent. Raises ValueError for an id in use.
         """
-        if sqe.cid in self._sent:
-            raise ValueError(f"command {sqe.cid} has not ended")
-        kind = Sgl.IN_CAPSULE if data and in_capsule else Sgl.TRANSPORT
-        sqe = replace(sqe, sgl=kind, length=len(data) or sqe.length)
-        self._sent[sqe.cid] = _Sent(sqe, memoryview(data))
-        self._put(Pdu.CAPSULE_CMD, sqe.pack(), data if in_capsule else b"")
-
-    def _handle(self, pdu: Received) -> Iterator[Event]:
+        if sqe.cid in self._commands:
+            raise ValueError(f"command {sqe.cid} has not completed")
+        sgl = Sgl.IN_CAPSULE if data and in_capsule else Sgl.TRANSPORT
+        sqe = replace(sqe, sgl=sgl, length=len(data) or sqe.length)
+        self._commands[sqe.cid] = _SentCommand(sqe, memoryview(data))
+        self._queue_pdu(Pdu.CAPSULE_CMD, sqe.pack(), data if in_capsule else b"")
+
+    def _handle(self, pdu: ReceivedPdu) -> Iterator[Event]:
         match pdu.kind:
             case Pdu.IC_RESP:
-                yield self._begun(pdu)
+                yield self._handle_ic_resp(pdu)
             case Pdu.CAPSULE_RESP:
-                yield from self._ended(Cqe.unpack(pdu.header[BODY:]), capsule=True)
+                yield from self._complete(Cqe.unpack(pdu.header[BODY:]), capsule=True)
             case Pdu.R2T:
-                self._asked(pdu)
+                self._handle_r2t(pdu)
             case _:
-                yield from self._data(pdu)
+                yield from self._handle_data(pdu)
 
-    def _begun(self, pdu: Received) -> Event:
-        version, align, digests, most_h2c = INIT.unpack_from(pdu.header, BODY)
+    def _handle_ic_resp(self, pdu: ReceivedPdu) -> Event:
+        version, align, digests, max_h2c_data = INIT.unpack_from(pdu.header, BODY)
         if version:
-            raise Fatal(Fes.UNSUPPORTED, f"PDU format version {version}", BODY)
-        if align > MOST_ALIGN:
-            raise Fatal(Fes.INVALID_HEADER, f"alignment of {align} dwords", BODY + 2)
-        if digests & ~self._asks:
-            raise Fatal(Fes.INVALID_HEADER, "digests that were not asked for", BODY + 3)
-        if most_h2c < LEAST_H2C_DATA:
-            raise Fatal(Fes.INVALID_HEADER, f"MAXH2CDATA of {most_h2c}", BODY + 4)
-        self.header_digest, self.data_digest = (
-            bool(digests & DigestFlags.HEADER),
-            bool(digests & DigestFlags.DATA),
-        )
-        self._align_out, self._most_h2c = align, most_h2c
+            raise FatalTransportError(Fes.UNSUPPORTED, f"PDU format version {version}", BODY)
+        if align > MAX_ALIGN:
+            raise FatalTransportError(Fes.INVALID_HEADER, f"CPDA of {align} dwords", BODY + 2)
+        if digests & ~self._requested_digests:
+            raise FatalTransportError(Fes.INVALID_HEADER, "digests that were not requested", BODY + 3)
+        if max_h2c_data < MIN_H2C_DATA:
+            raise FatalTransportError(Fes.INVALID_HEADER, f"MAXH2CDATA of {max_h2c_data}", BODY + 4)
+        self.header_digest = bool(digests & DigestFlags.HEADER)
+        self.data_digest = bool(digests & DigestFlags.DATA)
+        self._align_out, self._max_h2c_data = align, max_h2c_data
         self.state = ConnectionState.READY
         return Initialized(self.header_digest, self.data_digest)
 
-    def _known(self, cid: int) -> _Sent:
-        sent = self._sent.get(cid)
-        if sent is None:
-            raise Fatal(Fes.INVALID_HEADER, f"command {cid} is not open", BODY)
-        return sent
-
-    def _asked(self, pdu: Received) -> None:
-        cid, tag, at, length = pdu.fields()
-        sent = self._known(cid)
-        if not length or at + length > len(sent.data) or sent.sqe.sgl != Sgl.TRANSPORT:
-            raise Fatal(Fes.OUT_OF_RANGE, f"asked for {length} bytes at {at} of {len(sent.data)}")
-        self._put_data(
-            Pdu.H2C_DATA, cid, tag, sent.data[at : at + length], at, self._most_h2c, Flags.LAST_PDU
-        )
-
-    def _data(self, pdu: Received) -> Iterator[Event]:
-        cid, _, at, length = pdu.fields()
-        sent = self._known(cid)
+    def _find_command(self, cid: int) -> _SentCommand:
+        command = self._commands.get(cid)
+        if command is None:
+            raise FatalTransportError(Fes.INVALID_HEADER, f"command {cid} is not open", BODY)
+        return command
+
+    def _handle_r2t(self, pdu: ReceivedPdu) -> None:
+        cid, tag, offset, length = pdu.transfer_fields()
+        command = self._find_command(cid)
+        if not length or offset + length > len(command.data) or command.sqe.sgl != Sgl.TRANSPORT:
+            raise FatalTransportError(
+                Fes.OUT_OF_RANGE, f"R2T for {length} bytes at {offset} of {len(command.data)}"
+            )
+        self._queue_data(
+            Pdu.H2C_DATA, cid, tag, command.data[offset : offset + length], offset, self._max_h2c_data,
+            Flags.LAST_PDU,
+        )  # fmt: skip
+
+    def _handle_data(self, pdu: ReceivedPdu) -> Iterator[Event]:
+        cid, _, offset, length = pdu.transfer_fields()
+        command = self._find_command(cid)
         if length != len(pdu.data):
-            raise Fatal(Fes.INVALID_HEADER, f"{len(pdu.data)} bytes of data, not {length}", BODY + 8)
-        if at != len(sent.into) or at + length > sent.sqe.length or not sent.sqe.to_host:
-            raise Fatal(Fes.OUT_OF_RANGE, f"{length} bytes at {at} of {sent.sqe.length}")
+            raise FatalTransportError(
+                Fes.INVALID_HEADER,
+                f"DATAL is {length}, but there are {len(pdu.data)} bytes of data",
+                BODY + 8,
+            )
+        if offset != len(command.received) or offset + length > command.sqe.length or not command.sqe.to_host:
+            raise FatalTransportError(
+                Fes.OUT_OF_RANGE, f"data of {length} bytes at {offset} of {command.sqe.length}"
+            )
         if pdu.flags & Flags.SUCCESS and not pdu.flags & Flags.LAST_PDU:
-            raise Fatal(Fes.INVALID_HEADER, "success before the last of the data", 1)
-        sent.into += pdu.data
-        sent.torn = sent.torn or not pdu.intact
+            raise FatalTransportError(Fes.INVALID_HEADER, "the SUCCESS flag without LAST_PDU", 1)
+        command.received += pdu.data
+        command.corrupted = command.corrupted or not pdu.intact
         if pdu.flags & Flags.SUCCESS:
-            yield from self._ended(Cqe(cid))
+            yield from self._complete(Cqe(cid))
 
-    def _ended(self, cqe: Cqe, capsule: bool = False) -> Iterator[Event]:
-        sent = self._known(cqe.cid)
-        del self._sent[cqe.cid]
+    def _complete(self, cqe: Cqe, capsule: bool = False) -> Iterator[Event]:
+        command = self._find_command(cqe.cid)
+        del self._commands[cqe.cid]
         if capsule:
             self.sqhd = cqe.sqhd
-        if sent.torn and cqe.status == Status.SUCCESS:
+        if command.corrupted and cqe.status == Status.SUCCESS:
             cqe = replace(cqe, status=Status.TRANSIENT_TRANSPORT)
-        yield ResponseReceived(cqe, bytes(sent.into) if cqe.status == Status.SUCCESS else b"")
+        yield ResponseReceived(cqe, bytes(command.received) if cqe.status == Status.SUCCESS else b"")
--- a/harriertrack/protocol/nvme/wire.py
+++ b/harriertrack/protocol/nvme/wire.py
@@ -1,7 +1,7 @@
-"""PDUs of the NVMe/TCP transport, and the entries that capsules carry.
+"""PDUs of the NVMe/TCP transport, and the queue entries in capsules.
 
 Layouts, names and values are those of the "NVM Express TCP Transport Specification" 1.0, section 3.6 (PDUs),
-and of the "NVM Express Base Specification" 2.0, sections 3.3.3 (queue entries) and 4.2 (status). All numbers
+and of the "NVM Express Base Specification" 2.0, sections 3.3.3 (queue entries) and 4.2 (status). All integers
 are little-endian.
 """
 
@@ -22,13 +22,13 @@
 
 SQE_BYTES, CQE_BYTES = 64, 16
 INIT_BYTES = 128
-MOST_TERM_BYTES = 152  # a termination request with the header that it complains of
-MOST_ALIGN = 31  # of HPDA and CPDA, in dwords, zero-based
-LEAST_H2C_DATA = 4096  # of MAXH2CDATA
+MAX_TERM_BYTES = 152  # a termination request, including the header of the PDU in error
+MAX_ALIGN = 31  # of HPDA and CPDA, in dwords, zero-based
+MIN_H2C_DATA = 4096  # the smallest MAXH2CDATA allowed
 
 
 class Pdu(IntEnum):
-    """Types of PDUs."""
+    """PDU types."""
 
     IC_REQ = 0x00
     IC_RESP = 0x01
@@ -62,38 +62,38 @@
 
     HDGST = 1 << 0  # a header digest follows the header
     DDGST = 1 << 1  # a data digest follows the data
-    LAST_PDU = 1 << 2  # of the data that one command or R2T asked for
-    SUCCESS = 1 << 3  # C2HData: no response capsule follows, the command was successful
+    LAST_PDU = 1 << 2  # the last data PDU of a command or R2T
+    SUCCESS = 1 << 3  # C2HData: the command was successful, and no response capsule follows
 
 
 class DigestFlags(IntFlag):
-    """Digests in ICReq and ICResp."""
+    """DGST in ICReq and ICResp: the digests to enable."""
 
     HEADER = 1 << 0
     DATA = 1 << 1
 
 
 class Fes(IntEnum):
-    """Fatal error status of a termination request (sections 3.6.2.3 and 3.6.2.4)."""
+    """Fatal error status (FES) of a termination request (sections 3.6.2.3 and 3.6.2.4)."""
 
     INVALID_HEADER = 0x01  # FEI: the field's byte offset
     SEQUENCE = 0x02
-    HEADER_DIGEST = 0x03  # FEI: the digest received
+    HEADER_DIGEST = 0x03  # FEI: the received digest
     OUT_OF_RANGE = 0x04
-    LIMIT_EXCEEDED = 0x05  # a data transfer, or the number of R2Ts
+    LIMIT_EXCEEDED = 0x05  # of a data transfer, or of the number of R2Ts
     UNSUPPORTED = 0x06  # FEI: the parameter's byte offset
 
 
-class Fatal(Exception):
-    """What the peer did ends the connection; `fes`, `fei` and `header` go into the termination request."""
+class FatalTransportError(Exception):
+    """A fatal error of the peer; `fes`, `fei` and `header` are sent in the termination request."""
 
-    def __init__(self, fes: Fes, why: str, fei: int = 0, header: bytes = b"") -> None:
-        super().__init__(why)
+    def __init__(self, fes: Fes, reason: str, fei: int = 0, header: bytes = b"") -> None:
+        super().__init__(reason)
         self.fes, self.fei, self.header = fes, fei, header
 
 
 class Status(IntEnum):
-    """Status codes, type << 8 | code; types: 0 generic, 1 of a command, 2 of media, 3 of the path."""
+    """Status code type << 8 | status code; types: 0 generic, 1 command specific, 2 media, 3 path related."""
 
     SUCCESS = 0x000
     INVALID_OPCODE = 0x001
@@ -113,31 +113,31 @@
     INTERRUPTED = 0x021
     TRANSIENT_TRANSPORT = 0x022
     LBA_RANGE = 0x080
-    EVENT_LIMIT = 0x105
-    BAD_LOG = 0x109
+    ASYNC_EVENT_LIMIT = 0x105
+    INVALID_LOG_PAGE = 0x109
     CONNECT_FORMAT = 0x180
     CONNECT_BUSY = 0x181
     CONNECT_INVALID = 0x182
     COMPARE_FAILURE = 0x285
-    ANA_INACCESSIBLE = 0x302  # asymmetric access: take another path
+    ANA_INACCESSIBLE = 0x302  # ANA state inaccessible: use another path
 
 
 def crc32c(data: bytes) -> int:
-    """Return the CRC32C that digests are made of (section 3.4)."""
+    """Return the CRC32C used for digests (section 3.4)."""
     return int(google_crc32c.value(data))
 
 
 def aligned(length: int, dwords: int) -> int:
-    """Round up to what a zero-based alignment in dwords asks."""
+    """Round a length up to an alignment, given as a zero-based number of dwords."""
     unit = (dwords + 1) * 4
     return -(-length // unit) * unit
 
 
 class Sgl(IntEnum):
-    """SGL descriptors of a command's data pointer: type << 4 | subtype (base specification, 4.1.2)."""
+    """SGL identifiers of a command's data pointer: type << 4 | subtype (base specification, 4.1.2)."""
 
-    IN_CAPSULE = 0x01  # data block, offset
-    TRANSPORT = 0x5A  # transport data block: by R2T or C2HData
+    IN_CAPSULE = 0x01  # SGL data block, offset
+    TRANSPORT = 0x5A  # transport SGL data block: transferred by R2T and H2CData, or by C2HData
 
 
 _SGL = struct.Struct("<QI3xB")
@@ -152,34 +152,34 @@
     cid: int
     nsid: int = 0
     cdw: tuple[int, int, int, int, int, int] = (0, 0, 0, 0, 0, 0)  # dwords 10 to 15
-    sgl: int = 0  # an `Sgl`, or what else the host sent
-    sgl_address: int = 0  # for IN_CAPSULE: the offset
-    length: int = 0  # of the data
+    sgl: int = 0  # an `Sgl`, or an unknown identifier from the host
+    sgl_address: int = 0  # the offset, for IN_CAPSULE
+    length: int = 0  # of the data, in bytes
     cdw2: int = 0
     cdw3: int = 0
-    flags: int = 0x40  # PSDT: SGLs are used
+    flags: int = 0x40  # PSDT: SGLs are used for the data transfer
 
     def pack(self) -> bytes:
-        """Write the entry."""
+        """Return the entry's 64 bytes."""
         sgl = _SGL.pack(self.sgl_address, self.length, self.sgl)
         return _SQE.pack(self.opcode, self.flags, self.cid, self.nsid, self.cdw2, self.cdw3, sgl, *self.cdw)
 
     @classmethod
     def unpack(cls, data: bytes) -> Sqe:
-        """Read an entry of 64 bytes."""
+        """Parse an entry of 64 bytes."""
         opcode, flags, cid, nsid, cdw2, cdw3, sgl, *cdw = _SQE.unpack(data)
         address, length, kind = _SGL.unpack(sgl)
-        words = (cdw[0], cdw[1], cdw[2], cdw[3], cdw[4], cdw[5])
-        return cls(opcode, cid, nsid, words, kind, address, length, cdw2, cdw3, flags)
+        dwords = (cdw[0], cdw[1], cdw[2], cdw[3], cdw[4], cdw[5])
+        return cls(opcode, cid, nsid, dwords, kind, address, length, cdw2, cdw3, flags)
 
     @property
     def to_controller(self) -> bool:
-        """Whether the command's data goes from host to controller (opcode bits 1:0, or fabrics type bits)."""
+        """Whether data goes from host to controller (bits 1:0 of the opcode or fabrics command type)."""
         return self._direction == 1
 
     @property
     def to_host(self) -> bool:
-        """Whether it goes to the host."""
+        """Whether data goes from controller to host."""
         return self._direction == 2
 
     @property
@@ -187,7 +187,7 @@
         return (self.nsid if self.opcode == FABRICS else self.opcode) & 0b11
 
 
-FABRICS = 0x7F  # the command type stands in the byte where others have the lowest one of their namespace
+FABRICS = 0x7F  # the fabrics command type is in the lowest byte of the namespace id field
 
 _CQE = struct.Struct("<QHHHH")
 
@@ -198,18 +198,18 @@
 
     cid: int
     status: int = Status.SUCCESS
-    dw0: int = 0  # dwords 0 and 1 in one: results of commands
+    dw0: int = 0  # dwords 0 and 1 as one integer: the command's result
     sqhd: int = 0
-    crd: int = 0  # which of the controller's retry delays applies, 0 for none
-    dnr: bool = False  # trying again would do no good
+    crd: int = 0  # Command Retry Delay: which of the controller's retry delays applies, 0 for none
+    dnr: bool = False  # Do Not Retry: a retry would fail too
 
     def pack(self) -> bytes:
-        """Write the entry; the phase tag is not used over fabrics."""
+        """Return the entry's 16 bytes; the phase tag is not used over fabrics."""
         field = self.status << 1 | self.crd << 12 | self.dnr << 15
         return _CQE.pack(self.dw0, self.sqhd, 0, self.cid, field)
 
     @classmethod
     def unpack(cls, data: bytes) -> Cqe:
-        """Read an entry of 16 bytes."""
+        """Parse an entry of 16 bytes."""
         dw0, sqhd, _sqid, cid, field = _CQE.unpack(data)
         return cls(cid, field >> 1 & 0x7FF, dw0, sqhd, field >> 12 & 0b11, bool(field >> 15))
