--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -53,7 +53,7 @@
 def row(name: str, fleet: bool, story: checker.RunHistory, share: float) -> str:
     """Return a line of a table."""
     served = [asked for asked in story.requests if asked.answers and asked.answers[0].outcome == "served"]
-    reads = [(one.answers[0].t - one.request.t) / 1000 for one in served if one.request.kind == "read"]
+    reads = [(one.answers[0].t - one.sent.t) / 1000 for one in served if one.sent.kind == "read"]
     part = len(served) / len(story.requests)
     p50, p99 = quantile(reads, 0.5), quantile(reads, 0.99)
     used = f"{share:.4f}" if share else "-"
--- a/harriertrack/rules/checker.py
+++ b/harriertrack/rules/checker.py
@@ -1,10 +1,9 @@
-"""The seven rules, judged from a recording, an eighth where the fleet is divided into cells, and a ninth for
-clients that wait in their heads.
+"""Checks a recording of requests against the rules 0 to 9; 8 is for fleets of cells, 9 for waiting requests.
 
-Each rule is a function of its own from the `Story` of a run to the breaches it found; a breach names the
-rule, the moment, and the request or node. Rules 1 and 2 join clients' requests to what nodes received by
-place: the clients of a run never use a byte offset, or an end, twice for requests of one kind on one volume
-(`Ambiguous` if they do).
+Each rule is a function that yields the breaches it finds in the `RunHistory` of a run; a breach names the
+rule, the time, and the request or node. Attempts that nodes received are matched to clients' requests by
+volume, kind and byte range. For this the clients of a run never use a start or end offset twice for requests
+of one kind on one volume; `AmbiguousRecording` is raised if they do.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 from harriertrack.rules import recording as rec
 from harriertrack.rules.linearizability import broken_blocks
 
-CHANGING = ("write", "trim", "write-zeroes")
-EARLY_US = 10_000  # a last refusal comes a little before the end of its client's patience
+MODIFYING_KINDS = ("write", "trim", "write-zeroes")
+REFUSAL_LEAD_US = 10_000  # a final refusal may be sent this long before the client's wait limit
 
 
 class AmbiguousRecording(Exception):
-    """The recording does not tell whose request a node received: its clients reused a place."""
+    """An attempt matches several requests because the clients reused an offset."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,25 +39,25 @@
 
 @dataclass(slots=True, eq=False)
 class RequestHistory:
-    """A client's request and all that belongs to it."""
+    """A client's request with its final answers and the attempts for it that nodes received."""
 
-    request: rec.RequestSent
+    sent: rec.RequestSent
     deadline_at_us: int
     answers: list[rec.FinalAnswer] = field(default_factory=list)
     received: list[rec.AttemptReceived] = field(default_factory=list)
-    excused_at_us: int | None = None  # its client left or its head was killed then
+    excused_at_us: int | None = None  # when its client disconnected or its head was killed
 
     @property
     def name(self) -> str:
-        """Name the request for people."""
-        sent = self.request
+        """Describe the request for reports."""
+        sent = self.sent
         return (
             f"request {sent.request} of {sent.client} ({sent.kind} {sent.volume}@{sent.offset}+{sent.length})"
         )
 
 
 class RunHistory:
-    """A recording, put in order and joined."""
+    """A recording in order of time, with attempts matched to requests."""
 
     def __init__(self, records: Iterable[rec.Record]) -> None:
         records = list(records)
@@ -79,43 +78,43 @@
         self.heads: dict[int, str] = {}
         self.request_times: dict[str, list[int]] = defaultdict(list)
         self.stray_answers: list[rec.FinalAnswer] = []
-        self.machine_pauses: dict[int, int] = {}  # when the whole machine stood still, and for how long
-        by_request: dict[tuple[str, int], RequestHistory] = {}
-        open_of: dict[str, dict[int, RequestHistory]] = defaultdict(dict)
-        by_head: dict[str, set[str]] = defaultdict(set)
-        stood: dict[str, list[rec.HeadPaused]] = defaultdict(list)
+        self.machine_pauses: dict[int, int] = {}  # start and length of pauses of the whole machine
+        by_client_and_number: dict[tuple[str, int], RequestHistory] = {}
+        open_by_client: dict[str, dict[int, RequestHistory]] = defaultdict(dict)
+        clients_by_head: dict[str, set[str]] = defaultdict(set)
+        pauses_by_head: dict[str, list[rec.HeadPaused]] = defaultdict(list)
         for record in sorted(
             (one for one in records if not isinstance(one, rec.Facts)), key=lambda one: one.t
         ):
             match record:
                 case rec.RequestSent():
-                    limit = max(self.classes[record.class_name].deadline_us, record.patience_us)
-                    asked = RequestHistory(record, record.t + limit)
-                    self.requests.append(asked)
-                    by_request[record.client, record.request] = asked
-                    open_of[record.client][record.request] = asked
-                    by_head[record.head].add(record.client)
+                    wait_us = max(self.classes[record.class_name].deadline_us, record.patience_us)
+                    request = RequestHistory(record, record.t + wait_us)
+                    self.requests.append(request)
+                    by_client_and_number[record.client, record.request] = request
+                    open_by_client[record.client][record.request] = request
+                    clients_by_head[record.head].add(record.client)
                     self.request_times[record.head].append(record.t)
                 case rec.FinalAnswer():
-                    found = by_request.get((record.client, record.request))
-                    if found is None:
+                    answered = by_client_and_number.get((record.client, record.request))
+                    if answered is None:
                         self.stray_answers.append(record)
                     else:
-                        found.answers.append(record)
-                        open_of[record.client].pop(record.request, None)
+                        answered.answers.append(record)
+                        open_by_client[record.client].pop(record.request, None)
                 case rec.ClientLeft():
-                    for asked in open_of.pop(record.client, {}).values():
-                        asked.excused_at_us = record.t
+                    for request in open_by_client.pop(record.client, {}).values():
+                        request.excused_at_us = record.t
                 case rec.HeadPaused():
-                    stood[record.head].append(record)
+                    pauses_by_head[record.head].append(record)
                     if record.machine:
                         self.machine_pauses[record.t] = max(self.machine_pauses.get(record.t, 0), record.us)
                 case rec.HeadLifecycle() if record.up:
                     self.heads[record.number] = record.head
                 case rec.HeadLifecycle():
-                    for client in by_head[record.head]:
-                        for asked in open_of.pop(client, {}).values():
-                            asked.excused_at_us = record.t
+                    for client in clients_by_head[record.head]:
+                        for request in open_by_client.pop(client, {}).values():
+                            request.excused_at_us = record.t
                 case rec.AttemptSent():
                     self.attempts_sent.append(record)
                 case rec.AttemptReceived():
@@ -131,338 +130,374 @@
                     self.node_events.append(record)
                 case rec.LimitChanged():
                     self.limit_changes.append(record)
-        for asked in self.requests:
-            for still in stood[asked.request.head]:
-                until = still.t + still.us
-                if still.unread and still.t <= asked.request.t < until:
-                    asked.deadline_at_us += until - asked.request.t
-                elif still.t <= asked.deadline_at_us < until:
-                    asked.deadline_at_us = until
-        self._join()
+        for request in self.requests:
+            for pause in pauses_by_head[request.sent.head]:
+                resumed_at_us = pause.t + pause.us
+                if pause.unread and pause.t <= request.sent.t < resumed_at_us:
+                    request.deadline_at_us += resumed_at_us - request.sent.t
+                elif pause.t <= request.deadline_at_us < resumed_at_us:
+                    request.deadline_at_us = resumed_at_us
+        self._match_attempts()
         self.request_of_key: dict[tuple[int, int], RequestHistory] = {}
-        for asked in self.requests:
-            for got in asked.received:
-                if got.key:
-                    self.request_of_key[got.head, got.key] = asked
-
-    def _join(self) -> None:
-        starts: dict[tuple[str, str, int], list[RequestHistory]] = defaultdict(list)
-        ends: dict[tuple[str, str, int], list[RequestHistory]] = defaultdict(list)
-        for asked in self.requests:
-            take = asked.request
-            if take.kind != "flush":
-                starts[take.volume, take.kind, take.offset].append(asked)
-                ends[take.volume, take.kind, take.offset + take.length].append(asked)
-        for got in self.received:
-            end = got.offset + got.length
-            found = {id(one): one for one in starts.get((got.volume, got.kind, got.offset), ())}
-            found.update((id(one), one) for one in ends.get((got.volume, got.kind, end), ()))
-            # A part is all that a request has in the extent, so a neighbour that merely covers it does not
-            # fit.
-            low = got.offset - got.offset % self.facts.extent_bytes
-            fitting = [
+        for request in self.requests:
+            for attempt in request.received:
+                if attempt.key:
+                    self.request_of_key[attempt.head, attempt.key] = request
+
+    def _match_attempts(self) -> None:
+        by_start: dict[tuple[str, str, int], list[RequestHistory]] = defaultdict(list)
+        by_end: dict[tuple[str, str, int], list[RequestHistory]] = defaultdict(list)
+        for request in self.requests:
+            sent = request.sent
+            if sent.kind != "flush":
+                by_start[sent.volume, sent.kind, sent.offset].append(request)
+                by_end[sent.volume, sent.kind, sent.offset + sent.length].append(request)
+        for attempt in self.received:
+            end = attempt.offset + attempt.length
+            candidates = {
+                id(one): one for one in by_start.get((attempt.volume, attempt.kind, attempt.offset), ())
+            }
+            candidates.update((id(one), one) for one in by_end.get((attempt.volume, attempt.kind, end), ()))
+            # A part is the request's whole range in its extent, so a request that merely covers the attempt's
+            # range is no match.
+            extent_start = attempt.offset - attempt.offset % self.facts.extent_bytes
+            matching = [
                 one
-                for one in found.values()
-                if one.request.t <= got.t
-                and max(one.request.offset, low) == got.offset
-                and min(one.request.offset + one.request.length, low + self.facts.extent_bytes) == end
+                for one in candidates.values()
+                if one.sent.t <= attempt.t
+                and max(one.sent.offset, extent_start) == attempt.offset
+                and min(one.sent.offset + one.sent.length, extent_start + self.facts.extent_bytes) == end
             ]
-            if len(fitting) > 1:
+            if len(matching) > 1:
                 raise AmbiguousRecording(
-                    f"{got.kind} {got.volume}@{got.offset}+{got.length} may belong to several requests"
+                    f"{attempt.kind} {attempt.volume}@{attempt.offset}+{attempt.length}"
+                    " may belong to several requests"
                 )
-            if fitting:
-                fitting[0].received.append(got)
+            if matching:
+                matching[0].received.append(attempt)
 
-    def max_flight_us(self, since: int, until: int) -> int:
-        """Return how long what was sent by a moment may have been on its way at another."""
-        return self.facts.flight_us + self.machine_paused_us(since, until)
+    def max_flight_us(self, sent_at_us: int, received_at_us: int) -> int:
+        """Return how long an attempt sent at one time may take if it is received at another."""
+        return self.facts.flight_us + self.machine_paused_us(sent_at_us, received_at_us)
 
-    def machine_paused_us(self, since: int, until: int) -> int:
-        """Return how long the whole machine stood still between two moments."""
-        stills = ((max(t, since), min(t + us, until)) for t, us in self.machine_pauses.items())
-        return sum(max(0, end - begin) for begin, end in stills)
+    def machine_paused_us(self, begin_us: int, end_us: int) -> int:
+        """Return how long the whole machine was paused between two times."""
+        pauses = ((max(t, begin_us), min(t + us, end_us)) for t, us in self.machine_pauses.items())
+        return sum(max(0, end - begin) for begin, end in pauses)
 
-    def units(self, got: rec.AttemptReceived) -> float:
-        """Return what a request counts: whole units, at least one."""
-        return float(max(1, -(-got.length // self.facts.unit_bytes)))
+    def units(self, attempt: rec.AttemptReceived) -> float:
+        """Return the cost of an attempt: its length in units, rounded up, at least one."""
+        return float(max(1, -(-attempt.length // self.facts.unit_bytes)))
 
-    def is_sent_for_client(self, asked: RequestHistory, got: rec.AttemptReceived) -> bool:
-        """Whether a client waits for this sending.
+    def is_sent_for_client(self, request: RequestHistory, attempt: rec.AttemptReceived) -> bool:
+        """Return whether an attempt serves the client itself, not replication.
 
-        Of two regions, only what the first head to send it sends.
+        With two regions, only the head that sent the request's first attempt serves the client.
         """
-        return not self.facts.regions or got.head == asked.received[0].head
+        return not self.facts.regions or attempt.head == request.received[0].head
 
-    def is_proven_unexecuted(self, got: rec.AttemptReceived) -> bool:
-        """Whether the node proved that this attempt never ran."""
+    def is_proven_unexecuted(self, attempt: rec.AttemptReceived) -> bool:
+        """Return whether the node answered that this attempt was never executed."""
         return any(
-            said.result == "unseen" for said in self.node_answers.get((got.head, got.key, got.attempt), ())
+            answer.result == "unseen"
+            for answer in self.node_answers.get((attempt.head, attempt.key, attempt.attempt), ())
         )
 
 
-def every_request_answered_once(story: RunHistory) -> Iterator[Breach]:
-    """Rule 1: one final answer in time, and nothing sent for the request afterwards."""
-    slack, flight = story.facts.answer_slack_us, story.facts.flight_us
-    for stray in story.stray_answers:
+def every_request_answered_once(run: RunHistory) -> Iterator[Breach]:
+    """Rule 1: each request gets one final answer in time, and no attempt is sent for it afterwards."""
+    slack, flight = run.facts.answer_slack_us, run.facts.flight_us
+    for stray in run.stray_answers:
         yield Breach(1, stray.t, f"{stray.client}", "an answer that no open request fits")
-    for asked in story.requests:
-        answers = asked.answers
+    for request in run.requests:
+        answers = request.answers
         if len(answers) > 1:
-            yield Breach(1, answers[1].t, asked.name, f"{len(answers)} final answers")
-        if not answers and asked.excused_at_us is None:
-            yield Breach(1, asked.deadline_at_us, asked.name, "no final answer")
-        over = asked.excused_at_us if not answers else answers[0].t
-        late_us = answers[0].t - asked.deadline_at_us if answers else 0
-        if late_us > slack and late_us > slack + story.machine_paused_us(asked.deadline_at_us, answers[0].t):
-            yield Breach(1, answers[0].t, asked.name, f"answered {late_us} us after its time was up")
-        for got in asked.received:
+            yield Breach(1, answers[1].t, request.name, f"{len(answers)} final answers")
+        if not answers and request.excused_at_us is None:
+            yield Breach(1, request.deadline_at_us, request.name, "no final answer")
+        ended = request.excused_at_us if not answers else answers[0].t
+        late_us = answers[0].t - request.deadline_at_us if answers else 0
+        if late_us > slack and late_us > slack + run.machine_paused_us(request.deadline_at_us, answers[0].t):
+            yield Breach(1, answers[0].t, request.name, f"answered {late_us} us after its time was up")
+        for attempt in request.received:
             late = (
-                over is not None and got.t > over + flight and got.t > over + story.max_flight_us(over, got.t)
+                ended is not None
+                and attempt.t > ended + flight
+                and attempt.t > ended + run.max_flight_us(ended, attempt.t)
             )
-            if over is not None and late and story.is_sent_for_client(asked, got):
-                yield Breach(1, got.t, asked.name, f"sent to {got.node} {got.t - over} us after it was over")
-
-
-def no_effect_twice(story: RunHistory) -> Iterator[Breach]:
-    """Rule 2: nothing runs twice that must not, repeats only as the class allows, refusals had no effect."""
-    for key, ran in story.executed.items():
-        first = story.attempts[key][0] if key[1] and story.attempts[key] else None
-        if first is not None and first.kind in CHANGING and len(ran) > 1:
-            owner = story.request_of_key.get(key)
-            if owner is None or story.classes[owner.request.class_name].effect != "safe":
-                yield Breach(2, ran[1].t, _name(story, key), f"ran {len(ran)} times")
-    for key, attempts in story.attempts.items():
-        owner = story.request_of_key.get(key)
+            if ended is not None and late and run.is_sent_for_client(request, attempt):
+                yield Breach(
+                    1,
+                    attempt.t,
+                    request.name,
+                    f"sent to {attempt.node} {attempt.t - ended} us after it was over",
+                )
+
+
+def no_effect_twice(run: RunHistory) -> Iterator[Breach]:
+    """Rule 2: nothing is executed twice unless the class allows it, and a refused request has no effect."""
+    for key, executed in run.executed.items():
+        first = run.attempts[key][0] if key[1] and run.attempts[key] else None
+        if first is not None and first.kind in MODIFYING_KINDS and len(executed) > 1:
+            owner = run.request_of_key.get(key)
+            if owner is None or run.classes[owner.sent.class_name].effect != "safe":
+                yield Breach(2, executed[1].t, _name(run, key), f"ran {len(executed)} times")
+    for key, attempts in run.attempts.items():
+        owner = run.request_of_key.get(key)
         if owner is None or not key[1]:
             continue
-        facts = story.classes[owner.request.class_name]
-        earlier: list[rec.AttemptReceived] = []  # attempts that may have run
-        for got in attempts:
+        facts = run.classes[owner.sent.class_name]
+        earlier: list[rec.AttemptReceived] = []  # attempts that may have been executed
+        for attempt in attempts:
             if earlier and facts.effect == "unsafe":
-                yield Breach(2, got.t, owner.name, f"sent again to {got.node} though it may have run")
+                yield Breach(2, attempt.t, owner.name, f"sent again to {attempt.node} though it may have run")
             elif earlier and facts.effect == "keyed":
-                if got.shard != earlier[0].shard:
-                    yield Breach(2, got.t, owner.name, f"sent again outside the rack, to {got.node}")
-                if got.t > earlier[0].t + facts.window_us + story.facts.flight_us:
-                    yield Breach(2, got.t, owner.name, f"sent again to {got.node} after the rack's window")
-            if not story.is_proven_unexecuted(got):
-                earlier.append(got)
-    for asked in story.requests:
-        if asked.request.kind not in CHANGING or not any(one.outcome == "refused" for one in asked.answers):
+                if attempt.shard != earlier[0].shard:
+                    yield Breach(2, attempt.t, owner.name, f"sent again outside the rack, to {attempt.node}")
+                if attempt.t > earlier[0].t + facts.window_us + run.facts.flight_us:
+                    yield Breach(
+                        2, attempt.t, owner.name, f"sent again to {attempt.node} after the rack's window"
+                    )
+            if not run.is_proven_unexecuted(attempt):
+                earlier.append(attempt)
+    for request in run.requests:
+        if request.sent.kind not in MODIFYING_KINDS or not any(
+            answer.outcome == "refused" for answer in request.answers
+        ):
             continue
-        for got in asked.received:
-            # A node that speaks no extension tells no key: there only what was received counts.
-            if story.executed.get((got.head, got.key)) if got.key else True:
-                yield Breach(2, got.t, asked.name, f"refused, though it ran or may have run at {got.node}")
-
-
-def drains_kept(story: RunHistory) -> Iterator[Breach]:
-    """Rule 3: nothing new to a node later than the grace after the head was told."""
-    news: dict[tuple[int, str], list[rec.NodeListed]] = defaultdict(list)
-    for one in story.node_listings:
-        news[one.head, one.node].append(one)
-    for t, head, node, flight in _sends(story):
-        late = _after_drain(news.get((head, node), ()), t)
-        if late > story.facts.drain_grace_us + flight:
-            who = f"{story.heads.get(head, head)} to {node}"
+        for attempt in request.received:
+            # Without the extension attempts have no key, so each one received counts as executed.
+            if run.executed.get((attempt.head, attempt.key)) if attempt.key else True:
+                yield Breach(
+                    2, attempt.t, request.name, f"refused, though it ran or may have run at {attempt.node}"
+                )
+
+
+def drains_kept(run: RunHistory) -> Iterator[Breach]:
+    """Rule 3: a head sends a draining node nothing new after the grace, counted from the list it received."""
+    listings: dict[tuple[int, str], list[rec.NodeListed]] = defaultdict(list)
+    for listing in run.node_listings:
+        listings[listing.head, listing.node].append(listing)
+    for t, head, node, flight in _sends(run):
+        late = _since_drain_us(listings.get((head, node), ()), t)
+        if late > run.facts.drain_grace_us + flight:
+            who = f"{run.heads.get(head, head)} to {node}"
             yield Breach(3, t, who, f"sent {late} us after it was told of the drain")
 
 
-def drains_kept_by_all(story: RunHistory) -> Iterator[Breach]:
-    """Rule 3 in its stricter reading, for two regions: the grace runs from when any head was told."""
-    if not story.facts.regions:
+def drains_kept_by_all(run: RunHistory) -> Iterator[Breach]:
+    """Rule 3, stricter for two regions: the grace runs from when the first head received the list."""
+    if not run.facts.regions:
         return
-    news: dict[str, list[rec.NodeListed]] = defaultdict(list)
-    for one in story.node_listings:
-        news[one.node].append(one)
-    for t, _, node, flight in _sends(story):
-        late = _after_drain(news[node], t)
-        if late > story.facts.drain_grace_us + flight:
+    listings: dict[str, list[rec.NodeListed]] = defaultdict(list)
+    for listing in run.node_listings:
+        listings[listing.node].append(listing)
+    for t, _, node, flight in _sends(run):
+        late = _since_drain_us(listings[node], t)
+        if late > run.facts.drain_grace_us + flight:
             yield Breach(3, t, node, f"sent {late} us after some head was told of the drain")
 
 
-def _sends(story: RunHistory) -> Iterator[tuple[int, int, str, int]]:
-    """Yield (time, head, node, allowance) of each send: by the sender's stamp, and by the receiver's."""
-    for sent in story.attempts_sent:
+def _sends(run: RunHistory) -> Iterator[tuple[int, int, str, int]]:
+    """Yield (time, head, node, allowance) of each attempt, by the sender's and by the receiver's time."""
+    for sent in run.attempts_sent:
         yield sent.t, sent.head, sent.node, 0
-    for got in story.received:
-        yield got.t, got.head, got.node, story.facts.flight_us
+    for attempt in run.received:
+        yield attempt.t, attempt.head, attempt.node, run.facts.flight_us
 
 
-def _after_drain(news: Iterable[rec.NodeListed], t: int) -> int:
-    """Return how long after the news of a drain that still holds a moment is; below 0 if none does."""
-    since: int | None = None
-    for one in news:
-        if one.t > t:
+def _since_drain_us(listings: Iterable[rec.NodeListed], t: int) -> int:
+    """Return how long at time `t` a node has been listed as draining; -1 if it is not."""
+    draining_since_us: int | None = None
+    for listing in listings:
+        if listing.t > t:
             break
-        since = None if one.state == "up" else one.t if since is None else since
-    return -1 if since is None else t - since
+        draining_since_us = (
+            None if listing.state == "up" else listing.t if draining_since_us is None else draining_since_us
+        )
+    return -1 if draining_since_us is None else t - draining_since_us
 
 
-def cells_kept(story: RunHistory) -> Iterator[Breach]:
-    """Rule 8, where the fleet is divided: a request is sent to nodes of its volume's cell alone."""
-    facts = story.facts
-    for got in story.received if facts.cell_of_volume else ():
-        cell, there = facts.cell_of_volume.get(got.volume), facts.cell_of_shard.get(str(got.shard))
-        if cell is not None and cell != there:
-            yield Breach(8, got.t, f"{got.volume} to {got.node}", f"{cell} reached a node of {there}")
+def cells_kept(run: RunHistory) -> Iterator[Breach]:
+    """Rule 8, for a fleet divided into cells: requests go only to nodes of their volume's cell."""
+    facts = run.facts
+    for attempt in run.received if facts.cell_of_volume else ():
+        cell, node_cell = (
+            facts.cell_of_volume.get(attempt.volume),
+            facts.cell_of_shard.get(str(attempt.shard)),
+        )
+        if cell is not None and cell != node_cell:
+            yield Breach(
+                8, attempt.t, f"{attempt.volume} to {attempt.node}", f"{cell} reached a node of {node_cell}"
+            )
 
 
-def patience_kept(story: RunHistory) -> Iterator[Breach]:
-    """Rule 9, where clients wait in their heads: none is refused before the end of its patience.
+def patience_kept(run: RunHistory) -> Iterator[Breach]:
+    """Rule 9, for requests that wait in heads: none is refused before its client's wait limit.
 
-    What was refused earlier could have waited on; a failure may come at any time.
+    A request refused earlier could have waited longer; a failure may come at any time.
     """
-    slack = story.facts.answer_slack_us + EARLY_US
-    for asked in story.requests:
-        if not asked.request.patience_us:
+    slack = run.facts.answer_slack_us + REFUSAL_LEAD_US
+    for request in run.requests:
+        if not request.sent.patience_us:
             continue
-        ends = asked.request.t + asked.request.patience_us
-        for answer in asked.answers:
-            if answer.outcome == "refused" and answer.t < ends - slack:
-                left = ends - answer.t
-                yield Breach(9, answer.t, asked.name, f"refused {left} us before its patience was over")
-
-
-def cold_nodes_spared(story: RunHistory) -> Iterator[Breach]:
-    """Rule 4: all heads together send a cold node no more than a multiple of what it can do just then."""
-    facts = story.facts
-    for node in story.node_events:
-        if node.state == "fell":
-            yield Breach(4, node.t, node.node, "fell over")
+        limit_at_us = request.sent.t + request.sent.patience_us
+        for answer in request.answers:
+            if answer.outcome == "refused" and answer.t < limit_at_us - slack:
+                remaining = limit_at_us - answer.t
+                yield Breach(
+                    9, answer.t, request.name, f"refused {remaining} us before its patience was over"
+                )
+
+
+def cold_nodes_spared(run: RunHistory) -> Iterator[Breach]:
+    """Rule 4: all heads together send a cold node at most a multiple of its capacity at the time."""
+    facts = run.facts
+    for event in run.node_events:
+        if event.state == "fell":
+            yield Breach(4, event.t, event.node, "fell over")
     if not facts.fall_us:
         return
     by_node: dict[str, list[rec.AttemptReceived]] = defaultdict(list)
-    for got in story.received:
-        by_node[got.node].append(got)
-    for start in story.node_events:
+    for attempt in run.received:
+        by_node[attempt.node].append(attempt)
+    for start in run.node_events:
         if start.state != "started" or start.cold_share >= 1:
             continue
-        warm = start.t + start.warm_us
-        got_of = [got for got in by_node[start.node] if start.t <= got.t < warm]
+        warm_at_us = start.t + start.warm_us
+        attempts = [attempt for attempt in by_node[start.node] if start.t <= attempt.t < warm_at_us]
         informed = {
             one.head
-            for one in story.node_listings
+            for one in run.node_listings
             if one.node == start.node and one.state == "up" and one.started_us >= start.t
         }
         first = 0
-        for last, got in enumerate(got_of):
-            while got_of[first].t <= got.t - facts.fall_us:
+        for last, attempt in enumerate(attempts):
+            while attempts[first].t <= attempt.t - facts.fall_us:
                 first += 1
-            window = got_of[first : last + 1]
-            units = sum(story.units(one) for one in window)
-            # The node's capacity in the middle of the window, rising evenly from its cold share.
-            middle = max(0.0, got.t - facts.fall_us / 2 - start.t) / start.warm_us
-            bears = facts.fall_multiple * start.rate * facts.fall_us / 1e6
-            bears *= start.cold_share + (1 - start.cold_share) * middle
-            knew = sum(story.units(one) for one in window if one.head in informed)
-            if units > max(bears, facts.cold_units) * 1.1 and knew * 3 >= units * 2:
-                yield Breach(4, got.t, start.node, f"cold, got {units:.0f} units where it bears {bears:.0f}")
+            window = attempts[first : last + 1]
+            units = sum(run.units(one) for one in window)
+            # The node's capacity in the middle of the window, rising linearly from its cold share.
+            warmed = max(0.0, attempt.t - facts.fall_us / 2 - start.t) / start.warm_us
+            capacity = facts.fall_multiple * start.rate * facts.fall_us / 1e6
+            capacity *= start.cold_share + (1 - start.cold_share) * warmed
+            informed_units = sum(run.units(one) for one in window if one.head in informed)
+            if units > max(capacity, facts.cold_units) * 1.1 and informed_units * 3 >= units * 2:
+                yield Breach(
+                    4, attempt.t, start.node, f"cold, got {units:.0f} units where it bears {capacity:.0f}"
+                )
                 break
 
 
-def order_kept(story: RunHistory) -> Iterator[Breach]:
-    """Rule 5: of a class in order, one request a key at a time, in the order they were taken."""
-    if not any(one.in_order for one in story.classes.values()):
+def order_kept(run: RunHistory) -> Iterator[Breach]:
+    """Rule 5: of an ordered class one request per extent is sent at a time, in the order of arrival."""
+    if not any(one.in_order for one in run.classes.values()):
         return
-    lines: dict[tuple[int, str, int], list[tuple[rec.AttemptReceived, RequestHistory]]] = defaultdict(list)
-    for key, attempts in story.attempts.items():
-        owner = story.request_of_key.get(key)
-        if owner is not None and story.classes[owner.request.class_name].in_order:
-            for got in attempts:
-                extent = got.offset // story.facts.extent_bytes
-                lines[got.head, got.volume, extent].append((got, owner))
-    for line in lines.values():
-        line.sort(key=lambda pair: pair[0].t)
-        for at, (got, owner) in enumerate(line):
-            for before, earlier in line[:at]:
-                if earlier is owner:
+    queues: dict[tuple[int, str, int], list[tuple[rec.AttemptReceived, RequestHistory]]] = defaultdict(list)
+    for key, attempts in run.attempts.items():
+        request = run.request_of_key.get(key)
+        if request is not None and run.classes[request.sent.class_name].in_order:
+            for attempt in attempts:
+                extent = attempt.offset // run.facts.extent_bytes
+                queues[attempt.head, attempt.volume, extent].append((attempt, request))
+    for queue in queues.values():
+        queue.sort(key=lambda pair: pair[0].t)
+        for position, (attempt, request) in enumerate(queue):
+            for before, earlier in queue[:position]:
+                if earlier is request:
                     continue
-                if (earlier.request.t, earlier.request.request) > (owner.request.t, owner.request.request):
-                    yield Breach(5, got.t, owner.name, f"sent after {earlier.name}, which was taken later")
+                if (earlier.sent.t, earlier.sent.request) > (request.sent.t, request.sent.request):
+                    yield Breach(
+                        5, attempt.t, request.name, f"sent after {earlier.name}, which was taken later"
+                    )
                     continue
-                said = story.node_answers.get((before.head, before.key, before.attempt))
-                over = min((one.t for one in earlier.answers), default=None)
-                if said and said[0].t <= got.t:
+                node_answers = run.node_answers.get((before.head, before.key, before.attempt))
+                ended = min((one.t for one in earlier.answers), default=None)
+                if node_answers and node_answers[0].t <= attempt.t:
                     continue
-                if over is None or over > got.t + story.facts.flight_us:
-                    yield Breach(5, got.t, owner.name, f"sent while {earlier.name} was not over")
-                elif got.t + story.facts.flight_us < over + story.facts.order_settle_us:
-                    yield Breach(5, got.t, owner.name, f"sent before the rest after {earlier.name} was over")
+                if ended is None or ended > attempt.t + run.facts.flight_us:
+                    yield Breach(5, attempt.t, request.name, f"sent while {earlier.name} was not over")
+                elif attempt.t + run.facts.flight_us < ended + run.facts.order_settle_us:
+                    yield Breach(
+                        5, attempt.t, request.name, f"sent before the rest after {earlier.name} was over"
+                    )
 
 
-def budget_kept(story: RunHistory) -> Iterator[Breach]:
-    """Rule 6: one head's attempts beyond each request's first stay within the budget of any window."""
-    facts = story.facts
+def budget_kept(run: RunHistory) -> Iterator[Breach]:
+    """Rule 6: in any window a head's retries stay within its retry budget."""
+    facts = run.facts
     if not facts.budget_window_us:
         return
-    further: dict[int, list[int]] = defaultdict(list)
-    for attempts in story.attempts.values():
-        for got in attempts[1:]:
-            further[got.head].append(got.t)
-    for head, times in further.items():
+    retries: dict[int, list[int]] = defaultdict(list)
+    for attempts in run.attempts.values():
+        for attempt in attempts[1:]:
+            retries[attempt.head].append(attempt.t)
+    for head, times in retries.items():
         times.sort()
-        takes = story.request_times[story.heads.get(head, "")]
-        for at, t in enumerate(times):
-            since = t - facts.budget_window_us
-            count = at + 1 - bisect_left(times, since + facts.flight_us)
-            taken = bisect_right(takes, t) - bisect_left(takes, since - facts.flight_us)
-            if count > facts.budget_free + facts.budget_share * taken:
-                who = story.heads.get(head, str(head))
-                yield Breach(6, t, who, f"{count} further attempts, {taken} requests taken in the window")
+        request_times = run.request_times[run.heads.get(head, "")]
+        for position, t in enumerate(times):
+            window_start = t - facts.budget_window_us
+            count = position + 1 - bisect_left(times, window_start + facts.flight_us)
+            requests = bisect_right(request_times, t) - bisect_left(
+                request_times, window_start - facts.flight_us
+            )
+            if count > facts.budget_free + facts.budget_share * requests:
+                who = run.heads.get(head, str(head))
+                yield Breach(6, t, who, f"{count} further attempts, {requests} requests taken in the window")
                 break
 
 
-def limits_kept(story: RunHistory) -> Iterator[Breach]:
-    """Rule 7: what all heads together send first for a volume keeps to its limit, within the slack.
+def limits_kept(run: RunHistory) -> Iterator[Breach]:
+    """Rule 7: the first attempts that all heads send for a volume stay within its limit and the slack.
 
-    A limit may change in service: its store keeps its level, up to the new most.
+    If a limit changes in service, its token bucket keeps its level, up to the new burst.
     """
-    firsts = sorted((attempts[0] for attempts in story.attempts.values() if attempts), key=lambda got: got.t)
-    for limit in story.facts.limits:
+    firsts = sorted(
+        (attempts[0] for attempts in run.attempts.values() if attempts), key=lambda attempt: attempt.t
+    )
+    for limit in run.facts.limits:
         level, at = limit.burst, None
-        # What is sent evenly may arrive in a clump: as much as fills in the time that sends may be on their
-        # way.
-        slack = limit.slack + limit.rate * story.facts.flight_us / 1e6
-        rate, most = limit.rate, limit.burst
-        changes = [one for one in story.limit_changes if one.volume == limit.volume]
-        for got in firsts:
-            if got.volume != limit.volume or got.kind == "flush":
+        # Attempts sent at an even rate may arrive in a burst: as much as accrues while sends are in flight.
+        slack = limit.slack + limit.rate * run.facts.flight_us / 1e6
+        rate, burst = limit.rate, limit.burst
+        changes = [one for one in run.limit_changes if one.volume == limit.volume]
+        for attempt in firsts:
+            if attempt.volume != limit.volume or attempt.kind == "flush":
                 continue
-            if story.facts.regions:
-                owner = story.request_of_key.get((got.head, got.key))
-                if owner is None or not story.is_sent_for_client(owner, got):
-                    continue  # a copy: it was counted when its own region sent it
-            while changes and changes[0].t <= got.t:
-                now = changes.pop(0)
-                level = min(most, level + rate * (now.t - (now.t if at is None else at)) / 1e6, now.burst)
-                rate, most, at = now.rate, now.burst, now.t
-                slack = max(slack, limit.slack + rate * story.facts.flight_us / 1e6)
+            if run.facts.regions:
+                request = run.request_of_key.get((attempt.head, attempt.key))
+                if request is None or not run.is_sent_for_client(request, attempt):
+                    continue  # replication: counted when the client's own region sent it
+            while changes and changes[0].t <= attempt.t:
+                change = changes.pop(0)
+                level = min(
+                    burst, level + rate * (change.t - (change.t if at is None else at)) / 1e6, change.burst
+                )
+                rate, burst, at = change.rate, change.burst, change.t
+                slack = max(slack, limit.slack + rate * run.facts.flight_us / 1e6)
             if at is not None:
-                level = min(most, level + rate * (got.t - at) / 1e6)
-            at = got.t
-            level -= story.units(got)
+                level = min(burst, level + rate * (attempt.t - at) / 1e6)
+            at = attempt.t
+            level -= run.units(attempt)
             if level < -slack:
-                yield Breach(7, got.t, limit.volume, f"{-level:.1f} units past its limit, slack {slack:.1f}")
+                yield Breach(
+                    7, attempt.t, limit.volume, f"{-level:.1f} units past its limit, slack {slack:.1f}"
+                )
                 break
 
 
-def blocks_are_linearizable(story: RunHistory) -> Iterator[Breach]:
-    """Beside the seven.
-
-    Each block that several clients write and read at once behaves as one register (rule 0).
-    """
-    for volume, block in broken_blocks(story.operations):
+def blocks_are_linearizable(run: RunHistory) -> Iterator[Breach]:
+    """Rule 0: each block that several clients access concurrently behaves as one register."""
+    for volume, block in broken_blocks(run.operations):
         yield Breach(0, 0, f"{volume} block {block}", "no order explains what was read")
 
 
-def reads_are_right(story: RunHistory) -> Iterator[Breach]:
-    """Beside the seven: what was read is what the clients' model of the volume allows (rule 0)."""
-    for asked in story.requests:
-        for answer in asked.answers:
+def reads_are_right(run: RunHistory) -> Iterator[Breach]:
+    """Rule 0: reads return data that the client's model of the volume allows."""
+    for request in run.requests:
+        for answer in request.answers:
             if not answer.data_ok:
-                yield Breach(0, answer.t, asked.name, "its data is not what was written")
+                yield Breach(0, answer.t, request.name, "its data is not what was written")
 
 
 RULES: tuple[Callable[[RunHistory], Iterator[Breach]], ...] = (
@@ -481,29 +516,29 @@
 )
 
 
-def _name(story: RunHistory, key: tuple[int, int]) -> str:
-    owner = story.request_of_key.get(key)
-    return owner.name if owner is not None else f"key {key[1]} of {story.heads.get(key[0], key[0])}"
+def _name(run: RunHistory, key: tuple[int, int]) -> str:
+    request = run.request_of_key.get(key)
+    return request.name if request is not None else f"key {key[1]} of {run.heads.get(key[0], key[0])}"
 
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
-    """Judge a recording; return all breaches in order of time. Raises Ambiguous."""
-    story = RunHistory(records)
-    return sorted((breach for rule in RULES for breach in rule(story)), key=lambda breach: breach.t)
+    """Check a recording; return all breaches in order of time. Raises AmbiguousRecording."""
+    run = RunHistory(records)
+    return sorted((breach for rule in RULES for breach in rule(run)), key=lambda breach: breach.t)
 
 
 def summary(records: Iterable[rec.Record]) -> dict[str, int]:
-    """Count what a recording holds, for reports."""
-    story = RunHistory(records)
-    answers = [answer for asked in story.requests for answer in asked.answers]
-    counts = {"requests": len(story.requests), "sends": len(story.received)}
+    """Count requests, attempts and outcomes of a recording, for reports."""
+    run = RunHistory(records)
+    answers = [answer for request in run.requests for answer in request.answers]
+    counts = {"requests": len(run.requests), "sends": len(run.received)}
     for outcome in ("served", "refused", "failed"):
         counts[outcome] = sum(answer.outcome == outcome for answer in answers)
-    counts["excused"] = sum(asked.excused_at_us is not None and not asked.answers for asked in story.requests)
-    counts["repeats dropped"] = sum(
-        one.result == "repeat" for said in story.node_answers.values() for one in said
+    counts["excused"] = sum(
+        request.excused_at_us is not None and not request.answers for request in run.requests
     )
-    counts["unanswered by nodes"] = len(story.received) - sum(
-        len(said) for said in story.node_answers.values()
+    counts["repeats dropped"] = sum(
+        one.result == "repeat" for each in run.node_answers.values() for one in each
     )
+    counts["unanswered by nodes"] = len(run.received) - sum(len(each) for each in run.node_answers.values())
     return counts
--- a/harriertrack/rules/recording.py
+++ b/harriertrack/rules/recording.py
@@ -1,7 +1,7 @@
-"""Recordings: what clients, storage nodes and the list service sent and received, with times of one clock.
+"""Recordings of what clients, storage nodes and the list service sent and received, timed by one clock.
 
-One JSON object a line. Nothing in a recording comes from a head: the rules are judged by what the sockets
-carried. Times are microseconds of the recorder's clock, offsets and lengths bytes.
+A recording has one JSON object a line. The checks of requests use only what the sockets carried, never what a
+head says of itself. Times are microseconds of the recorder's clock; offsets and lengths are bytes.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ClassFacts(msgspec.Struct, kw_only=True):
-    """What the rules need to know of a class of requests."""
+    """The properties of a class of requests that the rules use."""
 
     name: str
     deadline_us: int
@@ -24,7 +24,7 @@
 
 
 class LimitFacts(msgspec.Struct, kw_only=True):
-    """A volume's limit: units a second, units at once, units below zero."""
+    """A volume's rate limit: units a second, the burst, and how far below zero its token bucket may go."""
 
     volume: str
     rate: float
@@ -33,14 +33,14 @@
 
 
 class Facts(msgspec.Struct, kw_only=True, tag="facts", tag_field="what"):
-    """The figures that a run is judged by; the first line of a recording."""
+    """The parameters that a run is checked against; the first line of a recording."""
 
     classes: list[ClassFacts]
     limits: list[LimitFacts] = []
     unit_bytes: int
     extent_bytes: int
-    answer_slack_us: int  # how late a final answer still counts: the last hop to the client
-    flight_us: int  # how long what was sent in time may be on its way to a node
+    answer_slack_us: int  # a final answer may be this late: the last hop to the client
+    flight_us: int  # how long an attempt sent in time may take to reach a node
     drain_grace_us: int
     fall_multiple: float = 0.0
     fall_us: int = 0
@@ -51,13 +51,13 @@
     order_settle_us: int = 0
     seed: int = 0
     day: str = ""
-    cell_of_volume: dict[str, str] = {}  # where the fleet is divided: a volume's cell
+    cell_of_volume: dict[str, str] = {}  # of a fleet divided into cells
     cell_of_shard: dict[str, str] = {}
-    regions: bool = False  # nodes also get copies of writes, and what a region catches up with
+    regions: bool = False  # nodes also receive replicated writes and the catch-up of a region
 
 
 class HeadLifecycle(msgspec.Struct, kw_only=True, tag="head", tag_field="what"):
-    """A head came up (`up`) or was killed; `number` is how it names itself to storage nodes."""
+    """A head started listening (`up`) or was killed; `number` identifies it to storage nodes."""
 
     t: int
     head: str
@@ -66,17 +66,17 @@
 
 
 class HeadPaused(msgspec.Struct, kw_only=True, tag="stood", tag_field="what"):
-    """A head's machine stood still for `us`: while it does, it is no running head.
+    """A head did not run for `us` microseconds: its process was stopped, or its machine was.
 
-    `unread`: its process was stopped, and what clients sent filled its socket: the rest lay in theirs, and
-    came only when the head read again, which can't know since when.
+    `unread`: the process was stopped and its receive buffers were full, so further requests waited in the
+    clients' send buffers. The head reads them when it runs again and can't know how long they waited.
     """
 
     t: int
     head: str
     us: int
     unread: bool = False
-    machine: bool = False  # so did all else on this machine, relays too: what was sent took longer on its way
+    machine: bool = False  # everything on this machine paused, relays too, so messages took longer
 
 
 class RequestSent(msgspec.Struct, kw_only=True, tag="take", tag_field="what"):
@@ -91,30 +91,30 @@
     class_name: str
     offset: int
     length: int
-    again: bool = False  # the client asks anew after a refusal or failure
-    patience_us: int = 0  # a client that hears no hints gives up no earlier than after this
+    again: bool = False  # the client retries after a refusal or failure
+    patience_us: int = 0  # a client that ignores hints waits at least this long
 
 
 class FinalAnswer(msgspec.Struct, kw_only=True, tag="answer", tag_field="what"):
-    """A client got a final answer: served, refused or failed."""
+    """A client received a final answer: served, refused or failed."""
 
     t: int
     client: str
     request: int
     outcome: str
-    data_ok: bool = True  # what was read is what the client's model allows
-    hint_us: int = 0  # after which time a refusal says that trying again may help; 0: it does not say
+    data_ok: bool = True  # the data read is data that the client's model of the volume allows
+    hint_us: int = 0  # the retry delay that a refusal suggests; 0: none
 
 
 class ClientLeft(msgspec.Struct, kw_only=True, tag="left", tag_field="what"):
-    """A client closed its connection, or lost it: what was open is not owed an answer any more."""
+    """A client closed or lost its connection: its open requests need no answer any more."""
 
     t: int
     client: str
 
 
 class OperationCalled(msgspec.Struct, kw_only=True, tag="called", tag_field="what"):
-    """A register client began an operation on a block: a write of `value`, or a read."""
+    """A client that uses blocks as registers began an operation: a write of `value`, or a read."""
 
     t: int
     client: str
@@ -126,7 +126,9 @@
 
 
 class OperationReturned(msgspec.Struct, kw_only=True, tag="returned", tag_field="what"):
-    """It ended: served (`certain`, with what a read brought), refused (nothing was done), or nobody knows."""
+    """A register operation ended: served (`certain`; `value`: the result of a read), refused, which means
+    without effect, or with unknown outcome.
+    """
 
     t: int
     client: str
@@ -137,7 +139,7 @@
 
 
 class AttemptSent(msgspec.Struct, kw_only=True, tag="sent", tag_field="what"):
-    """A head handed an attempt to its link: the sender's time stamp beside the receiver's (`Got`)."""
+    """A head passed an attempt to its link: the sender's time; `AttemptReceived` has the receiver's."""
 
     t: int
     head: int
@@ -147,7 +149,7 @@
 
 
 class AttemptReceived(msgspec.Struct, kw_only=True, tag="got", tag_field="what"):
-    """A node received a request. `head` and `key` are 0 where the extension was not negotiated."""
+    """A node received an attempt. `head` and `key` are 0 if the protocol extension was not negotiated."""
 
     t: int
     node: str
@@ -162,7 +164,7 @@
 
 
 class AttemptExecuted(msgspec.Struct, kw_only=True, tag="ran", tag_field="what"):
-    """A node did what a request asks."""
+    """A node executed an attempt."""
 
     t: int
     node: str
@@ -172,7 +174,7 @@
 
 
 class AttemptAnswered(msgspec.Struct, kw_only=True, tag="said", tag_field="what"):
-    """A node answered an attempt: done, repeat (dropped as one), unseen, error."""
+    """A node answered an attempt: done, repeat (dropped as a duplicate), unseen (not executed), or error."""
 
     t: int
     node: str
@@ -183,7 +185,7 @@
 
 
 class NodeListed(msgspec.Struct, kw_only=True, tag="told", tag_field="what"):
-    """The list service sent a head a list that says this of a node."""
+    """The list service sent a head a node list with this entry."""
 
     t: int
     head: int
@@ -193,9 +195,9 @@
 
 
 class NodeLifecycle(msgspec.Struct, kw_only=True, tag="node", tag_field="what"):
-    """A node started, fell over, or stopped.
+    """A node started, failed under its load (`fell`), or stopped.
 
-    `rate` is units a second when warm; it starts at `cold_share` of it.
+    `rate` is in units a second when warm; a started node has `cold_share` of it, and all after `warm_us`.
     """
 
     t: int
@@ -207,7 +209,7 @@
 
 
 class MemberLifecycle(msgspec.Struct, kw_only=True, tag="lived", tag_field="what"):
-    """What became of a member of a fleet: started, killed, stopped, went on, leaving, or ended by itself."""
+    """A member of a fleet was started, killed, stopped (paused), resumed, is leaving, or ended itself."""
 
     t: int
     member: str
@@ -215,7 +217,9 @@
 
 
 class ViewReported(msgspec.Struct, kw_only=True, tag="viewed", tag_field="what"):
-    """A member told what it holds of one (`about`) from now on, and of how many in all by which digest."""
+    """A member reported a change of its view: the state of member `about`, how many members are present, and
+    the digest of the whole view.
+    """
 
     t: int
     member: str
@@ -229,14 +233,14 @@
 
 
 class ActiveFaults(msgspec.Struct, kw_only=True, tag="weather", tag_field="what"):
-    """From now on there are so many faults between members, of which some part whom they strike wholly."""
+    """From now on this many faults are active between members; some cut members off entirely."""
 
     t: int
     faults: int
 
 
 class AgreementCheck(msgspec.Struct, kw_only=True, tag="agreed", tag_field="what"):
-    """These members were to agree within a time, and did, or not, `after_us`."""
+    """Whether these members' views became equal within `within_us`; `after_us`: how long it took."""
 
     t: int
     members: list[str]
@@ -246,15 +250,15 @@
 
 
 class FaultsOver(msgspec.Struct, kw_only=True, tag="quiet", tag_field="what"):
-    """From now on nothing is at fault: what has to come to pass by itself does, before the recording ends."""
+    """From now on no fault is active: the fleet must recover before the recording ends."""
 
     t: int
 
 
 class BudgetFacts(msgspec.Struct, kw_only=True, tag="budget", tag_field="what"):
-    """A budget that a fleet divides: units a second and at once, and how much of it moves between heads.
+    """A budget that a fleet divides: units a second, burst, and `moving`, the rate that moves between heads.
 
-    `slack`: units past it that may arrive, for what the day does to heads between a decision and its socket.
+    `slack`: units over the budget that may arrive because of delays between a head's decision and its socket.
     """
 
     t: int
@@ -266,7 +270,7 @@
 
 
 class ShareRequested(msgspec.Struct, kw_only=True, tag="asked-share", tag_field="what"):
-    """A head's ask to a ledger left it; `applied`: the versions of its shares that it says to have."""
+    """A head sent a request for shares to a ledger; `applied`: the share versions that it states it uses."""
 
     t: int
     holder: str
@@ -279,7 +283,9 @@
 
 
 class ShareGranted(msgspec.Struct, kw_only=True, tag="granted-share", tag_field="what"):
-    """A ledger's answer to an ask (`answers`), or its news (0), came to a head: budget, version, rate."""
+    """A head received shares (budget, version, rate) from a ledger, in answer to request number `answers`, or
+    unrequested (0).
+    """
 
     t: int
     holder: str
@@ -293,7 +299,7 @@
 
 
 class LedgerOwnership(msgspec.Struct, kw_only=True, tag="keeps", tag_field="what"):
-    """A head keeps a ledger from now on, or does not any more."""
+    """A head runs a ledger from now on, or no longer does."""
 
     t: int
     head: str
@@ -302,7 +308,7 @@
 
 
 class BudgetUsed(msgspec.Struct, kw_only=True, tag="drawn", tag_field="what"):
-    """So many units of a budget arrived where it counts, through some head."""
+    """Units of a budget that arrived through a head at the place where the budget is measured."""
 
     t: int
     budget: str
@@ -311,10 +317,11 @@
 
 
 class ZoneFacts(msgspec.Struct, kw_only=True, tag="zones", tag_field="what"):
-    """The zones of a fleet's day, which of them may be left in it, and how fast heads may come back to one.
+    """The zones of a fleet's day, which of them heads may leave, and how fast heads may return to one.
 
-    A return begins with `first` of them, or `tries` heads where these are more; each `step_us` there may be
-    `growth` times as many. Who starts while nobody uses a zone leaves it within `hears_us`; 0: not judged.
+    A return begins with the share `first` of all heads, or with `tries` heads if these are more; every
+    `step_us` the share may grow by the factor `growth`. A head that starts while no other head uses a zone
+    must leave it within `hears_us`; 0: not checked.
     """
 
     t: int
@@ -328,7 +335,7 @@
 
 
 class ZoneUse(msgspec.Struct, kw_only=True, tag="zone-use", tag_field="what"):
-    """A head uses a zone from now on, or does not; `word`: as the fleet's word says, not for want of one."""
+    """A head uses a zone from now on, or no longer; `word`: by the fleet's decision, not for lack of one."""
 
     t: int
     head: str
@@ -338,9 +345,9 @@
 
 
 class VolumeMoveFacts(msgspec.Struct, kw_only=True, tag="moves", tag_field="what"):
-    """Volumes of two regions: how many may change regions in a second, `burst` more at once, by all heads.
+    """Volumes of two regions: how many all heads may move in a second, and `burst` more at once.
 
-    `homes`: the region of each; `reserves`: what its plan reserves, by which volumes have their turns.
+    `homes`: the home region of each; `reserves`: what its plan reserves, which orders the moves.
     """
 
     t: int
@@ -351,17 +358,17 @@
 
 
 class VolumeMoved(msgspec.Struct, kw_only=True, tag="volume-moved", tag_field="what"):
-    """A head holds a volume of two regions from now on, or gave it to the other region."""
+    """A head took over a volume of two regions, or gave it to the other region."""
 
     t: int
     head: str
     volume: str
-    region: str  # the head's
+    region: str  # the head's region
     held: bool
 
 
 class VersionProposed(msgspec.Struct, kw_only=True, tag="proposed", tag_field="what"):
-    """An operator proposed a version of a thing, or said what becomes of it."""
+    """An operator proposed a version of a configured thing, or changed its state (`standing`)."""
 
     t: int
     thing: str
@@ -370,18 +377,18 @@
 
 
 class ChangeRecordApplied(msgspec.Struct, kw_only=True, tag="went-by", tag_field="what"):
-    """A head goes by this record of changes from now on."""
+    """A head uses this revision of the change record from now on."""
 
     t: int
     head: str
     revision: int
     digest: int
     epoch: int
-    latest: dict[str, int] = {}  # of each thing that has versions
+    latest: dict[str, int] = {}  # the latest version of each thing
 
 
 class VersionApplied(msgspec.Struct, kw_only=True, tag="took-version", tag_field="what"):
-    """A head runs a version of a thing from now on (0: what it began with), or did not take it: `why`."""
+    """A head runs a version of a thing from now on (0: what it started with), or rejected it: `why`."""
 
     t: int
     head: str
@@ -391,9 +398,9 @@
 
 
 class CloseDue(msgspec.Struct, kw_only=True, tag="close-due", tag_field="what"):
-    """A close is due at `at`, and within `bound_us` of it at every head: what it purges of which volume.
+    """A close is due at `at`, and at every head within `bound_us` of it; it purges a range of `volumes`.
 
-    A volume of several heads lies where it was allocated, any other where its head placed it.
+    A volume that several heads serve is stored where it was allocated, any other where its head placed it.
     """
 
     t: int
@@ -402,11 +409,11 @@
     bound_us: int
     volumes: list[str]
     start: int = 0
-    end: int = 0  # 0: the volume's end
+    end: int = 0  # 0: the end of the volume
 
 
 class CloseDone(msgspec.Struct, kw_only=True, tag="closed-at", tag_field="what"):
-    """A head told that close `number` of a calendar, which was at `at`, is done there."""
+    """A head reported that it has done close `number` of a calendar, which was due at `at`."""
 
     t: int
     head: str
@@ -416,7 +423,7 @@
 
 
 class BlockOperation(msgspec.Struct, kw_only=True, tag="kept", tag_field="what"):
-    """A client wrote `value` to a block, or read it: from `t` to `ended`, one operation a block at a time."""
+    """A client wrote or read `value` at a block from `t` to `ended`; a block has one operation at a time."""
 
     t: int
     ended: int
@@ -430,11 +437,11 @@
 
 
 class WeightFacts(msgspec.Struct, kw_only=True, tag="weight-facts", tag_field="what"):
-    """What must hold of weights in a fleet's day; weights are powers of two, `rate` of these a second.
+    """The bounds of node weights in a fleet's day. Weights are given as log2, `rate` as log2 a second.
 
-    `liars`: heads that say other than they think; `fresh_us`: what was said before has no vote any more;
-    `sway`: powers of two that a weight may go to and fro in ten seconds; `notes_bytes`: of notes in a second
-    that may leave a head; `broken`: scorers that are to lose their vote.
+    `most`: the largest absolute weight; `liars`: heads that report wrong weights; `fresh_us`: older reports
+    have no vote; `sway`: how far a weight may oscillate in ten seconds; `notes_bytes`: bytes of weight notes
+    that a head may send in a second; `broken`: scorers that must lose their vote.
     """
 
     t: int
@@ -448,9 +455,9 @@
 
 
 class Weights(msgspec.Struct, kw_only=True, tag="weights", tag_field="what"):
-    """A head's weights as it tells them: what its module uses, and by scorer its own and the joined ones.
+    """The weights that a head reports: those in use, and by scorer its own and the aggregate (`joined`).
 
-    A node that is not named has 0, an even share.
+    A node that is not listed has weight 0 (log2), an even share.
     """
 
     t: int
@@ -461,7 +468,7 @@
 
 
 class ScorerVote(msgspec.Struct, kw_only=True, tag="vote", tag_field="what"):
-    """A scorer at a head lost its vote, or has it back."""
+    """A scorer at a head lost its vote or regained it."""
 
     t: int
     head: str
@@ -471,7 +478,7 @@
 
 
 class NotesSent(msgspec.Struct, kw_only=True, tag="notes-sent", tag_field="what"):
-    """So many bytes of notes by topic left a head in a time that ended now."""
+    """Bytes of topic notes that a head sent in the `us` microseconds before `t`."""
 
     t: int
     head: str
@@ -480,7 +487,7 @@
 
 
 class LimitChanged(msgspec.Struct, kw_only=True, tag="limit-now", tag_field="what"):
-    """From now on a volume's limit is another: units a second, units at once."""
+    """A volume's limit changed: units a second and the burst."""
 
     t: int
     volume: str
@@ -489,14 +496,14 @@
 
 
 class StageFacts(msgspec.Struct, kw_only=True):
-    """How many heads run a version by a stage's end: a number, or a part of each zone."""
+    """How many heads run a version at a stage's end: a number, or a share of each zone."""
 
     heads: int
     share: float
 
 
 class RolloutFacts(msgspec.Struct, kw_only=True, tag="rollout-facts", tag_field="what"):
-    """The fleet that a version is brought about in, and its plan, as an operator proposed it."""
+    """The fleet in which a version is rolled out, and the rollout's plan as an operator proposed it."""
 
     t: int
     thing: str
@@ -504,15 +511,15 @@
     zones: dict[str, str]  # by head
     volumes: dict[str, list[str]]  # by head
     stages: list[StageFacts]
-    away: int  # heads that may be away for it at once
-    back_away: int
-    missing: float  # the part of a stage's heads that need not be heard
+    away: int  # heads that may be down for it at once
+    back_away: int  # the same during a rollback
+    missing: float  # the share of a stage's heads that need not confirm
 
 
 class RolloutExpected(msgspec.Struct, kw_only=True, tag="rollout-end", tag_field="what"):
-    """What all heads are to run at the day's end: 0 is what they were started with.
+    """The version that all heads must run at the day's end; 0 is what they were started with.
 
-    `settled`: whatever was decided last, instead; then nothing is under way any more.
+    `settled`: any version will do, if all heads run the same and no rollout is in progress.
     """
 
     t: int
@@ -522,7 +529,7 @@
 
 
 class RolloutStep(msgspec.Struct, kw_only=True, tag="rollout-step", tag_field="what"):
-    """Who decides wrote in the record where a version stands from now on."""
+    """The rollout's decider wrote a new state of a version to the change record."""
 
     t: int
     by: str
@@ -536,16 +543,16 @@
 
 
 class HeadHandover(msgspec.Struct, kw_only=True, tag="handed-over", tag_field="what"):
-    """A head was asked to end (`away`) so that another version runs in its place, or is back."""
+    """A head was told to end (`away`) so that another version replaces it, or the replacement runs."""
 
     t: int
     head: str
     away: bool
-    version: int  # that is to run, or runs
+    version: int  # the version that replaces it
 
 
 class HeadsPartitioned(msgspec.Struct, kw_only=True, tag="cut-off", tag_field="what"):
-    """These heads reach no others, and no others them, from now on."""
+    """These heads are partitioned from all other heads from now on."""
 
     t: int
     heads: list[str]
@@ -564,31 +571,31 @@
 
 
 class RecordingError(Exception):
-    """A recording that can't be read; the text says file and line."""
+    """A recording is unreadable; the text gives file and line."""
 
 
 class Recorder:
-    """Gathers records in memory and, if asked, in a file as they come."""
+    """Collects records in memory and, given a path, writes each to a file."""
 
     def __init__(self, path: str | None = None, at_once: bool = False) -> None:
         self.records: list[Record] = []
-        # `at_once`: a kill of this process loses no record that came before it.
+        # `at_once` (unbuffered): no record is lost if this process is killed.
         self._file: IO[bytes] | None = open(path, "wb", buffering=0 if at_once else -1) if path else None
 
     def add(self, record: Record) -> None:
-        """Take a record."""
+        """Add a record."""
         self.records.append(record)
         if self._file is not None:
             self._file.write(msgspec.json.encode(record) + b"\n")
 
     def close(self) -> None:
-        """Finish the file."""
+        """Close the file."""
         if self._file is not None:
             self._file.close()
 
 
 def read(path: str) -> list[Record]:
-    """Read a recording. Raises RecordingError with file and line."""
+    """Read a recording. Raises RecordingError."""
     try:
         lines = Path(path).read_bytes().splitlines()
     except OSError as error:
