--- a/harriertrack/planning/cells.py
+++ b/harriertrack/planning/cells.py
@@ -72,7 +72,7 @@
             self.model.add_exactly_one(self.racks[rack.name, cell] for cell in self.cells)
         for one in fleet.tenants:
             self.model.add_exactly_one(self.tenants[one.name, cell] for cell in self.cells)
-        # Each kind of rule is enforced by a literal, so that an infeasible plan names the kinds that conflict.
+        # A literal enforces each kind of rule, so that an infeasible plan names the kinds that conflict.
         self.rule_literals: list[tuple[cp_model.IntVar, str]] = []
         for region in fleet.regions:
             self._add_region_rules(region)
