--- a/tests/closing/test_closing_calendar.py
+++ b/tests/closing/test_closing_calendar.py
@@ -1,4 +1,4 @@
-"""Calendars: their syntax, and when a market closes across changes of its local time."""
+"""Calendars: their syntax, and the times of closes across changes of a market's local time."""
 
 from datetime import UTC, datetime
 
@@ -10,15 +10,15 @@
 PURGE = '(purge (volume "m*"))'
 
 
-def utc(text):
+def utc_us(text):
     return int(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp()) * 1_000_000
 
 
 def closes_in(body, since, until):
-    given = parse_calendar(f'(calendar "x" {body} {PURGE})', "x")
+    calendar = parse_calendar(f'(calendar "x" {body} {PURGE})', "x")
     return [
         datetime.fromtimestamp(at / 1e6, UTC).strftime("%m-%d %H:%M")
-        for at, _ in iter_closes(given, utc(since), utc(until))
+        for at, _ in iter_closes(calendar, utc_us(since), utc_us(until))
     ]
 
 
--- a/tests/live/test_budget_totals.py
+++ b/tests/live/test_budget_totals.py
@@ -1,4 +1,4 @@
-"""Totals that change while heads divide them: a lowered one is met in a bounded time, a raised one adds no burst."""
+"""Totals that change while heads divide them: a lowered one holds in bounded time, a raised one adds no burst."""
 
 from dataclasses import replace
 
@@ -19,59 +19,61 @@
 LOW, HIGH = replace(TOTAL, rate=50.0, burst=10.0), replace(TOTAL, rate=800.0, burst=160.0)
 
 
-REAL = Parts()
+UNCHANGED = Parts()
 
 
-def division(seed, parts=REAL, heads=8):
+def make_division(seed, parts=UNCHANGED, heads=8):
     return Division(heads, {"v0": replace(TOTAL, hosts=heads)}, seed, RULES, parts, 0.01)
 
 
-def set_demand(one, rate):
-    for name in one.names:
-        one.demand[name, "v0"] = rate
+def set_demand(division, rate):
+    for name in division.names:
+        division.demand[name, "v0"] = rate
 
 
-def change_total(one, total):
+def change_total(division, total):
     """Change the total's rate and burst, and return the new total."""
-    total = replace(one.wholes["v0"], rate=total.rate, burst=total.burst)
-    one.change("v0", total)
+    total = replace(division.wholes["v0"], rate=total.rate, burst=total.burst)
+    division.change("v0", total)
     return total
 
 
-def usable_rate(one):
+def usable_rate(division):
     """Return the rate that all heads together may use now."""
-    return sum(held.share.rate for member in one.members.values() for held in member.holder.budgets.values())
+    return sum(
+        held.share.rate for member in division.members.values() for held in member.holder.budgets.values()
+    )
 
 
-def change_under_faults(one, changes=(LOW, HIGH, TOTAL), each=3 * S, faults=True):
+def change_under_faults(division, changes=(LOW, HIGH, TOTAL), each=3 * S, faults=True):
     """Change the total under random faults; heads receive the change at random times."""
-    rng, trial = one.random, Trial(one)
-    set_demand(one, 120.0)
-    one.run(3 * S)
+    rng, trial = division.random, Trial(division)
+    set_demand(division, 120.0)
+    division.run(3 * S)
     for total in changes:
-        change_total(one, total)
-        end = one.now + each
-        while one.now < end:
-            one.tell(rng.choice(one.names))
-            trial.run(100_000) if faults else one.run(100_000)
-            set_demand(one, rng.choice((5.0, 60.0, 300.0)))
+        change_total(division, total)
+        end = division.now + each
+        while division.now < end:
+            division.tell(rng.choice(division.names))
+            trial.run(100_000) if faults else division.run(100_000)
+            set_demand(division, rng.choice((5.0, 60.0, 300.0)))
     trial.heal()
 
 
 @pytest.mark.parametrize("seed", range(24))
 def test_the_total_holds_in_any_order_of_updates_and_is_fully_used_after(seed):
-    one = division(seed)
-    order = one.random.sample([LOW, HIGH, TOTAL], 3)
-    change_under_faults(one, order, faults=seed % 2 == 0)
-    total = one.wholes["v0"]
-    one.run(5 * S)  # suspended heads resume
-    set_demand(one, 0.4 * total.rate)
-    for name in one.names:
-        one.tell(name)
-    assert one.all_told
-    one.run(12 * S)
-    assert budgets.check(one.records) == []
-    assert 0.9 * total.rate < usable_rate(one) <= total.rate
+    division = make_division(seed)
+    order = division.random.sample([LOW, HIGH, TOTAL], 3)
+    change_under_faults(division, order, faults=seed % 2 == 0)
+    total = division.wholes["v0"]
+    division.run(5 * S)  # suspended heads resume
+    set_demand(division, 0.4 * total.rate)
+    for name in division.names:
+        division.tell(name)
+    assert division.all_told
+    division.run(12 * S)
+    assert budgets.check(division.records) == []
+    assert 0.9 * total.rate < usable_rate(division) <= total.rate
 
 
 class KeepsOldTotal(LeaseHolder):
@@ -116,85 +118,85 @@
         return share
 
 
-def lowered(one):
-    change_under_faults(one, (LOW,), faults=False)
-    set_demand(one, 60.0)
-    one.run(5 * S)
+def lower_total(division):
+    change_under_faults(division, (LOW,), faults=False)
+    set_demand(division, 60.0)
+    division.run(5 * S)
 
 
-def raised_at_rest(one):
+def raise_idle_total(division):
     """The budget is idle until it is closed; then the total is raised and all heads use it."""
-    set_demand(one, 5.0)
-    one.run(3 * S)
-    set_demand(one, 0.0)
-    one.run(12 * S)
-    change_total(one, replace(HIGH, burst=4000.0))
-    for name in one.names:
-        one.tell(name)
-    set_demand(one, 3000.0)
-    one.run(S)
-
-
-def raised_in_use(one):
-    set_demand(one, 20.0)
-    one.run(3 * S)
-    change_total(one, replace(HIGH, burst=4000.0))
-    for name in one.names:
-        one.tell(name)
-    set_demand(one, 3000.0)
-    one.run(S)
+    set_demand(division, 5.0)
+    division.run(3 * S)
+    set_demand(division, 0.0)
+    division.run(12 * S)
+    change_total(division, replace(HIGH, burst=4000.0))
+    for name in division.names:
+        division.tell(name)
+    set_demand(division, 3000.0)
+    division.run(S)
+
+
+def raise_used_total(division):
+    set_demand(division, 20.0)
+    division.run(3 * S)
+    change_total(division, replace(HIGH, burst=4000.0))
+    for name in division.names:
+        division.tell(name)
+    set_demand(division, 3000.0)
+    division.run(S)
 
 
 FAULTS = {
-    "a head keeps its first total": (Parts(holder=KeepsOldTotal), lowered),
-    "the ledger keeps the first claimed total": (Parts(ledger=KeepsFirstClaim), lowered),
-    "a budget is opened full of the new total": (Parts(holder=OpensFullBuckets), raised_at_rest),
-    "a raise fills an open budget": (Parts(holder=FillsBucketsOnRaise), raised_in_use),
+    "a head keeps its first total": (Parts(holder=KeepsOldTotal), lower_total),
+    "the ledger keeps the first claimed total": (Parts(ledger=KeepsFirstClaim), lower_total),
+    "a budget is opened full of the new total": (Parts(holder=OpensFullBuckets), raise_idle_total),
+    "a raise fills an open budget": (Parts(holder=FillsBucketsOnRaise), raise_used_total),
 }
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_the_checker_finds_each_removed_safeguard(fault):
-    parts, play = FAULTS[fault]
-    one = division(1)
-    play(one)
-    assert budgets.check(one.records) == []
-    one = division(1, parts)
-    play(one)
-    assert budgets.check(one.records)
+    parts, run = FAULTS[fault]
+    division = make_division(1)
+    run(division)
+    assert budgets.check(division.records) == []
+    division = make_division(1, parts)
+    run(division)
+    assert budgets.check(division.records)
 
 
 def test_without_losses_a_lowered_total_is_kept_well_within_a_lease():
-    one = division(3)
-    set_demand(one, 120.0)
-    one.run(4 * S)
-    assert usable_rate(one) > 0.9 * TOTAL.rate
-    change_total(one, LOW)
-    for name in one.names:
-        one.tell(name)
-    assert usable_rate(one) <= TOTAL.rate
-    one.run(RULES.lease_us // 2)
-    assert usable_rate(one) <= LOW.rate
+    division = make_division(3)
+    set_demand(division, 120.0)
+    division.run(4 * S)
+    assert usable_rate(division) > 0.9 * TOTAL.rate
+    change_total(division, LOW)
+    for name in division.names:
+        division.tell(name)
+    assert usable_rate(division) <= TOTAL.rate
+    division.run(RULES.lease_us // 2)
+    assert usable_rate(division) <= LOW.rate
 
 
 def test_a_head_suspended_during_a_change_keeps_only_its_old_fixed_part():
-    one = division(4)
-    set_demand(one, 120.0)
-    one.run(4 * S)
-    one.stop("head3", 4 * S)
-    one.run(100_000)
-    change_total(one, LOW)
-    for name in one.names:
-        one.tell(name)
-    one.run(4 * S)  # it has just resumed
-    member = one.members["head3"]
-    assert member.holder.budgets["v0"].share.refill(one.clock(member)) <= TOTAL.burst * 0.1 / 8
-    one.run(S)
-    others = usable_rate(one) - member.holder.budgets["v0"].share.rate
-    assert others <= LOW.rate and not one.all_told
-    one.tell("head3")
-    one.run(S)
-    assert usable_rate(one) <= LOW.rate and budgets.check(one.records) == []
+    division = make_division(4)
+    set_demand(division, 120.0)
+    division.run(4 * S)
+    division.stop("head3", 4 * S)
+    division.run(100_000)
+    change_total(division, LOW)
+    for name in division.names:
+        division.tell(name)
+    division.run(4 * S)  # the suspended head has just resumed
+    member = division.members["head3"]
+    assert member.holder.budgets["v0"].share.refill(division.clock(member)) <= TOTAL.burst * 0.1 / 8
+    division.run(S)
+    other_rates = usable_rate(division) - member.holder.budgets["v0"].share.rate
+    assert other_rates <= LOW.rate and not division.all_told
+    division.tell("head3")
+    division.run(S)
+    assert usable_rate(division) <= LOW.rate and budgets.check(division.records) == []
 
 
 # -- one head
@@ -261,36 +263,41 @@
 
 def budget_shares(kinds=(BudgetKind.LIMITS, BudgetKind.TRIALS, BudgetKind.LINKS)):
     specs = {
-        BudgetKind.LIMITS: BudgetSpec(0.1), BudgetKind.TRIALS: BudgetSpec(0.1, 10.0, 4.0), BudgetKind.LINKS: BudgetSpec(0.5, 80.0),
+        BudgetKind.LIMITS: BudgetSpec(0.1),
+        BudgetKind.TRIALS: BudgetSpec(0.1, 10.0, 4.0),
+        BudgetKind.LINKS: BudgetSpec(0.5, 80.0),
     }  # fmt: skip
     return BudgetShares(RULES, 2, "a", 1, 8, {kind: specs[kind] for kind in kinds}, -100 * S)
 
 
 def test_update_totals_changes_only_the_budgets_of_changed_plans_and_specs():
-    mine, gold, tin = (
+    shares, gold, tin = (
         budget_shares(),
         Plan("gold", limit=200.0, limit_burst=40.0),
         Plan("tin", limit=10.0, limit_burst=5.0),
     )
     arrival = RequestArrived(1, "read", "gold", "v0", "", 0, 1.0, S)
-    one, other = mine.limit(0, arrival, gold), mine.limit(0, replace(arrival, volume="v1"), tin)
-    before = other.rate
-    mine.acquire_link(0, "node")
-    calls = []
-    mine.on_wake = lambda: calls.append(True)
+    gold_bucket, tin_bucket = (
+        shares.limit(0, arrival, gold),
+        shares.limit(0, replace(arrival, volume="v1"), tin),
+    )
+    before = tin_bucket.rate
+    shares.acquire_link(0, "node")
+    wakes = []
+    shares.on_wake = lambda: wakes.append(True)
     lower = replace(gold, limit=50.0, limit_burst=10.0)
-    specs = mine.specs | {BudgetKind.LINKS: BudgetSpec(0.5, 16.0)}
-    mine.update_totals(0, {"gold": gold, "tin": tin}, {"gold": lower, "tin": tin}, specs)
-    assert one.rate == pytest.approx(0.99 * 50.0 * 0.1 / 8) and other.rate == before and calls
-    assert dict(mine)["links/node"].capacity == 1.0
-    assert mine.limit(0, arrival, lower) is one
+    specs = shares.specs | {BudgetKind.LINKS: BudgetSpec(0.5, 16.0)}
+    shares.update_totals(0, {"gold": gold, "tin": tin}, {"gold": lower, "tin": tin}, specs)
+    assert gold_bucket.rate == pytest.approx(0.99 * 50.0 * 0.1 / 8) and tin_bucket.rate == before and wakes
+    assert dict(shares)["links/node"].capacity == 1.0
+    assert shares.limit(0, arrival, lower) is gold_bucket
     with pytest.raises(ValueError, match="fixed"):
-        mine.update_totals(0, {}, {}, mine.specs | {BudgetKind.TRIALS: BudgetSpec(0.2, 10.0, 4.0)})
+        shares.update_totals(0, {}, {}, shares.specs | {BudgetKind.TRIALS: BudgetSpec(0.2, 10.0, 4.0)})
 
 
 def test_a_new_limit_starts_with_an_empty_bucket():
-    mine, free, gold = budget_shares(), Plan("gold"), Plan("gold", limit=80.0, limit_burst=40.0)
-    mine.update_totals(0, {"gold": free}, {"gold": gold}, mine.specs)
+    shares, free, gold = budget_shares(), Plan("gold"), Plan("gold", limit=80.0, limit_burst=40.0)
+    shares.update_totals(0, {"gold": free}, {"gold": gold}, shares.specs)
     for at, level in ((0, 0.0), (S // 4, 0.2475), (S, 0.5)):
-        bucket = mine.limit(at, RequestArrived(1, "read", "gold", f"v{at}", "", 0, 1.0, S), gold)
+        bucket = shares.limit(at, RequestArrived(1, "read", "gold", f"v{at}", "", 0, 1.0, S), gold)
         assert isinstance(bucket, Bucket) and bucket.refill(at) == pytest.approx(level)
--- a/tests/live/test_changing.py
+++ b/tests/live/test_changing.py
@@ -1,4 +1,4 @@
-"""Which settings change in service: declared with each, and what is laid over a head's own."""
+"""Which settings can change while a head runs, and overrides of a head's settings at its start."""
 
 import re
 from pathlib import Path
@@ -42,7 +42,7 @@
     return parse(read_text(HEAD, "head.sexp"), "head.sexp")
 
 
-def test_what_two_fields_would_share_as_a_name_keeps_its_unit(head):
+def test_a_name_that_two_fields_would_share_keeps_its_unit(head):
     limits = head.limits
     assert (limits.held, limits.held_bytes, limits.in_flight, limits.in_flight_bytes) == (
         500,
@@ -53,26 +53,26 @@
     assert bind(read_text(format_settings("limits", limits), "x"), LimitSettings, "x") == limits
 
 
-def test_paths_of_settings_are_told_apart():
+def test_paths_of_settings_are_unique():
     paths = [one.path for one in iter_declarations()]
     assert len(paths) == len(set(paths)) > 100
 
 
-def test_what_is_laid_over_changes_what_it_names_and_nothing_else(head):
+def test_overrides_change_only_the_settings_that_they_name(head):
     text = """(settings
       (plan "tin" (limit 50))
       (rules (warm 2s))
       (fleet (budgets (budget "links" (whole 160)))))"""
-    laid = apply_overrides(head, text, "settings 3")
-    assert {one.path: (one.before, one.after) for one in iter_differences(head, laid)} == {
+    overridden = apply_overrides(head, text, "settings 3")
+    assert {one.path: (one.before, one.after) for one in iter_differences(head, overridden)} == {
         "plan tin: limit": (100.0, 50.0), "rules: warm": (0, 2_000_000),
         "fleet: budgets: budget links: whole": (80.0, 160.0),
     }  # fmt: skip
     assert apply_overrides(head, "(settings)", "x") == head
-    assert apply_overrides(head, '(settings (state-dir "unused"))', "x") == head  # it says the same
+    assert apply_overrides(head, '(settings (state-dir "unused"))', "x") == head  # the same value
 
 
-@pytest.mark.parametrize("text, said", [
+@pytest.mark.parametrize("text, message", [
     ("(head)", "x:1: head: expected (settings ...)"),
     ("(settings\n (plan \"gold\"\n  (limit -1)))", "x:3: plans[0].limit: Expected `float` >= 0.0"),
     ("(settings\n (plan \"tin\"\n  (limit -1)))", "x:3: plans[1].limit: Expected `float` >= 0.0"),
@@ -87,43 +87,46 @@
     ("(settings (plan \"tin\" (limit-burst 1)))", "x:1: plan tin: limit-burst: below most-units"),
     ("(settings (plan \"tin\"", "x:1: brackets do not match"),
 ])  # fmt: skip
-def test_what_cannot_be_is_turned_down_whole_with_its_field(head, text, said):
-    with pytest.raises(SettingsError, match=re.escape(said)):
+def test_invalid_overrides_are_rejected_completely_with_their_field(head, text, message):
+    with pytest.raises(SettingsError, match=re.escape(message)):
         apply_overrides(head, text, "x")
 
 
-def test_classes_do_not_change_places(head):
-    other = HeadSettings(
+def test_classes_cannot_be_reordered(head):
+    reordered = HeadSettings(
         **{**{name: getattr(head, name) for name in head.__struct_fields__}, "classes": head.classes[::-1]}
     )
     with pytest.raises(SettingsError, match="x: class: can't change"):
-        check_reload(head, other, "x")
+        check_reload(head, reordered, "x")
 
 
-@pytest.mark.parametrize("text, said", [
+@pytest.mark.parametrize("text, message", [
     ('(settings (plan "tin" (limit 50) (weigth 2)))', "new.sexp:1: plan: unknown setting weigth"),
     ('(settings (rules (warm 1s)) (tick 5ms))', "new.sexp:1: tick: can't change while the head runs"),
 ])  # fmt: skip
-def test_what_heads_would_turn_down_is_not_proposed(tmp_path, monkeypatch, text, said):
+def test_settings_that_heads_would_reject_are_not_proposed(tmp_path, monkeypatch, text, message):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "head.sexp").write_text(HEAD)
     (tmp_path / "new.sexp").write_text(text)
-    run = CliRunner().invoke(
+    result = CliRunner().invoke(
         propose_command, ["settings", "new.sexp", "--settings", "head.sexp", "--why", "x"]
     )
-    assert run.exit_code == 2 and said in run.output
+    assert result.exit_code == 2 and message in result.output
 
 
-def test_operators_read_which_settings_change_in_service():
+def test_the_operators_page_lists_which_settings_can_change_while_a_head_runs():
     page = (Path(__file__).parents[2] / "docs/operators/settings.md").read_text()
-    rows = [[cell.strip() for cell in line.strip("|").split("|")] for line in page.splitlines() if line.startswith("| `") or
-            line.startswith("| the head itself")]  # fmt: skip
-    told = {}
+    rows = [[cell.strip() for cell in line.strip("|").split("|")] for line in page.splitlines()
+            if line.startswith("| `") or line.startswith("| the head itself")]  # fmt: skip
+    documented = {}
     for row in rows:
-        part = "" if row[0] == "the head itself" else row[0].strip("`")
-        if len(row) == 3 and re.fullmatch(r"[a-z: -]*", part):
-            for live, names in ((True, row[1]), (False, row[2])):
-                told.update(
-                    {f"{part}: {name}" if part else name: live for name in filter(None, names.split(", "))}
+        section = "" if row[0] == "the head itself" else row[0].strip("`")
+        if len(row) == 3 and re.fullmatch(r"[a-z: -]*", section):
+            for reloadable, names in ((True, row[1]), (False, row[2])):
+                documented.update(
+                    {
+                        f"{section}: {name}" if section else name: reloadable
+                        for name in filter(None, names.split(", "))
+                    }
                 )
-    assert told == {one.path: one.reloadable for one in iter_declarations()}
+    assert documented == {one.path: one.reloadable for one in iter_declarations()}
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -1,4 +1,4 @@
-"""A running head goes by each setting that is declared to change in service, and turns down all others."""
+"""A running head applies each setting that is declared as reloadable, and rejects changes of all others."""
 
 from collections.abc import Iterator
 from dataclasses import fields
@@ -49,37 +49,40 @@
   (plan "gold" (limit 1000) (limit-burst 4000) (weight 2))
   (volume "v" (size 4MiB) (plan "gold")))
 """
-DISK = VolumeSettings(name="v", size_bytes=64 * EXTENT, plan="gold")
+VOLUME = VolumeSettings(name="v", size_bytes=64 * EXTENT, plan="gold")
 
 
-def started(text=TEXT):
+def parse_settings(text=TEXT):
     return parse(read_text(text, "head.sexp"), "head.sexp")
 
 
 def play(test, text=TEXT):
-    """Run a head with one storage node on a virtual hub, and a test beside it."""
+    """Run a head with one storage node on a virtual hub, and call `test` with the head."""
     hub = Hub.virtual(1)
     net = MemoryNetwork(hub)
 
     def main():
         with hub.scope("site") as scope:
-            listing = ListService(hub, net)
-            listing.start(scope)
+            list_service = ListService(hub, net)
+            list_service.start(scope)
             shelf = Shelf(hub, net, NodeStandInSettings(listen=("127.0.0.1", 0), extent_bytes=EXTENT, unit_us=200,
-                                                  window_us=20 * S, volumes=(DISK,)), Rack(EXTENT))  # fmt: skip
+                                                  window_us=20 * S, volumes=(VOLUME,)), Rack(EXTENT))  # fmt: skip
             shelf.start(scope)
-            listing.set(Member(NodeEntry("shelf", 0), shelf.address))
-            lists = msgspec.structs.replace(started(text).node_list.consul, address=listing.address)
-            told = msgspec.structs.replace(
-                started(text), node_list=msgspec.structs.replace(started(text).node_list, consul=lists))  # fmt: skip
+            list_service.set(Member(NodeEntry("shelf", 0), shelf.address))
+            consul = msgspec.structs.replace(
+                parse_settings(text).node_list.consul, address=list_service.address
+            )
+            settings = msgspec.structs.replace(
+                parse_settings(text),
+                node_list=msgspec.structs.replace(parse_settings(text).node_list, consul=consul))  # fmt: skip
             notes = []
-            head = Head(hub, net, told, lambda event, **more: notes.append((event, more)), ExtentMap(None),
+            head = Head(hub, net, settings, lambda event, **more: notes.append((event, more)), ExtentMap(None),
                         wiring=Wiring(datagrams=MemoryDatagrams(hub)))  # fmt: skip
             scope.spawn("head", head.run)
             head.ready.wait()
             hub.sleep(100_000)
             head.user, head.shelf, head.notes, head.scope = (
-                SettingsUser(told, head.apply_settings, head._note),
+                SettingsUser(settings, head.apply_settings, head._note),
                 shelf,
                 notes,
                 scope,
@@ -94,41 +97,47 @@
     return Version("settings", number, number - 1, body, "ops", 0, "why")
 
 
-def take(head, body):
-    """Take a version; return why not."""
+def apply_version(head, body):
+    """Apply a version; return "", or why it is rejected."""
     return head.user.take("settings", version(body))
 
 
-# -- each setting by its declaration
+# -- each setting as declared
+
 
+def iter_settings(section, steps=(), path="") -> Iterator[tuple[str, tuple, object]]:
+    """Yield each setting of a section: its declared path, the steps that lead to it, and its field.
 
-def settings_of(part, path=(), word="") -> Iterator[tuple[str, tuple, object]]:
-    """Yield each setting of a value: its declared path, the way to it, and its field."""
-    words = setting_names(type(part))
-    for field in msgspec.structs.fields(part):
-        held, here = getattr(part, field.name), f"{word}: {words[field.name]}" if word else words[field.name]
+    A step is the name of an attribute, or a pair of such a name and an index.
+    """
+    names = setting_names(type(section))
+    for field in msgspec.structs.fields(section):
+        name = names[field.name]
+        value, field_path = getattr(section, field.name), f"{path}: {name}" if path else name
         if find_struct_type(field.type) is None:
-            yield here, (*path, field.name), field
-        elif isinstance(held, tuple) and held:
-            yield from settings_of(held[0], (*path, (field.name, 0)), here)
-        elif held is not None and held != ():
-            yield from settings_of(held, (*path, field.name), here)
+            yield field_path, (*steps, field.name), field
+        elif isinstance(value, tuple) and value:
+            yield from iter_settings(value[0], (*steps, (field.name, 0)), field_path)
+        elif value is not None and value != ():
+            yield from iter_settings(value, (*steps, field.name), field_path)
 
 
-def changed(part, path, make):
-    """Return a value with the setting at the end of a way changed."""
-    step, *rest = path
+def replace_setting(section, steps, make):
+    """Return a section in which the setting that the steps lead to is replaced by `make` of its value."""
+    step, *rest = steps
     if isinstance(step, tuple):
-        name, at = step
-        items = getattr(part, name)
-        items = (*items[:at], changed(items[at], rest, make), *items[at + 1 :])
-        return msgspec.structs.replace(part, **{name: items})
-    held = getattr(part, step)
-    return msgspec.structs.replace(part, **{step: changed(held, rest, make) if rest else make(held)})
-
-
-def another(value, field):
-    """Return another value that the setting can have."""
+        name, index = step
+        items = getattr(section, name)
+        items = (*items[:index], replace_setting(items[index], rest, make), *items[index + 1 :])
+        return msgspec.structs.replace(section, **{name: items})
+    value = getattr(section, step)
+    return msgspec.structs.replace(
+        section, **{step: replace_setting(value, rest, make) if rest else make(value)}
+    )
+
+
+def other_value(value, field):
+    """Return a different valid value of the setting."""
     if isinstance(value, bool):
         return not value
     if isinstance(value, Enum):
@@ -142,28 +151,28 @@
     return value + (7_000 if field.name.endswith("_us") else 3)
 
 
-def whole_head():
-    """Return settings in which every part is there."""
+def complete_head():
+    """Return settings in which every optional section is present."""
     extra = """(region "r" (other "s") (peer "127.0.0.1" 1) (witness "127.0.0.1" 2))"""
     regions = """(volume "v" (regions (home "r")))"""
-    head = bind(read_text(f"(head {extra})", "x"), HeadSettings, "x", started())
+    head = bind(read_text(f"(head {extra})", "x"), HeadSettings, "x", parse_settings())
     return bind(read_text(f"(head {regions})", "x"), HeadSettings, "x", head)
 
 
-HEAD = whole_head()
-WAYS = {path: (way, field) for path, way, field in settings_of(HEAD)}
-LIVE = [one.path for one in iter_declarations() if one.reloadable]
-STUCK = [one.path for one in iter_declarations() if not one.reloadable]
+HEAD = complete_head()
+SETTINGS = {path: (steps, field) for path, steps, field in iter_settings(HEAD)}
+RELOADABLE = [one.path for one in iter_declarations() if one.reloadable]
+FIXED = [one.path for one in iter_declarations() if not one.reloadable]
 
 
-def test_every_declared_setting_is_looked_at():
-    assert set(WAYS) == {one.path for one in iter_declarations()}
+def test_every_declared_setting_is_tested():
+    assert set(SETTINGS) == {one.path for one in iter_declarations()}
 
 
-def acting(head, path):
-    """Return what a setting is where the running head acts by it."""
+def value_in_use(head, path):
+    """Return a setting's value in the object of the running head that uses it."""
     group, _, _ = path.rpartition(": ")
-    name, core, reception = WAYS[path][0][-1], head.core, head.reception
+    name, core, reception = SETTINGS[path][0][-1], head.core, head.reception
     limits = head._links.settings.limits
     special = {
         "max-hint": core._retry_queue.patience.rules.most_us,
@@ -191,50 +200,50 @@
     return getattr(owner, name)
 
 
-def test_each_setting_that_is_declared_to_change_takes_effect_and_goes_back():
+def test_each_reloadable_setting_takes_effect_and_can_be_reverted():
     def test(head):
-        for path in LIVE:
-            way, field = WAYS[path]
+        for path in RELOADABLE:
+            steps, field = SETTINGS[path]
             if path.startswith("fleet: budgets: budget"):
-                way = ("fleet", "budgets", ("budgets", 1), way[-1])
-            before, was = head.settings, acting(head, path)
-            after = changed(before, way, lambda value, field=field: another(value, field))
+                steps = ("fleet", "budgets", ("budgets", 1), steps[-1])
+            before, used = head.settings, value_in_use(head, path)
+            after = replace_setting(before, steps, lambda value, field=field: other_value(value, field))
             assert [one.reloadable for one in check_reload(before, after, "x")] == [True]
             head.apply_settings(after)
             head.hub.sleep(50_000)
-            assert acting(head, path) != was, path
+            assert value_in_use(head, path) != used, path
             head.apply_settings(before)
             head.hub.sleep(50_000)
-            assert acting(head, path) == was, path
+            assert value_in_use(head, path) == used, path
 
     play(test)
 
 
-@pytest.mark.parametrize("path", STUCK)
-def test_each_other_setting_is_turned_down_with_its_name(path):
-    way, field = WAYS[path]
-    other = changed(HEAD, way, lambda value: another(value, field))
+@pytest.mark.parametrize("path", FIXED)
+def test_changes_of_each_other_setting_are_rejected_with_its_name(path):
+    steps, field = SETTINGS[path]
+    other = replace_setting(HEAD, steps, lambda value: other_value(value, field))
     assert [one.reloadable for one in iter_differences(HEAD, other)] == [False]
-    one_of_several = len(way) > 1 and isinstance(way[-2], tuple)  # without its name it is another one
-    named = (path.removesuffix(": name") if one_of_several else path).rpartition(": ")[2]
-    with pytest.raises(SettingsError, match=f"x: .*{named}: can't change while the head runs"):
+    is_repeated = len(steps) > 1 and isinstance(steps[-2], tuple)  # renamed, it is a different section
+    name = (path.removesuffix(": name") if is_repeated else path).rpartition(": ")[2]
+    with pytest.raises(SettingsError, match=f"x: .*{name}: can't change while the head runs"):
         check_reload(HEAD, other, "x")
 
 
-# -- taken whole or not at all
+# -- a version is applied completely or not at all
 
 
-def test_a_version_is_taken_whole_or_turned_down_whole_and_none_goes_back():
+def test_a_version_is_applied_or_rejected_completely_and_none_restores_the_start():
     def test(head):
         user, before = head.user, head.settings
         assert user.take("settings/other", None).startswith("settings/other: ")
-        why = take(head, "(settings (rules (warm 2s)) (tick 5ms))")
-        assert why == "settings 1:1: tick: can't change while the head runs" and head.settings is before
-        assert "limit-burst" in take(head, '(settings (plan "gold" (limit-burst 1)))')
+        reason = apply_version(head, "(settings (rules (warm 2s)) (tick 5ms))")
+        assert reason == "settings 1:1: tick: can't change while the head runs" and head.settings is before
+        assert "limit-burst" in apply_version(head, '(settings (plan "gold" (limit-burst 1)))')
         assert head.settings is before
-        assert take(head, '(settings (rules (warm 2s)) (plan "gold" (limit 10)))') == ""
+        assert apply_version(head, '(settings (rules (warm 2s)) (plan "gold" (limit 10)))') == ""
         assert head.settings.plans[0].limit == 10 and head.settings.rules.warm_us == 2 * S
-        # A version is what differs from the start, not from the version before.
+        # A version overrides the settings at the start, not those of the version before.
         assert user.take("settings", version('(settings (plan "gold" (limit 20)))', 2)) == ""
         assert head.settings.plans[0].limit == 20 and head.settings.rules.warm_us == 0
         assert user.take("settings", None) == "" and head.settings == before
@@ -243,48 +252,48 @@
     play(test)
 
 
-def client_of(head):
+def connect_client(head):
     client = NbdClient(head.hub, head._network)
     client.open(head.address, head.hub.now() + S)
     client.go(head.scope, "v", head.hub.now() + S)
     return client
 
 
-ALONE = TEXT[: TEXT.index("  (fleet")] + TEXT[TEXT.index("  (class") :]
-ALONE = ALONE.replace("(heads 4)", "(heads 1)").replace(
+SINGLE_HEAD = TEXT[: TEXT.index("  (fleet")] + TEXT[TEXT.index("  (class") :]
+SINGLE_HEAD = SINGLE_HEAD.replace("(heads 4)", "(heads 1)").replace(
     "  (rules (budget-window 10s) (cold-units 4) (budget-free 1))\n", ""
 )
 
 
-def test_an_open_request_keeps_the_deadline_it_was_taken_with():
+def test_an_open_request_keeps_the_deadline_of_its_arrival():
     def test(head):
-        client = client_of(head)
+        client = connect_client(head)
         assert client.call(Command.WRITE, 0, data=b"x" * 512).error == 0
         head.shelf.faults.hang = True
-        ends = []
+        durations = []
 
         def read():
-            began = head.hub.now()
-            assert client_of(head).call(Command.READ, 0, 512).error == Errno.ENOMEM
-            ends.append(head.hub.now() - began)
+            started_at = head.hub.now()
+            assert connect_client(head).call(Command.READ, 0, 512).error == Errno.ENOMEM
+            durations.append(head.hub.now() - started_at)
 
         head.scope.spawn("first", read)
         head.hub.sleep(100_000)
-        assert take(head, '(settings (class "read" (aim 100ms) (deadline 400ms)))') == ""
+        assert apply_version(head, '(settings (class "read" (aim 100ms) (deadline 400ms)))') == ""
         head.scope.spawn("second", read)
         head.hub.sleep(3 * S)
-        assert ends[0] < 500_000 and 1_000_000 < ends[1] <= 1_500_000 + 50_000
+        assert durations[0] < 500_000 and 1_000_000 < durations[1] <= 1_500_000 + 50_000
 
-    play(test, ALONE.replace("(size 4MiB)", "(size 4MiB) (waiting refuse)"))
+    play(test, SINGLE_HEAD.replace("(size 4MiB)", "(size 4MiB) (waiting refuse)"))
 
 
-def test_a_lowered_limit_holds_from_then_on_and_a_raise_brings_no_windfall():
+def test_a_lowered_limit_holds_at_once_and_a_raised_one_grants_no_burst():
     def test(head):
-        client, hub = client_of(head), head.hub
+        client, hub = connect_client(head), head.hub
         assert client.call(Command.WRITE, 0, data=b"x" * 4096).error == 0
 
         def served(us):
-            """Ask without a pause; return how many units were served."""
+            """Send reads without a pause for `us`; return how many units were served."""
             end, count = hub.now() + us, 0
             while hub.now() < end:
                 count += client.call(Command.READ, 0, 4096).error == 0
@@ -292,9 +301,9 @@
             return count
 
         hub.sleep(10 * S)
-        assert take(head, '(settings (plan "gold" (limit 20) (limit-burst 16)))') == ""
+        assert apply_version(head, '(settings (plan "gold" (limit 20) (limit-burst 16)))') == ""
         assert served(4 * S) <= 16 + 4 * 20 + 1
-        assert take(head, '(settings (plan "gold" (limit 100) (limit-burst 100000)))') == ""
+        assert apply_version(head, '(settings (plan "gold" (limit 100) (limit-burst 100000)))') == ""
         assert 0.7 * 200 <= served(2 * S) <= 2 * 100 + 1 + 16
 
-    play(test, ALONE)
+    play(test, SINGLE_HEAD)
--- a/tests/live/test_limits_day.py
+++ b/tests/live/test_limits_day.py
@@ -1,4 +1,4 @@
-"""Limits that change in service over a fleet's heads: rule 7 at the nodes holds, and finds a head that lies."""
+"""Limits that change while a fleet runs: rule 7 holds at the nodes, and detects a head that ignores a change."""
 
 from harriertrack.config.sexp import read_text
 from harriertrack.gateway.head import Head
@@ -17,39 +17,44 @@
   (step limit (times 2)) (step rest (for 3s)))"""
 
 
-def play(seed=1):
-    """Return the recording of the day."""
+def run_day(seed=1):
+    """Simulate the day and return its recording."""
     recorder = rec.Recorder(None)
     simulate(scenario.parse(read_text(DAY, "day"), "day"), 4, seed, recorder, True)
     return recorder.records
 
 
-def test_a_limit_that_is_lowered_and_raised_in_service_is_kept_by_all_heads_together():
-    records = play()
+def test_all_heads_together_keep_to_a_limit_that_is_lowered_and_raised_while_they_run():
+    records = run_day()
     assert checker.check(records) == budgets.check(records) == changes.check(records) == []
-    told = [one for one in records if isinstance(one, rec.TookVersion)]
-    assert not any(one.why for one in told) and {one.head for one in told} == {
+    applied = [one for one in records if isinstance(one, rec.TookVersion)]
+    assert not any(one.why for one in applied) and {one.head for one in applied} == {
         f"head{number}" for number in range(4)
     }
     facts = next(one for one in records if isinstance(one, rec.Facts))
     limit = facts.limits[0]
-    now = [one for one in records if isinstance(one, rec.LimitNow) and one.volume == limit.volume]
-    assert [round(one.rate / limit.rate, 3) for one in now] == [0.3, 2.0]
+    changes_of_limit = [
+        one for one in records if isinstance(one, rec.LimitNow) and one.volume == limit.volume
+    ]
+    assert [round(one.rate / limit.rate, 3) for one in changes_of_limit] == [0.3, 2.0]
     story = checker.Story(records)
-    firsts = [
+    first_attempts = [
         one[0] for one in story.attempts.values() if one[0].volume == limit.volume and one[0].kind != "flush"
     ]
 
     def sent(begin, end):
-        """Return units a second, in the limit that the day began with."""
+        """Return the units sent per second, as a multiple of the limit at the day's start."""
         return (
-            sum(story.units(one) for one in firsts if begin <= one.t < end) * 1e6 / (end - begin) / limit.rate
+            sum(story.units(one) for one in first_attempts if begin <= one.t < end)
+            * 1e6
+            / (end - begin)
+            / limit.rate
         )
 
-    low, high = now[0].t, now[1].t
+    low, high = changes_of_limit[0].t, changes_of_limit[1].t
     assert 0.2 < sent(low, high) <= 0.3 and sent(high, high + 3_000_000) > 0.6
 
 
-def test_a_head_that_says_it_took_a_lower_limit_and_goes_on_as_before_is_found(monkeypatch):
+def test_a_head_that_reports_a_lower_limit_but_does_not_apply_it_is_detected(monkeypatch):
     monkeypatch.setattr(Head, "apply_settings", lambda self, settings: None)
-    assert {one.rule for one in checker.check(play())} == {7}
+    assert {one.rule for one in checker.check(run_day())} == {7}
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -15,13 +15,13 @@
 from harriertrack.rules import fleet, recording as rec
 from harriertrack.rules.everything import judge
 from harriertrack.standin.relay import Fault, Weather
-from tests.test_settings import GOOD
+from tests.test_settings import VALID_HEAD
 
 FLEET = """(fleet "a" (listen "127.0.0.1" 7946) (seed "b" (address "10.0.0.2" 7946)))"""
 
 
 def head(extra=FLEET):
-    return cfg.parse(read_text(GOOD.rstrip().removesuffix(")") + extra + ")", "h.sexp"), "h.sexp")
+    return cfg.parse(read_text(VALID_HEAD.rstrip().removesuffix(")") + extra + ")", "h.sexp"), "h.sexp")
 
 
 # -- settings
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is wrong is said with file, line and field, and nothing starts."""
+"""Settings: errors give file, line and field, and nothing starts with invalid settings."""
 
 import subprocess
 import sys
@@ -12,7 +12,7 @@
 from harriertrack.decisions import interface as api
 from harriertrack.lab import day
 
-GOOD = """; a head
+VALID_HEAD = """; a head
 (head
   (listen "127.0.0.1" 10809)
   (state-dir "state")
@@ -28,14 +28,14 @@
 """
 
 
-def check(tmp_path, text):
+def load_text(tmp_path, text):
     path = tmp_path / "head.sexp"
     path.write_text(text)
     return load(str(path))
 
 
-def test_good_settings(tmp_path):
-    head = check(tmp_path, GOOD)
+def test_valid_settings(tmp_path):
+    head = load_text(tmp_path, VALID_HEAD)
     assert head.listen == ("127.0.0.1", 10809) and head.extent_bytes == 256 << 10
     assert head.volumes[1].shards == (0, 1, 2) and head.limits.connections == 10
     module = module_settings(head)
@@ -67,7 +67,7 @@
         ("; a head", "head", 1, "one form"),
         ("(head", "(herd", 2, "herd"),
         ("(limits (connections 10))", "(limits)", 0, ""),
-        # what only the whole shows
+        # Relations between fields.
         ('"big"', '"demo"', 2, "volume demo"),
         ('(size 64MiB) (plan "basic")', '(size 64MiB) (plan "gold")', 2, "plan gold"),
         ("(aim 500ms)", "(aim 5s)", 2, "write: aim"),
@@ -80,19 +80,20 @@
         ('(file "nodes.sexp")', "", 2, "node-list"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path, before, after, line, field):
-    assert before in GOOD
-    text = GOOD.replace(before, after, 1)
+def test_errors_give_line_and_field(tmp_path, before, after, line, field):
+    assert before in VALID_HEAD
+    text = VALID_HEAD.replace(before, after, 1)
     if not line:
-        check(tmp_path, text)
+        load_text(tmp_path, text)
         return
     with pytest.raises(SettingsError) as error:
-        check(tmp_path, text)
-    said = str(error.value)
-    assert f"head.sexp:{line}:" in said and field in said, said
+        load_text(tmp_path, text)
+    message = str(error.value)
+    assert f"head.sexp:{line}:" in message and field in message, message
 
 
-REGIONS = GOOD.replace('(plan "basic")) (', '(').replace("(kinds read flush)", "(kinds read flush own-read catch-up)").replace(
+REGIONS = VALID_HEAD.replace('(plan "basic")) (', '(').replace(
+    "(kinds read flush)", "(kinds read flush own-read catch-up)").replace(
     '(volume "demo" (size 64MiB) (plan "basic"))',
     '(region (name "a") (other "b") (peer "127.0.0.1" 2) (witness "127.0.0.1" 3))\n'
     '  (volume "demo" (size 64MiB) (plan "basic") (regions (home "b") (mode home)))')  # fmt: skip
@@ -113,31 +114,32 @@
         ('(witness "127.0.0.1" 3)', "", "witness"),
     ],
 )
-def test_what_is_wrong_with_regions_is_named(tmp_path, before, after, field):
-    assert check(tmp_path, REGIONS).volumes[0].regions.mode.value == "home"
+def test_errors_in_regions_name_their_field(tmp_path, before, after, field):
+    assert load_text(tmp_path, REGIONS).volumes[0].regions.mode.value == "home"
     assert before in REGIONS
     with pytest.raises(SettingsError, match=field):
-        check(tmp_path, REGIONS.replace(before, after, 1))
+        load_text(tmp_path, REGIONS.replace(before, after, 1))
 
 
-def test_bad_settings_end_with_code_2_and_start_nothing(tmp_path):
+def test_invalid_settings_exit_with_code_2_and_start_nothing(tmp_path):
     path = tmp_path / "head.sexp"
-    path.write_text(GOOD.replace("300ms", "300"))
+    path.write_text(VALID_HEAD.replace("300ms", "300"))
     for command in ("head", "check"):
-        done = subprocess.run([sys.executable, "-m", "harriertrack", command, str(path)],
+        process = subprocess.run([sys.executable, "-m", "harriertrack", command, str(path)],
                               capture_output=True, text=True, timeout=60, check=False)  # fmt: skip
         assert (
-            done.returncode == 2
-            and "head.sexp:8: class: aim:" in done.stderr
-            and "Traceback" not in done.stderr
+            process.returncode == 2
+            and "head.sexp:8: class: aim:" in process.stderr
+            and "Traceback" not in process.stderr
         )
     assert not (tmp_path / "state").exists()
 
 
-def test_a_node_list_file(tmp_path):
+def test_node_list_file(tmp_path):
     path = tmp_path / "nodes.sexp"
     path.write_text(
-        '(node-list (node "a" (address "127.0.0.1" 1) (shard 0)) (node "b" (address "::1" 2) (shard 1) (state draining)))'
+        '(node-list (node "a" (address "127.0.0.1" 1) (shard 0))'
+        ' (node "b" (address "::1" 2) (shard 1) (state draining)))'
     )
     first, second = load_nodes(str(path))
     assert first.address == ("127.0.0.1", 1) and second.state is api.NodeState.DRAINING
@@ -150,27 +152,27 @@
 
 @given(st.text(alphabet="()\"; abc12\n\\'", max_size=60))
 @hypothesis_settings(max_examples=200, deadline=None)
-def test_any_text_is_read_or_turned_down(text):
+def test_any_text_is_parsed_or_rejected(text):
     try:
         read_text(text, "x")
     except SettingsError as error:
         assert str(error).startswith("x:")
 
 
-def test_every_day_is_good_and_names_itself():
+def test_every_day_is_valid_and_has_its_own_name():
     names = day.names()
     assert len(names) >= 19 and "saturday" in names
     for name in names:
-        one = day.load(name)
-        assert one.name == name and one.about
+        loaded = day.load(name)
+        assert loaded.name == name and loaded.about
 
 
-def test_a_day_that_cannot_be():
+def test_invalid_and_unknown_days_are_rejected():
     with pytest.raises(SettingsError, match="trouble hang: begins after"):
         day.parse(read_text('(day "d" (length 1s) (trouble hang (from 2s)))', "d"), "d")
     with pytest.raises(SettingsError, match="no such day"):
         day.load("nothing")
 
 
-def test_the_kit_is_not_needed():
+def test_sources_do_not_refer_to_the_given_files():
     assert not [path for path in Path("harriertrack").rglob("*.py") if "../given" in path.read_text()]
