--- a/harriertrack/cli/list_service.py
+++ b/harriertrack/cli/list_service.py
@@ -14,7 +14,7 @@
 from harriertrack.rules.recording import Recorder
 from harriertrack.runtime.hub import Event, Hub
 from harriertrack.runtime.streams import SocketNetwork
-from harriertrack.standin.listservice import ListService
+from harriertrack.standin.list_service import ListService
 
 POLL_INTERVAL_US = 100_000  # between checks of the settings file
 
@@ -44,7 +44,7 @@
                 service.set_state(name, NodeState.GONE)
             for name, node in current.items():
                 if published.get(name) != node:
-                    service.set(member_of(node).with_local_start(self._wall_ahead_us))
+                    service.set_member(member_of(node).with_local_start(self._wall_ahead_us))
             self._published[entrance.name] = current
 
 
--- a/harriertrack/cli/shelf.py
+++ b/harriertrack/cli/shelf.py
@@ -9,8 +9,8 @@
 from harriertrack.rules.recording import Recorder
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import SocketNetwork
-from harriertrack.standin.node import Rack
-from harriertrack.standin.shelf import Shelf
+from harriertrack.standin.node import ShardStorage
+from harriertrack.standin.node_server import NodeServer
 
 
 @click.command()
@@ -27,7 +27,7 @@
     log = configure_logging(log_format)
     hub = Hub()
     recorder = Recorder(record, at_once=True) if record else None
-    server = Shelf(hub, SocketNetwork(hub), node_settings, Rack(node_settings.extent_bytes), recorder)
+    server = NodeServer(hub, SocketNetwork(hub), node_settings, ShardStorage(node_settings.extent_bytes), recorder)
 
     def serve() -> None:
         with hub.scope("shelf") as scope:
--- a/harriertrack/cli/witness.py
+++ b/harriertrack/cli/witness.py
@@ -27,7 +27,7 @@
     state_file = Path(state) if state is not None else None
     try:
         if state_file is not None and state_file.exists():
-            server.take_up(state_file.read_bytes())
+            server.restore(state_file.read_bytes())
     except (OSError, ValueError, KeyError, TypeError) as error:
         fail(f"{state_file}: {error}")
     stopping = Event(hub)
@@ -35,12 +35,12 @@
     def save_state() -> None:
         if state_file is not None:
             temporary = state_file.with_suffix(".new")
-            temporary.write_bytes(server.kept())
+            temporary.write_bytes(server.backup())
             temporary.replace(state_file)  # atomic: the file is never incomplete
 
     def serve() -> None:
         with hub.scope("witness") as scope:
-            server.changed = save_state
+            server.on_change = save_state
             server.start(scope, (host, int(port)))
             log("witness serves", listen=listen_address)
             stopping.wait()
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -27,9 +27,9 @@
 from harriertrack.runtime.datagrams import MemoryDatagrams
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryNetwork
-from harriertrack.standin.listservice import ListService
-from harriertrack.standin.node import Rack
-from harriertrack.standin.shelf import Shelf
+from harriertrack.standin.list_service import ListService
+from harriertrack.standin.node import ShardStorage
+from harriertrack.standin.node_server import NodeServer
 from harriertrack.storage.extents import ExtentMap
 
 S, EXTENT = 1_000_000, 1 << 16
@@ -65,10 +65,10 @@
         with hub.scope("site") as scope:
             list_service = ListService(hub, net)
             list_service.start(scope)
-            shelf = Shelf(hub, net, NodeStandInSettings(listen=("127.0.0.1", 0), extent_bytes=EXTENT, unit_us=200,
-                                                  window_us=20 * S, volumes=(VOLUME,)), Rack(EXTENT))  # fmt: skip
+            shelf = NodeServer(hub, net, NodeStandInSettings(listen=("127.0.0.1", 0), extent_bytes=EXTENT, unit_us=200,
+                                                  window_us=20 * S, volumes=(VOLUME,)), ShardStorage(EXTENT))  # fmt: skip
             shelf.start(scope)
-            list_service.set(Member(NodeEntry("shelf", 0), shelf.address))
+            list_service.set_member(Member(NodeEntry("shelf", 0), shelf.address))
             consul = msgspec.structs.replace(
                 parse_settings(text).node_list.consul, address=list_service.address
             )
