--- a/harriertrack/cli/shelf.py
+++ b/harriertrack/cli/shelf.py
@@ -27,7 +27,9 @@
     log = configure_logging(log_format)
     hub = Hub()
     recorder = Recorder(record, at_once=True) if record else None
-    server = NodeServer(hub, SocketNetwork(hub), node_settings, ShardStorage(node_settings.extent_bytes), recorder)
+    server = NodeServer(
+        hub, SocketNetwork(hub), node_settings, ShardStorage(node_settings.extent_bytes), recorder
+    )
 
     def serve() -> None:
         with hub.scope("shelf") as scope:
