--- a/harriertrack/rules/__init__.py
+++ b/harriertrack/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The rules, judged from recordings of what the sockets carried."""
+"""Checks that judge recordings of what sockets carried and of what heads reported."""
--- a/harriertrack/rules/all_rules.py
+++ b/harriertrack/rules/all_rules.py
@@ -1,4 +1,4 @@
-"""All rules that a fleet's day is judged by, by what each is about."""
+"""All rules that a fleet's day is checked against, by subject."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def check_all(records: Iterable[rec.Record], detect_us: int) -> dict[str, list[Breach]]:
-    """Return the breaches of a recording by subject; `detect_us`: how long a death may go unnoticed."""
-    every = list(records)
+    """Return a recording's breaches by subject; `detect_us`: the longest time to detect a dead member."""
+    all_records = list(records)
     return {
-        "requests": checker.check(every), "views": fleet.check(every, detect_us),
-        "budgets": budgets.check(every), "zones": zones.check(every), "regions": regions.check(every),
-        "record": changes.check(every),
-        "closes": closing.check(every), "scores": scoring.check(every),
-        "rollouts": rollout.check(every),
+        "requests": checker.check(all_records), "views": fleet.check(all_records, detect_us),
+        "budgets": budgets.check(all_records), "zones": zones.check(all_records),
+        "regions": regions.check(all_records), "record": changes.check(all_records),
+        "closes": closing.check(all_records), "scores": scoring.check(all_records),
+        "rollouts": rollout.check(all_records),
     }  # fmt: skip
--- a/harriertrack/rules/changes.py
+++ b/harriertrack/rules/changes.py
@@ -1,10 +1,10 @@
-"""What must hold of the fleet's record of changes, judged by which one each head said it goes by.
+"""Checks the fleet's change record by the revisions that heads report to use.
 
-1. *One truth*: two heads that go by the same revision go by the same bytes, once the fleet is at rest.
-2. *Forward*: no life of a head goes back to an earlier revision.
-3. *Known*: no head runs a version of what operators propose that none of them proposed.
-4. *All*: at the day's end every head that lives goes by the latest revision that any head ever went by.
-5. *Kept*: and knows all that operators were told was taken.
+1. *Consistency*: at the day's end all heads that use the same revision have the same bytes.
+2. *Monotony*: no process of a head goes back to an earlier revision.
+3. *Origin*: no head runs a version of an operator's thing that no operator proposed.
+4. *Convergence*: at the day's end every living head uses the latest revision that any head ever used.
+5. *Durability*: and knows every version that operators were told was accepted.
 """
 
 from __future__ import annotations
@@ -17,46 +17,56 @@
 
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
-    """Judge a recording's record of changes. In order of time."""
+    """Check a recording's change records."""
     kinds = (rec.VersionProposed, rec.ChangeRecordApplied, rec.VersionApplied, rec.MemberLifecycle)
-    mine = sorted((one for one in records if isinstance(one, kinds)), key=lambda one: one.t)
-    if not any(isinstance(one, rec.VersionProposed) for one in mine):
+    checked = sorted((record for record in records if isinstance(record, kinds)), key=lambda record: record.t)
+    if not any(isinstance(record, rec.VersionProposed) for record in checked):
         return []
-    goes_by: dict[str, rec.ChangeRecordApplied] = {}
+    used_by_head: dict[str, rec.ChangeRecordApplied] = {}
     alive: set[str] = set()
     proposed: dict[str, set[int]] = defaultdict(set)
-    breaches, last, newest = [], 0, 0
-    for one in mine:
-        last = one.t
-        match one:
+    breaches, last, latest_revision = [], 0, 0
+    for record in checked:
+        last = record.t
+        match record:
             case rec.MemberLifecycle():
-                if one.how == "started":
-                    alive.add(one.member)
-                    goes_by.pop(one.member, None)  # it says anew what it kept
-                elif one.how in ("killed", "ended", "leaving"):
-                    alive.discard(one.member)
+                if record.how == "started":
+                    alive.add(record.member)
+                    used_by_head.pop(record.member, None)  # a new process reports its stored revision again
+                elif record.how in ("killed", "ended", "leaving"):
+                    alive.discard(record.member)
             case rec.VersionProposed():
-                proposed[one.thing].add(one.version)
+                proposed[record.thing].add(record.version)
             case rec.ChangeRecordApplied():
-                before = goes_by.get(one.head)
-                if before is not None and one.revision < before.revision:
-                    back = f"back to {one.revision} from {before.revision}"
-                    breaches.append(Breach(2, one.t, one.head, back))
-                goes_by[one.head], newest = one, max(newest, one.revision)
+                before = used_by_head.get(record.head)
+                if before is not None and record.revision < before.revision:
+                    decrease = f"back to {record.revision} from {before.revision}"
+                    breaches.append(Breach(2, record.t, record.head, decrease))
+                used_by_head[record.head], latest_revision = record, max(latest_revision, record.revision)
             case rec.VersionApplied():
-                known = proposed.get(one.thing)  # what no operator proposes is written by who decides
-                if one.version and not one.why and known is not None and one.version not in known:
-                    told = f"runs version {one.version} of {one.thing}, which nobody proposed"
-                    breaches.append(Breach(3, one.t, one.head, told))
-    ends = {head: goes_by[head] for head in sorted(alive & goes_by.keys())}
+                # Things that no operator proposes have versions that the decider writes: not checked.
+                proposed_versions = proposed.get(
+                    record.thing
+                )  # versions that operators don't propose are written by the decider
+                if (
+                    record.version
+                    and not record.why
+                    and proposed_versions is not None
+                    and record.version not in proposed_versions
+                ):
+                    what = f"runs version {record.version} of {record.thing}, which nobody proposed"
+                    breaches.append(Breach(3, record.t, record.head, what))
+    final = {head: used_by_head[head] for head in sorted(alive & used_by_head.keys())}
     for head in sorted(alive):
-        if head not in ends or ends[head].revision != newest:
-            at = ends[head].revision if head in ends else 0
-            breaches.append(Breach(4, last, head, f"goes by revision {at}, others by {newest}"))
+        if head not in final or final[head].revision != latest_revision:
+            revision = final[head].revision if head in final else 0
+            breaches.append(
+                Breach(4, last, head, f"goes by revision {revision}, others by {latest_revision}")
+            )
         for thing, versions in sorted(proposed.items()):
-            if head in ends and ends[head].latest.get(thing, 0) < max(versions):
+            if head in final and final[head].latest.get(thing, 0) < max(versions):
                 breaches.append(Breach(5, last, head, f"does not know version {max(versions)} of {thing}"))
-    digests = {one.digest for one in ends.values() if one.revision == newest}
+    digests = {record.digest for record in final.values() if record.revision == latest_revision}
     if len(digests) > 1:
-        breaches.append(Breach(1, last, "fleet", f"{len(digests)} records of revision {newest}"))
+        breaches.append(Breach(1, last, "fleet", f"{len(digests)} records of revision {latest_revision}"))
     return breaches
--- a/harriertrack/rules/linearizability.py
+++ b/harriertrack/rules/linearizability.py
@@ -1,9 +1,9 @@
-"""Whether the history of one block can be explained by one order of its operations (linearizability).
+"""Checks the operations on each block for linearizability.
 
-A block is a register: a write sets a value that no other write sets, a read returns one. An operation takes
-effect at one moment between its call and its return; a write without a certain outcome may take effect at any
+A block is a register: each write sets a value that no other write sets, a read returns a value. An operation
+takes effect at one moment between its call and its return; a write of unknown outcome may take effect at any
 time after its call, or never. The search is that of Wing and Gong ("Testing and Verifying Concurrent
-Objects", 1993) with the memory of visited states that Lowe added ("Testing for linearizability", 2017).
+Objects", 1993) with the cache of visited states that Lowe added ("Testing for linearizability", 2017).
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
     """One operation on a block: a write of `value`, or a read that returned it."""
 
     called: int
-    returned: int  # NEVER for a write whose outcome is not certain
+    returned: int  # NEVER for a write of unknown outcome
     is_write: bool
     value: int
     who: str = ""
 
 
 def linearizable(operations: Iterable[Operation], initial: int = 0) -> bool:
-    """Return whether some order explains all operations; writes that did not return may be left out."""
-    todo = sorted(operations, key=lambda one: (one.called, one.returned))
-    certain = [at for at, one in enumerate(todo) if one.returned < NEVER]
-    # The search goes by sets of operations done, as bits, and the value they left.
+    """Return whether some order explains all operations; writes of unknown outcome may be omitted."""
+    pending = sorted(operations, key=lambda operation: (operation.called, operation.returned))
+    certain = [index for index, operation in enumerate(pending) if operation.returned < NEVER]
+    # A state of the search: the operations applied, as a bit set, and the resulting value.
     stack: list[tuple[int, int]] = [(0, initial)]
     seen = {(0, initial)}
-    all_certain = sum(1 << at for at in certain)
+    certain_bits = sum(1 << index for index in certain)
     while stack:
-        done, value = stack.pop()
-        if done & all_certain == all_certain:
+        applied, value = stack.pop()
+        if applied & certain_bits == certain_bits:
             return True
-        # Nothing may go first that was called after another one returned.
-        first_return = min(todo[at].returned for at in certain if not done >> at & 1)
-        for at, one in enumerate(todo):
-            if one.called > first_return:
+        # An operation called after another one returned can't be applied before it.
+        first_return = min(pending[index].returned for index in certain if not applied >> index & 1)
+        for index, operation in enumerate(pending):
+            if operation.called > first_return:
                 break
-            if done >> at & 1 or (not one.is_write and one.value != value):
+            if applied >> index & 1 or (not operation.is_write and operation.value != value):
                 continue
-            state = (done | 1 << at, one.value if one.is_write else value)
+            state = (applied | 1 << index, operation.value if operation.is_write else value)
             if state not in seen:
                 seen.add(state)
                 stack.append(state)
@@ -55,7 +55,7 @@
 
 
 def histories(records: Iterable[rec.Record]) -> dict[tuple[str, int], list[Operation]]:
-    """Gather the operations on each block of a recording's register clients."""
+    """Collect the operations on each block that the register clients of a recording did."""
     called: dict[tuple[str, int], rec.OperationCalled] = {}
     blocks: dict[tuple[str, int], list[Operation]] = defaultdict(list)
     for record in records:
@@ -79,5 +79,5 @@
 
 
 def broken_blocks(records: Iterable[rec.Record]) -> list[tuple[str, int]]:
-    """Return the blocks whose history no order explains."""
+    """Return the blocks whose history is not linearizable."""
     return [block for block, operations in histories(records).items() if not linearizable(operations)]
--- a/harriertrack/rules/regions.py
+++ b/harriertrack/rules/regions.py
@@ -1,10 +1,9 @@
-"""What must hold of volumes that change regions, judged by when heads held them and gave them away.
+"""Checks the volumes that change regions by when heads took them over and gave them away.
 
-1. *Paced*: in no span of time do more volumes leave their home, or go back, than the fleet's pace lets all
-   heads move together: what is at hand at once, one that each head that moves any had saved up, and so many a
-   second.
-2. *In order*: of the volumes that a head takes over when a region goes dark, the more reserved come first.
-3. *Home*: at the day's end each volume is held where it belongs.
+1. *Paced*: in any period all heads together move at most the burst, one volume for each head that moves any
+   (each may have one saved turn), and the rate times the period's length, out of home regions or back.
+2. *In order*: when a region fails, a head takes over its volumes in descending order of reserved rate.
+3. *Home*: at the day's end a head of its home region holds each volume.
 """
 
 from __future__ import annotations
@@ -14,68 +13,72 @@
 from harriertrack.rules import recording as rec
 from harriertrack.rules.checker import Breach
 
-SPELL_US = 3_000_000  # a head that has taken no volume over for so long begins anew
-LATE_US = 200_000  # a head's log tells of a move a little after its turn came
+TAKEOVER_GAP_US = 3_000_000  # after this time without a takeover a head begins a new sequence
+REPORT_DELAY_US = 200_000  # a head may log a move this long after its turn
 
 
 def check(records: Iterable[rec.Record]) -> list[Breach]:
-    """Judge a recording's volumes of two regions. In order of time."""
-    every = list(records)
-    facts = next((one for one in every if isinstance(one, rec.VolumeMoveFacts)), None)
+    """Check a recording's volumes of two regions; return the first breach of rules 1 and 2, all of 3."""
+    all_records = list(records)
+    facts = next((record for record in all_records if isinstance(record, rec.VolumeMoveFacts)), None)
     if facts is None:
         return []
-    moves = sorted((one for one in every if isinstance(one, rec.VolumeMoved)), key=lambda one: one.t)
-    moves = [one for one in moves if one.volume in facts.homes]
-    paced = [one for one in moves if one.region != facts.homes[one.volume]]  # taken over, or handed home
-    paced = _first_holds(paced)
-    return [*_too_fast(facts, paced), *_out_of_order(facts, paced), *_away(facts, moves)]
+    moves = sorted(
+        (record for record in all_records if isinstance(record, rec.VolumeMoved)), key=lambda record: record.t
+    )
+    moves = [record for record in moves if record.volume in facts.homes]
+    paced = [
+        record for record in moves if record.region != facts.homes[record.volume]
+    ]  # out of the home region, or back
+    paced = _without_renewals(paced)
+    return [*_too_fast(facts, paced), *_out_of_order(facts, paced), *_not_at_home(facts, moves)]
 
 
-def _first_holds(moves: list[rec.VolumeMoved]) -> list[rec.VolumeMoved]:
-    """Return moves without those of a head that held its volume already: its lease began anew."""
+def _without_renewals(moves: list[rec.VolumeMoved]) -> list[rec.VolumeMoved]:
+    """Return the moves without those where a head renewed its lease on a volume that it held already."""
     holder: dict[str, str] = {}
-    found = []
-    for one in moves:
-        if one.held and holder.get(one.volume) == one.head:
+    first_holds = []
+    for move in moves:
+        if move.held and holder.get(move.volume) == move.head:
             continue
-        found.append(one)
-        if one.held:
-            holder[one.volume] = one.head
+        first_holds.append(move)
+        if move.held:
+            holder[move.volume] = move.head
         else:
-            holder.pop(one.volume, None)
-    return found
+            holder.pop(move.volume, None)
+    return first_holds
 
 
 def _too_fast(facts: rec.VolumeMoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
-    for last, one in enumerate(moves):
+    for last, move in enumerate(moves):
         heads: set[str] = set()
         for first in range(last, -1, -1):
             heads.add(moves[first].head)
-            seconds = (one.t - moves[first].t + LATE_US) / 1e6
-            most = facts.burst + len(heads) + facts.rate * seconds
-            if last - first + 1 > most:
-                what = f"{last - first + 1} volumes changed regions in {seconds:.1f} s, {most:.1f} may"
-                return [Breach(1, one.t, one.volume, what)]
+            seconds = (move.t - moves[first].t + REPORT_DELAY_US) / 1e6
+            allowed = facts.burst + len(heads) + facts.rate * seconds
+            if last - first + 1 > allowed:
+                what = f"{last - first + 1} volumes changed regions in {seconds:.1f} s, {allowed:.1f} may"
+                return [Breach(1, move.t, move.volume, what)]
     return []
 
 
 def _out_of_order(facts: rec.VolumeMoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
-    latest: dict[str, rec.VolumeMoved] = {}
-    for one in moves:
-        if not one.held:
+    last_takeover: dict[str, rec.VolumeMoved] = {}
+    for move in moves:
+        if not move.held:
             continue
-        before = latest.get(one.head)
-        latest[one.head] = one
-        if before is None or one.t - before.t > SPELL_US:
+        previous = last_takeover.get(move.head)
+        last_takeover[move.head] = move
+        if previous is None or move.t - previous.t > TAKEOVER_GAP_US:
             continue
-        if facts.reserves[one.volume] > facts.reserves[before.volume]:
-            what = f"taken over by {one.head} after {before.volume}, whose plan reserves less"
-            return [Breach(2, one.t, one.volume, what)]
+        if facts.reserves[move.volume] > facts.reserves[previous.volume]:
+            what = f"taken over by {move.head} after {previous.volume}, whose plan reserves less"
+            return [Breach(2, move.t, move.volume, what)]
     return []
 
 
-def _away(facts: rec.VolumeMoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
-    last = {one.volume: one for one in moves}
+def _not_at_home(facts: rec.VolumeMoveFacts, moves: list[rec.VolumeMoved]) -> list[Breach]:
+    last = {move.volume: move for move in moves}
     end = moves[-1].t if moves else 0
     return [
         Breach(3, end, volume, f"is not held in region {home} at the end")
