--- a/tests/closing/test_closing_rules.py
+++ b/tests/closing/test_closing_rules.py
@@ -26,7 +26,7 @@
 _NUMBER = iter(range(1, 10**9))
 
 
-def did(t, kind, length=4096, offset=0, sent=True):
+def attempt(t, kind, length=4096, offset=0, sent=True):
     key = next(_NUMBER)
     one = [rec.AttemptSent(t=t, head=1, key=key, attempt=0, node="n0")] if sent else []
     return [
@@ -47,35 +47,35 @@
     ]
 
 
-def closed(t=AT + 100_000, number=1, at=AT, head="h0"):
+def close_done(t=AT + 100_000, number=1, at=AT, head="h0"):
     return rec.CloseDone(t=t, head=head, calendar="calendar/x", number=number, at=at)
 
 
-LIVED = [rec.MemberLifecycle(t=0, member=head, how="started") for head in ("h0", "h1")]
-CLOSED = [closed(head="h0"), closed(head="h1")]
+STARTED = [rec.MemberLifecycle(t=0, member=head, how="started") for head in ("h0", "h1")]
+CLOSED = [close_done(head="h0"), close_done(head="h1")]
 
 
-def broken(*records):
+def findings(*records):
     flat = [one for record in records for one in (record if isinstance(record, list) else [record])]
     return [breach.why for breach in closing.check([FACTS, DUE, *flat])]
 
 
 def test_compliant_day():
-    assert broken(
-        LIVED, CLOSED, client_write(5 * S, 1), client_read(6 * S, 1), client_read(AT, 0, outcome="refused"), client_read(AT + S, 0), client_write(11 * S, 2),
-        client_read(12 * S, 2), did(5 * S, "write"), did(AT + S, "trim", SIZE), did(AT + 2 * S, "write"), did(AT + 3 * S, "read"),
+    assert findings(
+        STARTED, CLOSED, client_write(5 * S, 1), client_read(6 * S, 1), client_read(AT, 0, outcome="refused"), client_read(AT + S, 0), client_write(11 * S, 2),
+        client_read(12 * S, 2), attempt(5 * S, "write"), attempt(AT + S, "trim", SIZE), attempt(AT + 2 * S, "write"), attempt(AT + 3 * S, "read"),
     ) == []  # fmt: skip
 
 
 def test_old_byte_is_a_breach_only_after_the_bound():
-    assert broken(LIVED, CLOSED, client_write(5 * S, 1), client_read(AT + BOUND - 20_000, 1)) == []
-    (why,) = broken(LIVED, CLOSED, client_write(5 * S, 1), client_read(AT + BOUND, 1))
+    assert findings(STARTED, CLOSED, client_write(5 * S, 1), client_read(AT + BOUND - 20_000, 1)) == []
+    (why,) = findings(STARTED, CLOSED, client_write(5 * S, 1), client_read(AT + BOUND, 1))
     assert "read 1" in why
 
 
 def test_lost_new_byte_is_a_breach():
-    (why,) = broken(
-        LIVED,
+    (why,) = findings(
+        STARTED,
         CLOSED,
         client_write(5 * S, 1),
         client_read(AT + S, 0),
@@ -83,8 +83,8 @@
         client_read(12 * S, 0),
     )
     assert "read 0" in why
-    (why,) = broken(
-        LIVED, CLOSED, client_write(5 * S, 1, offset=9 * SIZE), client_read(AT + S, 0, offset=9 * SIZE)
+    (why,) = findings(
+        STARTED, CLOSED, client_write(5 * S, 1, offset=9 * SIZE), client_read(AT + S, 0, offset=9 * SIZE)
     )
     assert "may be [1]" in why, "outside the range nothing is purged"
 
@@ -92,64 +92,71 @@
 @pytest.mark.parametrize("seen", [0, 2])
 def test_write_across_the_close_counts_as_before_or_after_consistently(seen):
     across = client_write(AT - 50_000, 2, took=100_000)
-    assert broken(LIVED, CLOSED, across, client_read(AT + S, seen), client_read(AT + 2 * S, seen)) == []
+    assert findings(STARTED, CLOSED, across, client_read(AT + S, seen), client_read(AT + 2 * S, seen)) == []
     assert (
-        len(broken(LIVED, CLOSED, across, client_read(AT + S, seen), client_read(AT + 2 * S, 2 - seen))) == 1
+        len(findings(STARTED, CLOSED, across, client_read(AT + S, seen), client_read(AT + 2 * S, 2 - seen)))
+        == 1
     )
 
 
 def test_write_of_unknown_outcome_must_not_reappear_after_the_close():
     lost = client_write(5 * S, 7, outcome="lost")
     assert (
-        broken(LIVED, CLOSED, lost, client_read(6 * S, 7))
+        findings(STARTED, CLOSED, lost, client_read(6 * S, 7))
         == []
-        == broken(LIVED, CLOSED, lost, client_read(AT + S, 0))
+        == findings(STARTED, CLOSED, lost, client_read(AT + S, 0))
     )
-    assert len(broken(LIVED, CLOSED, lost, client_read(AT + S, 7))) == 1
-    assert broken(LIVED, CLOSED, client_write(5 * S, 7, outcome="refused"), client_read(6 * S, 0)) == []
+    assert len(findings(STARTED, CLOSED, lost, client_read(AT + S, 7))) == 1
+    assert findings(STARTED, CLOSED, client_write(5 * S, 7, outcome="refused"), client_read(6 * S, 0)) == []
 
 
 @pytest.mark.parametrize(
-    ("records", "said"),
+    ("records", "finding"),
     [
-        ([closed(head="h0"), closed(head="h1", at=AT + S)], "elsewhere"),
-        ([*CLOSED, closed(t=AT + S, head="h1")], "after 1"),
-        ([closed(head="h0"), closed(head="h1", number=2)], "after 0"),
-        ([closed(head="h0"), closed(t=AT - 100_000, head="h1")], "early"),
-        ([closed(head="h0")], "not done at h1"),
+        ([close_done(head="h0"), close_done(head="h1", at=AT + S)], "elsewhere"),
+        ([*CLOSED, close_done(t=AT + S, head="h1")], "after 1"),
+        ([close_done(head="h0"), close_done(head="h1", number=2)], "after 0"),
+        ([close_done(head="h0"), close_done(t=AT - 100_000, head="h1")], "early"),
+        ([close_done(head="h0")], "not done at h1"),
         ([], "0 generations"),
         (
             [
                 *CLOSED,
-                closed(t=AT + S, number=2, at=AT + S),
-                closed(t=AT + S, number=2, at=AT + S, head="h1"),
+                close_done(t=AT + S, number=2, at=AT + S),
+                close_done(t=AT + S, number=2, at=AT + S, head="h1"),
             ],
             "nobody asked",
         ),
     ],
 )
-def test_each_close_is_one_generation_everywhere(records, said):
-    assert any(said in why for why in broken(LIVED, records, rec.ClientLeft(t=20 * S, client="c")))
+def test_each_close_is_one_generation_everywhere(records, finding):
+    assert any(finding in why for why in findings(STARTED, records, rec.ClientLeft(t=20 * S, client="c")))
 
 
 def test_killed_head_needs_no_close():
-    assert broken(LIVED, closed(head="h0"), rec.MemberLifecycle(t=AT - S, member="h1", how="killed")) == []
+    assert (
+        findings(STARTED, close_done(head="h0"), rec.MemberLifecycle(t=AT - S, member="h1", how="killed"))
+        == []
+    )
 
 
 @pytest.mark.parametrize(
-    ("records", "said"),
+    ("records", "finding"),
     [
-        ([did(5 * S, "write")], "never trimmed"),
-        ([did(5 * S, "write"), did(AT + S, "read"), did(AT + 2 * S, "trim", SIZE)], "read where"),
-        ([did(5 * S, "write"), did(AT + S, "write"), did(AT + 2 * S, "trim", SIZE)], "write where"),
-        ([did(AT + S, "write"), did(AT + 2 * S, "trim", SIZE)], "trimmed over"),
-        ([did(5 * S, "write"), did(AT + S, "trim", SIZE // 2)], "never trimmed"),
+        ([attempt(5 * S, "write")], "never trimmed"),
+        ([attempt(5 * S, "write"), attempt(AT + S, "read"), attempt(AT + 2 * S, "trim", SIZE)], "read where"),
+        (
+            [attempt(5 * S, "write"), attempt(AT + S, "write"), attempt(AT + 2 * S, "trim", SIZE)],
+            "write where",
+        ),
+        ([attempt(AT + S, "write"), attempt(AT + 2 * S, "trim", SIZE)], "trimmed over"),
+        ([attempt(5 * S, "write"), attempt(AT + S, "trim", SIZE // 2)], "never trimmed"),
     ],
 )
-def test_nodes_are_trimmed_before_they_are_used_again(records, said):
-    assert any(said in why for why in broken(LIVED, CLOSED, *records))
+def test_nodes_are_trimmed_before_they_are_used_again(records, finding):
+    assert any(finding in why for why in findings(STARTED, CLOSED, *records))
 
 
 def test_write_sent_before_the_close_and_received_late_is_not_a_new_write():
-    late = did(AT + S, "write", sent=False)  # the time at which its head sent it is unknown
-    assert broken(LIVED, CLOSED, late, did(AT + 2 * S, "trim", SIZE)) == []
+    late = attempt(AT + S, "write", sent=False)  # the time at which its head sent it is unknown
+    assert findings(STARTED, CLOSED, late, attempt(AT + 2 * S, "trim", SIZE)) == []
--- a/tests/rollout/test_rollout_rules.py
+++ b/tests/rollout/test_rollout_rules.py
@@ -28,11 +28,11 @@
     )
 
 
-def away(t, head, version=1):
+def handover_began(t, head, version=1):
     return rec.HeadHandover(t=t * S, head=head, away=True, version=version)
 
 
-def back(t, head, version=1):
+def handover_ended(t, head, version=1):
     return rec.HeadHandover(t=t * S, head=head, away=False, version=version)
 
 
@@ -51,8 +51,8 @@
     for at, name in enumerate(HEADS):
         stage, t = (1 if at == 0 else 2 if at < 3 else 3), 10 + 10 * at
         named = [*named, name]
-        found += [step(t, "going", stage, list(named)), away(t + 1, name), rec.MemberLifecycle(t=(t + 1) * S, member=name, how="leaving"),
-                  rec.MemberLifecycle(t=(t + 2) * S, member=name, how="started"), back(t + 3, name)]  # fmt: skip
+        found += [step(t, "going", stage, list(named)), handover_began(t + 1, name), rec.MemberLifecycle(t=(t + 1) * S, member=name, how="leaving"),
+                  rec.MemberLifecycle(t=(t + 2) * S, member=name, how="started"), handover_ended(t + 3, name)]  # fmt: skip
     return [*found, step(100, "in force", 3, [])]
 
 
@@ -70,12 +70,12 @@
 @pytest.mark.parametrize(("rule", "fault"), [
     (1, [step(12, "going", 1, ["head0", "head1"])]),
     (1, [step(44, "going", 2, HEADS[:4])]),
-    (1, [back(15, "head5")]),
+    (1, [handover_ended(15, "head5")]),
     (2, [step(95, "back", 3, HEADS), step(97, "going", 3, HEADS)]),
     (2, [step(95, "back", 3, HEADS)]),
-    (2, [step(20.5, "back", 2, ["head0"]), step(21, "back", 2, []), back(99, "head1")]),
-    (3, [away(21.5, "head4")]),
-    (3, [away(21.5, "head2")]),
+    (2, [step(20.5, "back", 2, ["head0"]), step(21, "back", 2, []), handover_ended(99, "head1")]),
+    (3, [handover_began(21.5, "head4")]),
+    (3, [handover_began(21.5, "head2")]),
     (3, [rec.MemberLifecycle(t=5 * S, member=name, how="killed") for name in ("head2", "head3", "head5")]),
     (4, [rec.MemberLifecycle(t=15 * S, member="head0", how="stopped")]),
     (4, [rec.MemberLifecycle(t=15 * S, member="head0", how="killed")]),
@@ -117,8 +117,8 @@
         changes.check(records),
     ]
     assert found == [[]] * 5
-    stands = {(one.thing, one.version): one.standing for one in records if isinstance(one, rec.RolloutStep)}
-    assert stands == (
+    states = {(one.thing, one.version): one.standing for one in records if isinstance(one, rec.RolloutStep)}
+    assert states == (
         {("program", 1): "stopped"}
         if name == "roll-crashing"
         else {("settings", 1): "in force", ("settings", 2): "stopped"}
