--- a/harriertrack/standin/http.py
+++ b/harriertrack/standin/http.py
@@ -1,4 +1,4 @@
-"""What HTTP stand-ins have in common: one request a connection, through h11."""
+"""HTTP server for the stand-ins, based on h11; each connection carries one request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """A request: method, target, the caller's name of itself, body."""
+    """A complete HTTP request; `agent` is its User-Agent field."""
 
     method: str
     target: str
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class HttpResponse:
-    """What is sent back; None in place of one breaks the connection."""
+    """A response; a handler that returns None instead resets the connection."""
 
     status: int
     body: bytes = b""
@@ -34,12 +34,12 @@
 
 
 def serve(listener: Listener, scope: Scope, name: str, handle: Handler) -> None:
-    """Accept connections until the listener is closed (a task); `handle` runs in a task of each."""
-    accept_connections(listener, scope, name, lambda stream: _one(stream, handle))
+    """Serve HTTP until the listener is closed (task body); `handle` runs in a task per connection."""
+    accept_connections(listener, scope, name, lambda stream: _serve_connection(stream, handle))
 
 
 def accept_connections(listener: Listener, scope: Scope, name: str, run: Callable[[Stream], None]) -> None:
-    """Accept connections until the listener is closed (a task); `run` is the task of each."""
+    """Accept connections until the listener is closed (task body); `run` runs in a task per connection."""
     while True:
         try:
             stream = listener.accept()
@@ -48,9 +48,9 @@
         scope.spawn(name, run, stream)
 
 
-def _one(stream: Stream, handle: Handler) -> None:
+def _serve_connection(stream: Stream, handle: Handler) -> None:
     http = h11.Connection(h11.SERVER)
-    asked = HttpRequest("", "", "", b"")
+    request = HttpRequest("", "", "", b"")
     try:
         while True:
             event = http.next_event()
@@ -58,24 +58,24 @@
                 http.receive_data(stream.read())
             elif isinstance(event, h11.Request):
                 agent = dict(event.headers).get(b"user-agent", b"").decode()
-                asked = HttpRequest(event.method.decode(), event.target.decode(), agent, b"")
+                request = HttpRequest(event.method.decode(), event.target.decode(), agent, b"")
             elif isinstance(event, h11.Data):
-                asked.body += event.data
+                request.body += event.data
             elif isinstance(event, h11.EndOfMessage):
                 break
             else:
                 return
-        answer = handle(asked)
-        if answer is None:
+        response = handle(request)
+        if response is None:
             stream.abort()
             return
-        length = ("Content-Length", str(len(answer.body)))
-        response = h11.Response(
-            status_code=answer.status, headers=[*answer.headers, length, ("Connection", "close")]
+        length = ("Content-Length", str(len(response.body)))
+        head = h11.Response(
+            status_code=response.status, headers=[*response.headers, length, ("Connection", "close")]
         )
-        for part in (response, h11.Data(data=answer.body), h11.EndOfMessage()):
-            stream.write(http.send(part) or b"")
+        for event in (head, h11.Data(data=response.body), h11.EndOfMessage()):
+            stream.write(http.send(event) or b"")
     except (OSError, ValueError, h11.RemoteProtocolError):
-        pass  # this connection alone suffers
+        pass  # only this connection fails
     finally:
         stream.close()
--- a/harriertrack/standin/node_server.py
+++ b/harriertrack/standin/node_server.py
@@ -1,5 +1,6 @@
-"""A storage node stand-in ("shelf"): an NBD server with real stored bytes, a model of its time, and faults on
-demand. What it does with its time is `node.NodeModel`.
+"""A storage node stand-in ("shelf" in settings): an NBD server with stored bytes and faults on demand.
+
+`node.NodeModel` models its queue and service times.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from harriertrack.runtime.streams import Listener, Network, Stream, StreamClosed
 from harriertrack.standin.node import NodeConnection, NodeModel, ReceivedRequest, ShardStorage, UsageMeter
 
-OFFERED = (
+TRANSMISSION_FLAGS = (
     TransmissionFlags.SEND_FLUSH
     | TransmissionFlags.SEND_FUA
     | TransmissionFlags.SEND_TRIM
@@ -34,7 +35,7 @@
 
 
 class NodeServer(NodeModel):
-    """One storage node over a network."""
+    """A storage node that listens on a network."""
 
     def __init__(
         self,
@@ -54,27 +55,27 @@
         self._sessions: dict[NodeSession, Task] = {}
 
     def start(self, scope: Scope, cold: bool = False) -> None:
-        """Come up and listen, cold if asked; raises OSError if the address is taken."""
+        """Start and listen; raises OSError if the address is in use."""
         for session, task in list(self._sessions.items()):
-            self._break(session, task)  # a machine that comes back resets connections from before
+            self._reset_session(session, task)  # a restarted machine resets its old connections
         self._listener = self._network.listen(self.address)
         self.address = self._listener.address
         self.boot(cold)
         scope.spawn(f"{self.settings.name} accepts", self._accept, self._listener, scope)
 
     def stop(self, silent: bool = False) -> None:
-        """Go down: connections break, or with `silent` just say nothing any more. Waiting work is lost."""
+        """Stop; reset connections, or with `silent` leave them open without traffic. Waiting requests are lost."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
         self.shut_down()
         for session, task in list(self._sessions.items()):
             if silent:
-                session.deaf = True
+                session.silenced = True
             else:
-                self._break(session, task)
+                self._reset_session(session, task)
 
-    def _break(self, session: NodeSession, task: Task) -> None:
+    def _reset_session(self, session: NodeSession, task: Task) -> None:
         self._sessions.pop(session, None)
         session.stream.abort()
         task.cancel()
@@ -93,17 +94,18 @@
             session = NodeSession(self, stream)
             self._sessions[session] = scope.spawn(f"{self.settings.name} serves", session.run)
 
-    def connection_closed(self, session: NodeConnection) -> None:
-        """A connection ended."""
-        self._sessions.pop(session, None)  # type: ignore[call-overload]
-        super().connection_closed(session)
+    def connection_closed(self, connection: NodeConnection) -> None:
+        """Handle a closed connection."""
+        self._sessions.pop(connection, None)  # type: ignore[call-overload]
+        super().connection_closed(connection)
 
 
 class _Exports:
     def __init__(self, settings: ShelfSettings) -> None:
         self._extended = settings.extended
         self._exports = {
-            volume.name: ExportInfo(volume.name, volume.size_bytes, OFFERED) for volume in settings.volumes
+            volume.name: ExportInfo(volume.name, volume.size_bytes, TRANSMISSION_FLAGS)
+            for volume in settings.volumes
         }
 
     def names(self) -> Iterable[str]:
@@ -117,76 +119,78 @@
 
 
 class NodeSession:
-    """One connection to a shelf."""
+    """A connection to a storage node."""
 
-    def __init__(self, shelf: NodeServer, stream: Stream) -> None:
-        self._shelf, self.stream = shelf, stream
-        self._nbd = ServerConnection(shelf.exports)
+    def __init__(self, server: NodeServer, stream: Stream) -> None:
+        self._server, self.stream = server, stream
+        self._nbd = ServerConnection(server.exports)
         self._head = self.epoch = 0
         self._volume = ""
-        self.deaf = False  # the machine went silent: nothing passes any more
+        self.silenced = False  # the machine vanished: nothing is received or sent any more
 
     def run(self) -> None:
         """Serve the connection until it ends."""
-        shelf = self._shelf
+        server = self._server
         try:
-            self._push()
+            self._send_outgoing()
             while data := self.stream.read():
-                if self._cut_off():
+                if self._is_cut_off():
                     continue
                 events = self._nbd.receive(data)
-                self._push()
+                self._send_outgoing()
                 for event in events:
                     match event:
                         case Request(command=Command.BLOCK_STATUS):
                             self._nbd.reply_block_status(event.cookie, [(event.length, 0)])
-                            self._push()
+                            self._send_outgoing()
                         case Request(command=Command.CANCEL):
-                            shelf.cancel(self, event.cookie)
+                            server.cancel(self, event.cookie)
                         case Request():
-                            self._request(event)
+                            self._handle_request(event)
                         case Opened():
                             self._volume = event.export.name
-                            known = [extension.identity_of(name) for name in event.contexts]
-                            self._head, self.epoch = next((one for one in known if one is not None), (0, 0))
-                            shelf.storage.fence.admits(self._volume, self.epoch)
+                            identities = [extension.identity_of(name) for name in event.contexts]
+                            self._head, self.epoch = next(
+                                (one for one in identities if one is not None), (0, 0)
+                            )
+                            server.storage.fence.admits(self._volume, self.epoch)
                         case Disconnect() | Aborted():
                             return
                 if self._nbd.state is ServerState.CLOSED:
                     return
                 self.stream.drain()
         except (OSError, ProtocolViolation):
-            pass  # this connection alone suffers
+            pass  # only this connection fails
         finally:
-            shelf.connection_closed(self)
+            server.connection_closed(self)
             self.stream.close()
 
-    def _cut_off(self) -> bool:
-        return self.deaf or self._head in self._shelf.faults.cut_off
+    def _is_cut_off(self) -> bool:
+        return self.silenced or self._head in self._server.faults.cut_off
 
-    def _push(self) -> None:
+    def _send_outgoing(self) -> None:
         for data in self._nbd.take_outgoing():
             self.stream.write(data)
 
-    def _request(self, request: Request) -> None:
-        self._shelf.receive(self, request, self._volume, self._head, self._nbd.extended)
+    def _handle_request(self, request: Request) -> None:
+        self._server.receive(self, request, self._volume, self._head, self._nbd.extended)
 
     def reset(self) -> None:
-        """Break the connection with a reset."""
+        """Reset the connection."""
         self.stream.abort()
 
     def reply(self, work: ReceivedRequest, result: str, data: bytes) -> None:
-        """Send an answer, if the connection is still there."""
-        if self._cut_off():
+        """Send a reply, unless the connection is cut off."""
+        if self._is_cut_off():
             return
-        request, report = work.request, self._shelf.record_reply(work, result)
+        request, report = work.request, self._server.record_reply(work, result)
         if result == "unseen":
             self._nbd.reply_error(request.cookie, Errno.ENOMEM, "the queue is full", unseen=True)
         elif request.command is Command.READ:
-            pieces = [data] if data else []
+            chunks = [data] if data else []
             self._nbd.reply_read(
-                request.cookie, request.offset, pieces, bool(request.flags & CommandFlags.DF), report
+                request.cookie, request.offset, chunks, bool(request.flags & CommandFlags.DF), report
             )
         else:
             self._nbd.reply_done(request.cookie, report)
-        self._push()
+        self._send_outgoing()
--- a/harriertrack/standin/platform_clients.py
+++ b/harriertrack/standin/platform_clients.py
@@ -1,7 +1,8 @@
-"""Stand-ins for the users' platform: its clients, and the account that they keep of what they got.
+"""Stand-ins for the users' platform: its clients, which count the outcomes of their requests.
 
-Clients send one request at a time on a connection, keep connections and open more when all are busy, and send
-once more on a new connection what crossed a close. Each class and each tenant has an account of its own.
+A connection carries one request at a time. Clients reuse idle connections, open new ones when all are busy,
+and repeat a request once on a new connection if its connection was closed at the time it was sent. Outcomes
+are counted for each class and tenant.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from harriertrack.standin.platform import header_fields, read_message
 
 LATE_ANSWER_US = (
-    500_000  # an answer so long after its time only earns nothing; after that the request is lost
+    500_000  # how long after its deadline an answer still counts as late; then the request is lost
 )
-CROSSED_CLOSE_US = 20_000  # a connection that ends so soon after a request has crossed it
+CROSSED_CLOSE_US = 20_000  # a close this soon after a request was sent is taken to have crossed it
 
 
 class RequestOutcome(StrEnum):
-    """What became of a request, as its client sees it."""
+    """The outcome of a request, as its client sees it."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    NOT_CONNECTED = "not taken"  # no new connection came up, not even for what had crossed a close
-    CLOSED = "closed"  # its new connection ended without an answer: counts as refused, and is priced
+    NOT_CONNECTED = "not taken"  # no new connection was opened, not even for a request that crossed a close
+    CLOSED = "closed"  # its new connection was closed without an answer: counts as refused, and is priced
     LATE = "late"
     LOST = "lost"
 
@@ -45,26 +46,26 @@
 
 @dataclass(slots=True)
 class OutcomeStats:
-    """What became of one kind's requests."""
+    """The outcomes of one kind's requests."""
 
     outcomes: Counter[RequestOutcome] = field(default_factory=Counter)
-    refused_with_hint: int = 0  # refused with a time to come back
-    longest_wait_us: int = 0  # the longest that any waited for its answer, ...
-    longest_refusal_us: int = 0  # ... and the longest that one waited for being refused
+    refused_with_hint: int = 0  # refused with a Retry-After field
+    longest_wait_us: int = 0  # longest time from a request to its outcome
+    longest_refusal_us: int = 0  # longest time from a request to its refusal
 
     @property
     def offered(self) -> int:
-        """Return how many were sent."""
+        """Return the number of requests with an outcome."""
         return self.outcomes.total()
 
     @property
     def served_share(self) -> float:
-        """Return the share that was served."""
+        """Return the share of requests that were served."""
         return self.outcomes[RequestOutcome.SERVED] / max(1, self.offered)
 
 
 class PlatformClients:
-    """Sends the kinds in turn, one request each `gap_us`; `form` words one from its kind and number."""
+    """Sends requests of the kinds in turn, one every `gap_us`; `form` builds one from its kind and number."""
 
     def __init__(self, hub: Hub, network: Network, address: tuple[str, int], kinds: Sequence[RequestKind],
                  form: Callable[[RequestKind, int], bytes], gap_us: int) -> None:  # fmt: skip
@@ -73,71 +74,70 @@
         self._idle: list[Stream] = []
         self._number = 0
         self.stats = {kind: OutcomeStats() for kind in kinds}
-        self.no_new_connections_from_us: int | None = (
-            None  # from then on they use the connections they have and open none
-        )
+        # After this time, requests are sent only on idle connections; None: never.
+        self.no_new_connections_from_us: int | None = None
 
     def run(self, until: int) -> None:
-        """Send until a time, and return when all have their answers or are lost (a task)."""
-        with self._hub.scope("clients") as asks:
+        """Send requests until a time; return when all of them have an outcome (task body)."""
+        with self._hub.scope("clients") as scope:
             while self._hub.now() < until:
                 kind = self._kinds[self._number % len(self._kinds)]
                 self._number += 1
-                asks.spawn("ask", self._ask, kind, self._form(kind, self._number))
+                scope.spawn("ask", self._send, kind, self._form(kind, self._number))
                 self._hub.sleep(self._gap_us)
 
     def served_share_by_class(self) -> dict[str, float]:
-        """Return the share served of each class."""
-        return self._shares(lambda kind: kind.name)
+        """Return the share of requests served, by class."""
+        return self._served_shares(lambda kind: kind.name)
 
     def served_share_by_tenant(self) -> dict[str, float]:
-        """Return the share served of each tenant."""
-        return self._shares(lambda kind: kind.plan)
+        """Return the share of requests served, by tenant."""
+        return self._served_shares(lambda kind: kind.plan)
 
-    def _shares(self, name: Callable[[RequestKind], str]) -> dict[str, float]:
+    def _served_shares(self, group_of: Callable[[RequestKind], str]) -> dict[str, float]:
         offered: Counter[str] = Counter()
         served: Counter[str] = Counter()
-        for kind, account in self.stats.items():
-            offered[name(kind)] += account.offered
-            served[name(kind)] += account.outcomes[RequestOutcome.SERVED]
-        return {one: served[one] / max(1, offered[one]) for one in offered}
+        for kind, stats in self.stats.items():
+            offered[group_of(kind)] += stats.offered
+            served[group_of(kind)] += stats.outcomes[RequestOutcome.SERVED]
+        return {group: served[group] / max(1, offered[group]) for group in offered}
 
     def outcomes(self) -> Counter[RequestOutcome]:
-        """Return what became of all requests."""
-        return sum((account.outcomes for account in self.stats.values()), Counter[RequestOutcome]())
+        """Return the outcomes of all requests."""
+        return sum((stats.outcomes for stats in self.stats.values()), Counter[RequestOutcome]())
 
-    def _ask(self, kind: RequestKind, request: bytes) -> None:
-        began, account = self._hub.now(), self.stats[kind]
-        until, stream = began + kind.deadline_us, self._kept()
+    def _send(self, kind: RequestKind, request: bytes) -> None:
+        sent_at_us, stats = self._hub.now(), self.stats[kind]
+        deadline, stream = sent_at_us + kind.deadline_us, self._take_idle()
         if (
             stream is None
             and self.no_new_connections_from_us is not None
-            and began >= self.no_new_connections_from_us
+            and sent_at_us >= self.no_new_connections_from_us
         ):
-            return  # there is nobody to ask
-        end: RequestOutcome | None = None
+            return  # not sent, and not counted
+        outcome: RequestOutcome | None = None
         if stream is not None:
             stream.write(request)
-            end = self._answered(stream, account, until)
-            if end is None and self._hub.now() > began + CROSSED_CLOSE_US:
-                end = RequestOutcome.LOST
-        if end is None:  # no connection was free, or its end crossed the request
-            end = self._ask_anew(request, account, until)
-        took = self._hub.now() - began
-        account.outcomes[end] += 1
-        account.longest_wait_us = max(account.longest_wait_us, took)
-        if end is RequestOutcome.REFUSED:
-            account.longest_refusal_us = max(account.longest_refusal_us, took)
-
-    def _ask_anew(self, request: bytes, account: OutcomeStats, until: int) -> RequestOutcome:
+            outcome = self._await_answer(stream, stats, deadline)
+            if outcome is None and self._hub.now() > sent_at_us + CROSSED_CLOSE_US:
+                outcome = RequestOutcome.LOST
+        if outcome is None:  # no connection was idle, or its close crossed the request
+            outcome = self._send_on_new_connection(request, stats, deadline)
+        duration_us = self._hub.now() - sent_at_us
+        stats.outcomes[outcome] += 1
+        stats.longest_wait_us = max(stats.longest_wait_us, duration_us)
+        if outcome is RequestOutcome.REFUSED:
+            stats.longest_refusal_us = max(stats.longest_refusal_us, duration_us)
+
+    def _send_on_new_connection(self, request: bytes, stats: OutcomeStats, deadline: int) -> RequestOutcome:
         try:
-            stream = self._network.connect(self._address, until, "client")
+            stream = self._network.connect(self._address, deadline, "client")
         except (OSError, DeadlineExceeded):
             return RequestOutcome.NOT_CONNECTED
         stream.write(request)
-        return self._answered(stream, account, until) or RequestOutcome.CLOSED
+        return self._await_answer(stream, stats, deadline) or RequestOutcome.CLOSED
 
-    def _kept(self) -> Stream | None:
+    def _take_idle(self) -> Stream | None:
         while self._idle:
             stream = self._idle.pop()
             if stream.silent():
@@ -145,8 +145,8 @@
             stream.close()
         return None
 
-    def _answered(self, stream: Stream, account: OutcomeStats, deadline: int) -> RequestOutcome | None:
-        """Wait for the answer; None for a connection that ended without one."""
+    def _await_answer(self, stream: Stream, stats: OutcomeStats, deadline: int) -> RequestOutcome | None:
+        """Wait for the answer; return None for a connection that was closed without one."""
         try:
             head, _, _ = read_message(stream, b"", deadline + LATE_ANSWER_US)
         except DeadlineExceeded:
@@ -164,7 +164,7 @@
         if self._hub.now() > deadline:
             return RequestOutcome.LATE
         status = int(head.split(b" ")[1])
-        account.refused_with_hint += status in (429, 503) and "retry-after" in fields
+        stats.refused_with_hint += status in (429, 503) and "retry-after" in fields
         return (
             RequestOutcome.SERVED
             if status == 200
--- a/harriertrack/standin/queue.py
+++ b/harriertrack/standin/queue.py
@@ -1,4 +1,4 @@
-"""Sources of lists that have more callers than they serve at once."""
+"""The request queue of a list source that has many callers."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(slots=True)
 class CallQueue:
-    """How a source with many callers serves them: one after another, in the order in which they came.
+    """Serves the calls to a list source one after another, in order of arrival.
 
-    A call that is given up meanwhile is served all the same: who answers notices that only as it writes.
+    A call that its caller abandons while it waits is still served: the server notices only when it writes.
     """
 
     hub: Hub
-    service_us: int = 0  # the time that one call takes ...
-    watch_cost_share: float = 1.0  # ... and the part of it where it goes on with a watch
-    other_callers_us: int = 0  # the work of other callers ahead of each call
-    max_wait_us: int | None = None  # a call whose turn comes later ends in 503 then
-    _free_at: int = 0
+    service_us: int = 0  # time to serve one call
+    watch_cost_share: float = 1.0  # share of `service_us` for a call that continues a watch
+    other_callers_us: int = 0  # work for other callers before each call
+    max_wait_us: int | None = None  # a call that would wait longer is refused (503) after this time
+    _free_at_us: int = 0
 
     def wait(self, continues_watch: bool) -> bool:
-        """Wait until a call has been served; return whether it was. `goes_on`: it continues a watch."""
+        """Wait for a call's turn and service time; return False if it is to be refused."""
         service_us = int(self.service_us * self.watch_cost_share) if continues_watch else self.service_us
         now = self.hub.now()
-        begins = max(now, self._free_at) + self.other_callers_us
-        if self.max_wait_us is not None and begins - now > self.max_wait_us:
+        starts_at_us = max(now, self._free_at_us) + self.other_callers_us
+        if self.max_wait_us is not None and starts_at_us - now > self.max_wait_us:
             self.hub.sleep(self.max_wait_us)
             return False
-        self._free_at = max(now, self._free_at) + service_us
-        self.hub.sleep_until(begins + service_us)
+        self._free_at_us = max(now, self._free_at_us) + service_us
+        self.hub.sleep_until(starts_at_us + service_us)
         return True
--- a/harriertrack/standin/service_times.py
+++ b/harriertrack/standin/service_times.py
@@ -1,4 +1,4 @@
-"""How long work takes beside its mean: draws of a service distribution with mean 1."""
+"""Draws from a service time distribution with mean 1: the ratio of a request's service time to the mean."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from harriertrack.config.settings import Service
 
-BLOCK = 4096  # draws made at once: one by one, scipy would cost more than the rest of the model
+BLOCK = 4096  # draws per call of scipy: single draws would cost more than the rest of the model
 
 
 def distribution(kind: Service, cv: float) -> Any:
     """Return the frozen scipy distribution with mean 1 and coefficient of variation `cv`; None for FIXED.
 
-    EXPONENTIAL has a coefficient of 1 whatever is asked. Raises ValueError for a coefficient that a
-    distribution can't have.
+    EXPONENTIAL always has a coefficient of 1. Raises ValueError for a coefficient outside the supported
+    range.
     """
     if kind is Service.FIXED or not cv:
         return None
-    from scipy import stats  # takes long to import: heads and nodes without a spread don't pay for it
+    from scipy import stats  # slow to import; not needed for fixed service times
 
     if not 0.01 <= cv <= 10:
         raise ValueError(f"a coefficient of variation of {cv} is outside 0.01 to 10")
@@ -36,7 +36,7 @@
 
 
 def _weibull_shape(cv: float) -> float:
-    """Find the shape that gives a coefficient of variation: it falls as the shape grows."""
+    """Return the shape for a coefficient of variation, which decreases with the shape."""
 
     from scipy.optimize import brentq
 
@@ -48,20 +48,20 @@
 
 
 class ServiceTimes:
-    """A stream of factors with mean 1, the same for the same seed."""
+    """A sequence of factors with mean 1, determined by its seed."""
 
     def __init__(self, kind: Service, cv: float, seed: int) -> None:
         self._distribution = distribution(kind, cv)
-        self._drawn: list[float] = []
+        self._unused: list[float] = []
         if self._distribution is not None:
             import numpy as np
 
             self._rng = np.random.default_rng(seed)
 
     def draw(self) -> float:
-        """Return the next factor."""
+        """Draw the next factor."""
         if self._distribution is None:
             return 1.0
-        if not self._drawn:
-            self._drawn = self._distribution.rvs(size=BLOCK, random_state=self._rng).tolist()
-        return self._drawn.pop()
+        if not self._unused:
+            self._unused = self._distribution.rvs(size=BLOCK, random_state=self._rng).tolist()
+        return self._unused.pop()
