--- a/harriertrack/standin/http.py
+++ b/harriertrack/standin/http.py
@@ -73,8 +73,8 @@
         head = h11.Response(
             status_code=response.status, headers=[*response.headers, length, ("Connection", "close")]
         )
-        for event in (head, h11.Data(data=response.body), h11.EndOfMessage()):
-            stream.write(http.send(event) or b"")
+        for message in (head, h11.Data(data=response.body), h11.EndOfMessage()):
+            stream.write(http.send(message) or b"")
     except (OSError, ValueError, h11.RemoteProtocolError):
         pass  # only this connection fails
     finally:
--- a/harriertrack/standin/node_server.py
+++ b/harriertrack/standin/node_server.py
@@ -64,7 +64,7 @@
         scope.spawn(f"{self.settings.name} accepts", self._accept, self._listener, scope)
 
     def stop(self, silent: bool = False) -> None:
-        """Stop; reset connections, or with `silent` leave them open without traffic. Waiting requests are lost."""
+        """Stop; reset connections, or leave them open without traffic (`silent`); drop waiting requests."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
--- a/harriertrack/standin/witness.py
+++ b/harriertrack/standin/witness.py
@@ -142,7 +142,7 @@
     def _transaction(self, operations: list[dict[str, dict]]) -> HttpResponse:
         """Apply all operations, or none and return 409."""
         requested = [entry["KV"] for entry in operations]
-        if not all(self._is_allowed(one) for one in requested):
+        if not all(self._is_allowed(operation) for operation in requested):
             return HttpResponse(409, b'{"Results": null, "Errors": [{"OpIndex": 0, "What": "refused"}]}')
         results = []
         for operation in requested:
