--- a/harriertrack/standin/node.py
+++ b/harriertrack/standin/node.py
@@ -2,10 +2,10 @@
 
 `cores` requests run at once, each for `request_us` plus `unit_us` per unit, multiplied by a draw from the
 service time distribution; longer when the node is slow or cold, shorter when the request's extent was
-accessed recently. Other requests wait in one queue, and are refused as unseen when it is full. Requests to
-one extent run in order of arrival. A part of a write's cost is deferred and done at once every `flush_us`, while
-nothing else starts or ends. A node that starts cold has only a share of its capacity at first.
-docs/emulator.md states each assumption.
+accessed recently. Other requests wait in one queue, and are refused as unseen when it is full. Requests
+to one extent run in order of arrival. A part of a write's cost is deferred and done at once every
+`flush_us`, while nothing else starts or ends. A node that starts cold has only a share of its capacity at
+first. docs/emulator.md states each assumption.
 """
 
 from __future__ import annotations
--- a/tests/endings/test_crowded_fleet.py
+++ b/tests/endings/test_crowded_fleet.py
@@ -56,7 +56,7 @@
     made_at, members = {}, []
 
     def change(source, number):
-        source.set(f"s{number % NODES}", ("127.0.0.1", 9000 + number % NODES), number % NODES)
+        source.set_server(f"s{number % NODES}", ("127.0.0.1", 9000 + number % NODES), number % NODES)
         made_at[source.version] = hub.now()
 
     def main():
