--- a/tests/endings/faulty_head.py
+++ b/tests/endings/faulty_head.py
@@ -1,6 +1,6 @@
-"""The platform's head with system calls that fail now and then, as Linux documents: `python -m ... SEED RATE CALL...`.
+"""The platform's head with system calls that fail at random, as Linux documents: `python -m ... SEED RATE CALL...`.
 
-A call fails before the system sees it, so nothing is lost but the call.
+A call fails before it reaches the system, so it has no effect.
 """
 
 import errno
@@ -28,70 +28,70 @@
 
 
 class Faults:
-    """Draws which calls fail, and with what."""
+    """Draws which calls fail, and with which errors."""
 
     def __init__(self, seed, rate, calls):
         self._random, self._rate, self._calls = random.Random(seed), rate, calls
-        self._serving = False  # a head that can't listen ends, and says so
+        self._serving = False  # before it listens, a head exits on errors, by design
 
-    def code(self, call):
-        """Return the error that a call ends with; 0 for none."""
+    def draw_code(self, call):
+        """Draw the error with which a call fails; 0 for none."""
         self._serving = self._serving or call == "accept"
         if not self._serving or call not in self._calls or self._random.random() >= self._rate:
             return 0
         return getattr(errno, self._random.choice(FAILURES[call]))
 
-    def strike(self, call):
-        if code := self.code(call):
+    def fail_sometimes(self, call):
+        if code := self.draw_code(call):
             raise OSError(code, errno.errorcode[code])
 
 
 def faulty_socket(faults):
-    """Return a class of sockets whose calls fail."""
+    """Return a class of sockets whose calls fail at random."""
 
     class FaultySocket(socket.socket):
         def __init__(self, family=-1, type=-1, proto=-1, fileno=None):
-            if fileno is None:  # else the socket is there already
-                faults.strike("socket")
+            if fileno is None:  # otherwise the descriptor exists already
+                faults.fail_sometimes("socket")
             super().__init__(family, type, proto, fileno)
 
         def accept(self):
-            faults.strike("accept")
+            faults.fail_sometimes("accept")
             fd, address = self._accept()
             return FaultySocket(self.family, self.type, self.proto, fileno=fd), address
 
         def connect_ex(self, address):
-            return faults.code("connect_ex") or super().connect_ex(address)
+            return faults.draw_code("connect_ex") or super().connect_ex(address)
 
         def getsockopt(self, *args):
-            faults.strike("getsockopt")
+            faults.fail_sometimes("getsockopt")
             return super().getsockopt(*args)
 
         def setsockopt(self, *args):
-            faults.strike("setsockopt")
+            faults.fail_sometimes("setsockopt")
             super().setsockopt(*args)
 
         def recv(self, *args):
-            faults.strike("recv")
+            faults.fail_sometimes("recv")
             return super().recv(*args)
 
         def sendmsg(self, *args):
-            faults.strike("sendmsg")
+            faults.fail_sometimes("sendmsg")
             return super().sendmsg(*args)
 
         def shutdown(self, how):
-            faults.strike("shutdown")
+            faults.fail_sometimes("shutdown")
             super().shutdown(how)
 
         def close(self):
             super().close()
-            faults.strike("close")  # Linux closes the descriptor all the same
+            faults.fail_sometimes("close")  # Linux closes the descriptor even if close fails
 
     return FaultySocket
 
 
 def faulty_poll(faults, real):
-    """Return a maker of poll objects whose calls fail."""
+    """Return a replacement of `select.poll` whose objects' calls fail at random."""
 
     class FaultyPoll:
         def __init__(self):
@@ -99,7 +99,7 @@
             self.register, self.unregister = self._poll.register, self._poll.unregister
 
         def poll(self, *args):
-            faults.strike("poll")
+            faults.fail_sometimes("poll")
             return self._poll.poll(*args)
 
     return FaultyPoll
--- a/tests/endings/loopback.py
+++ b/tests/endings/loopback.py
@@ -1,7 +1,7 @@
 """The platform's head with its nodes and discovery over loopback sockets, all on one hub.
 
-A client is a plain socket that the test holds itself. What a test does to it between two waits of its own lies
-within one turn of the hub: the head sees all of it at once, and no sleep is needed to force an instant.
+A client is a plain socket of the test. Everything that a test does to it between two waits happens within one
+round of the hub: the head sees all of it at once, so no sleeps are needed to hit an instant.
 """
 
 import fcntl
@@ -15,13 +15,13 @@
 from harriertrack.standin.platform import RESET, answer
 from tests.test_platform import MS, Site
 
-PLACES = Places()  # each site listens elsewhere: what one that failed left open hinders no other
-SMALL = 2048  # bytes that a small buffer holds
-PATIENCE_US = 10_000_000  # the longest that a test waits for a condition
+PLACES = Places()  # a port per site: sockets left open by a failed test block no other
+SMALL = 2048  # size of a small socket buffer, in bytes
+CONDITION_TIMEOUT_US = 10_000_000  # for a condition that a test waits for
 
 
 class LeapClock(RealClock):
-    """Real time that a test can let pass at once."""
+    """Real time that a test can move forward."""
 
     ahead_us = 0
 
@@ -33,13 +33,13 @@
 
 
 class HeldNetwork(SocketNetwork):
-    """TCP on this machine, over which connections to some addresses come up when the test says so."""
+    """TCP on this machine; connects to the addresses in `held` complete when the test sets `up`."""
 
     def __init__(self, hub):
         super().__init__(hub)
         self.held, self.waiting, self.up = set(), 0, Event(hub)
-        self.sockets = []  # of the connections that were held up
-        self.send_buffer = 0  # bytes that the kernel takes, of connections made from now on; 0: as it likes
+        self.sockets = []  # of the connections that were held
+        self.send_buffer = 0  # SO_SNDBUF of later connections; 0: the default
 
     def connect(self, address, deadline=None, name=""):
         stream = super().connect(address, deadline, name)
@@ -66,38 +66,38 @@
         return hub, HeldNetwork(hub), PLACES.next()
 
     def hold_dials(self):
-        """Connections to nodes come up at `net.up.set()` from now on."""
+        """Let later connects to nodes complete only at `net.up.set()`."""
         self.net.held = {shelf.address for shelf in self.shelfs}
 
     def leap_first(self, us):
-        """Let so much time pass in the hub's next round, before tasks that are woken after this call."""
+        """Move the clock in the hub's next round, before tasks that are woken after this call."""
         self.scope.spawn("leap", self.hub.clock.leap, us)
 
-    def until(self, holds, within=PATIENCE_US):
-        """Wait until a condition holds; fail after a time that no healthy run needs."""
+    def until(self, condition, within=CONDITION_TIMEOUT_US):
+        """Wait until a condition is true; fail after a time that no healthy run needs."""
         deadline = self.hub.now() + within
-        while not holds():
-            assert self.hub.now() < deadline, "the condition never held"
+        while not condition():
+            assert self.hub.now() < deadline, "the condition never became true"
             self.hub.sleep(1 * MS)
 
 
 class RawClient:
-    """A client's socket: connects, sends and ends at once, without a turn of the hub in between."""
+    """A client's socket: connects, sends and closes without a round of the hub in between."""
 
     def __init__(self, site, receive_buffer=0):
         self.site, self.received, self.ended, self.broken = site, b"", False, False
         self.socket = socket.socket()
         if receive_buffer:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        self.socket.connect(site.place)  # loopback: the kernel completes it though nobody has accepted yet
+        self.socket.connect(site.place)  # loopback: the kernel completes it before the head accepts
         self.socket.setblocking(False)
 
     def send(self, data):
-        """Send bytes; return how many the kernel took."""
+        """Send bytes; return how many the kernel accepted."""
         return self.socket.send(data)
 
     def receive(self, most=1 << 16):
-        """Take what has come; return whether anything new was seen."""
+        """Read available bytes; return whether there were any, or an end of the connection."""
         try:
             data = self.socket.recv(most)
         except BlockingIOError:
@@ -110,25 +110,25 @@
         return True
 
     def until_ended(self):
-        """Read up to the end of the connection; return all that came."""
+        """Read up to the end of the connection; return all received bytes."""
         self.site.until(lambda: self.receive() and self.ended)
         return self.received
 
     def until_answered(self):
-        """Read one whole answer; return (status, head in lower case, body)."""
+        """Read one complete answer; return (status, head in lower case, body)."""
 
-        def whole():
+        def is_complete():
             while not self.ended and self.receive():
                 pass
-            return self.ended or self._answer() is not None
+            return self.ended or self._parse_answer() is not None
 
-        self.site.until(whole)
-        found = self._answer()
-        assert found is not None, f"the connection ended without a whole answer: {self.received[:200]!r}"
-        answer, self.received = found
+        self.site.until(is_complete)
+        parsed = self._parse_answer()
+        assert parsed is not None, f"the connection ended without a complete answer: {self.received[:200]!r}"
+        answer, self.received = parsed
         return answer
 
-    def _answer(self):
+    def _parse_answer(self):
         head, mark, rest = self.received.partition(b"\r\n\r\n")
         if not mark:
             return None
@@ -142,11 +142,11 @@
         return (int(head.split(b" ")[1]), head, rest[:length]), rest[length:]
 
     def unacknowledged(self):
-        """Return how many bytes the system still has of what was sent."""
+        """Return how many sent bytes are still in the kernel's buffer."""
         return int.from_bytes(fcntl.ioctl(self.socket, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
 
     def was_reset(self):
-        """Whether the connection was reset, also behind bytes and an end that can still be read."""
+        """Whether the connection was reset, even if bytes and an end can still be read before that."""
         return self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
 
     def half_close(self):
@@ -154,17 +154,17 @@
         self.socket.shutdown(socket.SHUT_WR)
 
     def close(self):
-        """Close as a client that goes away does."""
+        """Close as a client that disconnects."""
         self.socket.close()
 
     def reset(self):
-        """Break the connection."""
+        """Reset the connection."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.socket.close()
 
 
-def ask_with_a_lost_answer(site, then=lambda: None, **changes):
-    """Send a request whose first attempt is reset once it has come; call `then` in that same turn."""
+def request_with_lost_answer(site, then=lambda: None, **changes):
+    """Send a request whose first attempt is reset when it arrives; call `then` in the same round."""
 
     def script(got):
         site.script = lambda got: answer(b"done")
@@ -178,7 +178,7 @@
 
 
 class RawNode:
-    """A storage node's listening socket, in place of one of the site's; the test accepts and answers itself."""
+    """A storage node's listening socket that replaces one of the site's; the test itself accepts and answers."""
 
     def __init__(self, site, cell=1):
         self.site, self.socket = site, socket.socket()
@@ -189,27 +189,27 @@
         site.discovery.set_server(f"s{cell}", address, cell)
         site.until(lambda: site.head.nodes.find(f"s{cell}").address == address)
 
-    def small_buffers(self, kept=SMALL):
-        """What is sent over connections made from now on does not come before it is read here.
+    def small_buffers(self, buffered=SMALL):
+        """Use small buffers for later connections: sent bytes arrive only as this side reads.
 
-        The head's system takes `kept` bytes, 0: as many as it likes.
+        The kernel of the head buffers `buffered` bytes; 0: its default.
         """
-        self.site.net.send_buffer = kept
+        self.site.net.send_buffer = buffered
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL)
 
     def accept(self):
         """Wait for a connection of the head; return its end here."""
-        found = []
+        accepted = []
 
-        def comes():
+        def is_accepted():
             try:
-                found.append(self.socket.accept()[0])
+                accepted.append(self.socket.accept()[0])
             except BlockingIOError:
                 return False
             return True
 
-        self.site.until(comes)
-        return NodeEnd(self.site, found[0])
+        self.site.until(is_accepted)
+        return NodeEnd(self.site, accepted[0])
 
 
 class NodeEnd(RawClient):
@@ -220,33 +220,33 @@
         self.socket = accepted
         accepted.setblocking(False)
 
-    def until_asked(self, body=0):
-        """Read up to the end of a request's head, and so many bytes behind it."""
+    def until_requested(self, body=0):
+        """Read up to the end of a request's head, and `body` bytes after it."""
 
-        def asked():
+        def is_requested():
             self.receive()
             _, mark, rest = self.received.partition(b"\r\n\r\n")
             return mark and len(rest) >= body
 
-        self.site.until(asked)
+        self.site.until(is_requested)
 
     def serve(self, body=b"done"):
-        """Answer what was asked."""
-        self.until_asked()
+        """Answer the request."""
+        self.until_requested()
         self.received = b""
         self.send(answer(body))
 
 
-def caller_states(site):
+def client_states(site):
     """Return the states of all clients' connections."""
-    callers = site.head.front.connections
-    return [callers.state(caller) for caller in callers._state]
+    connections = site.head.front.connections
+    return [connections.state(connection) for connection in connections._state]
 
 
 def slow_reader(site):
     """Return the first client of a head, connected with small buffers on both sides."""
     client = RawClient(site, receive_buffer=4096)
     site.until(lambda: len(site.head.front.connections))
-    (caller,) = site.head.front.connections._state
-    caller._stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    (connection,) = site.head.front.connections._state
+    connection._stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return client
--- a/tests/endings/test_attempt_ends.py
+++ b/tests/endings/test_attempt_ends.py
@@ -7,7 +7,7 @@
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.connection_pool import REUSE_DELAY_US
 from harriertrack.standin.platform import NEVER_RAN, answer
-from tests.endings.loopback import SMALL, LoopbackSite, RawClient, RawNode, ask_with_a_lost_answer
+from tests.endings.loopback import SMALL, LoopbackSite, RawClient, RawNode, request_with_lost_answer
 from tests.test_platform import MS, SETTINGS, VOLUME, Site
 
 ENDS = pytest.mark.parametrize("end", [RawClient.close, RawClient.reset, RawClient.half_close])
@@ -84,7 +84,7 @@
     client = RawClient(site)
     client.send(site.request(True, body=LARGE))
     node_end = node.accept()
-    node_end.until_asked()
+    node_end.until_requested()
     return client, node_end
 
 
@@ -272,7 +272,7 @@
         node, client = RawNode(site), RawClient(site)
         client.send(site.request(True))
         node_end = node.accept()
-        node_end.until_asked()
+        node_end.until_requested()
         if BROKEN_ANSWERS[kind]:
             node_end.send(BROKEN_ANSWERS[kind])
         end(node_end)
@@ -291,7 +291,7 @@
         node, client = RawNode(site), RawClient(site)
         client.send(site.request(True))
         node_end = node.accept()
-        node_end.until_asked()
+        node_end.until_requested()
         node_end.send(PARTIAL[:-3])
         for _ in range(6):
             node_end.send(b"x")
@@ -310,7 +310,7 @@
         node, client = RawNode(site), RawClient(site)
         client.send(site.request(True))
         node_end = node.accept()
-        node_end.until_asked()
+        node_end.until_requested()
 
         def late():
             site.hub.sleep(0)  # after the poll of the round in which the deadline passes
@@ -333,7 +333,7 @@
         node, client = RawNode(site), RawClient(site)
         client.send(site.request(True))
         node_end = node.accept()
-        node_end.until_asked()
+        node_end.until_requested()
         node_end.send(answer(b"done"))
         end(client)
         site.until(lambda: site.head.module.results())
@@ -363,7 +363,7 @@
             node, client = RawNode(site), RawClient(site)
             client.send(site.request(True, body=LARGE))
             node_end = node.accept()
-            node_end.until_asked(len(LARGE))
+            node_end.until_requested(len(LARGE))
             node_end.reset()
         if instant == "after":
             assert_single_answer(site, client, 500, api.Result.RESET)
@@ -400,7 +400,7 @@
 
 def test_each_attempt_announces_no_more_time_than_its_client_has_left(tmp_path):
     def act(site):
-        client = ask_with_a_lost_answer(site, site.hold_dials)
+        client = request_with_lost_answer(site, site.hold_dials)
         site.until(lambda: site.net.waiting)
         site.hub.clock.leap(150 * MS)
         site.net.up.set()
@@ -464,7 +464,7 @@
         node, client = RawNode(site), RawClient(site)
         client.send(site.request(True))
         first = node.accept()
-        first.until_asked()
+        first.until_requested()
         first.send(response)
         second = node.accept()
         first.receive()
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -15,7 +15,7 @@
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import SocketNetwork
 from harriertrack.standin.platform import NO_RESPONSE, RESET, Outage, PlatformDiscovery, PlatformNode, answer
-from tests.endings.loopback import PLACES, LoopbackSite, RawClient, caller_states, slow_reader
+from tests.endings.loopback import PLACES, LoopbackSite, RawClient, client_states, slow_reader
 from tests.test_platform import MS, VOLUME, RecordingScheduler, Site
 from tests.test_platform_process import config, start
 
@@ -215,7 +215,7 @@
         for part in (2, 4):
             pump(client, LINGER_BYTES // part)
             site.until(lambda: client.unacknowledged() == 0)
-        site.until(lambda: caller_states(site) == [ClientState.LINGERING])
+        site.until(lambda: client_states(site) == [ClientState.LINGERING])
         (connection,) = site.head.front.connections._state
         site.until(connection.silent)
         site.hub.clock.leap(100 * S)
@@ -263,7 +263,7 @@
         for byte in site.request():
             client.send(bytes([byte]))
             site.hub.sleep(5 * MS)
-            if caller_states(site) == [ClientState.LINGERING]:
+            if client_states(site) == [ClientState.LINGERING]:
                 break
         pump(client, LINGER_BYTES // 2)
         site.until(lambda: not len(site.head.front.connections))
@@ -279,7 +279,7 @@
         bad = [RawClient(site) for _ in range(most)]
         for client in bad:
             client.send(BAD["unreadable"][0])
-        site.until(lambda: caller_states(site) == [ClientState.LINGERING] * most)
+        site.until(lambda: client_states(site) == [ClientState.LINGERING] * most)
         new_clients = [RawClient(site) for _ in range(8)]
         for client in new_clients:
             client.send(site.request())
@@ -301,12 +301,12 @@
     def act(site):
         client = slow_reader(site)
         client.send(site.request(**{"X-Expires-In-Ms": "1400"}))
-        site.until(lambda: ClientState.SENDING in caller_states(site))
+        site.until(lambda: ClientState.SENDING in client_states(site))
         others = [RawClient(site) for _ in range(60)]
         site.hub.sleep(50 * MS)
-        assert ClientState.SENDING in caller_states(site) and len(others) == 60
+        assert ClientState.SENDING in client_states(site) and len(others) == 60
         assert client.until_answered()[2] == LARGE
-        site.until(lambda: ClientState.SENDING not in caller_states(site))
+        site.until(lambda: ClientState.SENDING not in client_states(site))
 
     site.run(act)
 
@@ -319,7 +319,7 @@
     def act(site):
         client, began = slow_reader(site), site.hub.now()
         client.send(site.request(**{"X-Expires-In-Ms": "100"}))
-        site.until(lambda: ClientState.SENDING in caller_states(site))
+        site.until(lambda: ClientState.SENDING in client_states(site))
         site.until(lambda: not len(site.head.front.connections))
         assert site.hub.now() - began > 150 * MS
         assert LARGE not in client.until_ended()
--- a/tests/endings/test_cold_fleet.py
+++ b/tests/endings/test_cold_fleet.py
@@ -129,22 +129,22 @@
         self.requests = {}  # by head and number: (shard, units, tries)
         self.attempts = {}
         self.draw_shares()
-        self.back = self.now + HEALTHY_US + case.away_us
+        self.return_at_us = self.now + HEALTHY_US + case.away_us
         for number in range(case.heads):
             self.start_head(number)
             self.schedule(self.now, self.arrive, number)
             if self.random.random() < case.restarts:
                 self.schedule(
-                    self.back + self.random.randrange(case.restart_within_us), self.kill_head, number
+                    self.return_at_us + self.random.randrange(case.restart_within_us), self.kill_head, number
                 )
         for shard in range(SHARDS - 1):
             self.schedule(self.now + HEALTHY_US, self.remove_node, shard)
-            self.schedule(self.back + self.random.randrange(500 * MS), self.return_node, shard)
+            self.schedule(self.return_at_us + self.random.randrange(500 * MS), self.return_node, shard)
         if case.shift:
-            self.schedule(self.back, self.draw_shares)
+            self.schedule(self.return_at_us, self.draw_shares)
 
     def run(self):
-        end = self.back + self.case.warm_us + SECOND
+        end = self.return_at_us + self.case.warm_us + SECOND
         while self.events[0][0] < end:
             self.now, _, act, arguments = heapq.heappop(self.events)
             act(*arguments)
@@ -213,9 +213,9 @@
             self.feed(number, api.NodesChanged(kind, self.node_list()))
 
     def demand(self):
-        if self.now < self.back:
+        if self.now < self.return_at_us:
             return 1.0
-        return self.case.burst if self.now >= self.back + self.case.burst_at_us else self.case.lull
+        return self.case.burst if self.now >= self.return_at_us + self.case.burst_at_us else self.case.lull
 
     def arrive(self, number):
         most = max(1.0, self.case.burst)
--- a/tests/endings/test_crowded_discovery.py
+++ b/tests/endings/test_crowded_discovery.py
@@ -25,7 +25,7 @@
 from harriertrack.lab.fleet.processes import Places
 from harriertrack.runtime.hub import Hub
 from harriertrack.standin.platform import PlatformDiscovery, CallQueue
-from tests.endings.test_start_and_reload import REQUEST, ProcessSite, ended
+from tests.endings.test_start_and_reload import REQUEST, ProcessSite, killed_at_end
 from tests.test_platform import MS
 from tests.test_platform_clock import S, SLACK_US, drain, kept_the_rule, played, site_of
 
@@ -53,7 +53,7 @@
             site.given["settings"]["safety"]["drainGraceUs"] = GRACE_US
 
     def send_requests(self, site):
-        """Send a request every 50 ms, each over a connection of its own (a task)."""
+        """Send a request every 50 ms, each over a connection of its own (task body)."""
         while True:
             self.number += 1
             try:
@@ -62,7 +62,7 @@
                 stream.read(self.hub.now() + 1 * S)
                 stream.close()
             except OSError:
-                pass  # it is being restarted
+                pass  # the head is being restarted
             self.hub.sleep(50 * MS)
 
     def restart(self):
@@ -81,7 +81,7 @@
         with hub.scope("test") as scope, ExitStack() as stack:
             fleet = Fleet(tmp_path, hub, scope)
             for site in fleet.sites:
-                stack.enter_context(ended(site))
+                stack.enter_context(killed_at_end(site))
                 site.start()
             for site in fleet.sites:
                 site.until(site.ready)
@@ -149,7 +149,7 @@
     def act(site):
         held = []
 
-        def spoil(body):
+        def hold_first(body):
             if not held:
                 held.append(body)
                 site.hub.sleep(2 * S)
@@ -157,7 +157,7 @@
                 site.hub.sleep(1 * S)
             return body
 
-        site.discovery.corrupt = spoil
+        site.discovery.corrupt = hold_first
         site.discovery.set_server("s0", site.shelfs[0].address, 0)
         site.hub.sleep(8 * S)
         assert held and site.head.nodes.find("s1") is None
@@ -168,7 +168,7 @@
     played(site_of(tmp_path), act)
 
 
-def test_an_overloaded_source_that_restarts_its_versions_is_asked_for_the_full_list(tmp_path):
+def test_the_full_list_is_requested_from_an_overloaded_source_that_restarts_its_versions(tmp_path):
     def act(site):
         site.discovery.version = 500
         site.discovery.set_server("s0", site.shelfs[0].address, 0)
--- a/tests/endings/test_head_shutdown.py
+++ b/tests/endings/test_head_shutdown.py
@@ -1,4 +1,4 @@
-"""The head's end, forced at each instant: what its system has taken for it, what is half read, half answered."""
+"""A head's shutdown at each instant: connections not yet accepted, requests half read, answers half sent."""
 
 import pytest
 
@@ -6,43 +6,45 @@
 from harriertrack.decisions.client_connections import ClientState
 from harriertrack.decisions.graceful_shutdown import Phase
 from harriertrack.standin.platform import NO_RESPONSE, answer
-from tests.endings.loopback import LoopbackSite, RawClient, caller_states, slow_reader
+from tests.endings.loopback import LoopbackSite, RawClient, client_states, slow_reader
 from tests.test_platform import MS
 
-LARGE = b"x" * 65536  # more than the system takes for a client that does not read and has small buffers
+LARGE = b"x" * 65536  # more than the kernel buffers for a client that does not read and has small buffers
 
 
 @pytest.fixture(autouse=True)
-def patience(monkeypatch):
-    """Time enough on a busy machine: a head that has nothing left to do ends before."""
+def longer_shutdown(monkeypatch):
+    """Allow for a busy machine; a head with no open requests ends earlier."""
     monkeypatch.setattr(graceful_shutdown, "DRAIN_US", 1_500 * MS)
     monkeypatch.setattr(graceful_shutdown, "FINAL_SEND_US", 5_000 * MS)
 
 
-class LeavingSite(LoopbackSite):
-    """A head that drains soon after it is asked to leave; `acts` are called in the turn of a phase's begin."""
+class StoppingSite(LoopbackSite):
+    """A head that drains soon after it is told to stop; `acts` are called in the round in which a phase begins."""
 
     def __init__(self, tmp_path, **settings):
         super().__init__(tmp_path, **settings)
-        self.phases, self.acts, begins = [], {}, {}
-        begins[Phase.DRAINING] = 50 * MS
-        begins[Phase.CLOSING] = begins[Phase.DRAINING] + graceful_shutdown.DRAIN_US
-        longest = begins[Phase.CLOSING] + graceful_shutdown.KILL_MARGIN_US - graceful_shutdown.KILL_AFTER_US
-        state = self.head.shutdown = graceful_shutdown.GracefulShutdown(longest)
-        look = state.advance
-
-        def looks(now, connections):
+        self.phases, self.acts, begins_us = [], {}, {}
+        begins_us[Phase.DRAINING] = 50 * MS
+        begins_us[Phase.CLOSING] = begins_us[Phase.DRAINING] + graceful_shutdown.DRAIN_US
+        longest_us = (
+            begins_us[Phase.CLOSING] + graceful_shutdown.KILL_MARGIN_US - graceful_shutdown.KILL_AFTER_US
+        )
+        state = self.head.shutdown = graceful_shutdown.GracefulShutdown(longest_us)
+        advance = state.advance
+
+        def recording_advance(now, connections):
             for phase in list(self.acts):
-                if now - state._asked_at >= begins[phase]:
+                if now - state._asked_at >= begins_us[phase]:
                     self.acts.pop(phase)()
-            found = look(now, connections)
-            self.phases += [found] if self.phases[-1:] != [found] else []
-            return found
+            current = advance(now, connections)
+            self.phases += [current] if self.phases[-1:] != [current] else []
+            return current
 
-        state.advance = looks
+        state.advance = recording_advance
 
-    def leave(self, **acts):
-        """Ask the head to leave; call an act in the turn in which it is about to come to a phase."""
+    def stop(self, **acts):
+        """Tell the head to stop; call each act in the round in which its phase is about to begin."""
         self.acts = {Phase(name): act for name, act in acts.items()}
         self.head.stop()
 
@@ -50,59 +52,59 @@
         self.until(lambda: phase in self.phases)
 
 
-@pytest.mark.parametrize("kind", ["waits at the listener", "new", "idle"])
-def test_a_request_that_comes_in_the_turn_in_which_the_head_drains_is_answered(tmp_path, kind):
-    """Its connection was accepted by the system alone, or is about to be closed as one without a request."""
+@pytest.mark.parametrize("kind", ["not accepted", "new", "idle"])
+def test_a_request_that_arrives_in_the_round_in_which_the_head_drains_is_answered(tmp_path, kind):
+    """Its connection was accepted only by the kernel, or is about to be closed as one without a request."""
 
     def act(site):
-        client = RawClient(site) if kind != "waits at the listener" else None
+        client = RawClient(site) if kind != "not accepted" else None
         if kind == "idle":
             client.send(site.request())
             assert client.until_answered()[0] == 200
         site.hub.sleep(5 * MS)
-        came = []
+        clients = []
 
-        def sends():
-            came.append(client or RawClient(site))
-            came[0].send(site.request())
+        def send_request():
+            clients.append(client or RawClient(site))
+            clients[0].send(site.request())
 
-        site.leave(draining=sends)
+        site.stop(draining=send_request)
         site.until_phase(Phase.DRAINING)
-        status, head, _ = came[0].until_answered()
+        status, head, _ = clients[0].until_answered()
         assert status == 200 and b"connection: close" in head
-        assert came[0].until_ended() == b"" and not came[0].broken
+        assert clients[0].until_ended() == b"" and not clients[0].broken
         assert len(site.shelfs[1].requests) == 1 + (kind == "idle")
         site.until_phase(Phase.ENDED)
 
-    LeavingSite(tmp_path).run(act)
+    StoppingSite(tmp_path).run(act)
 
 
-def test_a_request_behind_the_last_answer_is_never_sent_on(tmp_path):
+def test_a_request_after_the_last_answer_is_never_forwarded(tmp_path):
     def act(site):
-        client, came = RawClient(site), []
+        client, received = RawClient(site), []
         site.hub.sleep(5 * MS)
-        site.leave(draining=lambda: client.send(site.request()))
+        site.stop(draining=lambda: client.send(site.request()))
         site.until_phase(Phase.DRAINING)
         site.until(lambda: client.receive() and b"\r\n\r\n" in client.received)
-        client.send(site.request())  # the head has shut its side
-        came.append(client.until_ended())
-        assert came[0].count(b"HTTP/1.1") == 1 and not client.broken
+        client.send(site.request())  # the head has shut down its side
+        received.append(client.until_ended())
+        assert received[0].count(b"HTTP/1.1") == 1 and not client.broken
         site.until_phase(Phase.ENDED)
         assert len(site.shelfs[1].requests) == 1
 
-    LeavingSite(tmp_path).run(act)
+    StoppingSite(tmp_path).run(act)
 
 
-def test_an_answer_that_its_client_reads_slowly_leaves_whole_before_the_head_ends(tmp_path, monkeypatch):
+def test_a_slowly_read_answer_is_sent_completely_before_the_head_ends(tmp_path, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "DRAIN_US", 50 * MS)
-    site = LeavingSite(tmp_path)
+    site = StoppingSite(tmp_path)
     site.script = lambda got: answer(LARGE)
 
     def act(site):
         client = slow_reader(site)
         client.send(site.request(**{"X-Expires-In-Ms": "1400"}))
-        site.until(lambda: ClientState.SENDING in caller_states(site))
-        site.leave()
+        site.until(lambda: ClientState.SENDING in client_states(site))
+        site.stop()
         site.until_phase(Phase.CLOSING)
         status, _, body = client.until_answered()
         assert (status, body) == (200, LARGE)
@@ -110,31 +112,31 @@
     site.run(act)
 
 
-def test_what_is_open_or_half_read_as_the_head_closes_is_answered_though_bytes_lie_unread(
+def test_open_and_partial_requests_are_answered_when_the_head_closes_despite_unread_bytes(
     tmp_path, monkeypatch
 ):
     monkeypatch.setattr(graceful_shutdown, "DRAIN_US", 200 * MS)
-    site = LeavingSite(tmp_path)
+    site = StoppingSite(tmp_path)
     site.script = lambda got: NO_RESPONSE
 
     def act(site):
-        waits, half, late = RawClient(site), RawClient(site), RawClient(site)
+        waiting, partial, late = RawClient(site), RawClient(site), RawClient(site)
         late.send(site.request()[:20])
         site.hub.sleep(5 * MS)
         rest = site.request(True, body="y" * 40)
 
-        def sends():
-            waits.send(site.request())
-            half.send(rest[:-10])
+        def send_requests():
+            waiting.send(site.request())
+            partial.send(rest[:-10])
 
-        site.leave(draining=sends, closing=lambda: late.send(b"z" * 5000))
+        site.stop(draining=send_requests, closing=lambda: late.send(b"z" * 5000))
         site.until(lambda: site.shelfs[1].requests)
-        waits.send(b"x" * 4096)
-        for client, expected in ((waits, (500, 503)), (half, (503,)), (late, (400, 503))):
+        waiting.send(b"x" * 4096)
+        for client, expected in ((waiting, (500, 503)), (partial, (503,)), (late, (400, 503))):
             status, head, _ = client.until_answered()
             assert status in expected and b"connection: close" in head
-            if client is half:
-                client.send(rest[-10:])  # whole now, but refused already
+            if client is partial:
+                client.send(rest[-10:])  # complete now, but already refused
             assert client.until_ended() == b"" and not client.broken
         site.until_phase(Phase.ENDED)
         assert len(site.shelfs[1].requests) == 1 and not site.head.front.open_requests
@@ -142,18 +144,18 @@
     site.run(act)
 
 
-def test_asked_to_leave_twice_and_to_follow_another_configuration_meanwhile_it_leaves_as_before(tmp_path):
+def test_a_second_stop_and_a_new_configuration_do_not_change_a_shutdown(tmp_path):
     def act(site):
         client = RawClient(site)
-        site.leave()
-        at = site.head.shutdown._asked_at
+        site.stop()
+        stopped_at = site.head.shutdown._asked_at
         site.hub.sleep(5 * MS)
-        site.given["discovery"] = "127.0.0.1:9"  # nobody listens there
+        site.given["discovery"] = "127.0.0.1:9"  # an address without a listener
         site.head.reconfigure(site.configuration())
         site.head.stop()
         client.send(site.request())
-        assert client.until_answered()[0] == 200 and site.head.shutdown._asked_at == at
+        assert client.until_answered()[0] == 200 and site.head.shutdown._asked_at == stopped_at
         site.until_phase(Phase.ENDED)
-        assert Phase.CLOSING not in site.phases  # nothing was open
+        assert Phase.CLOSING not in site.phases  # no request was open
 
-    LeavingSite(tmp_path).run(act)
+    StoppingSite(tmp_path).run(act)
--- a/tests/endings/test_keyed_windows.py
+++ b/tests/endings/test_keyed_windows.py
@@ -1,4 +1,4 @@
-"""Keyed work goes again only inside its cell and its window, however late its connection comes up."""
+"""A keyed request is repeated only inside its cell and its window, however late its connection is established."""
 
 import copy
 
@@ -6,11 +6,11 @@
 
 from harriertrack.decisions import interface as api
 from harriertrack.decisions.connection_pool import REUSE_DELAY_US
-from tests.endings.loopback import LoopbackSite, RawClient, RawNode, ask_with_a_lost_answer
+from tests.endings.loopback import LoopbackSite, RawClient, RawNode, request_with_lost_answer
 from tests.endings.test_attempt_ends import LARGE
 from tests.test_platform import MS, SETTINGS
 
-WINDOW_US = 200 * MS  # shorter than the aim of 500 ms, up to which the module tries again
+WINDOW_US = 200 * MS  # shorter than the aim of 500 ms, until which the module retries
 LATE = pytest.mark.parametrize("late", [False, True], ids=["before", "after"])
 
 
@@ -18,7 +18,7 @@
 def site(tmp_path):
     lanes = copy.deepcopy(SETTINGS["lanes"])
     for lane in lanes:
-        lane["keyTtlUs"] = WINDOW_US  # the settings name one for safe classes too
+        lane["keyTtlUs"] = WINDOW_US  # the settings give one to safe classes too
     return LoopbackSite(tmp_path, lanes=lanes)
 
 
@@ -27,9 +27,9 @@
 
 
 @LATE
-def test_a_repeat_goes_out_inside_the_window_alone(site, late):
+def test_a_repeat_is_sent_only_inside_the_window(site, late):
     def act(site):
-        client = ask_with_a_lost_answer(
+        client = request_with_lost_answer(
             site, lambda: site.hub.clock.leap(WINDOW_US if late else WINDOW_US // 2), writes=True
         )
         assert client.until_answered()[0] == (500 if late else 200)
@@ -40,18 +40,18 @@
     site.run(act)
 
 
-@pytest.mark.parametrize("turn", ["same", "later"])
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(site, turn):
+@pytest.mark.parametrize("round_", ["same", "later"])
+def test_a_repeat_whose_connection_is_established_after_the_window_is_not_sent(site, round_):
     def act(site):
-        client = ask_with_a_lost_answer(site, site.hold_dials, writes=True)
+        client = request_with_lost_answer(site, site.hold_dials, writes=True)
         site.until(lambda: site.net.waiting)
-        if turn == "same":
+        if round_ == "same":
             site.leap_first(WINDOW_US)
         else:
             site.hub.clock.leap(WINDOW_US)
-            assert client.until_answered()[0] == 500  # nobody waits for the connection: nothing is to come
+            assert client.until_answered()[0] == 500  # even while the connection is still being established
         site.net.up.set()
-        if turn == "same":
+        if round_ == "same":
             assert client.until_answered()[0] == 500
         site.until(lambda: not site.net.waiting)
         site.hub.sleep(REUSE_DELAY_US)
@@ -59,15 +59,15 @@
         assert len(site.head.storage_nodes.pool) == 1
         again = RawClient(site)
         again.send(site.request(True))
-        assert again.until_answered()[0] == 200 and keys(site) == ["k1", "k2"]  # over the kept connection
+        assert again.until_answered()[0] == 200 and keys(site) == ["k1", "k2"]  # on the pooled connection
         assert site.shelfs[1].connections == 2
 
     site.run(act)
 
 
-def test_the_window_does_not_bind_safe_work(site):
+def test_the_window_does_not_limit_safe_requests(site):
     def act(site):
-        client = ask_with_a_lost_answer(site, site.hold_dials)
+        client = request_with_lost_answer(site, site.hold_dials)
         site.until(lambda: site.net.waiting)
         site.hub.clock.leap(WINDOW_US)
         site.hub.sleep(10 * MS)
@@ -78,7 +78,7 @@
     site.run(act)
 
 
-def test_the_window_does_not_bind_a_first_attempt(site):
+def test_the_window_does_not_limit_a_first_attempt(site):
     def act(site):
         site.hold_dials()
         client = RawClient(site)
@@ -92,7 +92,7 @@
     site.run(act)
 
 
-def test_the_last_byte_of_a_repeat_does_not_leave_after_the_window(site):
+def test_the_last_byte_of_a_repeat_is_not_sent_after_the_window(site):
     def act(site):
         node = RawNode(site)
         client = RawClient(site)
@@ -102,7 +102,7 @@
         node.small_buffers()
         first.reset()
         second = node.accept()
-        second.until_asked()
+        second.until_requested()
         site.hub.clock.leap(WINDOW_US)
         assert client.until_answered()[0] == 500
         second.until_ended()
@@ -115,13 +115,13 @@
 @pytest.mark.parametrize("shard", [1, -1])
 def test_a_repeat_never_goes_to_another_cell(site, shard):
     def act(site):
-        def drained():
+        def drain_cell():
             first = 0 if site.shelfs[0].requests else 1
             site.discovery.set_server(f"s{first}", site.shelfs[first].address, first, "terminated")
             site.shelfs[first].close()
 
         placement = f"volume=00000003b4d60021,units=2,shard={shard},hosts=2"
-        client = ask_with_a_lost_answer(site, drained, writes=True, **{"X-Placement": placement})
+        client = request_with_lost_answer(site, drain_cell, writes=True, **{"X-Placement": placement})
         assert client.until_answered()[0] == 500
         assert len(keys(site, 0) + keys(site, 1)) == 1
         new = RawClient(site)
--- a/tests/endings/test_list_ends.py
+++ b/tests/endings/test_list_ends.py
@@ -59,13 +59,13 @@
     def act(site):
         left = [None] * times
 
-        def spoil(body):
+        def fail_drain_answer(body):
             if b"terminating" not in body or not left:
                 return body
             left.pop()
             return FAULTS[fault](site, body)
 
-        site.discovery.corrupt = spoil
+        site.discovery.corrupt = fail_drain_answer
         # If no complete answer was sent, the drain counts once the source could have been reached again; with
         # the agent, it counts after the faulty answers.
         effective_at = drain(site) + (
--- a/tests/endings/test_settings_of_others.py
+++ b/tests/endings/test_settings_of_others.py
@@ -1,4 +1,4 @@
-"""Settings of other customers: what is odd but right is served, what is wrong is refused by its name."""
+"""Settings of other customers: unusual but valid ones are served, invalid ones are refused with their field."""
 
 import copy
 import json
@@ -12,12 +12,12 @@
 from harriertrack.service.head import PlatformHead
 from tests.test_platform import MS, Site
 
-LONGEST_LEAVE_US = 3_700 * MS
+MAX_SHUTDOWN_US = 3_700 * MS
 READY = b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 class Customer(Site):
-    """A site under changed settings; `written` makes the bytes of the file, None for no file."""
+    """A site with changed settings; `written` returns the bytes of the file, None for no file."""
 
     def __init__(self, tmp_path, change=lambda given: None):
         self.change = change
@@ -32,7 +32,7 @@
         return read_configuration({"PROXY_NAME": "n1", "PROXY_LISTEN": str(self.given.get("listen")), "PROXY_DISCOVERY": "x:1",
                      "PROXY_CONFIG": str(self.path)})  # fmt: skip
 
-    def start_anew(self, configuration):
+    def start_head(self, configuration):
         self.head = PlatformHead(self.hub, self.net, configuration, self.note, self.module)
 
 
@@ -42,7 +42,7 @@
 
 
 def without(group, *keys):
-    """Return settings with these of a group's fields absent (all, if none is named)."""
+    """Return a change that removes these fields of a group (all, if none is named)."""
 
     def change(given):
         part = given["settings"][group]
@@ -53,7 +53,7 @@
 
 
 def put(**fields):
-    """Return a change that sets fields, "group__field" of the settings, or of the limits."""
+    """Return a change that sets fields: "field" or "group__field" of the settings, or "limits__field"."""
 
     def change(given):
         for name, value in fields.items():
@@ -71,7 +71,7 @@
 
 
 def nulls(given):
-    """All that need not be named is null."""
+    """Set every optional field to null."""
     settings_ = given["settings"]
     for group in ("permissions", "safety", "familyInfo"):
         settings_[group] = dict.fromkeys(settings_[group])
@@ -96,7 +96,7 @@
     given["settings"]["lanes"][1] |= {"aimUs": 2_000 * MS, "giveUpUs": 9_000 * MS}
 
 
-OTHERS = {
+VALID = {
     "absent": lambda given: [without(group)(given) for group in ("permissions", "safety", "familyInfo")],
     "no groups": lambda given: [given["settings"].pop(key) for key in ("permissions", "safety", "familyInfo")],
     "null": nulls,
@@ -122,17 +122,17 @@
 }  # fmt: skip
 
 
-def planned(site):
-    """Return the header of a request's plan: none where the settings have none."""
+def plan_of(site):
+    """Return the plan to name in a request's header; None if the settings have no plans."""
     return "gold" if site.given["settings"].get("contracts") else None
 
 
-def lives(site):
-    """A head starts, serves a read and, where there is one, a write, refuses what it can't serve, and leaves."""
+def check_lifecycle(site):
+    """Check that a head starts, serves a read and (if it has the class) a write, refuses others, and shuts down."""
 
     def act(site):
         assert site.ask(READY)[0] == 200
-        plan = planned(site)
+        plan = plan_of(site)
         stream = site.connect()
         for _ in range(2):
             read = site.request(**{"X-Qos-Policy": plan, "X-Expires-In-Ms": "380"})
@@ -144,22 +144,22 @@
         site.hub.sleep(20 * MS)
         assert site.ask(site.request(**{"X-Qos-Policy": plan}))[0] == 503
         assert site.ask(site.request(path="/nothing"))[0] == 404
-        asked_at = site.hub.now()
+        stopped_at = site.hub.now()
         site.head.stop()
         while site.head.shutdown.phase is not Phase.ENDED:
             site.hub.sleep(10 * MS)
-        assert site.hub.now() - asked_at < LONGEST_LEAVE_US
+        assert site.hub.now() - stopped_at < MAX_SHUTDOWN_US
 
     site.run(act)
 
 
-@pytest.mark.parametrize("other", OTHERS)
-def test_a_head_lives_under_the_settings_of_another_customer(tmp_path, other):
-    site = Customer(tmp_path, change=OTHERS[other])
-    lives(site)
+@pytest.mark.parametrize("kind", VALID)
+def test_a_head_serves_under_the_settings_of_another_customer(tmp_path, kind):
+    site = Customer(tmp_path, change=VALID[kind])
+    check_lifecycle(site)
 
 
-WRONG = [
+INVALID = [
     (put(lanes=[]), "settings.lanes"),
     (put(lanes=None), "settings.lanes"),
     (put(lanes={"a": 1}), "settings.lanes"),
@@ -189,18 +189,18 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("change", "said"), WRONG)
-def test_wrong_settings_are_refused_by_file_and_field_in_one_line(tmp_path, change, said):
+@pytest.mark.parametrize(("change", "field"), INVALID)
+def test_invalid_settings_are_refused_in_one_line_with_file_and_field(tmp_path, change, field):
     site = Customer(tmp_path)
     change(site.given)
-    refused(site, said)
+    assert_refused(site, field)
 
 
-def refused(site, *said):
+def assert_refused(site, *words):
     with pytest.raises(ConfigurationError) as caught:
         site.configuration()
     text = str(caught.value)
-    assert all(word in text for word in ("config.json", *said)) and "\n" not in text and len(text) < 600
+    assert all(word in text for word in ("config.json", *words)) and "\n" not in text and len(text) < 600
 
 
 TEXTS = [
@@ -217,48 +217,48 @@
 
 
 @pytest.mark.parametrize("text", TEXTS, ids=[repr(text[:12]) for text in TEXTS])
-def test_a_file_that_is_no_configuration_is_refused_in_one_line(tmp_path, text):
+def test_a_file_without_a_configuration_is_refused_in_one_line(tmp_path, text):
     site = Customer(tmp_path)
     site.written = lambda: text
-    refused(site)
+    assert_refused(site)
 
 
 def test_a_half_written_file_is_refused_wherever_it_ends(tmp_path):
     site = Customer(tmp_path)
-    whole = json.dumps(site.given).encode()
-    for end in range(0, len(whole), 41):
-        site.written = lambda end=end: whole[:end]
-        refused(site)
+    complete = json.dumps(site.given).encode()
+    for end in range(0, len(complete), 41):
+        site.written = lambda end=end: complete[:end]
+        assert_refused(site)
 
 
 def test_a_directory_and_a_missing_file_are_refused(tmp_path):
     site = Customer(tmp_path)
     os.remove(site.path)
     site.written = lambda: None
-    refused(site)
+    assert_refused(site)
     site.path.mkdir()
-    refused(site)
+    assert_refused(site)
 
 
 VALUES = st.sampled_from([None, True, False, 0, 1, -1, 2, 0.5, 1e-9, 1e-300, 1e17, 1 << 53, 1 << 70, 1e300, "", "5", "x",
                           "x" * 300, "ü", "\0", [], [0], [[]], {}, {"a": 1}, [{}], [None], [True] * 40])  # fmt: skip
 
 
-def paths(part, way=()):
-    """Yield the ways to all that a configuration holds."""
+def paths(part, path=()):
+    """Yield the paths of all values in a configuration."""
     for key, value in part.items() if isinstance(part, dict) else enumerate(part):
-        yield (*way, key)
+        yield (*path, key)
         if isinstance(value, dict | list):
-            yield from paths(value, (*way, key))
+            yield from paths(value, (*path, key))
 
 
 @settings(max_examples=300, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(data=st.data())
 def test_any_mutation_is_refused_in_one_line_or_starts_and_answers(tmp_path, data):
     site = Customer(tmp_path)
-    known = [way for way in paths(site.given) if way != ("listen",)]
-    ways = data.draw(st.lists(st.sampled_from(known), min_size=1, max_size=3))
-    for *outer, key in ways:
+    known = [path for path in paths(site.given) if path != ("listen",)]
+    mutated = data.draw(st.lists(st.sampled_from(known), min_size=1, max_size=3))
+    for *outer, key in mutated:
         part = site.given
         try:
             for step in outer:
@@ -268,21 +268,21 @@
             else:
                 del part[key]
         except (KeyError, IndexError, TypeError):
-            pass  # an earlier mutation took it away
+            pass  # an earlier mutation removed it
     try:
         configuration = site.configuration()
     except ConfigurationError as error:
-        named = {name for way in ways for name in way if isinstance(name, str)}
+        named = {name for path in mutated for name in path if isinstance(name, str)}
         assert "config.json" in str(error) and "\n" not in str(error)
         assert any(name in str(error) for name in named)
         return
-    site.start_anew(configuration)
+    site.start_head(configuration)
 
     def act(site):
         assert site.ask(READY)[0] == 200
         for writes in (False, True, False):
-            answered = site.ask(site.request(writes, **{"X-Qos-Policy": planned(site)}))
-            assert answered is not None and answered[0] in (200, 400, 404, 405, 500, 503)
+            reply = site.ask(site.request(writes, **{"X-Qos-Policy": plan_of(site)}))
+            assert reply is not None and reply[0] in (200, 400, 404, 405, 500, 503)
         site.discovery.set_server("s0", site.shelfs[0].address, 0, "terminating")
         site.hub.sleep(7_000 * MS)
         assert site.ask(READY)[0] == 200
--- a/tests/endings/test_start_and_reload.py
+++ b/tests/endings/test_start_and_reload.py
@@ -1,7 +1,7 @@
-"""Signals at each moment of a process's start, and new configurations that can't be used, over loopback sockets.
+"""Signals at each stage of a process's start, and invalid new configurations, over loopback sockets.
 
-The process is started as the platform does, by `run` of the deploy file. Instants of a start are read off the
-kernel: the program has taken the shell's place, the signals are blocked, their handlers stand.
+The process is started as on the platform, by `run` of the deploy file. The stages of a start are read from the
+kernel: the program has replaced the shell, the signals are blocked, their handlers are installed.
 """
 
 import json
@@ -26,8 +26,8 @@
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(
     ".venv/bin/python", sys.executable
 )
-PATIENCE_US = 30_000_000
-BOTH_BLOCKED = 1 << (signal.SIGHUP - 1) | 1 << (signal.SIGTERM - 1)
+TIMEOUT_US = 30_000_000
+BOTH_SIGNALS = 1 << (signal.SIGHUP - 1) | 1 << (signal.SIGTERM - 1)
 REQUEST = (
     "GET /look?object=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: h\r\nX-Qos-Policy: gold\r\nX-Expires-In-Ms: 250\r\n"
     f"X-Placement: volume={VOLUME},units=1,shard=0,hosts=1\r\nX-Trace-Id: "
@@ -35,7 +35,7 @@
 
 
 class ProcessSite:
-    """A head as a process; its shelf and two sources of the list are here."""
+    """A head as a process; its storage node and two sources of the list run in the test."""
 
     def __init__(self, tmp_path, hub, scope):
         self.hub, self.net, self.place, self.number = hub, SocketNetwork(hub), Places().next(), 0
@@ -49,7 +49,7 @@
         self.path, self.log = tmp_path / "config.json", tmp_path / "log"
         self.process = None
         settings = json.loads(json.dumps(SETTINGS))
-        for lane in settings["lanes"]:  # so it leaves within 0.8 s
+        for lane in settings["lanes"]:  # so that it shuts down within 0.8 s
             lane |= {"aimUs": 100 * MS, "giveUpUs": 250 * MS}
         self.given = {
             "name": "n1", "listen": "{}:{}".format(*self.place), "discovery": f"127.0.0.1:{self.old.address[1]}",
@@ -64,43 +64,43 @@
             self.process = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=log)
 
     def write(self, text=None):
-        """Replace the file as a whole: the process may be reading it."""
-        fresh = self.path.with_suffix(".new")
-        fresh.write_text(json.dumps(self.given) if text is None else text)
-        fresh.replace(self.path)
+        """Replace the file atomically: the process may be reading it."""
+        new_path = self.path.with_suffix(".new")
+        new_path.write_text(json.dumps(self.given) if text is None else text)
+        new_path.replace(self.path)
 
     def logged(self):
         return self.log.read_text()
 
-    def until(self, holds):
-        deadline = self.hub.now() + PATIENCE_US
-        while not holds():
-            assert self.hub.now() < deadline, f"the condition never held; {self.logged()}"
+    def until(self, condition):
+        deadline = self.hub.now() + TIMEOUT_US
+        while not condition():
+            assert self.hub.now() < deadline, f"the condition never became true; {self.logged()}"
             self.hub.sleep(1 * MS)
 
-    def status(self, name):
-        """Return a mask of the process's signals as the kernel has it."""
+    def signal_mask(self, name):
+        """Return a signal mask of the process, as the kernel reports it."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(rf"^{name}:\s*([0-9a-f]+)", text, re.MULTILINE)[1], 16)
 
     def state(self):
-        """Return the process's state, T where it is stopped."""
+        """Return the process's state in one letter; T: stopped."""
         return Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()[0]
 
-    def replaced(self):
-        """Whether the program has taken the shell's place."""
+    def has_replaced_shell(self):
+        """Whether the program has replaced the shell."""
         return b"harriertrack.service" in Path(f"/proc/{self.process.pid}/cmdline").read_bytes().split(b"\0")
 
-    def blocked(self):
-        return self.status("SigBlk") & BOTH_BLOCKED == BOTH_BLOCKED
+    def blocks_signals(self):
+        return self.signal_mask("SigBlk") & BOTH_SIGNALS == BOTH_SIGNALS
 
-    def handled(self):
-        return self.status("SigCgt") & BOTH_BLOCKED == BOTH_BLOCKED
+    def handles_signals(self):
+        return self.signal_mask("SigCgt") & BOTH_SIGNALS == BOTH_SIGNALS
 
     def ready(self):
         return "\nready" in "\n" + self.logged()
 
-    def serves(self):
+    def serves_a_request(self):
         self.number += 1
         stream = self.net.connect(self.place)
         stream.write(f"{REQUEST}{self.number:016x}\r\n\r\n".encode())
@@ -112,21 +112,21 @@
         for number in signals:
             self.process.send_signal(number)
 
-    def is_refused(self):
-        """Send SIGHUP; wait for the line that refuses the file, and see that the head serves on."""
+    def assert_reload_refused(self):
+        """Send SIGHUP; wait for the log line that refuses the file, and check that the head still serves."""
         before = self.logged().count("configuration not taken")
         self.send(signal.SIGHUP)
         self.until(lambda: self.logged().count("configuration not taken") > before)
-        assert self.serves()
+        assert self.serves_a_request()
 
-    def leaves(self):
+    def assert_shuts_down(self):
         self.until(lambda: self.process.poll() is not None)
         assert self.process.returncode == 0, self.logged()
         assert "leaving" in self.logged() and "Traceback" not in self.logged()
 
 
 @contextmanager
-def ended(process_site):
+def killed_at_end(process_site):
     try:
         yield
     finally:
@@ -141,38 +141,42 @@
     def main():
         with hub.scope("test") as scope:
             site = ProcessSite(tmp_path, hub, scope)
-            with ended(site):
+            with killed_at_end(site):
                 act(site)
             scope.cancel()
 
     hub.run(main)
 
 
-START = {"replaced": ProcessSite.replaced, "blocked": ProcessSite.blocked, "handled": ProcessSite.handled}
+START_STAGES = {
+    "replaced": ProcessSite.has_replaced_shell,
+    "blocked": ProcessSite.blocks_signals,
+    "handled": ProcessSite.handles_signals,
+}
 
 
 @pytest.mark.real_time
 @pytest.mark.parametrize("later_us", [0, 30 * MS, 100 * MS])
-@pytest.mark.parametrize("moment", START)
-def test_a_new_configuration_at_any_moment_of_a_start_is_followed(tmp_path, moment, later_us):
+@pytest.mark.parametrize("stage", START_STAGES)
+def test_a_new_configuration_at_any_stage_of_a_start_is_applied(tmp_path, stage, later_us):
     def act(site):
         site.start()
-        site.until(lambda: START[moment](site))
+        site.until(lambda: START_STAGES[stage](site))
         site.hub.sleep(later_us)
         site.given["discovery"] = f"127.0.0.1:{site.fresh.address[1]}"
         site.write()
         site.send(signal.SIGHUP, signal.SIGHUP)
         site.until(lambda: site.fresh.calls and site.ready())
-        assert site.serves()
+        assert site.serves_a_request()
         site.send(signal.SIGHUP, signal.SIGTERM)
-        site.leaves()
+        site.assert_shuts_down()
 
     play(tmp_path, act)
 
 
 @pytest.mark.real_time
-def test_a_start_tells_its_first_step_and_has_one_thread(tmp_path):
-    """Seen twice: a process that stood in a futex at its start, with no line in its log. One thread waits for no other."""
+def test_a_start_logs_its_first_step_and_has_one_thread(tmp_path):
+    """Twice, a starting process hung in a futex, with no line in its log; a single thread can't wait for another."""
 
     def act(site):
         site.start()
@@ -188,44 +192,44 @@
 @pytest.mark.parametrize(
     "signals", [(signal.SIGTERM,), (signal.SIGTERM,) * 2, (signal.SIGHUP, signal.SIGTERM)]
 )
-@pytest.mark.parametrize("moment", ["blocked", "handled"])
-def test_a_head_that_is_asked_to_leave_while_it_starts_leaves_in_order(tmp_path, moment, signals):
+@pytest.mark.parametrize("stage", ["blocked", "handled"])
+def test_a_head_that_is_stopped_while_it_starts_shuts_down_cleanly(tmp_path, stage, signals):
     def act(site):
         site.start()
-        site.until(lambda: START[moment](site))
+        site.until(lambda: START_STAGES[stage](site))
         site.send(*signals)
-        site.leaves()
+        site.assert_shuts_down()
 
     play(tmp_path, act)
 
 
 @pytest.mark.real_time
-def test_no_file_that_comes_with_a_reload_hurts_a_running_head(tmp_path):
-    """Each that can't be used is refused whole, in one line; the running configuration stays, and is replaced
-    by the next one that can be used."""
+def test_no_file_of_a_reload_harms_a_running_head(tmp_path):
+    """Each invalid file is refused as a whole, with one log line; the configuration in use stays until the next
+    valid one."""
 
     def act(site):
         site.start()
         site.until(site.ready)
-        whole = json.dumps(site.given)
-        moved = whole.replace(site.given["discovery"], f"127.0.0.1:{site.fresh.address[1]}")
-        wrong = ["", "{", moved[: len(moved) // 2], moved.replace(site.given["listen"], "127.0.0.1:9"),
+        valid = json.dumps(site.given)
+        moved = valid.replace(site.given["discovery"], f"127.0.0.1:{site.fresh.address[1]}")
+        invalid = ["", "{", moved[: len(moved) // 2], moved.replace(site.given["listen"], "127.0.0.1:9"),
                  moved.replace('"n1"', '"n2"'), moved.replace('"permissions": {', '"permissions": [{}], "x": {'),
                  moved.replace('"nInstances": 2', '"nInstances": null'), '{"settings":' * 100_000]  # fmt: skip
-        assert len({moved, *wrong}) == len(wrong) + 1
-        for text in wrong:
+        assert len({moved, *invalid}) == len(invalid) + 1
+        for text in invalid:
             site.write(text)
-            site.is_refused()
+            site.assert_reload_refused()
         site.path.unlink()
         site.path.mkdir()
-        site.is_refused()
-        assert site.logged().count("configuration not taken") == len(wrong) + 1 and not site.fresh.calls
+        site.assert_reload_refused()
+        assert site.logged().count("configuration not taken") == len(invalid) + 1 and not site.fresh.calls
         site.path.rmdir()
         site.write(moved)
         site.send(signal.SIGHUP)
         site.until(lambda: site.fresh.calls)
-        assert site.serves() and len(site.logged().split("\n")) < 30
+        assert site.serves_a_request() and len(site.logged().split("\n")) < 30
         site.send(signal.SIGTERM)
-        site.leaves()
+        site.assert_shuts_down()
 
     play(tmp_path, act)
--- a/tests/test_standin_list.py
+++ b/tests/test_standin_list.py
@@ -1,4 +1,4 @@
-"""The list service as a process: each entrance tells its own nodes, and follows the file as it changes."""
+"""The list service as a process: each entrance serves its own nodes, and follows changes of the file."""
 
 import json
 import signal
@@ -16,7 +16,7 @@
 COMMAND = [sys.executable, "-m", "harriertrack", "standin", "list"]
 
 
-def text(places, nodes):
+def settings_text(places, nodes):
     entrances = "".join(
         f'(entrance "{name}" (listen "{host}" {port})' + "".join(
             f' (node "{node}" (address "10.0.0.1" {where}) (shard 0) (state {state}))' for node, where, state in nodes[name]
@@ -25,45 +25,45 @@
     return f"(list-service {entrances})"
 
 
-def asked(place, index=0):
+def query(place, index=0):
     url = f"http://{place[0]}:{place[1]}" + consul.query_target("shelf", index, 2_000_000)
     request = urllib.request.Request(url, headers={"User-Agent": "harriertrack/2a"})
-    with urllib.request.urlopen(request, timeout=10) as answer:
-        return consul.parse_members(answer.read()), int(answer.headers["X-Consul-Index"])
+    with urllib.request.urlopen(request, timeout=10) as response:
+        return consul.parse_members(response.read()), int(response.headers["X-Consul-Index"])
 
 
 @pytest.mark.real_time
-def test_entrances_tell_their_own_and_follow_the_file(tmp_path):
+def test_entrances_serve_their_own_nodes_and_follow_the_file(tmp_path):
     ports = Places()
     places = {"a": ports.next(), "b": ports.next()}
     path, record = tmp_path / "list.sexp", tmp_path / "list.rec"
-    path.write_text(text(places, {"a": [("n0", 1, "up"), ("n1", 2, "up")], "b": [("n0", 9, "up")]}))
+    path.write_text(settings_text(places, {"a": [("n0", 1, "up"), ("n1", 2, "up")], "b": [("n0", 9, "up")]}))
     process = subprocess.Popen(
         [*COMMAND, str(path), "--record", str(record)], stderr=subprocess.PIPE, text=True
     )
     try:
-        until = time.monotonic() + 30
+        deadline = time.monotonic() + 30
         while True:
             try:
-                first, index = asked(places["a"])
+                first, index = query(places["a"])
                 break
             except OSError:
-                assert time.monotonic() < until and process.poll() is None
+                assert time.monotonic() < deadline and process.poll() is None
                 time.sleep(0.05)
         assert [(one.entry.node, one.address[1]) for one in first] == [("n0", 1), ("n1", 2)]
-        assert [one.address[1] for one in asked(places["b"])[0]] == [9]
-        path.write_text("(list-service (entrance")  # half written: what is told stays
-        path.write_text(text(places, {"a": [("n0", 1, "draining")], "b": [("n0", 9, "up")]}))
+        assert [one.address[1] for one in query(places["b"])[0]] == [9]
+        path.write_text("(list-service (entrance")  # half written: the previous lists stay in use
+        path.write_text(settings_text(places, {"a": [("n0", 1, "draining")], "b": [("n0", 9, "up")]}))
         while len({one.entry.state.value for one in first}) < 2:
-            assert time.monotonic() < until
-            first, index = asked(places["a"], index)
+            assert time.monotonic() < deadline
+            first, index = query(places["a"], index)
         assert {one.entry.node: one.entry.state.value for one in first}["n0"] == "draining"
     finally:
         process.send_signal(signal.SIGTERM)
         process.communicate(timeout=30)
     assert process.returncode == 0
-    told = [one for one in rec.read(str(record)) if isinstance(one, rec.Told)]
-    assert {one.head for one in told} == {0x2A} and "draining" in {one.state for one in told}
+    sent = [one for one in rec.read(str(record)) if isinstance(one, rec.Told)]
+    assert {one.head for one in sent} == {0x2A} and "draining" in {one.state for one in sent}
     assert json.loads(record.read_bytes().splitlines()[0])["what"] == "told"
 
 
@@ -72,7 +72,7 @@
     ('(list-service (entrance "a" (listen "x" 1)) (entrance "a" (listen "x" 2)))', "twice"),
     ("(list-service (exit))", "exit"),
 ])  # fmt: skip
-def test_a_bad_file_is_one_line(tmp_path, bad, why):
+def test_a_bad_file_is_refused_in_one_line(tmp_path, bad, why):
     path = tmp_path / "list.sexp"
     path.write_text(bad)
     done = subprocess.run([*COMMAND, str(path)], capture_output=True, text=True)
