--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -430,7 +430,7 @@
 def test_restarted_source_is_asked_for_its_full_list(site):
     def act(site):
         site.discovery.version = 1
-        site.discovery._changes.notify()
+        site.discovery._new_version.notify()
         site.hub.sleep(6_000 * MS)
         assert list_kinds(site)[-1] is api.ListKind.CHANGES or list_kinds(site)[-1] is api.ListKind.FULL
         assert "/api/targets" in [call[1] for call in site.discovery.calls]
