--- a/benchmarks/cell_moves.py
+++ b/benchmarks/cell_moves.py
@@ -23,7 +23,7 @@
 from harriertrack.lab import day as days
 from harriertrack.lab.emulator import emulate
 from harriertrack.lab.regions import RegionRig
-from harriertrack.lab.rig import MOVED, Rig
+from harriertrack.lab.rig import MOVED_VOLUME, Rig
 from harriertrack.lab.troubles import TROUBLES
 from harriertrack.rules import checker, recording as rec
 
@@ -54,7 +54,7 @@
         self.left -= 1
         if self.left < 0:
             self.struck = True
-            shard = self.rig.heads[0].extents().shard_of(MOVED, extent)
+            shard = self.rig.heads[0].extents().shard_of(MOVED_VOLUME, extent)
             self.rig.scope.spawn("kill", self._strike, shard)
 
     def _strike(self, shard: int | None) -> None:
@@ -68,9 +68,9 @@
             rig.hub.sleep(DOWN_US)
             rig.start_head(rig.heads[0])
             return
-        home = rig.cells.volumes[MOVED]
+        home = rig.cells.volumes[MOVED_VOLUME]
         there = {"source": [shard], "target": [one for one, cell in rig.cells.shards.items() if cell == home]}
-        for shelf in [one for one in rig.shelves.values() if one.settings.shard in there[self.kill]]:
+        for shelf in [one for one in rig.nodes.values() if one.settings.shard in there[self.kill]]:
             shelf.stop()
             rig.hub.sleep(DOWN_US)
             rig.restart_node(shelf)
@@ -99,7 +99,7 @@
         see(self, "hold", extent)
 
     def releasing(self: Core, now: int) -> None:
-        freed = [key for key in self._released if key[0] == MOVED]
+        freed = [key for key in self._released if key[0] == MOVED_VOLUME]
         release(self, now)
         for _, extent in freed:
             see(self, "switched", extent)
@@ -109,10 +109,14 @@
         rig = emulate(day, seed, recorder, watch=lambda rig: killer.append(Killer(rig, step, kill, at)))
     finally:
         Core.accept, Core.hold_extent, Core._release = take, hold, release  # type: ignore[method-assign]
-    home = rig.cells.volumes[MOVED]
-    holders = [slot for slot in rig.heads if any(volume.name == MOVED for volume in slot.settings.volumes)]
+    home = rig.cells.volumes[MOVED_VOLUME]
+    holders = [
+        slot for slot in rig.heads if any(volume.name == MOVED_VOLUME for volume in slot.settings.volumes)
+    ]
     done = all(
-        rig.cells.shards[shard] == home for one in holders for _, shard in one.extents().placements_of(MOVED)
+        rig.cells.shards[shard] == home
+        for one in holders
+        for _, shard in one.extents().placements_of(MOVED_VOLUME)
     )
     breaches = [str(one) for one in checker.check(recorder.records)]
     return step, kill, killer[0].struck, done, breaches
--- a/benchmarks/fleet_scoring.py
+++ b/benchmarks/fleet_scoring.py
@@ -58,11 +58,11 @@
             self.scope.spawn("nodes apart", self._differ)
 
     def _differ(self) -> None:
-        names = sorted(self.shelves)
+        names = sorted(self.nodes)
         for turn in itertools.count():
             for number, name in enumerate(names):
                 struck = number == (turn * 2 + 1) % len(names)
-                self.shelves[name].faults.slow = SLOW if struck else 1.0
+                self.nodes[name].faults.slow = SLOW if struck else 1.0
             if self.apart == "third":
                 return
             self.hub.sleep(TURN_US)
@@ -83,7 +83,7 @@
 
     def _tell(self, factors: object) -> None:
         while True:
-            scores = {name: 1 / shelf.faults.slow for name, shelf in self.shelves.items()}
+            scores = {name: 1 / shelf.faults.slow for name, shelf in self.nodes.items()}
             factors.logs = normalise(scores)  # type: ignore[attr-defined]
             self.hub.sleep(LOOK_US)
 
@@ -165,8 +165,8 @@
             given[one.node] += 1
     slow = {"differ": {"z1": SLOW}, "returned": {"z1": SLOW}}.get(kind, {})
     if kind == "third":
-        slow = {sorted(rig.shelves)[1]: SLOW}
-    zones = {name: shelf.settings.zone for name, shelf in rig.shelves.items()}
+        slow = {sorted(rig.nodes)[1]: SLOW}
+    zones = {name: shelf.settings.zone for name, shelf in rig.nodes.items()}
     able = {name: 1 / slow.get(zone, slow.get(name, 1.0)) for name, zone in zones.items()}
     share = [given[name] / sum(given.values()) / (able[name] / sum(able.values())) for name in able]
     weights = [one for one in records if isinstance(one, rec.Weights)]
--- a/benchmarks/fleet_zones.py
+++ b/benchmarks/fleet_zones.py
@@ -128,8 +128,8 @@
     found["broken"] = float(len(checker.check(records)) + len(wrong))
     first = min((times[0] for times in darks.values()), default=None)
     if first is not None and way == "together":
-        struck = next(name for name in rig.shelves if first in darks.get(name, ()))
-        left, back = _times(records, first, rig.shelves[struck].settings.zone)
+        struck = next(name for name in rig.nodes if first in darks.get(name, ()))
+        left, back = _times(records, first, rig.nodes[struck].settings.zone)
         found |= {name: at for name, at in (("left", left), ("back", back)) if at is not None}
     return found
 
--- a/benchmarks/zone_oracle.py
+++ b/benchmarks/zone_oracle.py
@@ -44,7 +44,7 @@
                 self._tell(slot)
 
         change(1)
-        self.later(us + 1, lambda: change(-1))
+        self.run_after(us + 1, lambda: change(-1))
 
     def _tell(self, slot: HeadSlot) -> None:
         if slot.head is None or slot.name not in self._overlays:
--- a/harriertrack/lab/emulator.py
+++ b/harriertrack/lab/emulator.py
@@ -392,7 +392,7 @@
         """Whether requests can be sent."""
         return self._here
 
-    def keep(self, scope: Scope) -> None:
+    def stay_connected(self, scope: Scope) -> None:
         """Open the connection, and open it again after each break (the connection's task)."""
         while True:
             if not self._here and self.address is not None:
@@ -509,23 +509,23 @@
 
 
 # A variant of the module for a head: from its settings and seed, and a look at the true state of the nodes.
-ModuleMaker = Callable[[api.Settings, int, Callable[[str], float]], Any]
+ModuleFactory = Callable[[api.Settings, int, Callable[[str], float]], Any]
 
 
 class _Emulated(Rig):
     """What the two emulated rigs have in common."""
 
-    maker: ModuleMaker | None = None
+    maker: ModuleFactory | None = None
 
     def __init__(self, hub: Hub, network: Any, day: DaySettings, seed: int, *more: Any) -> None:
         self.world = World(Air(hub, day.net, seed + 1))
         super().__init__(hub, network, day, seed, *more)
 
-    def new_listing(self) -> ListService:
+    def new_list_service(self) -> ListService:
         """Make a list service."""
         return EmulatedListService(self.hub, self.network, self.recorder)
 
-    def new_shelf(
+    def new_node(
         self, settings: NodeStandInSettings, rack: ShardStorage, meter: UsageMeter, seed: int
     ) -> NodeServer:
         """Make a storage node."""
@@ -536,7 +536,7 @@
 
     def new_connection(self, volume: str, slot: HeadSlot) -> Connection:
         """Make a client's connection to a head."""
-        manners = self.manners(volume)
+        manners = self.hints_and_patience(volume)
         return EmulatedConnection(self.world.air, self.hub, self.recorder, volume, slot, *manners)
 
     def wiring(self, slot: HeadSlot) -> Wiring:
@@ -556,7 +556,7 @@
 
     def listing_for(self, slot: HeadSlot) -> EmulatedListService:
         """Return the list service that a head asks."""
-        return self.listing  # type: ignore[return-value]
+        return self.list_service  # type: ignore[return-value]
 
     def true_wait(self, node: str) -> float:
         """Return what a request would wait at a node now, in microseconds; infinite if nothing answers."""
@@ -588,7 +588,7 @@
         return self.listings[slot.zone]  # type: ignore[return-value]
 
 
-def emulate(day: DaySettings, seed: int, recorder: rec.Recorder, maker: ModuleMaker | None = None,
+def emulate(day: DaySettings, seed: int, recorder: rec.Recorder, maker: ModuleFactory | None = None,
             watch: Callable[[Rig], None] | None = None) -> Rig:  # fmt: skip
     """Play a day in the emulator into a recorder; return its rig as it is at the end.
 
--- a/harriertrack/lab/experiments.py
+++ b/harriertrack/lab/experiments.py
@@ -38,7 +38,7 @@
 from harriertrack.decisions.verdicts import JudgedComparison, judge
 from harriertrack.lab import day as days
 from harriertrack.lab.day import DaySettings
-from harriertrack.lab.emulator import ModuleMaker, emulate
+from harriertrack.lab.emulator import ModuleFactory, emulate
 from harriertrack.lab.scores import Scores, scores_of
 from harriertrack.lab.statistics import compare
 from harriertrack.lab.watch import Watch
@@ -185,7 +185,7 @@
 # -- running
 
 
-def maker_of(variant: VariantSettings) -> ModuleMaker | None:
+def maker_of(variant: VariantSettings) -> ModuleFactory | None:
     """Return what makes a variant's modules; None for the head's own."""
     if variant.module != "scheduler":
         return BASELINES[variant.module]
--- a/harriertrack/lab/fleet/markets.py
+++ b/harriertrack/lab/fleet/markets.py
@@ -197,10 +197,10 @@
                 connections = []
                 for slot in slots:
                     connection = Connection(rig.hub, rig.network, rig.recorder, volume.name, slot.name)
-                    connection.address = rig.entrance(slot)
+                    connection.address = rig.client_address(slot)
                     slot.connections.append(connection)
                     connections.append(connection)
-                    rig.scope.spawn(f"connection {volume.name} {seat}", connection.keep, rig.scope)
+                    rig.scope.spawn(f"connection {volume.name} {seat}", connection.stay_connected, rig.scope)
                 client = BlockClient(rig.hub, rig.recorder, connections, seat, rig.day.extent_bytes,
                                      self._drawn.getrandbits(32))  # fmt: skip
                 self._clients.append(client)
--- a/harriertrack/lab/fleet/processes/fleet.py
+++ b/harriertrack/lab/fleet/processes/fleet.py
@@ -87,7 +87,7 @@
             self._there[name] = self.relay.add_member(name, self._inner[name])
         for number in range(day.nodes):
             self.add_node(f"node{number}", number)
-        zones = {name: shelf.settings.zone for name, shelf in self.shelves.items()}
+        zones = {name: shelf.settings.zone for name, shelf in self.nodes.items()}
         if self.fleet_day.budgets is not None:
             self._witness.start()
         entrances = []
@@ -96,7 +96,7 @@
                 NodeSettings(
                     name=node, address=self._link(name, node, shelf.address), shard=shard, zone=zones[node]
                 )  # fmt: skip
-                for shard, (node, shelf) in enumerate(self.shelves.items())
+                for shard, (node, shelf) in enumerate(self.nodes.items())
                 if not self.fleet_day.regions or regions.region_of(node) == regions.region_of(name)
             )
             entrances.append(ListEndpointSettings(name=name, listen=self.places.next(), nodes=nodes))
@@ -104,13 +104,13 @@
         path.write_text(format_settings("list-service", ListServiceSettings(entrances=tuple(entrances))))
         arguments = ["standin", "list", str(path), "--record", str(self.path("list.rec"))]
         listing = self.start_process("list", arguments)
-        for shelf in self.shelves.values():  # all have started: their imports take a while side by side
+        for shelf in self.nodes.values():  # all have started: their imports take a while side by side
             cast(ShelfProcess, shelf).await_listening()
         if self.fleet_day.budgets is not None:
             self._witness.await_listening()
         self.await_listening(listing, entrances[-1].listen)
         for number, (name, entrance) in enumerate(zip(names, entrances, strict=True)):
-            slot = self.place_head(number)
+            slot = self.add_numbered_head(number)
             consul = ConsulSettings(address=self._link(name, "list", entrance.listen), wait_us=5_000_000)
             slot.settings = msgspec.structs.replace(
                 slot.settings, listen=self._nbd[name],
@@ -147,7 +147,7 @@
         """Put a relay of streams between a head and a node or the list; return where the head finds it."""
         return self.streams.between(head, party, address, self.scope)
 
-    def new_shelf(  # type: ignore[override]
+    def new_node(  # type: ignore[override]
         self, settings: NodeStandInSettings, rack: ShardStorage, meter: object, seed: int
     ) -> ShelfProcess:
         """Start a storage node as a process."""
@@ -186,7 +186,7 @@
         """Return where a head finds the witness."""
         return self._link(name, "witness", self._witness.address)
 
-    def fleet_of(self, name: str) -> FleetSettings | None:
+    def fleet_settings_of(self, name: str) -> FleetSettings | None:
         """Return what a head is told of its fleet."""
         if not self.with_fleet:
             return None
@@ -205,7 +205,7 @@
 
     # -- heads
 
-    def entrance(self, slot: HeadSlot) -> tuple[str, int] | None:
+    def client_address(self, slot: HeadSlot) -> tuple[str, int] | None:
         """Return where clients find a head; None while it is not up."""
         return self._nbd[slot.name] if slot.name in self.children.running else None
 
@@ -240,7 +240,7 @@
         self.start_process(slot.name, arguments)
         self.hub.sleep(TURN_US)  # dozens that start together would hold the relays up
         for connection in slot.connections:
-            connection.address = self.entrance(slot)
+            connection.address = self.client_address(slot)
 
     def kill(self, slot: HeadSlot) -> None:
         """End a head at once."""
@@ -268,14 +268,14 @@
                 self.lived(slot, "went-on")
             process.signal(signal.SIGCONT)
 
-        self.later(us, go_on)
+        self.run_after(us, go_on)
 
     def pause(self, slot: HeadSlot, us: int) -> None:
         """Let a head stand still for a moment that nobody need hear of."""
         process = self.children.running.get(slot.name)
         if process is not None:
             process.signal(signal.SIGSTOP)
-            self.later(us, lambda: process.signal(signal.SIGCONT))
+            self.run_after(us, lambda: process.signal(signal.SIGCONT))
 
     def leave(self, slot: HeadSlot) -> None:
         """Ask a head to end."""
@@ -292,7 +292,7 @@
         """End every process that this rig started, by its id, and gather what the nodes recorded."""
         self.relay.close()
         self.children.end_all()
-        for name in (*self.shelves, "list"):
+        for name in (*self.nodes, "list"):
             path = self.path(f"{name}.rec")
             if path.exists():
                 for record in rec.read(str(path)):
--- a/harriertrack/lab/fleet/processes/launchers.py
+++ b/harriertrack/lab/fleet/processes/launchers.py
@@ -44,4 +44,4 @@
     elif event == "launch: head serves":
         record(rec.HeadHandover(t=now, head=slot.name, away=False, version=int(str(line["version"]))))
         for connection in slot.connections:
-            connection.address = rig.entrance(slot)
+            connection.address = rig.client_address(slot)
--- a/harriertrack/lab/fleet/processes/machine.py
+++ b/harriertrack/lab/fleet/processes/machine.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from harriertrack.lab.fleet.processes.children import Process
-from harriertrack.lab.rig import LATE_US, WATCH_US
+from harriertrack.lab.rig import MIN_PAUSE_US, PAUSE_CHECK_US
 from harriertrack.rules import recording as rec
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     A wait is counted when it ends: it may have begun before the last look. What waited less than half of the
     time, or only for a moment, did run.
     """
-    if waited_us < LATE_US or 2 * waited_us < now - before:
+    if waited_us < MIN_PAUSE_US or 2 * waited_us < now - before:
         return None
     since = min(before, now - waited_us)
     return since, now - since
@@ -40,7 +40,7 @@
         known: dict[Process, int] = {}
         before = hub.now()
         while True:
-            hub.sleep(WATCH_US)
+            hub.sleep(PAUSE_CHECK_US)
             now, seen = hub.now(), {}
             for slot in rig.heads:
                 process = rig.children.running.get(slot.name)
--- a/harriertrack/lab/fleet/processes/witness.py
+++ b/harriertrack/lab/fleet/processes/witness.py
@@ -58,4 +58,4 @@
             self.start()
             rig.scope.spawn("witness", self.await_listening)
 
-        rig.later(us, back)
+        rig.run_after(us, back)
--- a/harriertrack/lab/fleet/rig/faults.py
+++ b/harriertrack/lab/fleet/rig/faults.py
@@ -44,7 +44,7 @@
             self._changed()
 
         if us:
-            self._rig.later(us, end)
+            self._rig.run_after(us, end)
 
     def heal(self) -> None:
         """Let all faults end."""
--- a/harriertrack/lab/fleet/rig/fleet.py
+++ b/harriertrack/lab/fleet/rig/fleet.py
@@ -82,7 +82,7 @@
                 for flow in self.flows:
                     scope.spawn(f"flow {flow.model.name}", flow.run, hub.now() + FOREVER_US)
                 if not isinstance(self.network, MemoryNetwork):
-                    scope.spawn("machine", self._watch_machine)
+                    scope.spawn("machine", self._record_machine_pauses)
                 for step in self.fleet_day.steps:
                     self.step(step)
                 self._finish()
@@ -177,10 +177,10 @@
         """Remember that something that the day does lasts for so long."""
         self._last_until = max(self._last_until, self.hub.now() + us)
 
-    def later(self, us: int, act: Callable[[], None]) -> None:
+    def run_after(self, us: int, act: Callable[[], None]) -> None:
         """Do something after a time."""
         self.lasts(us)
-        super().later(us, act)
+        super().run_after(us, act)
 
     def _quiet(self) -> None:
         """Wait for the end of what lasts, heal all else, and put on record that it is quiet."""
@@ -209,7 +209,7 @@
     def _lead(self, names: list[str], times: float) -> None:
         """Let traffic go to some heads alone; a volume that none of them serves has none."""
         for flow in self.flows:
-            flow.heads, flow.factor = frozenset(names), times
+            flow.heads, flow.rate_factor = frozenset(names), times
 
     def lies(self, slot: HeadSlot) -> bool:
         """Whether a head is a liar."""
@@ -226,10 +226,10 @@
             )
         )
 
-    def place_head(self, number: int) -> HeadSlot:
+    def add_numbered_head(self, number: int) -> HeadSlot:
         """Make a place for a head by its number."""
         if not self.fleet_day.regions:
-            return super().place_head(number)
+            return super().add_numbered_head(number)
         day, name = self.day, f"head{number}"
         mine = [one for at, one in enumerate(self.volumes) if regions.serves(one, at, number, day.heads)]
         region = regions.settings_of(self, name, self.witness_of(name))
@@ -241,17 +241,19 @@
         moving = [one for one in self.volumes if one.regions is not None and one.name.startswith("moving")]
         for at, volume in enumerate(moving):
             flow = self.add_flow(volume, self.fleet_day.rate * (1 + at % 2) / 2)
-            flow.leader = 0
+            flow.preferred_connection = 0
 
-    def manners(self, volume: str) -> tuple[bool, int]:
+    def hints_and_patience(self, volume: str) -> tuple[bool, int]:
         """Return how a volume's clients wait; those of two regions hear hints."""
-        return super().manners(volume) if volume.startswith("vol") else (True, self.day.patience_us)
+        return (
+            super().hints_and_patience(volume) if volume.startswith("vol") else (True, self.day.patience_us)
+        )
 
     def listing_at(self, name: str) -> ListService:
         """Return the list service of a head or node."""
-        return self.listing
+        return self.list_service
 
-    def listing_of(self, shelf: NodeServer) -> ListService:
+    def list_service_of(self, shelf: NodeServer) -> ListService:
         """Return the list service that names a node."""
         return self.listing_at(shelf.settings.name)
 
@@ -296,7 +298,7 @@
 
     def in_zone(self, zone: str) -> list[NodeServer]:
         """Return the nodes of a zone."""
-        return [shelf for shelf in self.shelves.values() if shelf.settings.zone == zone]
+        return [shelf for shelf in self.nodes.values() if shelf.settings.zone == zone]
 
     def zone_dark(self, zone: str, who: list[HeadSlot], us: int) -> None:
         """Let nothing pass between some heads and a zone's nodes for a time."""
@@ -316,7 +318,7 @@
 
     def weather_changed(self) -> None:
         """Let streams follow the faults in force; datagrams ask at each."""
-        self.streams.follow(self.faults.weather, self.shelves)
+        self.streams.follow(self.faults.weather, self.nodes)
 
     def close(self) -> None:
         """End all that was started."""
--- a/harriertrack/lab/fleet/rig/nodes.py
+++ b/harriertrack/lab/fleet/rig/nodes.py
@@ -8,21 +8,21 @@
 
 def drain(rig: Rig, part: float, us: int) -> None:
     """Let a part of the nodes be listed as draining for a time."""
-    struck = rig.struck(part)
+    struck = rig.pick_nodes(part)
     for shelf in struck:
-        rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
+        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
 
     def back() -> None:
         for shelf in struck:
             if shelf.up:  # what is dark is listed as up when it comes back
-                rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.UP)
+                rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.UP)
 
-    rig.later(us, back)
+    rig.run_after(us, back)
 
 
 def come_back_cold(rig: Rig, part: float, us: int) -> None:
     """Let a part of the nodes go dark at once, and come back cold."""
-    struck = rig.struck(part)
+    struck = rig.pick_nodes(part)
     for shelf in struck:
         shelf.stop()
 
@@ -31,4 +31,4 @@
             if not shelf.up:
                 rig.restart_node(shelf)
 
-    rig.later(us, back)
+    rig.run_after(us, back)
--- a/harriertrack/lab/fleet/rig/parties.py
+++ b/harriertrack/lab/fleet/rig/parties.py
@@ -45,7 +45,7 @@
         sources = rig.drawn.sample(sources, max(1, round(step.part * len(sources))))
     targets = chosen(step.other, heads, tuple(sources))
     for words, found in ((step.who, sources), (step.other, targets)):
-        found += [name for name in words if name in rig.shelves or name in OUTSIDE]
+        found += [name for name in words if name in rig.nodes or name in OUTSIDE]
         if "shelves" in words:
-            found += list(rig.shelves)
+            found += list(rig.nodes)
     return sources, targets
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -19,7 +19,7 @@
 from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings
 from harriertrack.lab.fleet.weights import PLUGIN, LyingDatagrams
 from harriertrack.lab.rig import REGIONS, HeadSlot
-from harriertrack.lab.troubles import for_a_while
+from harriertrack.lab.troubles import apply_faults_for
 from harriertrack.rules import recording as rec
 from harriertrack.runtime.datagrams import DatagramNetwork, MemoryDatagrams
 from harriertrack.runtime.hub import Hub, Task
@@ -43,7 +43,7 @@
         self.datagrams = MemoryDatagrams(hub, self.faults.weather.draw_delays)
         self.datagrams.tap = self.hearing.datagram
         self.witness = Witness(hub, network)
-        self._listings = {name: self.new_listing() for name in REGIONS} if day.regions else {}
+        self._listings = {name: self.new_list_service() for name in REGIONS} if day.regions else {}
         self._kept = b""
         self._later: set[str] = set()
         self._bad: dict[str, Rehearsal] = {}  # what runs at heads whose version is worse
@@ -56,21 +56,21 @@
     def build(self) -> None:
         """Start the nodes and the list, and make places for the heads."""
         day = self.day
-        for listing in self._listings.values() or [self.listing]:
+        for listing in self._listings.values() or [self.list_service]:
             listing.start(self.scope)
         if self.fleet_day.budgets is not None:
             self.witness.start(self.scope)
         for number in range(day.nodes):
             self.add_node(f"node{number}", number)
         for number in range(day.heads):
-            self.place_head(number)
+            self.add_numbered_head(number)
 
     @property
     def witness_address(self) -> tuple[str, int]:
         """Return where operators find the witness."""
         return self.witness.address
 
-    def fleet_of(self, name: str) -> FleetSettings | None:
+    def fleet_settings_of(self, name: str) -> FleetSettings | None:
         """Return what a head is told of its fleet."""
         if not self.with_fleet:
             return None
@@ -88,7 +88,7 @@
 
     def listing_at(self, name: str) -> ListService:
         """Return the list service of a head or node."""
-        return self._listings[regions.region_of(name)] if self._listings else self.listing
+        return self._listings[regions.region_of(name)] if self._listings else self.list_service
 
     def witness_of(self, name: str) -> tuple[str, int]:
         """Return where a head finds the witness; on days of two regions through a relay."""
@@ -110,7 +110,7 @@
         bad = self._bad.get(slot.name)
         return replace(made, links=partial(WorseLinks, rehearsal=bad)) if bad is not None else made
 
-    def note_of(self, slot: HeadSlot) -> Callable[..., None]:
+    def log_of(self, slot: HeadSlot) -> Callable[..., None]:
         """Return what hears a head's log."""
         return lambda event, **fields: self.hearing.log_line(slot, event, fields)
 
@@ -171,7 +171,7 @@
         self.lived(slot, "stopped")
         self.recorder.add(rec.HeadPaused(t=self.hub.now(), head=slot.name, us=us))
         self.pause(slot, us)
-        self.later(us, lambda: self.lived(slot, "went-on") if slot.name in self.views.alive else None)
+        self.run_after(us, lambda: self.lived(slot, "went-on") if slot.name in self.views.alive else None)
 
     def pause(self, slot: HeadSlot, us: int) -> None:
         """Let a head stand still for a moment that nobody need hear of."""
@@ -204,7 +204,7 @@
                     if not shelf.up:
                         self.restart_node(shelf)
 
-            self.later(us, back)
+            self.run_after(us, back)
             return
         names = frozenset(slot.name for slot in who)
         self.faults.strike(NetworkFault(names, frozenset(one.settings.name for one in struck), cut=True), us)
@@ -224,7 +224,7 @@
     def weather_changed(self) -> None:
         """Let streams follow the faults in force, and nodes from whom they are cut off."""
         super().weather_changed()
-        for name, shelf in self.shelves.items():
+        for name, shelf in self.nodes.items():
             apart = frozenset(slot.head.head_id for slot in self.heads
                               if slot.head is not None and self._apart(slot.name, name))  # fmt: skip
             if apart != shelf.faults.cut_off:
@@ -245,7 +245,7 @@
 
     def _faulty(self, struck: list[NodeServer], us: int, **faults: object) -> None:
         self.lasts(us)
-        self.scope.spawn("nodes at fault", partial(for_a_while, self, struck, us, **faults))
+        self.scope.spawn("nodes at fault", partial(apply_faults_for, self, struck, us, **faults))
 
     def backup(self) -> None:
         """Keep aside what the witness knows."""
@@ -260,7 +260,7 @@
             if old and self._kept:
                 self.witness.restore(self._kept)
 
-        self.later(us, back)
+        self.run_after(us, back)
 
 
 def simulate(day: FleetDaySettings, heads: int, seed: int, recorder: rec.Recorder,
--- a/harriertrack/lab/fleet/storm/playing.py
+++ b/harriertrack/lab/fleet/storm/playing.py
@@ -33,7 +33,7 @@
     hub = Hub.virtual(0)
     rig = SimulatedFleet(hub, MemoryNetwork(hub), day, day.processes, SEED, rec.Recorder())
     for number in (0, day.processes - 1):  # who has most of the volumes, and who has least
-        rig.place_head(number)
+        rig.add_numbered_head(number)
 
 
 def in_simulated_time(day: FleetDaySettings, recorder: rec.Recorder) -> object:
--- a/harriertrack/lab/load.py
+++ b/harriertrack/lab/load.py
@@ -80,7 +80,7 @@
         """Whether requests can be sent."""
         return self._client is not None
 
-    def keep(self, scope: Scope) -> None:
+    def stay_connected(self, scope: Scope) -> None:
         """Open the connection, and open it again after each break (the connection's task)."""
         while True:
             if self._client is None and self.address is not None:
@@ -256,10 +256,10 @@
         self._hub, self.model, self.connections = hub, model, connections
         self._classes, self._habits = classes, habits
         self.rate, self._most = rate, most
-        self.factor = 1.0  # of the rate, now
+        self.rate_factor = 1.0  # of the rate, now
         self.hot: tuple[int, int] | None = None  # sectors that all reads go to
         self.scanning = -1  # next sector of a scan; below 0 for none
-        self.leader = 0  # which connection most requests take
+        self.preferred_connection = 0  # which connection most requests take
         self.heads: frozenset[str] = frozenset()  # that requests go to; empty: all
         self._random = random.Random(seed)
         self._tags = 0
@@ -270,7 +270,7 @@
         """Send requests at their drawn times until a moment (the flow's task)."""
         at = self._hub.now()
         while True:
-            at += int(self._random.expovariate(1.0) * 1e6 / (self.rate * self.factor))
+            at += int(self._random.expovariate(1.0) * 1e6 / (self.rate * self.rate_factor))
             if at >= until:
                 return
             self._hub.sleep_until(at)
@@ -290,7 +290,7 @@
             return self._random.choice([one for one in up if one.head in self.heads] or [None])
         if not up:
             return None
-        first = self.connections[self.leader % len(self.connections)]
+        first = self.connections[self.preferred_connection % len(self.connections)]
         return first if first.up and self._random.random() < 0.7 else self._random.choice(up)
 
     def ask(self, kind: str, tries_left: int, again: bool = False) -> None:
--- a/harriertrack/lab/regions.py
+++ b/harriertrack/lab/regions.py
@@ -32,9 +32,9 @@
         super().__init__(*args, **more)
         assert self.day.two_regions is not None
         spread = self.spread = self.day.two_regions
-        self.listings = {region: self.new_listing() for region in REGIONS}
+        self.listings = {region: self.new_list_service() for region in REGIONS}
         self.witness = Witness(self.hub, self.network, spread.clock_rate)
-        self.ways = {
+        self.directions = {
             (one, other): Direction(spread.delay_us, spread.jitter_us)
             for one, other in (("a", "b"), ("b", "a"))
         }
@@ -49,7 +49,7 @@
         nowhere = ("127.0.0.1", 1)
         for region, other in (("a", "b"), ("b", "a")):
             self.listings[region].start(self.scope)
-            there, back = self.ways[region, other], self.ways[other, region]
+            there, back = self.directions[region, other], self.directions[other, region]
             self.links[region] = Link(hub, network, nowhere, there, back, self.random.getrandbits(32))
             quick = Direction(WITNESS_DELAY_US), Direction(WITNESS_DELAY_US)
             self.to_witness[region] = Link(hub, network, self.witness.address, *quick)
@@ -75,7 +75,7 @@
         super().add_flows()
         for flow, volume in zip(self.flows, self.volumes, strict=True):
             assert volume.regions is not None
-            flow.leader = REGIONS.index(volume.regions.home)
+            flow.preferred_connection = REGIONS.index(volume.regions.home)
 
     def add_registers(self, until: int) -> None:
         """On each volume, a client in each region writes and reads the same few blocks."""
@@ -99,7 +99,7 @@
         other = REGIONS[1 - REGIONS.index(slot.zone)]
         self.links[other].set_target(slot.head.address)
 
-    def listing_of(self, shelf: NodeServer) -> ListService:
+    def list_service_of(self, shelf: NodeServer) -> ListService:
         """Return the list service of a node's region."""
         return self.listings[shelf.settings.zone]
 
@@ -108,7 +108,7 @@
         for listing in self.listings.values():
             listing.down = down
 
-    def settled(self) -> bool:
+    def volumes_in_sync(self) -> bool:
         """Whether every volume is held, with both regions in sync."""
         heads = [slot.head for slot in self.slots.values() if slot.head is not None]
         layers = [head.regional for head in heads if head.regional is not None]
@@ -144,7 +144,7 @@
     slot = rig.slots[region]
     rig.cut(region, True)
     rig.kill_head(slot)
-    dark = [shelf for shelf in rig.shelves.values() if shelf.settings.zone == region and shelf.up]
+    dark = [shelf for shelf in rig.nodes.values() if shelf.settings.zone == region and shelf.up]
     for shelf in dark:
         shelf.stop(silent=True)
     rig.hub.sleep(settings.for_us)
@@ -167,12 +167,12 @@
 @_regional
 def link_slow(rig: RegionRig, settings: TroubleSettings) -> None:
     """The link between the regions takes `size` milliseconds each way."""
-    before = {way: way_.delay_us for way, way_ in rig.ways.items()}
-    for way in rig.ways.values():
+    before = {way: way_.delay_us for way, way_ in rig.directions.items()}
+    for way in rig.directions.values():
         way.delay_us = int(settings.size * 1000)
     rig.hub.sleep(settings.for_us)
     for name, delay in before.items():
-        rig.ways[name].delay_us = delay
+        rig.directions[name].delay_us = delay
 
 
 @trouble(TroubleKind.LINK_BLOCK)
@@ -182,12 +182,12 @@
 
     Both ways, or only `there` (from a) or `back`.
     """
-    names = {"there": [("a", "b")], "back": [("b", "a")]}.get(settings.how, list(rig.ways))
+    names = {"there": [("a", "b")], "back": [("b", "a")]}.get(settings.how, list(rig.directions))
     for name in names:
-        rig.ways[name].blocked = True
+        rig.directions[name].blocked = True
     rig.hub.sleep(settings.for_us)
     for name in names:
-        rig.ways[name].blocked = False
+        rig.directions[name].blocked = False
     for link in rig.links.values():
         link.notify_changed()
 
--- a/harriertrack/lab/rig.py
+++ b/harriertrack/lab/rig.py
@@ -48,11 +48,14 @@
 
 SETTLE_US = 300_000  # heads learn the node list before the first request
 METER_US = 1_000_000
-WATCH_US, LATE_US = 10_000, 20_000  # over sockets: how often the machine is looked at; what is a standstill
+PAUSE_CHECK_US, MIN_PAUSE_US = (
+    10_000,
+    20_000,
+)  # over sockets: how often the machine is looked at; what is a standstill
 REGISTERS = 8  # sectors at a volume's end that are left to register clients
 BULK_BYTES = 12 << 10
 NODE_KIND = "node"  # a replacement is like its predecessor
-MOVED = "vol0"  # the volume that days with a move move
+MOVED_VOLUME = "vol0"  # the volume that days with a move move
 REGIONS = ("a", "b")
 
 
@@ -156,14 +159,14 @@
         self._nvme = waits if front is Front.NVME else None
         self.hub, self.network, self.day, self.recorder = hub, network, day, recorder
         self.random = random.Random(seed)
-        self.listing = self.new_listing()
-        self.shelves: dict[str, NodeServer] = {}
+        self.list_service = self.new_list_service()
+        self.nodes: dict[str, NodeServer] = {}
         self.heads: list[HeadSlot] = []
         self.flows: list[Flow] = []
         self.habits = Habits(day.retries, day.backoff_us, day.heeds_hints)
         self.scope: Scope
         self._seed, self._state_dir, self._two = seed, state_dir, day.two_regions is not None
-        self._racks = [
+        self._shard_storages = [
             ShardStorage(day.extent_bytes) for _ in range(day.nodes * (2 if day.two_regions else 1))
         ]
         self.volumes = volumes_of(day)
@@ -188,7 +191,7 @@
         cells = self.cells if day.cells > 1 else HeadCellMap(0)
         settled = dict(cells.volumes)
         if any(one.name is TroubleKind.CELL_MOVE for one in day.troubles):
-            del settled[MOVED]  # while it moves it is served in both
+            del settled[MOVED_VOLUME]  # while it moves it is served in both
         virtual = isinstance(self.network, MemoryNetwork)
         spread = day.two_regions  # the far head hears of a broken connection one link delay later
         link = spread.delay_us + spread.jitter_us if spread is not None else 0
@@ -212,11 +215,11 @@
 
     # -- what the emulator makes otherwise
 
-    def new_listing(self) -> ListService:
+    def new_list_service(self) -> ListService:
         """Make a list service."""
         return ListService(self.hub, self.network, self.recorder)
 
-    def new_shelf(
+    def new_node(
         self, settings: NodeStandInSettings, rack: ShardStorage, meter: UsageMeter, seed: int
     ) -> NodeServer:
         """Make a storage node."""
@@ -224,12 +227,12 @@
 
     def new_connection(self, volume: str, slot: HeadSlot) -> Connection:
         """Make a client's connection to a head."""
-        make = partial(NvmeVolume, self.hub, self.network, self.manners(volume)[0])
+        make = partial(NvmeVolume, self.hub, self.network, self.hints_and_patience(volume)[0])
         return Connection(self.hub, self.network, self.recorder, volume, slot.name,
                           make if self.front is Front.NVME else None,
-                          *self.manners(volume))  # fmt: skip
+                          *self.hints_and_patience(volume))  # fmt: skip
 
-    def manners(self, volume: str) -> tuple[bool, int]:
+    def hints_and_patience(self, volume: str) -> tuple[bool, int]:
         """Return whether a volume's clients hear hints, and how long they wait where they don't."""
         plain = round(self.day.plain * self.day.volumes)
         if self._two and self.front is Front.NVME:
@@ -240,11 +243,11 @@
         """Return what a head is made of."""
         return Wiring() if self.day.cells == 1 else Wiring(module=self.celled)
 
-    def fleet_of(self, name: str) -> FleetSettings | None:
+    def fleet_settings_of(self, name: str) -> FleetSettings | None:
         """Return what a head is told of its fleet, where a day has one."""
         return None
 
-    def note_of(self, slot: HeadSlot) -> Callable[..., None]:
+    def log_of(self, slot: HeadSlot) -> Callable[..., None]:
         """Return what hears a head's log."""
         return log_nothing
 
@@ -271,7 +274,7 @@
             for trouble in day.troubles:
                 scope.spawn(f"trouble {trouble.name.value}", troubles.run, self, trouble, start)
             if not isinstance(self.network, MemoryNetwork):
-                scope.spawn("machine", self._watch_machine)
+                scope.spawn("machine", self._record_machine_pauses)
             hub.sleep_until(start + day.length_us)
             for flow in self.flows:
                 flow.closed = True
@@ -285,13 +288,13 @@
             hub.sleep(200_000)
             scope.cancel()
 
-    def _watch_machine(self) -> None:
+    def _record_machine_pauses(self) -> None:
         # On real time the machine below may be busy with something else: then all heads stood still with it.
         while True:
             last_look = self.hub.now()
-            self.hub.sleep_until(last_look + WATCH_US)
+            self.hub.sleep_until(last_look + PAUSE_CHECK_US)
             took = self.hub.now() - last_look
-            if took >= WATCH_US + LATE_US:
+            if took >= PAUSE_CHECK_US + MIN_PAUSE_US:
                 # It may have stood still since right after the last look.
                 for slot in self.heads:
                     self.recorder.add(rec.HeadPaused(t=last_look, head=slot.name, us=took, machine=True))
@@ -299,11 +302,11 @@
     def build(self) -> None:
         """Start the machines."""
         day = self.day
-        self.listing.start(self.scope)
+        self.list_service.start(self.scope)
         for number in range(day.nodes):
             self.add_node(f"node{number}", number)
         for number in range(day.heads):
-            self.start_head(self.place_head(number))
+            self.start_head(self.add_numbered_head(number))
 
     def add_registers(self, until: int) -> None:
         """Start clients that write and read the same blocks at once, where a day has such."""
@@ -324,43 +327,43 @@
             fall_multiple=day.rules.fall_multiple, fall_us=day.rules.fall_us, cold_units=day.rules.cold_units,
             volumes=tuple(self.volumes),
         )  # fmt: skip
-        shelf = self.new_shelf(settings, self._racks[shard], self._meter, self.random.getrandbits(32))
+        shelf = self.new_node(settings, self._shard_storages[shard], self._meter, self.random.getrandbits(32))
         shelf.start(self.scope, cold)
-        self.shelves[name] = shelf
+        self.nodes[name] = shelf
         entry = NodeEntry(name, shard, NodeState.UP, zone, shelf.started_at_us, NODE_KIND)
-        self.listing_of(shelf).set_member(Member(entry, shelf.address))
+        self.list_service_of(shelf).set_member(Member(entry, shelf.address))
         return shelf
 
-    def listing_of(self, shelf: NodeServer) -> ListService:
+    def list_service_of(self, shelf: NodeServer) -> ListService:
         """Return the list service that names a node."""
-        return self.listing
+        return self.list_service
 
     def set_list_down(self, down: bool) -> None:
         """Let the list service turn every call away, or answer again."""
-        self.listing.down = down
+        self.list_service.down = down
 
     def restart_node(self, shelf: NodeServer) -> None:
         """Bring a node back cold; the list tells of it a little later."""
         shelf.start(self.scope, cold=True)
-        started, name, listing = shelf.started_at_us, shelf.settings.name, self.listing_of(shelf)
-        self.later(self.day.notice_us, lambda: listing.set_state(name, NodeState.UP, started))
+        started, name, listing = shelf.started_at_us, shelf.settings.name, self.list_service_of(shelf)
+        self.run_after(self.day.notice_us, lambda: listing.set_state(name, NodeState.UP, started))
 
-    def later(self, us: int, act: Callable[[], None]) -> None:
+    def run_after(self, us: int, act: Callable[[], None]) -> None:
         """Do something after a time."""
         self.hub.at(self.hub.now() + us, act)
 
-    def struck(self, part: float) -> list[NodeServer]:
+    def pick_nodes(self, part: float) -> list[NodeServer]:
         """Draw which nodes are struck: a part of those that are up, at least one."""
-        up = [shelf for shelf in self.shelves.values() if shelf.up]
+        up = [shelf for shelf in self.nodes.values() if shelf.up]
         return self.random.sample(up, min(len(up), max(1, round(part * len(up)))))
 
     # -- heads
 
-    def place_head(self, number: int) -> HeadSlot:
+    def add_numbered_head(self, number: int) -> HeadSlot:
         """Make a place for a head by its number, with the zone and the volumes that are dealt to it."""
         day = self.day
         mine = [one for at, one in enumerate(self.volumes) if (number - at) % day.heads < one.hosts]
-        return self.add_head(f"head{number}", day.zones[number % len(day.zones)], mine, self.listing)
+        return self.add_head(f"head{number}", day.zones[number % len(day.zones)], mine, self.list_service)
 
     def add_head(
         self,
@@ -379,7 +382,7 @@
             seed=self.random.getrandbits(32) + 1, extent_bytes=day.extent_bytes, unit_bytes=day.unit_bytes,
             mean_units=2.5, most_units=float(day.extent_bytes // day.unit_bytes), meter_us=METER_US,
             node_list=NodeListSettings(consul=consul), region=region,
-            nvme=self._nvme, fleet=self.fleet_of(name),
+            nvme=self._nvme, fleet=self.fleet_settings_of(name),
             rules=day.rules, classes=self.classes, plans=self.plans, volumes=tuple(volumes),
         )  # fmt: skip
         check_head(settings, f"day {day.name}")
@@ -403,7 +406,7 @@
 
     def start_head(self, slot: HeadSlot) -> None:
         """Start a head with nothing but what it kept on disk."""
-        note = self.note_of(slot)
+        note = self.log_of(slot)
         slot.head = Head(self.hub, self.network_of(slot), slot.settings, note, slot.extents(), slot.name,
                          slot.missed(), self.wiring(slot))  # fmt: skip
         slot.head.trace = partial(self._stamp, slot.head.head_id)
@@ -412,9 +415,9 @@
         number = slot.head.head_id
         self.recorder.add(rec.HeadLifecycle(t=self.hub.now(), head=slot.name, number=number, up=True))
         for connection in slot.connections:
-            connection.address = self.entrance(slot)
+            connection.address = self.client_address(slot)
 
-    def entrance(self, slot: HeadSlot) -> tuple[str, int] | None:
+    def client_address(self, slot: HeadSlot) -> tuple[str, int] | None:
         """Return where clients find a head; None while it is not up."""
         if slot.head is None:
             return None
@@ -454,10 +457,10 @@
         for slot in self.heads:
             if any(volume.name == one.name for one in slot.settings.volumes):
                 connection = self.new_connection(volume.name, slot)
-                connection.address = self.entrance(slot)
+                connection.address = self.client_address(slot)
                 slot.connections.append(connection)
                 connections.append(connection)
-                self.scope.spawn(f"connection {connection.name}", connection.keep, self.scope)
+                self.scope.spawn(f"connection {connection.name}", connection.stay_connected, self.scope)
         rng = random.Random(self.random.getrandbits(32))
         sectors = volume.size_bytes // SECTOR - REGISTERS
         apart = self._two or volume.regions is not None
--- a/harriertrack/lab/troubles.py
+++ b/harriertrack/lab/troubles.py
@@ -15,7 +15,7 @@
 from harriertrack.decisions.requests import MODIFYING_KINDS, Part
 from harriertrack.decisions.splitting import Kind
 from harriertrack.lab.day import TroubleKind, TroubleSettings
-from harriertrack.lab.rig import MOVED, HeadSlot, Rig
+from harriertrack.lab.rig import MOVED_VOLUME, HeadSlot, Rig
 from harriertrack.rules import recording as rec
 from harriertrack.standin.node import Faults
 from harriertrack.standin.node_server import NodeServer
@@ -41,7 +41,7 @@
     return register
 
 
-def for_a_while(rig: Rig, shelves: Iterable[NodeServer], us: int, **faults: object) -> None:
+def apply_faults_for(rig: Rig, shelves: Iterable[NodeServer], us: int, **faults: object) -> None:
     """Let nodes have faults for a time, and be healthy in these again (a task)."""
     struck = list(shelves)
     for shelf in struck:
@@ -57,34 +57,34 @@
 def answer_lost(rig: Rig, trouble: TroubleSettings) -> None:
     """Nodes do the work, and `size` of their answers never arrive: nothing comes, or a reset."""
     fault = "reset_replies" if trouble.how == "reset" else "lose_replies"
-    for_a_while(rig, rig.struck(trouble.part), trouble.for_us, **{fault: trouble.size})
+    apply_faults_for(rig, rig.pick_nodes(trouble.part), trouble.for_us, **{fault: trouble.size})
 
 
 @trouble(TroubleKind.HANG)
 def hang(rig: Rig, trouble: TroubleSettings) -> None:
     """Nodes take requests and answer none."""
-    for_a_while(rig, rig.struck(trouble.part), trouble.for_us, hang=True)
+    apply_faults_for(rig, rig.pick_nodes(trouble.part), trouble.for_us, hang=True)
 
 
 @trouble(TroubleKind.SLOW)
 def slow(rig: Rig, trouble: TroubleSettings) -> None:
     """Nodes work `size` times slower."""
-    for_a_while(rig, rig.struck(trouble.part), trouble.for_us, slow=trouble.size)
+    apply_faults_for(rig, rig.pick_nodes(trouble.part), trouble.for_us, slow=trouble.size)
 
 
 @trouble(TroubleKind.NEIGHBOUR)
 def neighbour(rig: Rig, trouble: TroubleSettings) -> None:
     """Another program takes a part of the nodes, on and off."""
-    struck, until = rig.struck(trouble.part), rig.hub.now() + trouble.for_us
+    struck, until = rig.pick_nodes(trouble.part), rig.hub.now() + trouble.for_us
     while rig.hub.now() < until:
-        for_a_while(rig, struck, trouble.every_us, slow=trouble.size)
+        apply_faults_for(rig, struck, trouble.every_us, slow=trouble.size)
         rig.hub.sleep(trouble.every_us)
 
 
 @trouble(TroubleKind.PAUSES)
 def pauses(rig: Rig, trouble: TroubleSettings) -> None:
     """Nodes stand still for `size` milliseconds again and again."""
-    struck, until = rig.struck(trouble.part), rig.hub.now() + trouble.for_us
+    struck, until = rig.pick_nodes(trouble.part), rig.hub.now() + trouble.for_us
     while rig.hub.now() < until:
         for shelf in struck:
             shelf.pause(int(trouble.size * 1000))
@@ -94,7 +94,7 @@
 @trouble(TroubleKind.VANISH)
 def vanish(rig: Rig, trouble: TroubleSettings) -> None:
     """Machines go silent, without a reset, and come back cold."""
-    struck = rig.struck(trouble.part)
+    struck = rig.pick_nodes(trouble.part)
     for shelf in struck:
         shelf.stop(silent=True)
     rig.hub.sleep(trouble.for_us)
@@ -105,7 +105,7 @@
 @trouble(TroubleKind.MASS_RESTART)
 def mass_restart(rig: Rig, trouble: TroubleSettings) -> None:
     """A part of the nodes restarts at once and comes back cold."""
-    struck = rig.struck(trouble.part)
+    struck = rig.pick_nodes(trouble.part)
     for shelf in struck:
         shelf.stop()
     rig.hub.sleep(trouble.for_us)
@@ -116,13 +116,13 @@
 @trouble(TroubleKind.PREEMPT)
 def preempt(rig: Rig, trouble: TroubleSettings) -> None:
     """Nodes are taken away with a second's notice; others with the same data come in their place, cold."""
-    struck = rig.struck(trouble.part)
+    struck = rig.pick_nodes(trouble.part)
     for shelf in struck:
-        rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
+        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
     rig.hub.sleep(NOTICE_US)
     for shelf in struck:
         shelf.stop()
-        rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.GONE)
+        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.GONE)
     rig.hub.sleep(trouble.for_us)
     for shelf in struck:
         rig.add_node(f"{shelf.settings.name}b", shelf.settings.shard, cold=True)
@@ -131,12 +131,12 @@
 @trouble(TroubleKind.DRAIN)
 def drain(rig: Rig, trouble: TroubleSettings) -> None:
     """Nodes are listed as draining, go on for a while, and are up again."""
-    struck = rig.struck(trouble.part)
+    struck = rig.pick_nodes(trouble.part)
     for shelf in struck:
-        rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
+        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
     rig.hub.sleep(trouble.for_us)
     for shelf in struck:
-        rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.UP)
+        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.UP)
 
 
 @trouble(TroubleKind.DISCOVERY_DOWN)
@@ -152,8 +152,8 @@
     """Nothing passes between one zone's nodes and the heads of the others."""
     zone = rig.day.zones[-1]
     far = frozenset(slot.head.head_id for slot in rig.heads if slot.zone != zone and slot.head is not None)
-    struck = [shelf for shelf in rig.shelves.values() if shelf.settings.zone == zone]
-    for_a_while(rig, struck, trouble.for_us, cut_off=far)
+    struck = [shelf for shelf in rig.nodes.values() if shelf.settings.zone == zone]
+    apply_faults_for(rig, struck, trouble.for_us, cut_off=far)
 
 
 @trouble(TroubleKind.BAD_RELEASE)
@@ -161,7 +161,7 @@
     """Every request of one volume breaks its connection to the node, or with `how` kill the node."""
     fatal, until = trouble.how == "kill", rig.hub.now() + trouble.for_us
     poison = frozenset((rig.random.choice(rig.volumes).name,))
-    shelves = list(rig.shelves.values())
+    shelves = list(rig.nodes.values())
     for shelf in shelves:
         shelf.faults = replace(shelf.faults, poison=poison, fatal=fatal)
     while rig.hub.now() < until:
@@ -169,7 +169,7 @@
         for shelf in shelves:
             if shelf.fatal_request_received and shelf.up:
                 shelf.stop()
-                rig.later(trouble.every_us, partial(rig.restart_node, shelf))
+                rig.run_after(trouble.every_us, partial(rig.restart_node, shelf))
     for shelf in shelves:
         shelf.faults = replace(shelf.faults, poison=frozenset(), fatal=False)
 
@@ -178,14 +178,14 @@
 def cell_move(rig: Rig, trouble: TroubleSettings) -> None:
     """One volume is moved to another cell; heads learn of the new map one after another."""
     old = rig.cells
-    there = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED])
-    rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED: there})
+    there = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED_VOLUME])
+    rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED_VOLUME: there})
     for slot in rig.heads:
-        tell_map(rig, slot)
+        notify_cell_map(rig, slot)
         rig.hub.sleep(trouble.every_us // len(rig.heads))
 
 
-def tell_map(rig: Rig, slot: HeadSlot) -> None:
+def notify_cell_map(rig: Rig, slot: HeadSlot) -> None:
     """Let a head learn of the map in force: now, or once it does not stand still any more."""
 
     def learn() -> None:
@@ -266,7 +266,7 @@
 def reconnect(rig: Rig, trouble: TroubleSettings) -> None:
     """For a part of the volumes the busiest head changes at a stroke, over new connections."""
     for flow in rig.random.sample(rig.flows, max(1, round(trouble.part * len(rig.flows)))):
-        flow.leader += 1
+        flow.preferred_connection += 1
         for one in flow.connections:
             one.leave()
 
@@ -286,18 +286,18 @@
     flow = rig.random.choice(rig.flows)
     extent = flow.model.extent_sectors
     first = rig.random.randrange(flow.model.sectors // extent - 4) * extent
-    flow.factor, flow.hot = trouble.size, (first, first + 4 * extent)
+    flow.rate_factor, flow.hot = trouble.size, (first, first + 4 * extent)
     rig.hub.sleep(trouble.for_us)
-    flow.factor, flow.hot = 1.0, None
+    flow.rate_factor, flow.hot = 1.0, None
 
 
 @trouble(TroubleKind.SCAN)
 def scan(rig: Rig, trouble: TroubleSettings) -> None:
     """One volume reads from end to end, `size` times its usual load, over all its nodes."""
     flow = rig.random.choice(rig.flows)
-    flow.factor, flow.scanning = trouble.size, 0
+    flow.rate_factor, flow.scanning = trouble.size, 0
     rig.hub.sleep(trouble.for_us)
-    flow.factor, flow.scanning = 1.0, -1
+    flow.rate_factor, flow.scanning = 1.0, -1
 
 
 @trouble(TroubleKind.TENANT_BURST)
@@ -307,7 +307,7 @@
     names = {volume.name for volume in rig.volumes if volume.plan == plan}
     struck = [flow for flow in rig.flows if flow.model.name in names]
     for flow in struck:
-        flow.factor = trouble.size
+        flow.rate_factor = trouble.size
     rig.hub.sleep(trouble.for_us)
     for flow in struck:
-        flow.factor = 1.0
+        flow.rate_factor = 1.0
--- a/harriertrack/lab/watch.py
+++ b/harriertrack/lab/watch.py
@@ -34,7 +34,7 @@
                 held[name] += seen.held
                 out[name] += seen.out
         t = rig.hub.now() - self._start
-        for name, shelf in rig.shelves.items():
+        for name, shelf in rig.nodes.items():
             seen_of = windows[name], held[name], out[name]
             self.steps.append(NodeStep(t, name, shelf.queue_length, *seen_of))
         if t < rig.day.length_us:
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -67,7 +67,7 @@
         with self.hub.scope("day") as scope:
             self.scope, self.extent = scope, self.day.extent_bytes
             self.build()
-            self.wait_until(self.settled)
+            self.wait_until(self.volumes_in_sync)
             self.hub.sleep(S)  # until the heads have found each other
             self.script(self)
             self.ended = True
@@ -127,7 +127,7 @@
         head.core.release_trimmed(VOLUME, extent)
 
     def slow(self, us):
-        for way in self.ways.values():
+        for way in self.directions.values():
             way.delay_us = us
 
     def split(self, cut):
@@ -148,7 +148,7 @@
         places = dict(self.slots[region].extents().placements_of(VOLUME))
         if extent not in places:
             return bytes(length)
-        return self._racks[places[extent]].read(VOLUME, extent * self.extent, length)
+        return self._shard_storages[places[extent]].read(VOLUME, extent * self.extent, length)
 
     def both(self, extent=0, length=4096):
         return [self.holds(region, extent, length) for region in "ab"]
--- a/tests/test_moving.py
+++ b/tests/test_moving.py
@@ -17,8 +17,8 @@
 from harriertrack.decisions.splitting import Outcome
 from harriertrack.lab import day as days
 from harriertrack.lab.emulator import emulate
-from harriertrack.lab.rig import MOVED
-from harriertrack.lab.troubles import tell_map
+from harriertrack.lab.rig import MOVED_VOLUME
+from harriertrack.lab.troubles import notify_cell_map
 from harriertrack.protocol.nbd.wire import Command
 from harriertrack.rules import checker, recording as rec
 
@@ -304,16 +304,16 @@
     recorder = rec.Recorder()
     rig = emulate(days.load(name), seed, recorder)
     assert [str(one) for one in checker.check(recorder.records)] == []
-    home = rig.cells.volumes[MOVED]
-    slots = [one for one in rig.heads if any(volume.name == MOVED for volume in one.settings.volumes)]
+    home = rig.cells.volumes[MOVED_VOLUME]
+    slots = [one for one in rig.heads if any(volume.name == MOVED_VOLUME for volume in one.settings.volumes)]
     assert len(slots) == (2 if "region" in name else 1)  # each region's head moves the extents there
     for slot in slots:
-        lies = {rig.cells.shards[shard] for _, shard in slot.extents().placements_of(MOVED)}
+        lies = {rig.cells.shards[shard] for _, shard in slot.extents().placements_of(MOVED_VOLUME)}
         assert lies == {home} and rig.cells.version == 2
-        assert slot.extents().leftovers(MOVED) == []  # and the remaining bytes are trimmed
+        assert slot.extents().leftovers(MOVED_VOLUME) == []  # and the remaining bytes are trimmed
         for shard, cell in rig.cells.shards.items():
-            rack = rig._racks[shard]
-            kept = sum(bool(rack.read(MOVED, at, rig.day.extent_bytes).strip(b"\0"))
+            rack = rig._shard_storages[shard]
+            kept = sum(bool(rack.read(MOVED_VOLUME, at, rig.day.extent_bytes).strip(b"\0"))
                        for at in range(0, rig.day.volume_bytes, rig.day.extent_bytes))  # fmt: skip
             assert cell == home or not kept
 
@@ -350,8 +350,10 @@
 
 
 def where(rig):
-    (slot,) = [one for one in rig.heads if any(volume.name == MOVED for volume in one.settings.volumes)]
-    return slot, {rig.cells.shards[shard] for _, shard in slot.extents().placements_of(MOVED)}
+    (slot,) = [
+        one for one in rig.heads if any(volume.name == MOVED_VOLUME for volume in one.settings.volumes)
+    ]
+    return slot, {rig.cells.shards[shard] for _, shard in slot.extents().placements_of(MOVED_VOLUME)}
 
 
 LONG = """(day "long" (heads 3) (nodes 6) (volumes 6) (shared 0) (cells 2) (rate 60) (length 30s)
@@ -363,20 +365,26 @@
 
     def act(rig):
         rig.hub.sleep(2_000_000)
-        home = rig.cells.volumes[MOVED]
-        there = [shelf for shelf in rig.shelves.values() if rig.cells.shards[shelf.settings.shard] != home]
+        home = rig.cells.volumes[MOVED_VOLUME]
+        there = [shelf for shelf in rig.nodes.values() if rig.cells.shards[shelf.settings.shard] != home]
         for shelf in there:
             shelf.stop(silent=True)
         rig.hub.sleep(21_000_000)
         slot, cells = where(rig)
         seen.extend(
-            (slot.head.mover.moves[MOVED].state, slot.head.mover.moves[MOVED].stop_reason, home in cells)
+            (
+                slot.head.mover.moves[MOVED_VOLUME].state,
+                slot.head.mover.moves[MOVED_VOLUME].stop_reason,
+                home in cells,
+            )
         )
         for shelf in there:
             rig.restart_node(shelf)
-        rig.cells = HeadCellMap(rig.cells.version + 1, rig.cells.shards, {**rig.cells.volumes, MOVED: home})
+        rig.cells = HeadCellMap(
+            rig.cells.version + 1, rig.cells.shards, {**rig.cells.volumes, MOVED_VOLUME: home}
+        )
         for slot in rig.heads:
-            tell_map(rig, slot)
+            notify_cell_map(rig, slot)
 
     # The other cell's volumes are not served meanwhile, so only clients of this volume are counted.
     text = (
@@ -387,7 +395,7 @@
     rig = strike(text, act)
     assert seen[0] is MoveState.STOPPED and "attempts in a row failed" in seen[1] and seen[2]
     _, cells = where(rig)
-    assert cells == {rig.cells.volumes[MOVED]}  # reverted: all extents are in the old cell again
+    assert cells == {rig.cells.volumes[MOVED_VOLUME]}  # reverted: all extents are in the old cell again
 
 
 def test_a_head_that_stood_still_during_the_map_change_catches_up():
@@ -399,7 +407,10 @@
 
     rig = strike(LONG, act)
     slot, cells = where(rig)
-    assert cells == {rig.cells.volumes[MOVED]} and slot.head.mover.moves[MOVED].state is MoveState.DONE
+    assert (
+        cells == {rig.cells.volumes[MOVED_VOLUME]}
+        and slot.head.mover.moves[MOVED_VOLUME].state is MoveState.DONE
+    )
 
 
 @pytest.mark.parametrize("times", [1, 2, 5])
@@ -408,12 +419,12 @@
         rig.hub.sleep(3_900_000)
         for _ in range(times):  # all while one extent is being moved
             old = rig.cells
-            back = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED])
-            rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED: back})
+            back = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED_VOLUME])
+            rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED_VOLUME: back})
             for slot in rig.heads:
-                tell_map(rig, slot)
+                notify_cell_map(rig, slot)
             rig.hub.sleep(3_000)
 
     rig = strike(LONG, act)
     slot, cells = where(rig)
-    assert cells == {rig.cells.volumes[MOVED]} and slot.extents().leftovers(MOVED) == []
+    assert cells == {rig.cells.volumes[MOVED_VOLUME]} and slot.extents().leftovers(MOVED_VOLUME) == []
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -588,7 +588,7 @@
     extents = dict(one.slots[region].extents().placements_of(volume.name))
     size = one.day.extent_bytes
     return b"".join(
-        one._racks[extents[number]].read(volume.name, number * size, size)
+        one._shard_storages[extents[number]].read(volume.name, number * size, size)
         if number in extents
         else bytes(size)
         for number in range(volume.size_bytes // size)
@@ -611,7 +611,7 @@
     assert compared.count(True) > 10 and compared.count(False) > 3  # most were equal, some had to be copied
     for volume in one.volumes:
         assert regions_bytes(one, "a", volume) == regions_bytes(one, "b", volume)
-    assert one.settled()
+    assert one.volumes_in_sync()
 
 
 class InterruptedRig(regions.RegionRig):
@@ -642,7 +642,7 @@
     one = InterruptedRig(hub, MemoryNetwork(hub), day, seed, rec.Recorder())
     hub.run(one.run)
     assert [str(breach) for breach in checker.check(one.recorder.records)] == []
-    assert one.settled()
+    assert one.volumes_in_sync()
     for volume in one.volumes:
         assert regions_bytes(one, "a", volume) == regions_bytes(one, "b", volume)
 
