--- a/harriertrack/lab/day.py
+++ b/harriertrack/lab/day.py
@@ -1,7 +1,7 @@
-"""A day: machines, load, troubles and a seed, as an S-expression.
+"""A day: a scripted experiment of machines, load and faults ("troubles"), written as an S-expression.
 
-`(day "name" (about "...") (length 12s) (nodes 4) ... (trouble hang (from 3s) (for 4s) (part 0.25)))`. Days
-that come with the program lie in `lab/days/`.
+`(day "name" (about "...") (length 12s) (nodes 4) ... (trouble hang (from 3s) (for 4s) (part 0.25)))`. The
+seed of a run is given separately. The built-in days are files in `lab/days/`.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class TroubleKind(Enum):
-    """The kinds of trouble a day can hold; docs/operators/days.md says what each does."""
+    """The faults that a day can inject; docs/operators/days.md describes the effect of each."""
 
     ANSWER_LOST = "answer_lost"
     BALANCER_ROLL = "balancer_roll"
@@ -63,7 +63,7 @@
 
 
 class TroubleSettings(SettingsStruct, frozen=True, kw_only=True):
-    """One trouble: when, for how long, on which part of the machines, and how much."""
+    """One fault: its start and duration, the fraction of the machines that it affects, and its severity."""
 
     name: TroubleKind
     from_us: NonNegativeInt
@@ -77,30 +77,30 @@
 
 
 class TwoRegionSettings(SettingsStruct, frozen=True, kw_only=True):
-    """A day of two regions, `a` and `b`, each with one head and the day's nodes."""
+    """Settings of a day with two regions, `a` and `b`; each has one head and the day's number of nodes."""
 
     mode: Mode = Mode.BOTH
     delay_us: NonNegativeInt = 5_000
     jitter_us: NonNegativeInt = 1_000
     ttl_us: PositiveInt = 1_500_000
     clock_error: Share = 0.01
-    clock_rate: NonNegativeFloat = 1.0  # of the witness's clock
+    clock_rate: NonNegativeFloat = 1.0  # speed of the witness's clock relative to the heads' clocks
     copy_us: PositiveInt = 400_000
     behind_us: PositiveInt = 1_000_000
 
 
 class NetSettings(SettingsStruct, frozen=True, kw_only=True):
-    """How long messages take in the emulator; on a rig with sockets the machine decides."""
+    """Message delays in the emulator. Over sockets, delays are whatever the machine takes."""
 
     client_us: NonNegativeInt = 50
     same_zone_us: NonNegativeInt = 200
     cross_zone_us: NonNegativeInt = 600
-    jitter: Share = 0.2  # a message takes up to this much longer
-    handshake_trips: PositiveInt = 4  # round trips until a new link carries requests
+    jitter: Share = 0.2  # a delay is extended by up to this fraction
+    handshake_trips: PositiveInt = 4  # round trips before a new link carries requests
 
 
 class DaySettings(SettingsStruct, frozen=True, kw_only=True):
-    """A day."""
+    """All settings of a day."""
 
     name: Name
     about: str = ""
@@ -111,9 +111,9 @@
     rate: NonNegativeFloat = 120.0
     volumes: PositiveInt = 6
     shared: Share = 0.5
-    hosts: PositiveInt = 2  # of a shared volume
-    beside: tuple[VolumeSettings, ...] = ()  # further volumes, on which no flow goes
-    cells: PositiveInt = 1  # shards and volumes are dealt to them in turn
+    hosts: PositiveInt = 2  # heads that serve each shared volume
+    beside: tuple[VolumeSettings, ...] = ()  # further volumes, which get no load
+    cells: PositiveInt = 1  # shards and volumes are assigned to cells round-robin
     volume_bytes: PositiveInt = 8 << 20
     extent_bytes: PositiveInt = 128 << 10
     unit_bytes: PositiveInt = 4096
@@ -142,13 +142,13 @@
         cold_units=24,
     )
     in_order: bool = False
-    plain: Share = 0.0  # of the volumes: their clients hear no hints, and wait in the head
-    patience_us: PositiveInt = 20_000_000  # of these clients
-    heeds_hints: bool = False  # the others come again when a refusal's hint says so, no sooner
+    plain: Share = 0.0  # fraction of volumes whose clients support no hints; their requests wait in the head
+    patience_us: PositiveInt = 20_000_000  # how long the requests of these clients may wait
+    heeds_hints: bool = False  # whether the other clients delay a retry as a refusal's hint says
     write_deadline_us: PositiveInt = 2_500_000
     move_deadline_us: PositiveInt = 400_000
-    limit: NonNegativeFloat = 4.0  # of a volume on the plan with a limit, in its usual rate
-    limit_burst: NonNegativeFloat = 0.0  # 0: what a second brings
+    limit: NonNegativeFloat = 4.0  # rate limit of the `basic` plan, as a multiple of a volume's usual rate
+    limit_burst: NonNegativeFloat = 0.0  # 0: one second's worth of the limit, at least 64 units
     limit_slack: NonNegativeFloat = 8.0  # units
     net: NetSettings = NetSettings()
     two_regions: TwoRegionSettings | None = None
@@ -156,7 +156,7 @@
 
 
 def parse(form: Form, source: str) -> DaySettings:
-    """Check a form of a day. Raises SettingsError with file, line and field."""
+    """Bind and check the form of a day. Raises SettingsError with file, line and field."""
     day = bind(form, DaySettings, source)
     for trouble in day.troubles:
         if trouble.from_us >= day.length_us:
@@ -171,13 +171,13 @@
 
 
 def names() -> list[str]:
-    """Return the names of the days that come with the program."""
+    """Return the names of the built-in days."""
     folder = resources.files("harriertrack.lab") / "days"
     return sorted(path.name.removesuffix(".sexp") for path in folder.iterdir() if path.name.endswith(".sexp"))
 
 
 def load(name: str) -> DaySettings:
-    """Read a day by its name, or by a file's path. Raises SettingsError."""
+    """Read a built-in day by its name, or a day's file by its path. Raises SettingsError."""
     if name in names():
         text = (resources.files("harriertrack.lab") / "days" / f"{name}.sexp").read_text()
         return parse(read_text(text, f"{name}.sexp"), f"{name}.sexp")
--- a/harriertrack/lab/fronts.py
+++ b/harriertrack/lab/fronts.py
@@ -1,4 +1,4 @@
-"""The same clients through either front: an NVMe/TCP host that days use as an NBD client."""
+"""The client-facing fronts of a day, and an adapter from an NVMe/TCP host to the interface of `NbdClient`."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Front(StrEnum):
-    """Through which front a day's clients come."""
+    """The front through which a day's clients connect."""
 
     NBD = "nbd"
     NVME = "nvme"
 
 
 class NvmeVolume:
-    """One volume over one I/O queue of a controller of its own, with the manners of `NbdClient`."""
+    """One volume on an I/O queue of its own NVMe controller, with the interface of `NbdClient`."""
 
     def __init__(self, hub: Hub, network: Network, supports_hints: bool, name: str) -> None:
-        self._hears_hints = supports_hints
+        self._supports_hints = supports_hints
         self._hub, self._network, self._name = hub, network, name
         self._client: NvmeClient | None = None
         self._queue: NvmeQueue | None = None
@@ -43,27 +43,29 @@
         self.on_lost: Callable[[], None] | None = None
 
     def open(self, address: tuple[str, int], deadline: int | None = None) -> None:
-        """Take the address; connecting takes a scope, which `go` brings."""
+        """Store the address; the connection is made by `go`, which receives the scope that it needs."""
         self._address = address
 
     def go(self, scope: Scope, volume: str, deadline: int | None = None) -> None:
-        """Connect to a volume. Raises OSError, DeadlineExceeded, NvmeError."""
+        """Connect and find the volume's namespace. Raises OSError, DeadlineExceeded, NvmeError."""
         client = self._client = NvmeClient(
             self._hub, self._network, self._address, NO_DIGESTS, f"{self._name} {self._hub.now()}"
         )
         client.connect(scope, DAY_NQN, deadline=deadline)
-        if self._hears_hints:
+        if self._supports_hints:
             client.heed_delays(deadline)
         guid = guid_of(DAY_NQN, volume)
-        self._nsid = next((nsid for nsid, one in client.namespaces(deadline).items() if one.guid == guid), 0)
+        self._nsid = next(
+            (nsid for nsid, namespace in client.namespaces(deadline).items() if namespace.guid == guid), 0
+        )
         if not self._nsid:
-            raise NvmeError(f"no namespace is {volume}")
+            raise NvmeError(f"the subsystem has no namespace for volume {volume}")
         self._queue = client.io(scope, deadline)
         self._queue.on_lost = self._lost
 
     @property
     def full(self) -> bool:
-        """Whether the host may send no more now."""
+        """Whether the queue has no room for another command."""
         return self._queue is not None and self._queue.full
 
     def _lost(self) -> None:
@@ -74,11 +76,11 @@
             self.on_lost()
 
     def start(self, command: Command, offset: int, length: int, data: bytes,
-              then: Callable[[Reply | None], None], flags: int = 0) -> None:  # fmt: skip
-        """Send a request; `then` gets what became of it as a reply of NBD's, or None if nothing did."""
+              on_reply: Callable[[Reply | None], None], flags: int = 0) -> None:  # fmt: skip
+        """Send a request; `on_reply` gets its result as an NBD reply, or None if the connection is lost."""
         assert self._queue is not None and self._client is not None
-        if self._queue.full:  # as a head refuses what passes an NBD connection's bound
-            then(Reply(0, REFUSED, "refused: not done; the queue is full"))
+        if self._queue.full:  # like a head's refusal of a request above an NBD connection's limit
+            on_reply(Reply(0, REFUSED, "refused: not done; the queue is full"))
             return
         delays = self._client.info.retry_delays
         block, blocks, fua = offset // BLOCK_BYTES, (length or len(data)) // BLOCK_BYTES, bool(flags & FUA)
@@ -95,21 +97,21 @@
             case _:
                 sqe = Sqe(IoOpcode.FLUSH, 0, self._nsid)
 
-        def ended(completed: ResponseReceived | None) -> None:
-            then(None if completed is None else as_reply(completed, delays))
+        def command_ended(completed: ResponseReceived | None) -> None:
+            on_reply(None if completed is None else to_nbd_reply(completed, delays))
 
-        self._queue.start(sqe, data, ended)
+        self._queue.start(sqe, data, command_ended)
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the I/O and admin connections."""
         if self._queue is not None:
             self._queue.abort()
         if self._client is not None:
             self._client.admin.abort()
 
 
-def as_reply(completed: ResponseReceived, delays: tuple[int, int, int]) -> Reply:
-    """Say what became of a command as NBD says it."""
+def to_nbd_reply(completed: ResponseReceived, delays: tuple[int, int, int]) -> Reply:
+    """Translate an NVMe completion into an NBD reply."""
     cqe = completed.cqe
     if cqe.status == Status.SUCCESS:
         return Reply(0, data=completed.data)
--- a/harriertrack/lab/load.py
+++ b/harriertrack/lab/load.py
@@ -1,7 +1,7 @@
-"""Clients of a day: open-loop load on each volume, checked against the model of its contents.
+"""Clients of a day: open-loop load on each volume, whose replies are checked against a model of its contents.
 
-Arrivals are drawn ahead from the seed and never wait for answers. Each (volume, head) pair has one
-connection; one that breaks is opened anew, under a new name.
+Arrival times are drawn from a seed and never depend on replies. Each (volume, head) pair has one connection;
+after a loss it is reopened under a new name.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 from harriertrack.runtime.streams import Network
 
 HINT = re.compile(r"retry-after-us=(\d+)")
-RECONNECT_US = 50_000
-OPEN_US = 1_000_000
+RECONNECT_US = 50_000  # interval between attempts to open a connection
+OPEN_US = 1_000_000  # time limit for opening a connection
 COMMANDS = {
     "read": Command.READ,
     "write": Command.WRITE,
@@ -38,13 +38,13 @@
 
 
 Client = NbdClient | NvmeVolume
-# What is to be done with an outcome and its reply; returns whether the reply's data is right.
-Answered = Callable[[str, Reply | None], bool]
+# Called with the outcome of a request and its reply, if any; returns whether the reply's data is correct.
+OnOutcome = Callable[[str, Reply | None], bool]
 
 
 @dataclass(slots=True)
-class Habits:
-    """How clients behave now; troubles change it."""
+class RetryPolicy:
+    """How clients currently retry requests; faults change it during a day."""
 
     retries: int
     backoff_us: int
@@ -52,28 +52,28 @@
 
 
 class Connection:
-    """One volume's connection to one head, opened again whenever it breaks."""
+    """A client's connection to one head for one volume, reopened whenever it is lost."""
 
     def __init__(self, hub: Hub, network: Network, recorder: rec.Recorder, volume: str, head: str,
-                 make: Callable[[str], Client] | None = None, supports_hints: bool = True,
+                 new_client: Callable[[str], Client] | None = None, supports_hints: bool = True,
                  patience_us: int = 0) -> None:  # fmt: skip
         self.supports_hints, self._patience_us = supports_hints, patience_us
         self.multipath, self.max_patience_us = False, 0
         contexts = (BASE_ALLOCATION, HINTS_CONTEXT) if supports_hints else (BASE_ALLOCATION,)
         self._hub, self._network, self._recorder = hub, network, recorder
-        self._make = make or (lambda name: NbdClient(hub, network, name, contexts))
+        self._new_client = new_client or (lambda name: NbdClient(hub, network, name, contexts))
         self.volume, self.head = volume, head
-        self.address: tuple[str, int] | None = None  # of the head; None while it is down
+        self.address: tuple[str, int] | None = None  # address of the head; None while it is down
         self._client: Client | None = None
-        self._unsent: deque[tuple[str, str, int, int, bytes, Answered, bool]] = deque()
-        self._lives = 0
+        self._unsent: deque[tuple[str, str, int, int, bytes, OnOutcome, bool]] = deque()
+        self._incarnation = 0  # times that the connection has been opened
         self._requests = 0
-        self.open = 0
+        self.open = 0  # requests without a reply
 
     @property
     def name(self) -> str:
-        """Name this life of the connection."""
-        return f"{self.volume}@{self.head}#{self._lives}"
+        """The client's name in the recording; a reopened connection has a new one."""
+        return f"{self.volume}@{self.head}#{self._incarnation}"
 
     @property
     def up(self) -> bool:
@@ -81,11 +81,11 @@
         return self._client is not None
 
     def stay_connected(self, scope: Scope) -> None:
-        """Open the connection, and open it again after each break (the connection's task)."""
+        """Open the connection, and reopen it after each loss (the connection's task)."""
         while True:
             if self._client is None and self.address is not None:
-                self._lives += 1
-                client = self._make(self.name)
+                self._incarnation += 1
+                client = self._new_client(self.name)
                 try:
                     deadline = self._hub.now() + OPEN_US
                     client.open(self.address, deadline)
@@ -99,31 +99,31 @@
 
     def _lost(self) -> None:
         if self._client is not None and self._client.violation:
-            # An answer that fits no open request among them: nothing a head may send.
+            # The head broke the protocol, for example with a reply that matches no open request.
             now = self._hub.now()
             self._recorder.add(rec.FinalAnswer(t=now, client=self.name, request=0, outcome="violation"))
         self._client = None
         self.forget_unsent()
 
     def forget_unsent(self) -> None:
-        """Ask nothing more of what has not been sent."""
+        """Drop the requests that have not been sent."""
         unsent, self._unsent = self._unsent, deque()
-        for one in unsent:
-            one[5]("left", None)
+        for request in unsent:
+            request[5]("left", None)
 
-    def leave(self) -> None:
-        """Break the connection from the client's side."""
+    def disconnect(self) -> None:
+        """Close the connection from the client's side."""
         if self._client is not None:
             self._recorder.add(rec.ClientLeft(t=self._hub.now(), client=self.name))
             client, self._client = self._client, None
             client.abort()
 
-    def send(self, kind: str, class_name: str, start: int, length: int, data: bytes, then: Answered,
-             again: bool = False) -> None:  # fmt: skip
-        """Send a request; `then` gets (outcome, reply) once: served, refused, failed or left."""
+    def send(self, kind: str, class_name: str, start: int, length: int, data: bytes,
+             on_outcome: OnOutcome, again: bool = False) -> None:  # fmt: skip
+        """Send a request; `on_outcome` gets (outcome, reply) once: served, refused, failed or left."""
         if not self.supports_hints and isinstance(self._client, NvmeVolume) and self._client.full:
-            # A host keeps what its queue has no room for; the head has not got it.
-            self._unsent.append((kind, class_name, start, length, data, then, again))
+            # The host holds back what its full queue has no room for; the head has not received it.
+            self._unsent.append((kind, class_name, start, length, data, on_outcome, again))
             return
         name = self.name
         self._requests += 1
@@ -145,11 +145,11 @@
         )
         self.open += 1
 
-        def answered(reply: Reply | None) -> None:
+        def reply_received(reply: Reply | None) -> None:
             self.open -= 1
             now = self._hub.now()
             if reply is None:
-                then("left", None)
+                on_outcome("left", None)
                 self._recorder.add(rec.ClientLeft(t=now, client=name))
                 return
             outcome, hint = "failed", HINT.search(reply.message)
@@ -157,36 +157,36 @@
                 outcome = "served"
             elif reply.error in (REFUSED, Errno.ESHUTDOWN):
                 outcome = "refused"
-            right = then(outcome, reply)
+            data_ok = on_outcome(outcome, reply)
             self._recorder.add(
                 rec.FinalAnswer(
                     t=now,
                     client=name,
                     request=request,
                     outcome=outcome,
-                    data_ok=right,
+                    data_ok=data_ok,
                     hint_us=int(hint[1]) if hint else 0,
                 )  # fmt: skip
             )
             if self._unsent and self.up:
                 self.send(*self._unsent.popleft())
 
-        self.start(kind, start, length, data, answered)
+        self.start(kind, start, length, data, reply_received)
 
     def start(
-        self, kind: str, start: int, length: int, data: bytes, then: Callable[[Reply | None], None]
+        self, kind: str, start: int, length: int, data: bytes, on_reply: Callable[[Reply | None], None]
     ) -> None:
-        """Send a request that is not recorded as one of the load."""
+        """Send a request without recording it."""
         assert self._client is not None
         length = 0 if kind == "write" else length * SECTOR
-        self._client.start(COMMANDS[kind], start * SECTOR, length, data, then)
+        self._client.start(COMMANDS[kind], start * SECTOR, length, data, on_reply)
 
 
 class RegisterClient:
-    """A closed-loop client that writes and reads a few blocks which others use at the same time.
+    """A closed-loop client that writes and reads a few blocks concurrently with other such clients.
 
-    Its blocks lie in the volume's last sectors, which no flow uses. Values are one client's own, so that a
-    read tells whose write it saw.
+    The blocks lie in the volume's last sectors, which no flow uses. Each written value is unique, so
+    a read shows which client and which write it observed.
     """
 
     def __init__(
@@ -195,20 +195,20 @@
         self._hub, self._recorder, self._connection = hub, recorder, connection
         self._blocks, self._number = blocks, number
         self._random = random.Random(seed)
-        self._done = 0
+        self._operations = 0
 
-    def run(self, until: int) -> None:
-        """Do one operation after another (the client's task)."""
-        while self._hub.now() < until:
+    def run(self, end: int) -> None:
+        """Perform one operation after another until `end` (the client's task)."""
+        while self._hub.now() < end:
             self._hub.sleep(self._random.randrange(40_000, 160_000))
             if self._connection.up:
                 ended = Event(self._hub)
                 self._operate(ended.set)
                 ended.wait()
 
-    def _operate(self, done: Callable[[], None]) -> None:
-        self._done += 1
-        name, number, block = f"register {self._number}", self._done, self._random.choice(self._blocks)
+    def _operate(self, on_done: Callable[[], None]) -> None:
+        self._operations += 1
+        name, number, block = f"register {self._number}", self._operations, self._random.choice(self._blocks)
         is_write = self._random.random() < 0.5
         value = self._number * 1_000_000 + number if is_write else 0
         self._recorder.add(
@@ -223,7 +223,7 @@
             )
         )
 
-        def then(reply: Reply | None) -> None:
+        def on_reply(reply: Reply | None) -> None:
             served = reply is not None and not reply.error
             refused = reply is not None and reply.error in (REFUSED, Errno.ESHUTDOWN)
             read = int.from_bytes(reply.data[:8]) if reply is not None and reply.data else 0
@@ -233,14 +233,14 @@
                     t=now, client=name, number=number, certain=served, refused=refused, value=read
                 )
             )
-            done()
+            on_done()
 
         body = payload(value, 1) if is_write else b""
-        self._connection.start("write" if is_write else "read", block, 1, body, then)
+        self._connection.start("write" if is_write else "read", block, 1, body, on_reply)
 
 
 class Flow:
-    """The load on one volume."""
+    """The open-loop load on one volume."""
 
     def __init__(
         self,
@@ -248,35 +248,35 @@
         model: VolumeModel,
         connections: list[Connection],
         classes: list[tuple[str, frozenset[str], int]],
-        habits: Habits,
+        retry_policy: RetryPolicy,
         rate: float,
-        most: int,
+        max_sectors: int,
         seed: int,
     ) -> None:
         self._hub, self.model, self.connections = hub, model, connections
-        self._classes, self._habits = classes, habits
-        self.rate, self._most = rate, most
-        self.rate_factor = 1.0  # of the rate, now
-        self.hot: tuple[int, int] | None = None  # sectors that all reads go to
-        self.scanning = -1  # next sector of a scan; below 0 for none
-        self.preferred_connection = 0  # which connection most requests take
-        self.heads: frozenset[str] = frozenset()  # that requests go to; empty: all
+        self._classes, self._retry_policy = classes, retry_policy
+        self.rate, self._max_sectors = rate, max_sectors
+        self.rate_factor = 1.0  # current multiple of the rate
+        self.hot_sectors: tuple[int, int] | None = None  # range of sectors that all reads go to
+        self.next_scan_sector = -1  # next sector of a sequential scan; negative without a scan
+        self.preferred_connection = 0  # index of the connection that gets most requests
+        self.heads: frozenset[str] = frozenset()  # names of the only heads that get requests; empty: all
         self._random = random.Random(seed)
         self._tags = 0
-        self.closed = False  # the day is over: nothing more is asked
-        self.not_taken = 0  # arrivals while no head of the volume was reachable
+        self.closed = False  # the day is over: no more requests are sent
+        self.unsent_arrivals = 0  # arrivals while no head of the volume was connected
 
-    def run(self, until: int) -> None:
-        """Send requests at their drawn times until a moment (the flow's task)."""
-        at = self._hub.now()
+    def run(self, end: int) -> None:
+        """Send requests at the drawn arrival times until `end` (the flow's task)."""
+        arrival = self._hub.now()
         while True:
-            at += int(self._random.expovariate(1.0) * 1e6 / (self.rate * self.rate_factor))
-            if at >= until:
+            arrival += int(self._random.expovariate(1.0) * 1e6 / (self.rate * self.rate_factor))
+            if arrival >= end:
                 return
-            self._hub.sleep_until(at)
-            self.ask(self._kind(), self._habits.retries)
+            self._hub.sleep_until(arrival)
+            self.send_request(self._draw_kind(), self._retry_policy.retries)
 
-    def _kind(self) -> str:
+    def _draw_kind(self) -> str:
         drawn = self._random.random()
         for kind, share in (("read", 0.6), ("write", 0.34), ("flush", 0.02), ("write-zeroes", 0.02)):
             if drawn < share:
@@ -284,30 +284,35 @@
             drawn -= share
         return "trim"
 
-    def _connection(self) -> Connection | None:
-        up = [one for one in self.connections if one.up]
+    def _choose_connection(self) -> Connection | None:
+        up = [connection for connection in self.connections if connection.up]
         if self.heads:
-            return self._random.choice([one for one in up if one.head in self.heads] or [None])
+            return self._random.choice(
+                [connection for connection in up if connection.head in self.heads] or [None]
+            )
         if not up:
             return None
-        first = self.connections[self.preferred_connection % len(self.connections)]
-        return first if first.up and self._random.random() < 0.7 else self._random.choice(up)
+        preferred = self.connections[self.preferred_connection % len(self.connections)]
+        return preferred if preferred.up and self._random.random() < 0.7 else self._random.choice(up)
 
-    def ask(self, kind: str, tries_left: int, again: bool = False) -> None:
-        """Send one request; after a refusal or failure ask again, as a new one, while the habits say so."""
+    def send_request(self, kind: str, retries_left: int, again: bool = False) -> None:
+        """Send a request; a refused or failed one is retried as a new request, up to `retries_left` times."""
         if self.closed:
             return
-        connection = self._connection()
+        connection = self._choose_connection()
         if connection is None:
-            self.not_taken += 1
+            self.unsent_arrivals += 1
             return
         model, start, length, data, tag = self.model, 0, 0, b"", 0
         if kind != "flush":
             near = self._random.choice(model.written) if kind == "read" and model.written else -1
-            within = self.hot if kind == "read" else None
-            if kind == "read" and self.scanning >= 0:
-                near, self.scanning = self.scanning, (self.scanning + self._most) % model.sectors
-            start, length = model.place(kind, self._most, within, -1 if within else near)
+            within = self.hot_sectors if kind == "read" else None
+            if kind == "read" and self.next_scan_sector >= 0:
+                near, self.next_scan_sector = (
+                    self.next_scan_sector,
+                    (self.next_scan_sector + self._max_sectors) % model.sectors,
+                )
+            start, length = model.place(kind, self._max_sectors, within, -1 if within else near)
         if kind == "write":
             self._tags += 1
             tag = self._tags
@@ -318,15 +323,21 @@
         if kind not in ("read", "flush"):
             model.begin_write(start, length, tag)
 
-        def then(outcome: str, reply: Reply | None) -> bool:
+        def on_outcome(outcome: str, reply: Reply | None) -> bool:
             if kind not in ("read", "flush"):
                 model.end_write(start, length, tag, outcome)
-            if outcome in ("refused", "failed") and tries_left > 0:
-                hint = HINT.search(reply.message) if reply is not None and self._habits.heeds_hints else None
-                wait = max(self._habits.backoff_us, 1000, int(hint[1]) if hint else 0)
-                self._hub.at(self._hub.now() + wait, lambda: self.ask(kind, tries_left - 1, True))
+            if outcome in ("refused", "failed") and retries_left > 0:
+                hint = (
+                    HINT.search(reply.message)
+                    if reply is not None and self._retry_policy.heeds_hints
+                    else None
+                )
+                wait_us = max(self._retry_policy.backoff_us, 1000, int(hint[1]) if hint else 0)
+                self._hub.at(
+                    self._hub.now() + wait_us, lambda: self.send_request(kind, retries_left - 1, True)
+                )
             if reading is None:
                 return True
             return model.end_read(reading, reply.data if reply is not None and outcome == "served" else None)
 
-        connection.send(kind, class_name, start, length, data, then, again)
+        connection.send(kind, class_name, start, length, data, on_outcome, again)
--- a/harriertrack/lab/regions.py
+++ b/harriertrack/lab/regions.py
@@ -1,8 +1,7 @@
-"""A rig of two regions, `a` and `b`: in each one head, nodes and a list service; between them links; a
-witness outside.
+"""A rig of two regions, `a` and `b`, each with a head, nodes and a list service, and a witness outside both.
 
-Everything that crosses passes a link stand-in: the heads' connections to each other, and each head's to the
-witness.
+All traffic between regions passes link stand-ins: the heads' connections to each other, and each head's
+connection to the witness.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 from harriertrack.lab.day import TroubleKind, TroubleSettings
 from harriertrack.lab.load import RegisterClient
 from harriertrack.lab.model import SECTOR
-from harriertrack.lab.rig import REGIONS, REGISTERS, HeadSlot, Rig
+from harriertrack.lab.rig import REGIONS, REGISTER_SECTORS, HeadSlot, Rig
 from harriertrack.lab.troubles import trouble
 from harriertrack.standin.link import Direction, Link
 from harriertrack.standin.list_service import ListService
@@ -26,65 +25,67 @@
 
 
 class RegionRig(Rig):
-    """Two regions and what lies between."""
+    """A rig of two regions, the links between them, and the witness."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
         assert self.day.two_regions is not None
-        spread = self.spread = self.day.two_regions
-        self.listings = {region: self.new_list_service() for region in REGIONS}
-        self.witness = Witness(self.hub, self.network, spread.clock_rate)
+        settings = self.region_settings = self.day.two_regions
+        self.list_services = {region: self.new_list_service() for region in REGIONS}
+        self.witness = Witness(self.hub, self.network, settings.clock_rate)
         self.directions = {
-            (one, other): Direction(spread.delay_us, spread.jitter_us)
-            for one, other in (("a", "b"), ("b", "a"))
+            (source, target): Direction(settings.delay_us, settings.jitter_us)
+            for source, target in (("a", "b"), ("b", "a"))
         }
-        self.links: dict[str, Link] = {}  # by the region that calls
-        self.to_witness: dict[str, Link] = {}
+        self.links: dict[str, Link] = {}  # by the calling region
+        self.witness_links: dict[str, Link] = {}
         self.slots: dict[str, HeadSlot] = {}
 
     def build(self) -> None:
         """Start the machines of both regions."""
-        hub, network, day, spread = self.hub, self.network, self.day, self.spread
+        hub, network, day, two_regions = self.hub, self.network, self.day, self.region_settings
         self.witness.start(self.scope)
-        nowhere = ("127.0.0.1", 1)
+        unset_target = ("127.0.0.1", 1)  # until the other region's head has started
         for region, other in (("a", "b"), ("b", "a")):
-            self.listings[region].start(self.scope)
-            there, back = self.directions[region, other], self.directions[other, region]
-            self.links[region] = Link(hub, network, nowhere, there, back, self.random.getrandbits(32))
-            quick = Direction(WITNESS_DELAY_US), Direction(WITNESS_DELAY_US)
-            self.to_witness[region] = Link(hub, network, self.witness.address, *quick)
+            self.list_services[region].start(self.scope)
+            outward, inward = self.directions[region, other], self.directions[other, region]
+            self.links[region] = Link(
+                hub, network, unset_target, outward, inward, self.random.getrandbits(32)
+            )
+            witness_directions = Direction(WITNESS_DELAY_US), Direction(WITNESS_DELAY_US)
+            self.witness_links[region] = Link(hub, network, self.witness.address, *witness_directions)
             self.links[region].start(self.scope)
-            self.to_witness[region].start(self.scope)
-        for at, region in enumerate(REGIONS):
+            self.witness_links[region].start(self.scope)
+        for index, region in enumerate(REGIONS):
             for number in range(day.nodes):
-                self.add_node(f"{region}{number}", at * day.nodes + number, zone=region)
+                self.add_node(f"{region}{number}", index * day.nodes + number, zone=region)
             settings = RegionSettings(
                 name=region,
-                other=REGIONS[1 - at],
+                other=REGIONS[1 - index],
                 peer=self.links[region].address,
-                witness=self.to_witness[region].address,
-                ttl_us=spread.ttl_us,
-                clock_error=spread.clock_error,
+                witness=self.witness_links[region].address,
+                ttl_us=two_regions.ttl_us,
+                clock_error=two_regions.clock_error,
             )
-            slot = self.add_head(f"head-{region}", region, self.volumes, self.listings[region], settings)
+            slot = self.add_head(f"head-{region}", region, self.volumes, self.list_services[region], settings)
             self.slots[region] = slot
             self.start_head(slot)
 
     def add_flows(self) -> None:
-        """Start the clients: of each volume, most ask at its home."""
+        """Start the clients; most requests for a volume go to its home region."""
         super().add_flows()
         for flow, volume in zip(self.flows, self.volumes, strict=True):
             assert volume.regions is not None
             flow.preferred_connection = REGIONS.index(volume.regions.home)
 
-    def add_registers(self, until: int) -> None:
-        """On each volume, a client in each region writes and reads the same few blocks."""
+    def start_register_clients(self, until: int) -> None:
+        """Start, for each volume, a client in each region; both write and read the same few blocks."""
         number = 0
         for flow, volume in zip(self.flows, self.volumes, strict=True):
-            if self.spread.mode is Mode.HOME:
-                return  # a dark home may lose what it acknowledged last: there is no such promise
+            if self.region_settings.mode is Mode.HOME:
+                return  # a failed home may lose its last acknowledged writes: no consistency is promised
             end = volume.size_bytes // SECTOR
-            blocks = range(end - REGISTERS, end - REGISTERS // 2)
+            blocks = range(end - REGISTER_SECTORS, end - REGISTER_SECTORS // 2)
             for connection in flow.connections:
                 number += 1
                 client = RegisterClient(
@@ -93,23 +94,23 @@
                 self.scope.spawn(f"register {number}", client.run, until)
 
     def start_head(self, slot: HeadSlot) -> None:
-        """Start a head, and let the other region's link lead to it."""
+        """Start a head, and set it as the target of the other region's link."""
         super().start_head(slot)
         assert slot.head is not None
         other = REGIONS[1 - REGIONS.index(slot.zone)]
         self.links[other].set_target(slot.head.address)
 
-    def list_service_of(self, shelf: NodeServer) -> ListService:
+    def list_service_of(self, node: NodeServer) -> ListService:
         """Return the list service of a node's region."""
-        return self.listings[shelf.settings.zone]
+        return self.list_services[node.settings.zone]
 
     def set_list_down(self, down: bool) -> None:
-        """Let both regions' list services turn every call away, or answer again."""
-        for listing in self.listings.values():
-            listing.down = down
+        """Make both regions' list services refuse every call, or serve calls again."""
+        for list_service in self.list_services.values():
+            list_service.down = down
 
     def volumes_in_sync(self) -> bool:
-        """Whether every volume is held, with both regions in sync."""
+        """Whether each volume has a region that holds it and sees both regions in sync."""
         heads = [slot.head for slot in self.slots.values() if slot.head is not None]
         layers = [head.regional for head in heads if head.regional is not None]
         return all(
@@ -122,8 +123,8 @@
         )
 
     def cut(self, region: str, cut: bool) -> None:
-        """Cut a region off from the other and from the witness, or end that."""
-        for link in (*self.links.values(), self.to_witness[region]):
+        """Cut a region off from the other region and the witness, or reconnect it."""
+        for link in (*self.links.values(), self.witness_links[region]):
             link.set_cut(cut)
 
 
@@ -139,17 +140,17 @@
 @trouble(TroubleKind.REGION_DARK)
 @_regional
 def region_dark(rig: RegionRig, settings: TroubleSettings) -> None:
-    """A whole region goes dark: head, nodes and links; it comes back cold, with what was on disk."""
+    """A region fails completely: head, nodes and links. It restarts with cold caches and its stored state."""
     region = settings.region
     slot = rig.slots[region]
     rig.cut(region, True)
     rig.kill_head(slot)
-    dark = [shelf for shelf in rig.nodes.values() if shelf.settings.zone == region and shelf.up]
-    for shelf in dark:
-        shelf.stop(silent=True)
+    nodes = [node for node in rig.nodes.values() if node.settings.zone == region and node.up]
+    for node in nodes:
+        node.stop(silent=True)
     rig.hub.sleep(settings.for_us)
-    for shelf in dark:
-        rig.restart_node(shelf)
+    for node in nodes:
+        rig.restart_node(node)
     rig.cut(region, False)
     rig.start_head(slot)
 
@@ -157,7 +158,7 @@
 @trouble(TroubleKind.REGION_CUT)
 @_regional
 def region_cut(rig: RegionRig, settings: TroubleSettings) -> None:
-    """A region is cut off from the other and from the witness, and goes on by itself."""
+    """A region is cut off from the other region and the witness, while its head and nodes keep running."""
     rig.cut(settings.region, True)
     rig.hub.sleep(settings.for_us)
     rig.cut(settings.region, False)
@@ -167,27 +168,27 @@
 @_regional
 def link_slow(rig: RegionRig, settings: TroubleSettings) -> None:
     """The link between the regions takes `size` milliseconds each way."""
-    before = {way: way_.delay_us for way, way_ in rig.directions.items()}
-    for way in rig.directions.values():
-        way.delay_us = int(settings.size * 1000)
+    before = {regions: direction.delay_us for regions, direction in rig.directions.items()}
+    for direction in rig.directions.values():
+        direction.delay_us = int(settings.size * 1000)
     rig.hub.sleep(settings.for_us)
-    for name, delay in before.items():
-        rig.directions[name].delay_us = delay
+    for regions, delay_us in before.items():
+        rig.directions[regions].delay_us = delay_us
 
 
 @trouble(TroubleKind.LINK_BLOCK)
 @_regional
 def link_block(rig: RegionRig, settings: TroubleSettings) -> None:
-    """The link makes no progress, though its connections stay.
+    """The link carries no data, but its connections stay open.
 
-    Both ways, or only `there` (from a) or `back`.
+    `how` selects the direction: `there` (from a to b), `back`, or any other value for both.
     """
-    names = {"there": [("a", "b")], "back": [("b", "a")]}.get(settings.how, list(rig.directions))
-    for name in names:
-        rig.directions[name].blocked = True
+    blocked = {"there": [("a", "b")], "back": [("b", "a")]}.get(settings.how, list(rig.directions))
+    for regions in blocked:
+        rig.directions[regions].blocked = True
     rig.hub.sleep(settings.for_us)
-    for name in names:
-        rig.directions[name].blocked = False
+    for regions in blocked:
+        rig.directions[regions].blocked = False
     for link in rig.links.values():
         link.notify_changed()
 
@@ -195,9 +196,9 @@
 @trouble(TroubleKind.LINK_FLAP)
 @_regional
 def link_flap(rig: RegionRig, settings: TroubleSettings) -> None:
-    """The link between the regions breaks and comes back, again and again."""
-    until = rig.hub.now() + settings.for_us
-    while rig.hub.now() < until:
+    """The link between the regions breaks and recovers repeatedly."""
+    end = rig.hub.now() + settings.for_us
+    while rig.hub.now() < end:
         for cut in (True, False):
             for link in rig.links.values():
                 link.set_cut(cut)
@@ -207,7 +208,7 @@
 @trouble(TroubleKind.WITNESS_DOWN)
 @_regional
 def witness_down(rig: RegionRig, settings: TroubleSettings) -> None:
-    """The witness turns every call away."""
+    """The witness refuses every call."""
     rig.witness.down = True
     rig.hub.sleep(settings.for_us)
     rig.witness.down = False
--- a/harriertrack/lab/rig.py
+++ b/harriertrack/lab/rig.py
@@ -1,7 +1,7 @@
-"""A rig: heads, storage node stand-ins, the list service and clients of one day, on one hub.
+"""A rig: the heads, storage node stand-ins, list service and clients of one day, on one hub.
 
-The same rig runs on loopback sockets and on the virtual clock; heads are the production code. What its
-clients, nodes and list service saw is recorded, and the rules are judged from the recording alone.
+The same rig runs over loopback sockets and on the virtual clock; heads are the production code. It records
+what its clients, nodes and list service observe, and the rules are checked on that recording alone.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from harriertrack.gateway.head import Head, Wiring, log_nothing
 from harriertrack.lab.day import DaySettings, TroubleKind
 from harriertrack.lab.fronts import NVME, Front, NvmeVolume
-from harriertrack.lab.load import Connection, Flow, Habits
+from harriertrack.lab.load import Connection, Flow, RetryPolicy
 from harriertrack.lab.model import SECTOR, VolumeModel
 from harriertrack.membership.nodes import Member
 from harriertrack.rules import recording as rec
@@ -46,21 +46,19 @@
 from harriertrack.storage.extents import ExtentMap
 from harriertrack.storage.missed import MissedLog
 
-SETTLE_US = 300_000  # heads learn the node list before the first request
-METER_US = 1_000_000
-PAUSE_CHECK_US, MIN_PAUSE_US = (
-    10_000,
-    20_000,
-)  # over sockets: how often the machine is looked at; what is a standstill
-REGISTERS = 8  # sectors at a volume's end that are left to register clients
+SETTLE_US = 300_000  # time for heads to receive the node list before the first request
+METER_US = 1_000_000  # period over which nodes meter the use of volumes
+# Over sockets: how often a pause of the whole machine is checked for, and the delay that counts as one.
+PAUSE_CHECK_US, MIN_PAUSE_US = 10_000, 20_000
+REGISTER_SECTORS = 8  # sectors at a volume's end that are reserved for register clients
 BULK_BYTES = 12 << 10
-NODE_KIND = "node"  # a replacement is like its predecessor
-MOVED_VOLUME = "vol0"  # the volume that days with a move move
+NODE_KIND = "node"  # every node has this hardware kind, so a replacement equals its predecessor
+MOVED_VOLUME = "vol0"  # the volume that the cell_move fault moves
 REGIONS = ("a", "b")
 
 
 def classes_of(day: DaySettings) -> tuple[ClassSettings, ...]:
-    """Return the classes of a day's heads."""
+    """Return the request classes of a day's heads."""
     return (
         ClassSettings(
             name="bulk", kinds=(Kind.READ,), at_least_bytes=BULK_BYTES, aim_us=2_000_000,
@@ -93,7 +91,7 @@
 
 def plans_of(day: DaySettings) -> tuple[PlanSettings, ...]:
     """Return the plans of a day's volumes."""
-    rate = day.rate / day.volumes * 2.5  # units a second of one volume
+    rate = day.rate / day.volumes * 2.5  # one volume's units per second, at a mean of 2.5 units per request
     return (
         PlanSettings(name="basic", rate=rate, reserve=0.3 * rate, weight=1, price=0.8, limit=day.limit * rate,
                      limit_burst=day.limit_burst or max(64.0, day.limit * rate), limit_slack=day.limit_slack),
@@ -104,10 +102,10 @@
 
 def volumes_of(day: DaySettings) -> list[VolumeSettings]:
     """Return a day's volumes."""
-    shared = round(day.shared * day.volumes) if day.heads > 1 and day.two_regions is None else 0
+    shared_count = round(day.shared * day.volumes) if day.heads > 1 and day.two_regions is None else 0
     volumes = []
     for number in range(day.volumes):
-        spread = tuple((number + step) % day.nodes for step in range(min(day.nodes, 3)))
+        shards = tuple((number + offset) % day.nodes for offset in range(min(day.nodes, 3)))
         regions = None
         if (two := day.two_regions) is not None:
             regions = VolumeRegionSettings(
@@ -118,8 +116,8 @@
                 name=f"vol{number}",
                 size_bytes=day.volume_bytes,
                 plan=("basic", "standard", "priority")[number % 3],
-                hosts=min(day.hosts, day.heads) if number < shared else 1,
-                shards=spread if number < shared else (),
+                hosts=min(day.hosts, day.heads) if number < shared_count else 1,
+                shards=shards if number < shared_count else (),
                 regions=regions,
                 patience_us=day.patience_us,
             )
@@ -128,16 +126,16 @@
 
 
 def cells_of(day: DaySettings) -> HeadCellMap:
-    """Return a day's cells: shards and volumes dealt in turn."""
-    regions = 1 if day.two_regions is None else len(REGIONS)
-    shards = {shard: f"cell{shard % day.cells}" for shard in range(day.nodes * regions)}
+    """Return a day's cell map: shards and volumes are assigned to the cells round-robin."""
+    region_count = 1 if day.two_regions is None else len(REGIONS)
+    shards = {shard: f"cell{shard % day.cells}" for shard in range(day.nodes * region_count)}
     volumes = {f"vol{number}": f"cell{number % day.cells}" for number in range(day.volumes)}
     return HeadCellMap(1, shards, volumes)
 
 
 @dataclass(slots=True, eq=False)
 class HeadSlot:
-    """One head's place: its settings and what survives its restarts."""
+    """One head of a rig, with what outlasts its restarts: settings, stored state and clients' connections."""
 
     name: str
     settings: HeadSettings
@@ -150,22 +148,22 @@
 
 
 class Rig:
-    """Everything of one run."""
+    """All machines and clients of one run of a day."""
 
     def __init__(self, hub: Hub, network: Network, day: DaySettings, seed: int, recorder: rec.Recorder,
                  state_dir: str | None = None, front: Front = Front.NBD) -> None:  # fmt: skip
         self.front = front
-        waits = msgspec.structs.replace(NVME, patience_us=day.patience_us)
-        self._nvme = waits if front is Front.NVME else None
+        nvme = msgspec.structs.replace(NVME, patience_us=day.patience_us)
+        self._nvme = nvme if front is Front.NVME else None
         self.hub, self.network, self.day, self.recorder = hub, network, day, recorder
         self.random = random.Random(seed)
         self.list_service = self.new_list_service()
         self.nodes: dict[str, NodeServer] = {}
         self.heads: list[HeadSlot] = []
         self.flows: list[Flow] = []
-        self.habits = Habits(day.retries, day.backoff_us, day.heeds_hints)
+        self.retry_policy = RetryPolicy(day.retries, day.backoff_us, day.heeds_hints)
         self.scope: Scope
-        self._seed, self._state_dir, self._two = seed, state_dir, day.two_regions is not None
+        self._seed, self._state_dir, self._has_two_regions = seed, state_dir, day.two_regions is not None
         self._shard_storages = [
             ShardStorage(day.extent_bytes) for _ in range(day.nodes * (2 if day.two_regions else 1))
         ]
@@ -175,7 +173,7 @@
         rates = {volume.name: rate for volume in self.volumes}
         self._meter = UsageMeter(METER_US, rates)
         self.classes = classes_of(day)
-        self.cells = cells_of(day)  # the map in force
+        self.cells = cells_of(day)  # the current map
         recorder.add(self._facts())
 
     def _facts(self) -> rec.Facts:
@@ -183,83 +181,85 @@
         basic = next(plan for plan in self.plans if plan.limit)
         limits = [
             rec.LimitFacts(
-                volume=one.name, rate=basic.limit, burst=basic.limit_burst, slack=basic.limit_slack
+                volume=volume.name, rate=basic.limit, burst=basic.limit_burst, slack=basic.limit_slack
             )
-            for one in self.volumes
-            if one.plan == basic.name
+            for volume in self.volumes
+            if volume.plan == basic.name
         ]
         cells = self.cells if day.cells > 1 else HeadCellMap(0)
-        settled = dict(cells.volumes)
-        if any(one.name is TroubleKind.CELL_MOVE for one in day.troubles):
-            del settled[MOVED_VOLUME]  # while it moves it is served in both
+        cell_of_volume = dict(cells.volumes)
+        if any(trouble.name is TroubleKind.CELL_MOVE for trouble in day.troubles):
+            del cell_of_volume[MOVED_VOLUME]  # both cells serve the volume while it moves
         virtual = isinstance(self.network, MemoryNetwork)
-        spread = day.two_regions  # the far head hears of a broken connection one link delay later
-        link = spread.delay_us + spread.jitter_us if spread is not None else 0
+        regions = day.two_regions  # the remote head learns of a broken connection one link delay later
+        link_us = regions.delay_us + regions.jitter_us if regions is not None else 0
         return rec.Facts(
             classes=[
                 rec.ClassFacts(
-                    name=one.name, deadline_us=one.deadline_us, effect=one.effect.value,
-                    window_us=one.window_us, in_order=one.in_order,
+                    name=request_class.name, deadline_us=request_class.deadline_us,
+                    effect=request_class.effect.value, window_us=request_class.window_us,
+                    in_order=request_class.in_order,
                 )
-                for one in self.classes
+                for request_class in self.classes
             ],
             limits=limits, unit_bytes=day.unit_bytes, extent_bytes=day.extent_bytes,
-            answer_slack_us=8_000 if virtual else 100_000, flight_us=link + (2_000 if virtual else 100_000),
+            answer_slack_us=8_000 if virtual else 100_000,
+            flight_us=link_us + (2_000 if virtual else 100_000),
             drain_grace_us=rules.drain_grace_us, fall_multiple=rules.fall_multiple, fall_us=rules.fall_us,
             cold_units=rules.cold_units, budget_free=rules.budget_free, budget_share=rules.budget_share,
             budget_window_us=rules.budget_window_us, order_settle_us=rules.order_settle_us,
             seed=self._seed, day=day.name, regions=day.two_regions is not None,
-            cell_of_volume=settled,
+            cell_of_volume=cell_of_volume,
             cell_of_shard={str(shard): cell for shard, cell in cells.shards.items()},
         )  # fmt: skip
 
-    # -- what the emulator makes otherwise
+    # -- factories that the emulator overrides
 
     def new_list_service(self) -> ListService:
-        """Make a list service."""
+        """Create a list service."""
         return ListService(self.hub, self.network, self.recorder)
 
     def new_node(
-        self, settings: NodeStandInSettings, rack: ShardStorage, meter: UsageMeter, seed: int
+        self, settings: NodeStandInSettings, storage: ShardStorage, meter: UsageMeter, seed: int
     ) -> NodeServer:
-        """Make a storage node."""
-        return NodeServer(self.hub, self.network, settings, rack, self.recorder, meter, seed)
+        """Create a storage node."""
+        return NodeServer(self.hub, self.network, settings, storage, self.recorder, meter, seed)
 
     def new_connection(self, volume: str, slot: HeadSlot) -> Connection:
-        """Make a client's connection to a head."""
-        make = partial(NvmeVolume, self.hub, self.network, self.hints_and_patience(volume)[0])
+        """Create a client's connection to a head."""
+        new_nvme_client = partial(NvmeVolume, self.hub, self.network, self.hints_and_patience(volume)[0])
         return Connection(self.hub, self.network, self.recorder, volume, slot.name,
-                          make if self.front is Front.NVME else None,
+                          new_nvme_client if self.front is Front.NVME else None,
                           *self.hints_and_patience(volume))  # fmt: skip
 
     def hints_and_patience(self, volume: str) -> tuple[bool, int]:
-        """Return whether a volume's clients hear hints, and how long they wait where they don't."""
-        plain = round(self.day.plain * self.day.volumes)
-        if self._two and self.front is Front.NVME:
-            plain = 0  # such hosts know another path, and are told so at once
-        return int(volume.removeprefix("vol")) >= plain, self.day.patience_us
+        """Return whether a volume's clients support retry hints, and how long they wait if they don't."""
+        without_hints = round(self.day.plain * self.day.volumes)
+        if self._has_two_regions and self.front is Front.NVME:
+            without_hints = 0  # such hosts have a second path, so the head answers at once instead of waiting
+        return int(volume.removeprefix("vol")) >= without_hints, self.day.patience_us
 
     def wiring(self, slot: HeadSlot) -> Wiring:
-        """Return what a head is made of."""
-        return Wiring() if self.day.cells == 1 else Wiring(module=self.celled)
+        """Return the exchangeable components that a head is built from."""
+        return Wiring() if self.day.cells == 1 else Wiring(module=self.new_cell_scheduler)
 
     def fleet_settings_of(self, name: str) -> FleetSettings | None:
-        """Return what a head is told of its fleet, where a day has one."""
+        """Return a head's fleet settings; None on days without a fleet."""
         return None
 
     def log_of(self, slot: HeadSlot) -> Callable[..., None]:
-        """Return what hears a head's log."""
+        """Return the log function of a head."""
         return log_nothing
 
-    def celled(self, settings: api.Settings, seed: int) -> CellScheduler:
-        """Make a head's modules, one for each cell of the day."""
+    def new_cell_scheduler(self, settings: api.Settings, seed: int) -> CellScheduler:
+        """Create a head's decision module, with a scheduler for each cell of the day."""
         return CellScheduler(settings, seed, self.cells)
 
     # -- running
 
     def run(self) -> None:
-        """Play the day to its end (the rig's task)."""
-        from harriertrack.lab import troubles  # troubles work on rigs
+        """Run the day to its end (the rig's task)."""
+        from harriertrack.lab import troubles  # imported here because troubles imports this module
 
         day, hub = self.day, self.hub
         with hub.scope(f"day {day.name}") as scope:
@@ -268,7 +268,7 @@
             self.add_flows()
             hub.sleep(SETTLE_US)
             start = hub.now()
-            self.add_registers(start + day.length_us)
+            self.start_register_clients(start + day.length_us)
             for flow in self.flows:
                 scope.spawn(f"flow {flow.model.name}", flow.run, start + day.length_us)
             for trouble in day.troubles:
@@ -281,26 +281,32 @@
             for slot in self.heads:
                 for connection in slot.connections:
                     connection.forget_unsent()
-            limits = [one.deadline_us for one in self.classes] + [day.patience_us if day.plain else 0]
-            last = hub.now() + max(limits) + 2 * SETTLE_US
-            while hub.now() < last and any(one.open for slot in self.heads for one in slot.connections):
+            wait_limits = [request_class.deadline_us for request_class in self.classes] + [
+                day.patience_us if day.plain else 0
+            ]
+            give_up_at_us = hub.now() + max(wait_limits) + 2 * SETTLE_US
+            while hub.now() < give_up_at_us and any(
+                connection.open for slot in self.heads for connection in slot.connections
+            ):
                 hub.sleep(50_000)
             hub.sleep(200_000)
             scope.cancel()
 
     def _record_machine_pauses(self) -> None:
-        # On real time the machine below may be busy with something else: then all heads stood still with it.
+        # In real time the host may be busy with other work, which pauses all heads at once.
         while True:
-            last_look = self.hub.now()
-            self.hub.sleep_until(last_look + PAUSE_CHECK_US)
-            took = self.hub.now() - last_look
-            if took >= PAUSE_CHECK_US + MIN_PAUSE_US:
-                # It may have stood still since right after the last look.
+            last_check = self.hub.now()
+            self.hub.sleep_until(last_check + PAUSE_CHECK_US)
+            elapsed_us = self.hub.now() - last_check
+            if elapsed_us >= PAUSE_CHECK_US + MIN_PAUSE_US:
+                # The pause may have begun right after the last check, so all the time since then is recorded.
                 for slot in self.heads:
-                    self.recorder.add(rec.HeadPaused(t=last_look, head=slot.name, us=took, machine=True))
+                    self.recorder.add(
+                        rec.HeadPaused(t=last_check, head=slot.name, us=elapsed_us, machine=True)
+                    )
 
     def build(self) -> None:
-        """Start the machines."""
+        """Start the list service, the nodes and the heads."""
         day = self.day
         self.list_service.start(self.scope)
         for number in range(day.nodes):
@@ -308,13 +314,13 @@
         for number in range(day.heads):
             self.start_head(self.add_numbered_head(number))
 
-    def add_registers(self, until: int) -> None:
-        """Start clients that write and read the same blocks at once, where a day has such."""
+    def start_register_clients(self, until: int) -> None:
+        """Start clients that write and read the same blocks concurrently. This rig has none."""
 
     # -- nodes
 
     def add_node(self, name: str, shard: int, cold: bool = False, zone: str = "") -> NodeServer:
-        """Start a node and list it."""
+        """Start a node and add it to the list service."""
         day = self.day
         zone = zone or day.zones[shard % len(day.zones)]
         settings = NodeStandInSettings(
@@ -327,58 +333,60 @@
             fall_multiple=day.rules.fall_multiple, fall_us=day.rules.fall_us, cold_units=day.rules.cold_units,
             volumes=tuple(self.volumes),
         )  # fmt: skip
-        shelf = self.new_node(settings, self._shard_storages[shard], self._meter, self.random.getrandbits(32))
-        shelf.start(self.scope, cold)
-        self.nodes[name] = shelf
-        entry = NodeEntry(name, shard, NodeState.UP, zone, shelf.started_at_us, NODE_KIND)
-        self.list_service_of(shelf).set_member(Member(entry, shelf.address))
-        return shelf
-
-    def list_service_of(self, shelf: NodeServer) -> ListService:
-        """Return the list service that names a node."""
+        node = self.new_node(settings, self._shard_storages[shard], self._meter, self.random.getrandbits(32))
+        node.start(self.scope, cold)
+        self.nodes[name] = node
+        entry = NodeEntry(name, shard, NodeState.UP, zone, node.started_at_us, NODE_KIND)
+        self.list_service_of(node).set_member(Member(entry, node.address))
+        return node
+
+    def list_service_of(self, node: NodeServer) -> ListService:
+        """Return the list service that publishes a node."""
         return self.list_service
 
     def set_list_down(self, down: bool) -> None:
-        """Let the list service turn every call away, or answer again."""
+        """Make the list service refuse every call, or serve calls again."""
         self.list_service.down = down
 
-    def restart_node(self, shelf: NodeServer) -> None:
-        """Bring a node back cold; the list tells of it a little later."""
-        shelf.start(self.scope, cold=True)
-        started, name, listing = shelf.started_at_us, shelf.settings.name, self.list_service_of(shelf)
-        self.run_after(self.day.notice_us, lambda: listing.set_state(name, NodeState.UP, started))
+    def restart_node(self, node: NodeServer) -> None:
+        """Start a node with cold caches; the list service publishes it `notice_us` later."""
+        node.start(self.scope, cold=True)
+        started_at_us, name, list_service = node.started_at_us, node.settings.name, self.list_service_of(node)
+        self.run_after(self.day.notice_us, lambda: list_service.set_state(name, NodeState.UP, started_at_us))
 
     def run_after(self, us: int, act: Callable[[], None]) -> None:
-        """Do something after a time."""
+        """Call a function after a delay."""
         self.hub.at(self.hub.now() + us, act)
 
     def pick_nodes(self, part: float) -> list[NodeServer]:
-        """Draw which nodes are struck: a part of those that are up, at least one."""
-        up = [shelf for shelf in self.nodes.values() if shelf.up]
+        """Draw the nodes that a fault affects: a fraction of those that are up, at least one."""
+        up = [node for node in self.nodes.values() if node.up]
         return self.random.sample(up, min(len(up), max(1, round(part * len(up)))))
 
     # -- heads
 
     def add_numbered_head(self, number: int) -> HeadSlot:
-        """Make a place for a head by its number, with the zone and the volumes that are dealt to it."""
+        """Add a head's slot by its number, which determines its zone and its volumes."""
         day = self.day
-        mine = [one for at, one in enumerate(self.volumes) if (number - at) % day.heads < one.hosts]
-        return self.add_head(f"head{number}", day.zones[number % len(day.zones)], mine, self.list_service)
+        volumes = [
+            volume for index, volume in enumerate(self.volumes) if (number - index) % day.heads < volume.hosts
+        ]
+        return self.add_head(f"head{number}", day.zones[number % len(day.zones)], volumes, self.list_service)
 
     def add_head(
         self,
         name: str,
         zone: str,
         volumes: list[VolumeSettings],
-        listing: ListService,
+        list_service: ListService,
         region: RegionSettings | None = None,
     ) -> HeadSlot:
-        """Make a place for a head."""
+        """Add a slot for a head, which `start_head` starts."""
         day = self.day
-        state = None if self._state_dir is None else f"{self._state_dir}/{name}"
-        consul = ConsulSettings(address=listing.address, wait_us=5_000_000)
+        state_dir = None if self._state_dir is None else f"{self._state_dir}/{name}"
+        consul = ConsulSettings(address=list_service.address, wait_us=5_000_000)
         settings = HeadSettings(
-            listen=("127.0.0.1", 0), state_dir=state or "unused", heads=day.heads, zone=zone,
+            listen=("127.0.0.1", 0), state_dir=state_dir or "unused", heads=day.heads, zone=zone,
             seed=self.random.getrandbits(32) + 1, extent_bytes=day.extent_bytes, unit_bytes=day.unit_bytes,
             mean_units=2.5, most_units=float(day.extent_bytes // day.unit_bytes), meter_us=METER_US,
             node_list=NodeListSettings(consul=consul), region=region,
@@ -386,52 +394,52 @@
             rules=day.rules, classes=self.classes, plans=self.plans, volumes=tuple(volumes),
         )  # fmt: skip
         check_head(settings, f"day {day.name}")
-        if state:
+        if state_dir:
             slot = HeadSlot(
                 name,
                 settings,
-                lambda: ExtentMap(f"{state}/extents"),
-                lambda: MissedLog(f"{state}/missed"),
+                lambda: ExtentMap(f"{state_dir}/extents"),
+                lambda: MissedLog(f"{state_dir}/missed"),
                 zone,
             )
         else:
-            kept, missed = ExtentMap(None), MissedLog(None)
-            slot = HeadSlot(name, settings, lambda: kept, lambda: missed, zone)
+            extents, missed = ExtentMap(None), MissedLog(None)
+            slot = HeadSlot(name, settings, lambda: extents, lambda: missed, zone)
         self.heads.append(slot)
         return slot
 
     def network_of(self, slot: HeadSlot) -> Network:
-        """Return what a head's streams go over."""
+        """Return the network that carries a head's streams."""
         return self.network
 
     def start_head(self, slot: HeadSlot) -> None:
-        """Start a head with nothing but what it kept on disk."""
-        note = self.log_of(slot)
-        slot.head = Head(self.hub, self.network_of(slot), slot.settings, note, slot.extents(), slot.name,
+        """Start a head; of earlier runs it has only its stored state."""
+        log = self.log_of(slot)
+        slot.head = Head(self.hub, self.network_of(slot), slot.settings, log, slot.extents(), slot.name,
                          slot.missed(), self.wiring(slot))  # fmt: skip
-        slot.head.trace = partial(self._stamp, slot.head.head_id)
+        slot.head.trace = partial(self._record_attempt, slot.head.head_id)
         slot.task = self.scope.spawn(slot.name, slot.head.run)
         slot.head.ready.wait()
-        number = slot.head.head_id
-        self.recorder.add(rec.HeadLifecycle(t=self.hub.now(), head=slot.name, number=number, up=True))
+        head_id = slot.head.head_id
+        self.recorder.add(rec.HeadLifecycle(t=self.hub.now(), head=slot.name, number=head_id, up=True))
         for connection in slot.connections:
             connection.address = self.client_address(slot)
 
     def client_address(self, slot: HeadSlot) -> tuple[str, int] | None:
-        """Return where clients find a head; None while it is not up."""
+        """Return the address at which clients reach a head; None while it is down."""
         if slot.head is None:
             return None
         return slot.head.nvme_address if self.front is Front.NVME else slot.head.address
 
-    def _stamp(self, head: int, attempt: Attempt) -> None:
-        """Record the sender's time of a send."""
+    def _record_attempt(self, head: int, attempt: Attempt) -> None:
+        """Record when a head sends an attempt."""
         key, node = attempt.part.number, attempt.member.entry.node
         self.recorder.add(
             rec.AttemptSent(t=self.hub.now(), head=head, key=key, attempt=attempt.number, node=node)
         )
 
     def kill_head(self, slot: HeadSlot) -> None:
-        """Kill a head outright: nothing is answered or sent any more, and its connections break."""
+        """Kill a head without a shutdown: it answers and sends nothing more, and its connections break."""
         assert slot.task is not None
         for connection in slot.connections:
             connection.address = None
@@ -448,24 +456,28 @@
             self.add_flow(volume, self.day.rate / self.day.volumes)
 
     def add_flow(self, volume: VolumeSettings, rate: float) -> Flow:
-        """Start the clients of a volume, at each head that has it."""
+        """Start the clients of a volume, with a connection to each head that serves it."""
         classes = [
-            (one.name, frozenset(kind.value for kind in one.kinds), one.at_least_bytes)
-            for one in self.classes
+            (
+                request_class.name,
+                frozenset(kind.value for kind in request_class.kinds),
+                request_class.at_least_bytes,
+            )
+            for request_class in self.classes
         ]
         connections = []
         for slot in self.heads:
-            if any(volume.name == one.name for one in slot.settings.volumes):
+            if any(volume.name == served.name for served in slot.settings.volumes):
                 connection = self.new_connection(volume.name, slot)
                 connection.address = self.client_address(slot)
                 slot.connections.append(connection)
                 connections.append(connection)
                 self.scope.spawn(f"connection {connection.name}", connection.stay_connected, self.scope)
         rng = random.Random(self.random.getrandbits(32))
-        sectors = volume.size_bytes // SECTOR - REGISTERS
-        apart = self._two or volume.regions is not None
-        model = VolumeModel(volume.name, sectors, self.day.extent_bytes // SECTOR, rng, apart)
-        flow = Flow(self.hub, model, connections, classes, self.habits, rate,
+        sectors = volume.size_bytes // SECTOR - REGISTER_SECTORS
+        in_regions = self._has_two_regions or volume.regions is not None
+        model = VolumeModel(volume.name, sectors, self.day.extent_bytes // SECTOR, rng, in_regions)
+        flow = Flow(self.hub, model, connections, classes, self.retry_policy, rate,
                     self.day.most_sectors, self.random.getrandbits(32))  # fmt: skip
         self.flows.append(flow)
         return flow
@@ -473,15 +485,15 @@
 
 def play(day: DaySettings, seed: int, virtual: bool, path: str | None = None,
          state_dir: str | None = None, front: Front = Front.NBD) -> rec.Recorder:  # fmt: skip
-    """Play a day from a seed; return its recording, which is also written to a file if asked."""
+    """Run a day with a seed; return its recording, which is also written to `path` if one is given."""
     hub = Hub.virtual(seed) if virtual else Hub(seed=seed)
     network: Network = MemoryNetwork(hub) if virtual else SocketNetwork(hub)
     recorder = rec.Recorder(path)
-    from harriertrack.lab.regions import RegionRig  # a rig with more machines
+    from harriertrack.lab.regions import RegionRig  # imported here because regions imports this module
 
-    kind = RegionRig if day.two_regions is not None else Rig
+    rig_class = RegionRig if day.two_regions is not None else Rig
     try:
-        rig = kind(hub, network, day, seed, recorder, state_dir, front)
+        rig = rig_class(hub, network, day, seed, recorder, state_dir, front)
         hub.run(rig.run)
     finally:
         recorder.close()
--- a/harriertrack/lab/troubles.py
+++ b/harriertrack/lab/troubles.py
@@ -1,6 +1,6 @@
-"""The troubles of a day: each is one function that does its harm to a rig for a while.
+"""The faults ("troubles") of a day: each is a function that injects one kind of fault into a rig for a time.
 
-docs/operators/days.md tells operators what each looks like.
+docs/operators/days.md describes for operators how each fault shows.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from harriertrack.standin.node import Faults
 from harriertrack.standin.node_server import NodeServer
 
-RESTART_US = 10_000  # how soon a node whose process dies is down
-NOTICE_US = 1_000_000  # how long before its end a node that is taken away is listed as draining
+RESTART_US = 10_000  # interval at which nodes that received a fatal request are stopped
+NOTICE_US = 1_000_000  # how long a preempted node is listed as draining before it stops
 TROUBLES: dict[TroubleKind, Callable[[Rig, TroubleSettings], None]] = {}
 
 
 def run(rig: Rig, trouble: TroubleSettings, start: int) -> None:
-    """Wait for a trouble's time and let it happen (the trouble's task)."""
+    """Wait for the start time of a fault and inject it (the fault's task)."""
     rig.hub.sleep_until(start + trouble.from_us)
     TROUBLES[trouble.name](rig, trouble)
 
 
 def trouble(kind: TroubleKind) -> Callable:
-    """Register a trouble's function."""
+    """Register the decorated function for a kind of fault."""
 
     def register(act: Callable[[Rig, TroubleSettings], None]) -> Callable[[Rig, TroubleSettings], None]:
         TROUBLES[kind] = act
@@ -41,28 +41,28 @@
     return register
 
 
-def apply_faults_for(rig: Rig, shelves: Iterable[NodeServer], us: int, **faults: object) -> None:
-    """Let nodes have faults for a time, and be healthy in these again (a task)."""
-    struck = list(shelves)
-    for shelf in struck:
-        shelf.faults = replace(shelf.faults, **faults)  # type: ignore[arg-type]
+def apply_faults_for(rig: Rig, nodes: Iterable[NodeServer], us: int, **faults: object) -> None:
+    """Set faults on nodes, and reset these faults after a time (a task)."""
+    affected = list(nodes)
+    for node in affected:
+        node.faults = replace(node.faults, **faults)  # type: ignore[arg-type]
     rig.hub.sleep(us)
     healthy = Faults()
-    for shelf in struck:
-        shelf.faults = replace(shelf.faults, **{name: getattr(healthy, name) for name in faults})
-        shelf.resume()
+    for node in affected:
+        node.faults = replace(node.faults, **{name: getattr(healthy, name) for name in faults})
+        node.resume()
 
 
 @trouble(TroubleKind.ANSWER_LOST)
 def answer_lost(rig: Rig, trouble: TroubleSettings) -> None:
-    """Nodes do the work, and `size` of their answers never arrive: nothing comes, or a reset."""
+    """Nodes execute requests, but a fraction `size` of the replies is lost, silently or with a reset."""
     fault = "reset_replies" if trouble.how == "reset" else "lose_replies"
     apply_faults_for(rig, rig.pick_nodes(trouble.part), trouble.for_us, **{fault: trouble.size})
 
 
 @trouble(TroubleKind.HANG)
 def hang(rig: Rig, trouble: TroubleSettings) -> None:
-    """Nodes take requests and answer none."""
+    """Nodes accept requests and answer none."""
     apply_faults_for(rig, rig.pick_nodes(trouble.part), trouble.for_us, hang=True)
 
 
@@ -74,74 +74,74 @@
 
 @trouble(TroubleKind.NEIGHBOUR)
 def neighbour(rig: Rig, trouble: TroubleSettings) -> None:
-    """Another program takes a part of the nodes, on and off."""
-    struck, until = rig.pick_nodes(trouble.part), rig.hub.now() + trouble.for_us
-    while rig.hub.now() < until:
-        apply_faults_for(rig, struck, trouble.every_us, slow=trouble.size)
+    """Another program takes up capacity of the nodes during every second period of `every_us`."""
+    affected, end = rig.pick_nodes(trouble.part), rig.hub.now() + trouble.for_us
+    while rig.hub.now() < end:
+        apply_faults_for(rig, affected, trouble.every_us, slow=trouble.size)
         rig.hub.sleep(trouble.every_us)
 
 
 @trouble(TroubleKind.PAUSES)
 def pauses(rig: Rig, trouble: TroubleSettings) -> None:
-    """Nodes stand still for `size` milliseconds again and again."""
-    struck, until = rig.pick_nodes(trouble.part), rig.hub.now() + trouble.for_us
-    while rig.hub.now() < until:
-        for shelf in struck:
-            shelf.pause(int(trouble.size * 1000))
-            rig.hub.sleep(trouble.every_us // len(struck))
+    """Nodes pause repeatedly for `size` milliseconds."""
+    affected, end = rig.pick_nodes(trouble.part), rig.hub.now() + trouble.for_us
+    while rig.hub.now() < end:
+        for node in affected:
+            node.pause(int(trouble.size * 1000))
+            rig.hub.sleep(trouble.every_us // len(affected))
 
 
 @trouble(TroubleKind.VANISH)
 def vanish(rig: Rig, trouble: TroubleSettings) -> None:
-    """Machines go silent, without a reset, and come back cold."""
-    struck = rig.pick_nodes(trouble.part)
-    for shelf in struck:
-        shelf.stop(silent=True)
+    """Nodes stop without resetting their connections, and restart with cold caches."""
+    affected = rig.pick_nodes(trouble.part)
+    for node in affected:
+        node.stop(silent=True)
     rig.hub.sleep(trouble.for_us)
-    for shelf in struck:
-        rig.restart_node(shelf)
+    for node in affected:
+        rig.restart_node(node)
 
 
 @trouble(TroubleKind.MASS_RESTART)
 def mass_restart(rig: Rig, trouble: TroubleSettings) -> None:
-    """A part of the nodes restarts at once and comes back cold."""
-    struck = rig.pick_nodes(trouble.part)
-    for shelf in struck:
-        shelf.stop()
+    """A fraction of the nodes stops at the same time, and restarts with cold caches."""
+    affected = rig.pick_nodes(trouble.part)
+    for node in affected:
+        node.stop()
     rig.hub.sleep(trouble.for_us)
-    for shelf in struck:
-        rig.restart_node(shelf)
+    for node in affected:
+        rig.restart_node(node)
 
 
 @trouble(TroubleKind.PREEMPT)
 def preempt(rig: Rig, trouble: TroubleSettings) -> None:
-    """Nodes are taken away with a second's notice; others with the same data come in their place, cold."""
-    struck = rig.pick_nodes(trouble.part)
-    for shelf in struck:
-        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
+    """Nodes are removed at a second's notice; replacements with the same data start with cold caches."""
+    affected = rig.pick_nodes(trouble.part)
+    for node in affected:
+        rig.list_service_of(node).set_state(node.settings.name, NodeState.DRAINING)
     rig.hub.sleep(NOTICE_US)
-    for shelf in struck:
-        shelf.stop()
-        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.GONE)
+    for node in affected:
+        node.stop()
+        rig.list_service_of(node).set_state(node.settings.name, NodeState.GONE)
     rig.hub.sleep(trouble.for_us)
-    for shelf in struck:
-        rig.add_node(f"{shelf.settings.name}b", shelf.settings.shard, cold=True)
+    for node in affected:
+        rig.add_node(f"{node.settings.name}b", node.settings.shard, cold=True)
 
 
 @trouble(TroubleKind.DRAIN)
 def drain(rig: Rig, trouble: TroubleSettings) -> None:
-    """Nodes are listed as draining, go on for a while, and are up again."""
-    struck = rig.pick_nodes(trouble.part)
-    for shelf in struck:
-        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
+    """Nodes are listed as draining for a time while they go on working, and are then listed as up."""
+    affected = rig.pick_nodes(trouble.part)
+    for node in affected:
+        rig.list_service_of(node).set_state(node.settings.name, NodeState.DRAINING)
     rig.hub.sleep(trouble.for_us)
-    for shelf in struck:
-        rig.list_service_of(shelf).set_state(shelf.settings.name, NodeState.UP)
+    for node in affected:
+        rig.list_service_of(node).set_state(node.settings.name, NodeState.UP)
 
 
 @trouble(TroubleKind.DISCOVERY_DOWN)
 def discovery_down(rig: Rig, trouble: TroubleSettings) -> None:
-    """The list service turns every call away."""
+    """The list service refuses every call."""
     rig.set_list_down(True)
     rig.hub.sleep(trouble.for_us)
     rig.set_list_down(False)
@@ -149,57 +149,60 @@
 
 @trouble(TroubleKind.ZONE_CUT)
 def zone_cut(rig: Rig, trouble: TroubleSettings) -> None:
-    """Nothing passes between one zone's nodes and the heads of the others."""
+    """Nothing passes between the last zone's nodes and the heads of other zones."""
     zone = rig.day.zones[-1]
-    far = frozenset(slot.head.head_id for slot in rig.heads if slot.zone != zone and slot.head is not None)
-    struck = [shelf for shelf in rig.nodes.values() if shelf.settings.zone == zone]
-    apply_faults_for(rig, struck, trouble.for_us, cut_off=far)
+    remote_heads = frozenset(
+        slot.head.head_id for slot in rig.heads if slot.zone != zone and slot.head is not None
+    )
+    affected = [node for node in rig.nodes.values() if node.settings.zone == zone]
+    apply_faults_for(rig, affected, trouble.for_us, cut_off=remote_heads)
 
 
 @trouble(TroubleKind.BAD_RELEASE)
 def bad_release(rig: Rig, trouble: TroubleSettings) -> None:
-    """Every request of one volume breaks its connection to the node, or with `how` kill the node."""
-    fatal, until = trouble.how == "kill", rig.hub.now() + trouble.for_us
+    """Every request for one volume breaks its connection to the node, or stops the node if `how` is kill."""
+    fatal, end = trouble.how == "kill", rig.hub.now() + trouble.for_us
     poison = frozenset((rig.random.choice(rig.volumes).name,))
-    shelves = list(rig.nodes.values())
-    for shelf in shelves:
-        shelf.faults = replace(shelf.faults, poison=poison, fatal=fatal)
-    while rig.hub.now() < until:
+    nodes = list(rig.nodes.values())
+    for node in nodes:
+        node.faults = replace(node.faults, poison=poison, fatal=fatal)
+    while rig.hub.now() < end:
         rig.hub.sleep(RESTART_US)
-        for shelf in shelves:
-            if shelf.fatal_request_received and shelf.up:
-                shelf.stop()
-                rig.run_after(trouble.every_us, partial(rig.restart_node, shelf))
-    for shelf in shelves:
-        shelf.faults = replace(shelf.faults, poison=frozenset(), fatal=False)
+        for node in nodes:
+            if node.fatal_request_received and node.up:
+                node.stop()
+                rig.run_after(trouble.every_us, partial(rig.restart_node, node))
+    for node in nodes:
+        node.faults = replace(node.faults, poison=frozenset(), fatal=False)
 
 
 @trouble(TroubleKind.CELL_MOVE)
 def cell_move(rig: Rig, trouble: TroubleSettings) -> None:
-    """One volume is moved to another cell; heads learn of the new map one after another."""
+    """One volume is moved to another cell; heads receive the new map one after another."""
     old = rig.cells
-    there = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED_VOLUME])
-    rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED_VOLUME: there})
+    target = next(cell for cell in old.cell_names() if cell != old.volumes[MOVED_VOLUME])
+    rig.cells = HeadCellMap(old.version + 1, old.shards, {**old.volumes, MOVED_VOLUME: target})
     for slot in rig.heads:
         notify_cell_map(rig, slot)
         rig.hub.sleep(trouble.every_us // len(rig.heads))
 
 
 def notify_cell_map(rig: Rig, slot: HeadSlot) -> None:
-    """Let a head learn of the map in force: now, or once it does not stand still any more."""
+    """Send a head the current cell map; a paused head receives it when it resumes."""
 
-    def learn() -> None:
-        module = getattr(slot.head, "module", None)  # none in a head that just starts: it will know the map
-        alive = slot.head is not None and slot.task is not None and not slot.task.done
-        if alive and isinstance(module, CellScheduler) and module.map.version < rig.cells.version:
+    def receive_map() -> None:
+        # A head that is still starting has no module yet, and gets the current map when it creates one.
+        module = getattr(slot.head, "module", None)
+        is_running = slot.head is not None and slot.task is not None and not slot.task.done
+        if is_running and isinstance(module, CellScheduler) and module.map.version < rig.cells.version:
             slot.head.apply_cell_map(rig.cells)  # type: ignore[union-attr]
 
-    rig.hub.at_for(slot.head, rig.hub.now(), learn)
+    rig.hub.at_for(slot.head, rig.hub.now(), receive_map)
 
 
 @trouble(TroubleKind.BALANCER_ROLL)
 def balancer_roll(rig: Rig, trouble: TroubleSettings) -> None:
-    """Heads are killed one after another and come back with what they kept on disk."""
+    """Heads are killed one after another and restart with their stored state."""
     for slot in rig.heads:
         rig.kill_head(slot)
         rig.hub.sleep(trouble.every_us)
@@ -207,107 +210,107 @@
         rig.hub.sleep(trouble.for_us // max(1, len(rig.heads)))
 
 
-# The steps of a wait at which a head is killed.
+# The states of a waiting part in which a head is killed, one after another.
 WAIT_STEPS: tuple[Callable[[Part], bool], ...] = (
     lambda part: part.state is PartState.QUEUED and not part.attempts,  # never sent
-    lambda part: part.state is PartState.SUBMITTED and not part.attempts,  # offered again, held by the module
+    lambda part: part.state is PartState.SUBMITTED and not part.attempts,  # reoffered, held by the module
     lambda part: (
         part.state is PartState.IN_FLIGHT and part.request.kind in MODIFYING_KINDS
-    ),  # a write, sent after a wait
-    lambda part: part.state is PartState.QUEUED and bool(part.attempts),  # sent, and waiting again
+    ),  # a write that was sent after a wait
+    lambda part: part.state is PartState.QUEUED and bool(part.attempts),  # sent before, and waiting again
     lambda part: part.request.kind is Kind.FLUSH,
 )
 
 
 @trouble(TroubleKind.WAITING_KILL)
 def waiting_kill(rig: Rig, trouble: TroubleSettings) -> None:
-    """A head is killed in the moment in which something of it is at each step of a wait, and comes back."""
-    until = rig.hub.now() + trouble.for_us
+    """For each state of WAIT_STEPS a head is killed while one of its parts is in that state, and restarts."""
+    end = rig.hub.now() + trouble.for_us
     for step in WAIT_STEPS:
-        struck: HeadSlot | None = None
-        while struck is None and rig.hub.now() < until:
+        target: HeadSlot | None = None
+        while target is None and rig.hub.now() < end:
             rig.hub.sleep(1_000)
             for slot in rig.heads:
                 core = getattr(slot.head, "core", None)
-                alive = slot.task is not None and not slot.task.done
-                if alive and core is not None and any(map(step, core.parts_that_waited())):
-                    struck = slot
-        if struck is not None:
-            rig.kill_head(struck)
+                is_running = slot.task is not None and not slot.task.done
+                if is_running and core is not None and any(map(step, core.parts_that_waited())):
+                    target = slot
+        if target is not None:
+            rig.kill_head(target)
             rig.hub.sleep(trouble.every_us)
-            rig.start_head(struck)
+            rig.start_head(target)
 
 
 @trouble(TroubleKind.BALANCER_STALL)
 def balancer_stall(rig: Rig, trouble: TroubleSettings) -> None:
-    """Heads stand still for `size` milliseconds, again and again."""
-    until = rig.hub.now() + trouble.for_us
-    while rig.hub.now() < until:
+    """Heads pause repeatedly for `size` milliseconds."""
+    end = rig.hub.now() + trouble.for_us
+    while rig.hub.now() < end:
         for slot in rig.heads:
-            still = int(trouble.size * 1000)
-            rig.recorder.add(rec.HeadPaused(t=rig.hub.now(), head=slot.name, us=still))
-            rig.hub.freeze(slot.head, still)
+            pause_us = int(trouble.size * 1000)
+            rig.recorder.add(rec.HeadPaused(t=rig.hub.now(), head=slot.name, us=pause_us))
+            rig.hub.freeze(slot.head, pause_us)
             rig.hub.sleep(trouble.every_us)
 
 
 @trouble(TroubleKind.GIVE_UP)
 def give_up(rig: Rig, trouble: TroubleSettings) -> None:
-    """Clients break their connections with requests open, again and again."""
-    until = rig.hub.now() + trouble.for_us
-    connections = [one for slot in rig.heads for one in slot.connections]
-    while rig.hub.now() < until:
-        for one in connections:
+    """Clients repeatedly close their connections while requests are open."""
+    end = rig.hub.now() + trouble.for_us
+    connections = [connection for slot in rig.heads for connection in slot.connections]
+    while rig.hub.now() < end:
+        for connection in connections:
             if rig.random.random() < trouble.part:
-                one.leave()
+                connection.disconnect()
         rig.hub.sleep(trouble.every_us)
 
 
 @trouble(TroubleKind.RECONNECT)
 def reconnect(rig: Rig, trouble: TroubleSettings) -> None:
-    """For a part of the volumes the busiest head changes at a stroke, over new connections."""
+    """Clients of a fraction of the volumes reconnect, and another head then gets most of their requests."""
     for flow in rig.random.sample(rig.flows, max(1, round(trouble.part * len(rig.flows)))):
         flow.preferred_connection += 1
-        for one in flow.connections:
-            one.leave()
+        for connection in flow.connections:
+            connection.disconnect()
 
 
 @trouble(TroubleKind.RETRY_ABUSE)
 def retry_abuse(rig: Rig, trouble: TroubleSettings) -> None:
-    """Clients repeat what was refused or failed at once, `size` times."""
-    habits, before = rig.habits, replace(rig.habits)
-    habits.retries, habits.backoff_us = int(trouble.size), 0
+    """Clients retry refused and failed requests up to `size` times without a backoff."""
+    policy, before = rig.retry_policy, replace(rig.retry_policy)
+    policy.retries, policy.backoff_us = int(trouble.size), 0
     rig.hub.sleep(trouble.for_us)
-    habits.retries, habits.backoff_us = before.retries, before.backoff_us
+    policy.retries, policy.backoff_us = before.retries, before.backoff_us
 
 
 @trouble(TroubleKind.HOT_KEY)
 def hot_key(rig: Rig, trouble: TroubleSettings) -> None:
-    """One volume asks for `size` times as much, its reads all in a few extents."""
+    """One volume gets `size` times its usual load, and all its reads go to four extents."""
     flow = rig.random.choice(rig.flows)
     extent = flow.model.extent_sectors
     first = rig.random.randrange(flow.model.sectors // extent - 4) * extent
-    flow.rate_factor, flow.hot = trouble.size, (first, first + 4 * extent)
+    flow.rate_factor, flow.hot_sectors = trouble.size, (first, first + 4 * extent)
     rig.hub.sleep(trouble.for_us)
-    flow.rate_factor, flow.hot = 1.0, None
+    flow.rate_factor, flow.hot_sectors = 1.0, None
 
 
 @trouble(TroubleKind.SCAN)
 def scan(rig: Rig, trouble: TroubleSettings) -> None:
-    """One volume reads from end to end, `size` times its usual load, over all its nodes."""
+    """One volume gets `size` times its usual load, and its reads scan it sequentially, over all its nodes."""
     flow = rig.random.choice(rig.flows)
-    flow.rate_factor, flow.scanning = trouble.size, 0
+    flow.rate_factor, flow.next_scan_sector = trouble.size, 0
     rig.hub.sleep(trouble.for_us)
-    flow.rate_factor, flow.scanning = 1.0, -1
+    flow.rate_factor, flow.next_scan_sector = 1.0, -1
 
 
 @trouble(TroubleKind.TENANT_BURST)
 def tenant_burst(rig: Rig, trouble: TroubleSettings) -> None:
-    """All volumes of one plan ask for `size` times their usual load."""
+    """All volumes of one plan get `size` times their usual load."""
     plan = trouble.plan or rig.random.choice(sorted({volume.plan for volume in rig.volumes}))
     names = {volume.name for volume in rig.volumes if volume.plan == plan}
-    struck = [flow for flow in rig.flows if flow.model.name in names]
-    for flow in struck:
+    affected = [flow for flow in rig.flows if flow.model.name in names]
+    for flow in affected:
         flow.rate_factor = trouble.size
     rig.hub.sleep(trouble.for_us)
-    for flow in struck:
+    for flow in affected:
         flow.rate_factor = 1.0
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The scripted days through the real head: every day on the virtual clock, the users' hard cases over loopback."""
+"""Scripted days with production heads: all on the virtual clock, the users' hard cases also over loopback."""
 
 import hashlib
 import os
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("name", days.names())
-def test_a_day_keeps_all_rules_on_the_virtual_clock(name):
+def test_all_rules_hold_on_the_virtual_clock(name):
     records = rig.play(days.load(name), 1, virtual=True).records
     assert [str(breach) for breach in checker.check(records)] == []
     counts = checker.summary(records)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("name", days.names())
-def test_a_day_keeps_all_rules_through_nvme(name):
+def test_all_rules_hold_through_the_nvme_front(name):
     records = rig.play(days.load(name), 1, virtual=True, front=Front.NVME).records
     assert [str(breach) for breach in checker.check(records)] == []
     counts = checker.summary(records)
@@ -43,7 +43,7 @@
 
 @pytest.mark.real_time
 @pytest.mark.parametrize("name", ["answer_lost", "hang", "saturday", "two-regions-dark"])
-def test_a_day_keeps_all_rules_over_loopback(name):
+def test_all_rules_hold_over_loopback(name):
     records = rig.play(days.load(name), 1, virtual=False).records
     assert [str(breach) for breach in checker.check(records)] == []
     counts = checker.summary(records)
@@ -51,63 +51,70 @@
 
 
 @pytest.mark.real_time
-def test_a_machine_that_stands_still_over_loopback_is_on_record():
+def test_a_pause_of_the_machine_is_recorded_over_loopback():
     day = msgspec.structs.replace(days.load("calm"), length_us=600_000)
     hub, recorder = Hub(seed=1), rec.Recorder()
-    played = rig.Rig(hub, SocketNetwork(hub), day, 1, recorder)
-    began_at = []
+    day_rig = rig.Rig(hub, SocketNetwork(hub), day, 1, recorder)
+    blocked_at_us = []
 
-    def hog():
+    def block_the_hub():
         hub.sleep(rig.SETTLE_US + 100_000)
-        began_at.append(hub.now())
-        while hub.now() < began_at[0] + 300_000:
+        blocked_at_us.append(hub.now())
+        while hub.now() < blocked_at_us[0] + 300_000:
             pass
 
     def main():
         with hub.scope("machine") as scope:
-            scope.spawn("hog", hog)
-            played.run()
+            scope.spawn("hog", block_the_hub)
+            day_rig.run()
 
     hub.run(main)
-    stood = [record for record in recorder.records if isinstance(record, rec.HeadPaused)]
-    longest = max(stood, key=lambda record: record.us)
-    # It is on record from its beginning: what was due right after that could not be answered either.
-    assert longest.us >= 280_000 and longest.t <= began_at[0]
-    assert {record.head for record in stood} == {slot.name for slot in played.heads}
+    pauses = [record for record in recorder.records if isinstance(record, rec.HeadPaused)]
+    longest = max(pauses, key=lambda record: record.us)
+    # The recorded pause includes its start, because answers due right after that are late too.
+    assert longest.us >= 280_000 and longest.t <= blocked_at_us[0]
+    assert {record.head for record in pauses} == {slot.name for slot in day_rig.heads}
     assert checker.check(recorder.records) == []
 
 
 def test_every_kind_of_trouble_has_a_day():
-    played = {trouble.name for name in days.names() for trouble in days.load(name).troubles}
-    assert played == set(days.TroubleKind) == set(TROUBLES)
-    assert regions.region_dark.__doc__  # its troubles are registered when it is imported
+    kinds = {trouble.name for name in days.names() for trouble in days.load(name).troubles}
+    assert kinds == set(days.TroubleKind) == set(TROUBLES)
+    assert regions.region_dark.__doc__  # importing `regions` registers its troubles
 
 
-def test_a_seed_gives_the_same_recording_to_the_byte_whatever_the_hash_seed():
+def test_a_seed_gives_the_same_recording_with_any_hash_seed():
     digests = set()
     for hash_seed in ("1", "2"):
-        done = subprocess.run([sys.executable, "-c", DIGEST], env={**os.environ, "PYTHONHASHSEED": hash_seed},
-                              capture_output=True, text=True, check=True, timeout=100)  # fmt: skip
-        digests.add(done.stdout)
+        process = subprocess.run(
+            [sys.executable, "-c", DIGEST],
+            env={**os.environ, "PYTHONHASHSEED": hash_seed},
+            capture_output=True,
+            text=True,
+            check=True,
+            timeout=100,
+        )
+        digests.add(process.stdout)
     assert len(digests) == 1 and len(digests.pop().strip()) == hashlib.sha256().digest_size * 2
 
 
-def test_the_commands_and_their_exit_codes(tmp_path):
+def test_commands_and_their_exit_codes(tmp_path):
     run = CliRunner().invoke
-    path, broken = str(tmp_path / "run.jsonl"), tmp_path / "broken.jsonl"
-    done = run(main, ["day", "run", "calm", "--virtual", "--json", path])
-    assert (done.exit_code, "all rules held" in done.output) == (0, True)
+    path, incomplete = str(tmp_path / "run.jsonl"), tmp_path / "incomplete.jsonl"
+    result = run(main, ["day", "run", "calm", "--virtual", "--json", path])
+    assert (result.exit_code, "all rules held" in result.output) == (0, True)
     assert run(main, ["rules", path]).exit_code == 0
     records = rec.read(path)
-    late = next(record for record in records if isinstance(record, rec.FinalAnswer))
-    recorder = rec.Recorder(str(broken))
+    answer = next(record for record in records if isinstance(record, rec.FinalAnswer))
+    recorder = rec.Recorder(str(incomplete))
     for record in records:
-        if record is not late:
+        if record is not answer:
             recorder.add(record)
     recorder.close()
-    done = run(main, ["rules", str(broken)])
-    assert done.exit_code == 1
-    assert f"request {late.request} of {late.client}" in done.output and "no final answer" in done.output
+    result = run(main, ["rules", str(incomplete)])
+    assert result.exit_code == 1
+    assert f"request {answer.request} of {answer.client}" in result.output
+    assert "no final answer" in result.output
     assert run(main, ["rules", str(tmp_path / "none")]).exit_code == 2
     assert run(main, ["day", "run", "none"]).exit_code == 2
     listed = run(main, ["day", "list"])
