--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: arrivals, traces, results, statistics, verdicts, hunts, baselines, reports."""
+"""The laboratory: arrivals, traces, stored results, statistics, verdicts, fault search, baselines, reports."""
 
 import random
 import subprocess
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("dispersion", [0.25, 1.0, 4.0])
 def test_arrivals_have_the_stated_rate_and_dispersion(dispersion):
-    """Over windows much longer than a gap, variance over mean of the counts is the gaps' dispersion."""
+    """Over windows much longer than a gap, the counts' variance over mean equals the dispersion of the gaps."""
     integral = RateIntegral((phase(PhaseKind.PLATEAU, 400, 200),), 1.0, [], 0)
     counts = np.zeros(400)
     times = list(arrivals(integral, dispersion, [7]))
@@ -80,22 +80,22 @@
     st.integers(0, 2**32),
 )
 @settings(max_examples=40, deadline=None)
-def test_every_shape_brings_as_many_as_its_integral_says(shapes, seed):
+def test_the_number_of_arrivals_of_each_phase_is_the_integral_of_its_rate(shapes, seed):
     phases = tuple(phase(kind, seconds, rate, to, period=5) for kind, seconds, rate, to in shapes)
     integral = RateIntegral(phases, 1.0, [], 0)
     times = list(arrivals(integral, 0.05, [seed]))
     assert times == sorted(times)
-    # Nearly even gaps: the count is the integral, to a few standard deviations of what is left to chance.
+    # Gaps are nearly even: the count equals the integral up to a few standard deviations.
     assert len(times) == pytest.approx(integral.total, abs=6 + 6 * (0.05 * integral.total) ** 0.5)
-    begin = 0
-    for one in phases:
-        inside = [t for t in times if begin <= t < begin + one.for_us]
-        expected = integral.expected(begin, begin + one.for_us)
+    begin_us = 0
+    for each in phases:
+        inside = [t for t in times if begin_us <= t < begin_us + each.for_us]
+        expected = integral.expected(begin_us, begin_us + each.for_us)
         assert len(inside) == pytest.approx(expected, abs=8 + 6 * (0.05 * expected) ** 0.5)
-        begin += one.for_us
+        begin_us += each.for_us
 
 
-def test_a_ramp_of_200_to_2000():
+def test_a_ramp_from_200_to_2000_per_second():
     integral = RateIntegral((phase(PhaseKind.RAMP, 20, 200, 2000),), 1.0, [], 0)
     times = np.array(list(arrivals(integral, 1.0, [1])))
     assert len(times) == pytest.approx(22_000, rel=0.03)
@@ -103,17 +103,19 @@
     assert (times >= 19e6).sum() == pytest.approx(1955, abs=200)
 
 
-def test_surges_strike_their_volumes_together():
+def test_a_surge_multiplies_the_rate_of_its_volumes_only():
     surge = Surge(2_000_000, 4_000_000, 5.0, (1,))
-    struck = RateIntegral((phase(PhaseKind.PLATEAU, 10, 100),), 0.5, [surge], 1)
-    spared = RateIntegral((phase(PhaseKind.PLATEAU, 10, 100),), 0.5, [surge], 0)
-    assert struck.expected(2e6, 4e6) == pytest.approx(5 * spared.expected(2e6, 4e6))
-    assert struck.expected(4e6, 1e7) == pytest.approx(spared.expected(4e6, 1e7))
+    surging = RateIntegral((phase(PhaseKind.PLATEAU, 10, 100),), 0.5, [surge], 1)
+    steady = RateIntegral((phase(PhaseKind.PLATEAU, 10, 100),), 0.5, [surge], 0)
+    assert surging.expected(2e6, 4e6) == pytest.approx(5 * steady.expected(2e6, 4e6))
+    assert surging.expected(4e6, 1e7) == pytest.approx(steady.expected(4e6, 1e7))
     drawn = draw_surges(SurgeSettings(every_us=5_000_000, for_us=1_000_000, part=0.5), 600_000_000, 8, 3)
     assert drawn == draw_surges(
         SurgeSettings(every_us=5_000_000, for_us=1_000_000, part=0.5), 600_000_000, 8, 3
     )
-    assert len(drawn) == pytest.approx(120, abs=40) and all(len(one.volumes) == 4 for one in drawn)
+    assert len(drawn) == pytest.approx(120, abs=40) and all(
+        len(drawn_surge.volumes) == 4 for drawn_surge in drawn
+    )
 
 
 def test_popularity_follows_zipf():
@@ -132,28 +134,28 @@
 @given(st.lists(st.integers(1, 10_000_000), max_size=60), st.lists(st.integers(1, 10_000_000), max_size=60))
 @settings(max_examples=40, deadline=None)
 def test_histograms_merge_and_round_trip(first, second):
-    whole, one, other = histogram(), histogram(), histogram()
+    complete, first_half, second_half = histogram(), histogram(), histogram()
     for value in first:
-        one.record_value(value)
-        whole.record_value(value)
+        first_half.record_value(value)
+        complete.record_value(value)
     for value in second:
-        other.record_value(value)
-        whole.record_value(value)
-    merged = decode_histogram(encode_histogram(one))
-    merged.add(decode_histogram(encode_histogram(other)))
-    assert merged.total_count == whole.total_count == len(first) + len(second)
+        second_half.record_value(value)
+        complete.record_value(value)
+    merged = decode_histogram(encode_histogram(first_half))
+    merged.add(decode_histogram(encode_histogram(second_half)))
+    assert merged.total_count == complete.total_count == len(first) + len(second)
     for percent in (10, 50, 90, 99, 100):
-        assert merged.get_value_at_percentile(percent) == whole.get_value_at_percentile(percent)
+        assert merged.get_value_at_percentile(percent) == complete.get_value_at_percentile(percent)
 
 
-def test_a_text_that_is_no_histogram():
+def test_a_text_that_is_no_histogram_is_rejected():
     with pytest.raises(ValueError, match="not a histogram"):
         decode_histogram("nonsense")
 
 
 # -- traces
 
-ONE = st.builds(
+TRACE_STEPS = st.builds(
     lambda gap, kind, sector, count: (gap, kind, sector * 512, count * 512),
     st.integers(0, 5_000),
     st.sampled_from(["read", "write"]),
@@ -163,22 +165,23 @@
 
 
 @pytest.mark.parametrize("form", TraceForm)
-@given(asked=st.lists(ONE, min_size=1, max_size=30))
+@given(steps=st.lists(TRACE_STEPS, min_size=1, max_size=30))
 @settings(max_examples=25, deadline=None)
-def test_importers_round_trip(form, asked, tmp_path_factory):
-    t, wanted = 0, []
-    step = {TraceForm.FIO2: 100, TraceForm.FIO3: 1000}.get(form, 1)
-    for number, (gap, kind, offset, length) in enumerate(asked):
-        t += 0 if number == 0 else gap * step  # iologs hold milliseconds, or waits of 100 us and more
-        wanted.append(TraceRequest(t, kind, offset, length))
+def test_each_trace_format_round_trips(form, steps, tmp_path_factory):
+    t_us, written = 0, []
+    resolution_us = {TraceForm.FIO2: 100, TraceForm.FIO3: 1000}.get(form, 1)
+    for number, (gap, kind, offset, length) in enumerate(steps):
+        # fio iologs have a resolution of a millisecond, or waits of at least 100 us.
+        t_us += 0 if number == 0 else gap * resolution_us
+        written.append(TraceRequest(t_us, kind, offset, length))
     path = str(tmp_path_factory.mktemp("trace") / "one")
-    assert traces.write(path, wanted, form) == len(wanted)
+    assert traces.write(path, written, form) == len(written)
     assert traces.detect_form(path) is form
     notes = TraceNotes()
-    assert list(traces.read(path, notes)) == wanted
+    assert list(traces.read(path, notes)) == written
 
 
-def test_published_examples_of_each_form(tmp_path):
+def test_published_examples_of_each_trace_format(tmp_path):
     texts = {
         "fio3": "fio version 3 iolog\n5 /dev/sda add\n5 /dev/sda open\n12 /dev/sda read 4096 8192\n"
                 "15 /dev/sda sync 0 0\n17 /dev/sda close\n",
@@ -203,7 +206,7 @@
     ]
 
 
-def test_bad_traces_are_named_by_line(tmp_path):
+def test_errors_in_traces_name_the_line(tmp_path):
     bad = {
         "empty": ("", "empty"),
         "prose": ("once upon a time\n", "neither"),
@@ -211,23 +214,23 @@
         "fio2": ("fio version 2 iolog\nd add\nd open\nd read 0\n", ":4: read needs"),
         "msr": ("128166372003061629,hm,1,Read,0,512,1\n1,2\n", ":2: expected 7"),
     }
-    for name, (text, why) in bad.items():
+    for name, (text, reason) in bad.items():
         (tmp_path / name).write_text(text)
-        with pytest.raises(traces.TraceError, match=why):
+        with pytest.raises(traces.TraceError, match=reason):
             list(traces.read(str(tmp_path / name), TraceNotes()))
 
 
-def test_hard_traces_are_fitted_and_counted():
-    odd = [
+def test_invalid_requests_of_a_trace_are_fitted_to_the_volume_and_counted():
+    anomalies = [
         TraceRequest(100, "read", 0, 512),
-        TraceRequest(50, "write", 511, 2),  # back in time; straddles two sectors
+        TraceRequest(50, "write", 511, 2),  # earlier than the one before; covers parts of two sectors
         TraceRequest(200, "read", 1 << 40, 512),  # beyond the end
-        TraceRequest(300, "read", 0, 0),  # nothing
+        TraceRequest(300, "read", 0, 0),  # no length
         TraceRequest(400, "write", 0, 5000),  # longer than allowed
         TraceRequest(400, "write", 1024, 1024),  # overlaps the one before
     ]
     notes = TraceNotes()
-    fitted = list(traces.fit_to_volume(odd, size=1 << 20, max_bytes=2048, speed=2.0, notes=notes))
+    fitted = list(traces.fit_to_volume(anomalies, size=1 << 20, max_bytes=2048, speed=2.0, notes=notes))
     assert [one.t_us for one in fitted] == sorted(one.t_us for one in fitted)
     assert all(one.offset >= 0 and one.offset + one.length <= 1 << 20 for one in fitted)
     assert all(0 < one.length <= 2048 and one.length % 512 == 0 for one in fitted)
@@ -236,45 +239,48 @@
     assert sum(notes.counts.values()) == 4
 
 
-def test_ten_million_lines_are_streamed(tmp_path):
-    """The reader holds one line: what it keeps does not grow with what it has read."""
+def test_a_long_trace_is_streamed_in_constant_memory(tmp_path):
+    """The reader holds one line at a time, so its memory must not grow with the number of lines read."""
     import tracemalloc
 
     path = tmp_path / "long"
     line = "128166372003061629,hm,1,Read,383496192,32768,113736\n"
     path.write_text(line * 60_000)
     tracemalloc.start()
-    peaks = []
+    used_bytes = []
     stream = traces.fit_to_volume(traces.read(str(path), TraceNotes()), 1 << 30, 1 << 20, 1.0, TraceNotes())
     for number, _ in enumerate(stream):
         if number in (5_000, 55_000):
-            peaks.append(tracemalloc.get_traced_memory()[0])
+            used_bytes.append(tracemalloc.get_traced_memory()[0])
     tracemalloc.stop()
-    assert peaks[1] - peaks[0] < 20_000
+    assert used_bytes[1] - used_bytes[0] < 20_000
 
 
-# -- results on disk
+# -- stored results
 
 
-def test_results_survive_a_kill_at_any_byte(tmp_path):
+def test_results_survive_truncation_at_any_byte(tmp_path):
     path = str(tmp_path / "runs")
     log = runlog.RunLog(path)
     for number in range(3):
         log.add(f"key{number}", b'{"n": %d}' % number)
     log.close()
-    whole = (tmp_path / "runs").read_bytes()
-    ends = [at + 1 for at, byte in enumerate(whole) if byte == 10]
-    for cut in range(len(whole) + 1):
-        (tmp_path / "runs").write_bytes(whole[:cut])
+    complete = (tmp_path / "runs").read_bytes()
+    line_ends = [index + 1 for index, byte in enumerate(complete) if byte == 10]
+    for cut in range(len(complete) + 1):
+        (tmp_path / "runs").write_bytes(complete[:cut])
         log = runlog.RunLog(path)
-        kept = max(0, sum(end <= cut for end in ends) - 1)
-        assert list(log.done) == [f"key{number}" for number in range(kept)]
+        stored = max(0, sum(end <= cut for end in line_ends) - 1)
+        assert list(log.done) == [f"key{number}" for number in range(stored)]
         log.add("later", b"{}")
         log.close()
-        assert [key for key, _ in runlog.read(path)] == [*(f"key{number}" for number in range(kept)), "later"]
+        assert [key for key, _ in runlog.read(path)] == [
+            *(f"key{number}" for number in range(stored)),
+            "later",
+        ]
 
 
-def test_damage_in_the_middle_is_told_from_a_torn_end(tmp_path):
+def test_damage_in_the_middle_is_an_error_unlike_a_torn_end(tmp_path):
     path = tmp_path / "runs"
     log = runlog.RunLog(str(path))
     log.add("a", b"1")
@@ -297,30 +303,30 @@
 # -- statistics and verdicts
 
 
-def test_holm_against_its_definition():
+def test_holm_adjustment_matches_its_definition():
     assert holm_adjust([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
     assert holm_adjust([]) == []
     assert holm_adjust([0.9, 0.8]) == [1.0, 1.0]
 
 
 def test_verdicts():
-    def one(mean, low, high, p):
+    def pair(mean, low, high, p):
         return PairedComparison("x", mean, low, high, p, 0.05, 20)
 
-    judged = judge([one(0.05, 0.03, 0.07, 0.001), one(-0.05, -0.07, -0.03, 0.001), one(0, -0.001, 0.001, 0.9),
-                    one(0.01, -0.02, 0.04, 0.3)])  # fmt: skip
+    judged = judge([pair(0.05, 0.03, 0.07, 0.001), pair(-0.05, -0.07, -0.03, 0.001), pair(0, -0.001, 0.001, 0.9),
+                    pair(0.01, -0.02, 0.04, 0.3)])  # fmt: skip
     assert [each.verdict for each in judged] == [
         Verdict.BETTER, Verdict.WORSE, Verdict.SAME, Verdict.CANT_TELL,
     ]  # fmt: skip
     assert judged[3].more_seeds > 100 and judged[0].more_seeds == 0
-    # A clear single result is not one among a hundred tries.
-    many = judge([one(0.05, 0.01, 0.09, 0.02)] + [one(0.0, -0.1, 0.1, 0.9)] * 99)
+    # A result that would be significant alone is not significant as one of a hundred comparisons.
+    many = judge([pair(0.05, 0.01, 0.09, 0.02)] + [pair(0.0, -0.1, 0.1, 0.9)] * 99)
     assert many[0].verdict is Verdict.CANT_TELL
     assert required_seeds(0.1, 0.1, 0.05) == 8 and required_seeds(0.0, 0.1, 0.05) > 10_000
 
 
 def test_false_alarms_stay_at_the_stated_rate():
-    """Differences of nothing but noise, skewed as worth is: of 200 comparisons about one in twenty may alarm."""
+    """Differences are pure noise, skewed like worth: about one in twenty of 200 comparisons may raise an alarm."""
     rng = np.random.default_rng(11)
     alarms = 0
     for number in range(200):
@@ -328,8 +334,8 @@
         verdict = judge([compare("aa", differences, seed=number)])[0].verdict
         alarms += verdict in (Verdict.BETTER, Verdict.WORSE)
     assert alarms <= 18  # 10 expected; 18 is the 99 % quantile
-    found = judge([compare("real", rng.normal(0.05, 0.02, 12))])[0]
-    assert found.verdict is Verdict.BETTER
+    real = judge([compare("real", rng.normal(0.05, 0.02, 12))])[0]
+    assert real.verdict is Verdict.BETTER
     assert compare("none", [0.0, 0.0]).p == 1.0
     with pytest.raises(ValueError):
         compare("few", [1.0])
@@ -341,19 +347,19 @@
   (day "calm" (load 0.3)) (variant "now") (variant "fifo" (module fifo)) (variant "salted" (salt 9)))"""
 
 
-def test_a_killed_sweep_goes_on_where_it_stood(tmp_path):
+def test_an_interrupted_experiment_resumes_with_its_missing_runs(tmp_path):
     plan = parse_plan(read_text(PLAN, "p"), "p")
     jobs = list_jobs(plan)
-    assert len(jobs) == 8  # the oracle is played beside the three
+    assert len(jobs) == 8  # the oracle is added to the three variants
     log = runlog.RunLog(str(tmp_path / "runs"))
-    run_all(jobs[:2], log, 1, lambda done, every: None)
+    run_all(jobs[:2], log, 1, lambda done, total: None)
     log.close()
     log = runlog.RunLog(str(tmp_path / "runs"))
     first = dict(log.done)
-    told = []
-    run_all(jobs, log, 2, lambda done, every: told.append(done))
+    progress = []
+    run_all(jobs, log, 2, lambda done, total: progress.append(done))
     log.close()
-    assert told == [2, 3, 4, 5, 6, 7, 8]
+    assert progress == [2, 3, 4, 5, 6, 7, 8]
     assert all(log.done[key] == body for key, body in first.items())
     compared = compare_plan(plan, iter_results(plan, log.done))
     assert [one.comparison.name for one in compared.judged] == ["fifo", "salted"] and compared.pairs == 2
@@ -364,25 +370,25 @@
     assert html.count("data:image/png;base64,") == 2 * len(report.PLOTS) + 1 and "http" not in html
 
 
-def test_a_revision_runs_its_own_code(tmp_path):
+def test_a_revision_runs_in_a_process_of_its_own(tmp_path):
     plan = parse_plan(read_text('(experiment "r" (seeds 1) (day "calm") (variant "x" (revision "nowhere")))',
                                 "p"), "p")  # fmt: skip
     log = runlog.RunLog(str(tmp_path / "runs"))
     from harriertrack.lab.experiments import RevisionError
 
     with pytest.raises(RevisionError, match="nowhere"):
-        run_all(list_jobs(plan), log, 1, lambda done, every: None)
+        run_all(list_jobs(plan), log, 1, lambda done, total: None)
     log.close()
-    # The child process of a revision plays what this process would.
+    # The child process that plays a revision returns the same scores as this process.
     job = list_jobs(parse_plan(read_text(PLAN, "p"), "p"))[0]
-    asked = msgspec.json.encode((job.variant, job.day, job.seed))
-    done = subprocess.run([sys.executable, "-m", "harriertrack.lab.job"], input=asked, capture_output=True,
-                          check=True)  # fmt: skip
-    assert msgspec.json.decode(done.stdout, type=Scores) == run_here(job)
+    request = msgspec.json.encode((job.variant, job.day, job.seed))
+    process = subprocess.run([sys.executable, "-m", "harriertrack.lab.job"], input=request,
+                             capture_output=True, check=True)  # fmt: skip
+    assert msgspec.json.decode(process.stdout, type=Scores) == run_here(job)
 
 
-def test_bad_plans():
-    for text, why in [
+def test_invalid_plans_are_rejected():
+    for text, reason in [
         ('(experiment "x" (variant "a"))', "day"),
         ('(experiment "x" (day "calm"))', "variant: at least one"),
         ('(experiment "x" (day "calm") (variant "a") (variant "a"))', "twice"),
@@ -390,11 +396,11 @@
         ('(experiment "x" (day "calm") (variant "a" (module best)))', "module"),
         ('(experiment "x" (day "nosuch") (variant "a"))', "no such day"),
     ]:
-        with pytest.raises(SettingsError, match=why):
+        with pytest.raises(SettingsError, match=reason):
             parse_plan(read_text(text, "p"), "p")
 
 
-def test_figures_are_put_back_even_after_an_error():
+def test_overridden_constants_are_restored_after_an_error():
     from harriertrack.decisions import scheduler
 
     before = scheduler.WIDEN
@@ -404,30 +410,31 @@
     assert before == scheduler.WIDEN
 
 
-# -- hunts
+# -- fault search
 
 SPACE = SearchSpace(("slow", "hang", "drain"), 12_000_000, 3, 4, 8, {"slow": (2.0, 8.0)})
 
 
-def play_out(hunt, outcome_of):
-    while lot := hunt.next_batch():
-        for number, candidate in random.Random(len(lot)).sample(lot, len(lot)):
-            hunt.record_outcome(number, outcome_of(candidate))
+def run_search(search, outcome_of):
+    """Run a search to its end, recording the outcomes of each batch in a random order."""
+    while batch := search.next_batch():
+        for number, candidate in random.Random(len(batch)).sample(batch, len(batch)):
+            search.record_outcome(number, outcome_of(candidate))
 
 
-def test_a_hunt_finds_and_shrinks_to_what_does_the_harm():
-    """The harm: a rule breaks whenever a hang covers more than a third of the nodes."""
+def test_a_search_finds_the_harmful_fault_and_minimizes_the_day():
+    """A rule breaks whenever a hang covers more than 35 % of the nodes."""
 
     def outcome_of(candidate):
-        hangs = [one for one in candidate.faults if one.kind == "hang" and one.part > 0.35]
+        hangs = [fault for fault in candidate.faults if fault.kind == "hang" and fault.part > 0.35]
         return Outcome(0.1 * len(candidate.faults), (3,) if hangs else ())
 
-    hunt = FaultSearch(SPACE, 1, 48)
-    play_out(hunt, outcome_of)
-    assert hunt.phase is Phase.DONE
-    candidate, outcome = hunt.smallest
+    search = FaultSearch(SPACE, 1, 48)
+    run_search(search, outcome_of)
+    assert search.phase is Phase.DONE
+    candidate, outcome = search.smallest
     assert outcome.broken == (3,)
-    assert [one.kind for one in candidate.faults] == ["hang"]
+    assert [fault.kind for fault in candidate.faults] == ["hang"]
     assert (
         candidate.heads == 1
         and candidate.nodes == 2
@@ -437,117 +444,122 @@
 
 @given(st.integers(0, 10_000))
 @settings(max_examples=20, deadline=None)
-def test_hunts_end_and_repeat_whatever_order_results_come_in(seed):
+def test_searches_end_and_do_not_depend_on_the_order_of_results(seed):
     def outcome_of(candidate):
-        return Outcome(min(1.0, sum(one.part * one.duration_us for one in candidate.faults) / 12e6))
-
-    first, again = FaultSearch(SPACE, seed, 20, 4), FaultSearch(SPACE, seed, 20, 4)
-    play_out(first, outcome_of)
-    while lot := again.next_batch():
-        for number, candidate in lot:
-            again.record_outcome(number, outcome_of(candidate))
-    assert first.smallest == again.smallest and first.played == again.played
+        return Outcome(min(1.0, sum(fault.part * fault.duration_us for fault in candidate.faults) / 12e6))
+
+    first, second = FaultSearch(SPACE, seed, 20, 4), FaultSearch(SPACE, seed, 20, 4)
+    run_search(first, outcome_of)
+    while batch := second.next_batch():
+        for number, candidate in batch:
+            second.record_outcome(number, outcome_of(candidate))
+    assert first.smallest == second.smallest and first.played == second.played
     assert first.smallest[1].loss >= fault_search.MIN_LOSS_SHARE * first.ranked[0][1].loss
     with pytest.raises(KeyError):
-        again.record_outcome(1, Outcome(0.0))
+        second.record_outcome(1, Outcome(0.0))
 
 
-def test_a_found_day_can_be_kept_as_a_file():
+def test_a_found_day_round_trips_through_its_file_form():
     found = Candidate((InjectedFault("slow", 1_000_000, 2_000_000, 0.5, 3.0),), 1.1, 2, 4)
     base = days.load("calm")
     text = format_day(base, found)
-    again = days.parse(read_text(text, "hunted"), "hunted")
-    wanted = candidate_day(base, found)
-    assert again.troubles == wanted.troubles and again.nodes == wanted.nodes
-    assert again.rate == pytest.approx(wanted.rate, abs=0.001)
+    parsed = days.parse(read_text(text, "hunted"), "hunted")
+    expected = candidate_day(base, found)
+    assert parsed.troubles == expected.troubles and parsed.nodes == expected.nodes
+    assert parsed.rate == pytest.approx(expected.rate, abs=0.001)
 
 
 # -- baselines
 
 
-def settings_of(**more):
+def scheduler_settings(**options):
     classes = (
         api.RequestClass("read", 100_000, 500_000, effect=api.Effect.SAFE),
         api.RequestClass("write", 100_000, 500_000),
     )
     plans = (api.Plan("p", reserve=100.0), api.Plan("l", limit=10.0))
-    return api.Settings(1, classes, plans, tick_us=1000, may_hint=True, max_hint_us=400_000, **more)
+    return api.Settings(1, classes, plans, tick_us=1000, may_hint=True, max_hint_us=400_000, **options)
 
 
-def listed(*names):
+def node_list(*names):
     entries = [api.NodeEntry(name, shard) for shard, name in enumerate(names)]
     return api.NodesChanged(api.ListKind.FULL, entries)
 
 
-def arrived(number, shard=0, kind="read", plan="p", volume="v"):
+def request_arrived(number, shard=0, kind="read", plan="p", volume="v"):
     return api.RequestArrived(number, kind, plan, volume, "", shard, 1.0, 500_000)
 
 
 @pytest.mark.parametrize("name", BASELINES)
-def test_every_baseline_answers_everything_once(name):
-    """Random events, then silence: each request ends by one answer, and nothing is sent after it."""
+def test_every_baseline_answers_each_request_once(name):
+    """After random events and then only timers, each request has one answer, and no send after it."""
     rng = random.Random(5)
-    module = BASELINES[name](settings_of(), 1, lambda node: 20_000.0)
-    due, out, final, now, served = [], {}, {}, 0, set()
+    module = BASELINES[name](scheduler_settings(), 1, lambda node: 20_000.0)
+    timers, sent_to, answers, now, served = [], {}, {}, 0, set()
 
-    def act(actions):
+    def execute(actions):
         for action in actions:
             match action:
                 case api.Send():
-                    assert action.request not in final
-                    out.setdefault(action.request, []).append(action.node)
+                    assert action.request not in answers
+                    sent_to.setdefault(action.request, []).append(action.node)
                 case api.Refuse() | api.Fail():
-                    assert action.request not in final
-                    final[action.request] = action
+                    assert action.request not in answers
+                    answers[action.request] = action
                 case api.SetTimer():
-                    due.append((action.at_us, action.token))
+                    timers.append((action.at_us, action.token))
 
-    act(module.handle(0, [listed("a", "b", "c")]))
+    execute(module.handle(0, [node_list("a", "b", "c")]))
     for number in range(200):
         now += rng.randrange(1, 3000)
-        act(module.handle(now, [arrived(number, rng.choice([-1, 0, 1, 2]), rng.choice(["read", "write"]),
+        execute(module.handle(now, [request_arrived(number, rng.choice([-1, 0, 1, 2]), rng.choice(["read", "write"]),
                                         rng.choice("pl"))]))  # fmt: skip
-        if out and rng.random() < 0.7:
-            request = rng.choice(list(out))
-            node = out.pop(request)[-1]
-            over = request in final
+        if sent_to and rng.random() < 0.7:
+            request = rng.choice(list(sent_to))
+            node = sent_to.pop(request)[-1]
+            is_answered = request in answers
             result = rng.choice([api.Result.OK, api.Result.OK, api.Result.FULL, api.Result.RESET])
-            if result is api.Result.OK and not over:
+            if result is api.Result.OK and not is_answered:
                 served.add(request)
-                final[request] = result
-            act(
+                answers[request] = result
+            execute(
                 module.handle(
-                    now, [api.AttemptEnded(request, 0, node, result, 5000, over or request in served)]
+                    now, [api.AttemptEnded(request, 0, node, result, 5000, is_answered or request in served)]
                 )
             )
     for _ in range(5000):
-        if not due:
+        if not timers:
             break
-        due.sort()
-        at, token = due.pop(0)
-        now = max(now, at)
-        act(module.handle(now, [api.TimerFired(token)]))
-    assert set(final) == set(range(200))
-
-
-def test_tags_serve_reservations_first_and_keep_limits():
-    module = BASELINES["tags"](settings_of())
-    module.handle(0, [listed("a")])
-    sends = [one for one in module.handle(0, [arrived(n, plan="l", volume="slow") for n in range(5)])]
-    assert sum(isinstance(one, api.Send) for one in sends) == 1  # ten a second: one now
-    sends = module.handle(1000, [arrived(10 + n, volume="fast") for n in range(3)])
-    assert [one.request for one in sends if isinstance(one, api.Send)] == [10, 11, 12]
+        timers.sort()
+        at_us, token = timers.pop(0)
+        now = max(now, at_us)
+        execute(module.handle(now, [api.TimerFired(token)]))
+    assert set(answers) == set(range(200))
+
+
+def test_the_tags_baseline_honours_reservations_and_limits():
+    module = BASELINES["tags"](scheduler_settings())
+    module.handle(0, [node_list("a")])
+    actions = [
+        one for one in module.handle(0, [request_arrived(n, plan="l", volume="slow") for n in range(5)])
+    ]
+    assert sum(isinstance(one, api.Send) for one in actions) == 1  # limit of ten per second: one at once
+    actions = module.handle(1000, [request_arrived(10 + n, volume="fast") for n in range(3)])
+    assert [one.request for one in actions if isinstance(one, api.Send)] == [10, 11, 12]
 
 
-def test_the_oracle_refuses_what_it_sees_can_not_be_in_time():
+def test_the_oracle_refuses_requests_that_would_miss_their_deadline():
     waits = {"a": 5_000_000.0, "b": 10.0}
-    module = BASELINES["oracle"](settings_of(), 1, waits.__getitem__)
-    module.handle(0, [listed("a", "b")])
-    kinds = [type(one) for one in module.handle(0, [arrived(1, 0), arrived(2, 1), arrived(3, -1)])]
+    module = BASELINES["oracle"](scheduler_settings(), 1, waits.__getitem__)
+    module.handle(0, [node_list("a", "b")])
+    kinds = [
+        type(one)
+        for one in module.handle(0, [request_arrived(1, 0), request_arrived(2, 1), request_arrived(3, -1)])
+    ]
     assert [one for one in kinds if one is not api.SetTimer] == [api.Refuse, api.Send, api.Send]
 
 
-def test_a_day_with_cells_is_counted_and_drawn_by_cell():
+def test_a_day_with_cells_is_scored_and_plotted_by_cell():
     day = msgspec.structs.replace(days.load("cell-flood"), length_us=6_000_000)
     recorder = rec.Recorder()
     emulate(day, 1, recorder)
