--- a/benchmarks/strict.py
+++ b/benchmarks/strict.py
@@ -95,16 +95,16 @@
             ("healthy", False, WaitMode.BY_CLIENT, 12), ("healthy", False, WaitMode.REFUSE, 12),
         ):  # fmt: skip
             one, box, took = play(load, day, free / 10 if limited else 0.0, waiting, bound, seconds)
-            found, head = one.found, box.head
+            found, head = one.result, box.head
             assert head is not None
             if not free:
                 free = found.moved_bytes / UNIT / seconds
-            times = [found.took.get_value_at_percentile(part) / 1000 for part in (50, 99)]
+            times = [found.latencies.get_value_at_percentile(part) / 1000 for part in (50, 99)]
             row = [name, bound, day, "a tenth" if limited else "none", waiting.value, found.done,
-                   len(found.broken), f"{times[0]:.0f}", f"{times[1]:.0f}",
+                   len(found.errors), f"{times[0]:.0f}", f"{times[1]:.0f}",
                    f"{head.core.resubmissions / max(1, found.done):.2f}", f"{took:.1f}"]  # fmt: skip
             print("| " + " | ".join(map(str, row)) + " |", flush=True)
-            for line in found.broken[:3]:
+            for line in found.errors[:3]:
                 print(f"  {line}", file=sys.stderr)
 
 
--- a/harriertrack/cli/nbd.py
+++ b/harriertrack/cli/nbd.py
@@ -141,15 +141,15 @@
         hub.run(run)
     except (OSError, DeadlineExceeded, ProtocolViolation, NbdClientError) as error:
         fail(f"{uri}: {error or 'no answer in time'}")
-    result = exercise.found
+    result = exercise.result
     click.echo(
         f"{result.done} requests done, {result.moved_bytes >> 20} MiB; microseconds: "
         + ", ".join(
-            f"p{percentile:g} {result.took.get_value_at_percentile(percentile)}"
+            f"p{percentile:g} {result.latencies.get_value_at_percentile(percentile)}"
             for percentile in (50, 99, 100)
         )
     )
-    for line in result.broken[:10]:
+    for line in result.errors[:10]:
         click.echo(line, err=True)
-    if result.broken:
+    if result.errors:
         sys.exit(1)
--- a/harriertrack/lab/exercise.py
+++ b/harriertrack/lab/exercise.py
@@ -36,8 +36,8 @@
 
     connections: int = 8
     depth: int = 16
-    least: int = 512
-    most: int = 1 << 20
+    min_bytes: int = 512
+    max_bytes: int = 1 << 20
     align: int = 1
     span: int = 0  # bytes from the start of the volume that are used; 0: all
 
@@ -48,8 +48,8 @@
 
     done: int = 0
     moved_bytes: int = 0
-    broken: list[str] = field(default_factory=list)  # errors, wrong bytes, lost connections
-    took: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
+    errors: list[str] = field(default_factory=list)  # errors, wrong bytes, lost connections
+    latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
 
 
 class Exercise:
@@ -59,7 +59,7 @@
                  seed: int) -> None:  # fmt: skip
         self._hub, self._network, self._address, self._export = hub, network, address, export
         self._load, self._random = load, random.Random(seed)
-        self.found = ExerciseResult()
+        self.result = ExerciseResult()
         self._expected = bytearray()
         self._in_flight: dict[int, tuple[int, int, bool]] = {}  # start, end, whether it modifies data
         self._sent_count = self._pending = 0
@@ -86,7 +86,7 @@
             self._completed.clear()
         for client in clients:
             client.close()
-        return self.found
+        return self.result
 
     def _zero_fill(self, client: NbdClient) -> None:
         """Write zeroes to the used part first: an export may hold earlier data."""
@@ -94,10 +94,10 @@
         for offset in range(0, len(self._expected), step):
             reply = client.call(Command.WRITE_ZEROES, offset, min(step, len(self._expected) - offset))
             if reply.error:
-                self.found.broken.append(f"clearing at {offset}: {errno_name(reply.error)} {reply.message}")
+                self.result.errors.append(f"clearing at {offset}: {errno_name(reply.error)} {reply.message}")
 
     def _send_next(self, client: NbdClient) -> None:
-        if self.found.broken or self._hub.now() >= self._stop_at_us:
+        if self.result.errors or self._hub.now() >= self._stop_at_us:
             return
         rng = self._random
         kind = rng.choices([kind for kind, _ in KIND_SHARES], [share for _, share in KIND_SHARES])[0]
@@ -120,7 +120,7 @@
         """Draw an offset and length that conflict with no request in flight; length -1 if none was found."""
         load, rng, size = self._load, self._random, len(self._expected)
         for _ in range(PLACEMENT_TRIES):
-            length = int(load.least * (load.most / load.least) ** rng.random())
+            length = int(load.min_bytes * (load.max_bytes / load.min_bytes) ** rng.random())
             length -= length % load.align
             offset = rng.randrange(max(1, size - length))
             offset -= offset % load.align
@@ -138,18 +138,18 @@
 
     def _handle_reply(self, client: NbdClient, kind: Command, offset: int, length: int, data: bytes,
                       number: int, sent_at_us: int, reply: Reply | None) -> None:  # fmt: skip
-        result, end = self.found, offset + length
+        result, end = self.result, offset + length
         request = f"{kind.name} {offset}+{length}"
         if reply is None:
-            result.broken.append(f"{request}: the connection was lost")
+            result.errors.append(f"{request}: the connection was lost")
         elif reply.error:
-            result.broken.append(f"{request}: {errno_name(reply.error)} {reply.message}")
+            result.errors.append(f"{request}: {errno_name(reply.error)} {reply.message}")
         else:
             result.done += 1
             result.moved_bytes += length
-            result.took.record_value(max(1, self._hub.now() - sent_at_us))
+            result.latencies.record_value(max(1, self._hub.now() - sent_at_us))
             if kind is Command.READ and reply.data != self._expected[offset:end]:
-                result.broken.append(f"{request}: its bytes are not what was written")
+                result.errors.append(f"{request}: its bytes are not what was written")
             elif kind is Command.WRITE:
                 self._expected[offset:end] = data
             elif kind is Command.WRITE_ZEROES:
--- a/harriertrack/lab/experiments.py
+++ b/harriertrack/lab/experiments.py
@@ -211,7 +211,7 @@
             setattr(scheduler, name, value)
 
 
-def run_here(job: Job) -> Scores:
+def play_in_process(job: Job) -> Scores:
     """Play one run in this process and return its scores."""
     recorder, sampler = rec.Recorder(), NodeSampler()
     with ConstantOverrides(job.variant.constants):
@@ -226,7 +226,7 @@
 def run_job(job: Job) -> bytes:
     """Play one run and return its scores as JSON; a variant of a revision runs in a process of its code."""
     if not job.variant.revision:
-        return msgspec.json.encode(run_here(job))
+        return msgspec.json.encode(play_in_process(job))
     variant = msgspec.structs.replace(job.variant, revision="")
     request = msgspec.json.encode((variant, job.day, job.seed))
     root = _export_revision(job.variant.revision)
--- a/harriertrack/lab/hunting.py
+++ b/harriertrack/lab/hunting.py
@@ -12,7 +12,7 @@
 from harriertrack.decisions.fault_search import Candidate, FaultSearch, Outcome, SearchSpace
 from harriertrack.lab import day as days
 from harriertrack.lab.day import DaySettings, TroubleKind, TroubleSettings
-from harriertrack.lab.experiments import Job, VariantSettings, run_here
+from harriertrack.lab.experiments import Job, VariantSettings, play_in_process
 from harriertrack.lab.model import VolumeExhausted
 
 # The range of sizes to draw for each kind of fault: a factor, milliseconds, a share of answers, or tries.
@@ -87,7 +87,7 @@
 
 def _play_candidate(variant: VariantSettings, day: DaySettings, seed: int) -> Outcome:
     try:
-        scores = run_here(Job(variant, day, seed))
+        scores = play_in_process(Job(variant, day, seed))
     except VolumeExhausted:
         return Outcome(0.0)  # not a valid day: its volumes have too few distinct extents
     return Outcome(round(1 - scores.share, 6), tuple(sorted(int(rule) for rule in scores.broken)))
--- a/harriertrack/lab/report.py
+++ b/harriertrack/lab/report.py
@@ -18,7 +18,7 @@
 
 from harriertrack.lab.experiments import Comparison
 from harriertrack.lab.generator import LoadResult, LoadStep, is_void
-from harriertrack.lab.scores import QUANTILES, STEP_US, Earned, Scores, Step, decode_histogram, histogram
+from harriertrack.lab.scores import QUANTILES, STEP_US, GroupScore, Scores, Step, decode_histogram, histogram
 
 SIMULATED = "All figures are of simulated machines; they compare variants, and are no promise of a real one."
 
@@ -199,7 +199,7 @@
     return draw
 
 
-def _group_rows(groups: Iterable[tuple[str, str, Earned]]) -> list[list[str]]:
+def _group_rows(groups: Iterable[tuple[str, str, GroupScore]]) -> list[list[str]]:
     table = [["", "variant", "share", "first tries", "in their aim", "served", "refused", "failed"]]
     for name, variant, group in groups:
         table.append([name, variant, f"{group.share:.3f}", str(group.asked), str(group.in_aim),
--- a/harriertrack/lab/scores.py
+++ b/harriertrack/lab/scores.py
@@ -46,7 +46,7 @@
         raise ValueError(f"not a histogram: {error}") from error
 
 
-class Earned(msgspec.Struct, kw_only=True):
+class GroupScore(msgspec.Struct, kw_only=True):
     """Worth earned by one group of requests, worth it could have earned, and counts of outcomes."""
 
     possible: float = 0.0
@@ -76,7 +76,7 @@
     latency_us: list[float] = []  # at QUANTILES; empty where nothing was served
 
 
-class NodeStep(msgspec.Struct):
+class NodeSample(msgspec.Struct):
     """One sample of a node: its actual queue; window, held units and attempts out summed over all heads."""
 
     t_us: int
@@ -92,7 +92,7 @@
 
     name: str
     plan: str
-    earned: Earned
+    earned: GroupScore
     units: list[float]
     reserve: float  # units per second; 0: none
     limit: float
@@ -115,15 +115,15 @@
     share: float
     worst_second: float  # the lowest share of any second with requests
     sends: int
-    by_plan: dict[str, Earned]
-    by_class: dict[str, Earned]
+    by_plan: dict[str, GroupScore]
+    by_class: dict[str, GroupScore]
     latency: dict[str, str]  # encoded histograms of served requests, by class
     steps: list[Step]
     volumes: list[VolumeTotal]
     hints: dict[str, int]  # refusals by retry hint, in steps of 50 ms; "none" without a hint
     broken: dict[str, int]  # number of violations by rule
-    nodes_seen: list[NodeStep] = []
-    by_cell: dict[str, Earned] = {}  # for a day with cells; a volume that moves belongs to none
+    nodes_seen: list[NodeSample] = []
+    by_cell: dict[str, GroupScore] = {}  # for a day with cells; a volume that moves belongs to none
     cell_steps: dict[str, list[float]] = {}  # each cell's share in each step; 1 without requests
 
     @property
@@ -147,7 +147,7 @@
 
 
 def score_recording(records: Iterable[rec.Record], day: DaySettings, variant: str = "", seed: int = 0,
-              nodes_seen: list[NodeStep] | None = None) -> Scores:  # fmt: skip
+              nodes_seen: list[NodeSample] | None = None) -> Scores:  # fmt: skip
     """Score a recording and check it against the rules; the check takes about half of the time."""
     records = list(records)
     classes: dict[str, ClassSettings] = {settings.name: settings for settings in classes_of(day)}
@@ -157,9 +157,9 @@
     count = max(1, -(-day.length_us // STEP_US))
     steps = [Step(t_us=index * STEP_US) for index in range(count)]
     latencies: list[list[int]] = [[] for _ in steps]
-    by_plan: dict[str, Earned] = defaultdict(Earned)
-    by_class: dict[str, Earned] = defaultdict(Earned)
-    by_volume: dict[str, Earned] = defaultdict(Earned)
+    by_plan: dict[str, GroupScore] = defaultdict(GroupScore)
+    by_class: dict[str, GroupScore] = defaultdict(GroupScore)
+    by_volume: dict[str, GroupScore] = defaultdict(GroupScore)
     histograms: dict[str, HdrHistogram] = defaultdict(histogram)
     units: dict[str, list[float]] = {name: [0.0] * count for name in volumes}
     attempts: dict[tuple[int, int], tuple[str, float]] = {}  # volume and units by head and key
@@ -169,10 +169,10 @@
     cells: dict[str, str] = next(
         (record.cell_of_volume for record in records if isinstance(record, rec.Facts)), {}
     )
-    by_cell: dict[str, Earned] = defaultdict(Earned)
-    cell_steps = {cell: [Earned() for _ in steps] for cell in sorted(set(cells.values()))}
+    by_cell: dict[str, GroupScore] = defaultdict(GroupScore)
+    cell_steps = {cell: [GroupScore() for _ in steps] for cell in sorted(set(cells.values()))}
 
-    def groups_of(sent: rec.RequestSent) -> list[Earned]:
+    def groups_of(sent: rec.RequestSent) -> list[GroupScore]:
         groups = [by_plan[volumes[sent.volume].plan], by_class[sent.class_name], by_volume[sent.volume]]
         if cell := cells.get(sent.volume):
             groups += (by_cell[cell], cell_steps[cell][step_index(sent.t)])
--- a/harriertrack/lab/watch.py
+++ b/harriertrack/lab/watch.py
@@ -6,14 +6,14 @@
 
 from harriertrack.decisions.node_snapshots import snapshot_nodes
 from harriertrack.lab.rig import Rig
-from harriertrack.lab.scores import STEP_US, NodeStep
+from harriertrack.lab.scores import STEP_US, NodeSample
 
 
 class NodeSampler:
     """Collects a `NodeStep` for each node of a rig at each sample."""
 
     def __init__(self, interval_us: int = STEP_US) -> None:
-        self.steps: list[NodeStep] = []
+        self.steps: list[NodeSample] = []
         self._interval_us = interval_us
         self._start_us = 0
 
@@ -36,6 +36,6 @@
         t_us = rig.hub.now() - self._start_us
         for name, shelf in rig.shelves.items():
             totals = windows[name], held[name], in_flight[name]
-            self.steps.append(NodeStep(t_us, name, shelf.queue_length, *totals))
+            self.steps.append(NodeSample(t_us, name, shelf.queue_length, *totals))
         if t_us < rig.day.length_us:
             rig.hub.at_outside(rig.hub.now() + self._interval_us, lambda: self._sample(rig))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -41,7 +41,7 @@
     parse_plan,
     iter_results,
     run_all,
-    run_here,
+    play_in_process,
 )
 from harriertrack.lab.hunting import candidate_day, format_day
 from harriertrack.lab import day as days
@@ -384,7 +384,7 @@
     request = msgspec.json.encode((job.variant, job.day, job.seed))
     process = subprocess.run([sys.executable, "-m", "harriertrack.lab.job"], input=request,
                              capture_output=True, check=True)  # fmt: skip
-    assert msgspec.json.decode(process.stdout, type=Scores) == run_here(job)
+    assert msgspec.json.decode(process.stdout, type=Scores) == play_in_process(job)
 
 
 def test_invalid_plans_are_rejected():
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -292,7 +292,7 @@
 def exercise(site, load, us, export="disk", seed=1):
     one = Exercise(site.hub, site.net, site.head.address, export, load, seed)
     found = one.run(site.scope, us)
-    assert found.broken == [] and found.done > 50
+    assert found.errors == [] and found.done > 50
     return found
 
 
