--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -41,9 +41,8 @@
         self._discovery = PlatformDiscovery(self._hub, self._net)
         for cell, node in enumerate(self._nodes):
             self._discovery.set_server(f"s{cell}", node.address, cell)
-        addresses = (
-            LoopbackAddresses()
-        )  # a port that was merely free a moment ago may be taken by any connection
+        # Any connection may take a port that was free a moment ago; these addresses are this process's own.
+        addresses = LoopbackAddresses()
         self._folder, self._places = folder, [addresses.next() for _ in range(count)]
         self._processes: list[subprocess.Popen[bytes]] = []
 
--- a/harriertrack/lab/fleet/processes/fleet.py
+++ b/harriertrack/lab/fleet/processes/fleet.py
@@ -31,7 +31,7 @@
 from harriertrack.lab.fleet.processes.places import LoopbackAddresses
 from harriertrack.lab.fleet.processes.waits import PASSING_US, READY_US, RESUME_ALLOWANCE_US, TURN_US
 from harriertrack.lab.fleet.processes.witness import WitnessProcess
-from harriertrack.lab.fleet.rig import LOOK_US, SEEDS, FleetRig, told
+from harriertrack.lab.fleet.rig import LOOK_US, SEEDS, FleetRig, head_settings
 from harriertrack.lab.fleet.scenario import SIMULATED, FleetDaySettings, StepSettings
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
@@ -53,8 +53,8 @@
         super().__init__(hub, network, day, heads, seed, recorder, str(folder), fleet)
         self._folder = folder
         self.places = LoopbackAddresses()
-        self.relay = MemberRelays(hub, SocketDatagrams(hub), self.faults.weather, self.places.host)
-        self.relay.tap = self.hearing.datagram
+        self.relay = MemberRelays(hub, SocketDatagrams(hub), self.faults.network_faults, self.places.host)
+        self.relay.tap = self.observer.datagram
         self.children = Children(folder, day.scoring is not None)
         self._logs = Logs(self)
         self._witness = WitnessProcess(self, self.places.next())
@@ -127,25 +127,25 @@
         """Cut the relays between some heads and a zone's nodes for a time; the nodes know nothing of it."""
         sources = frozenset(slot.name for slot in who)
         nodes = frozenset(shelf.settings.name for shelf in self.in_zone(zone))
-        self.faults.strike(NetworkFault(sources, nodes, cut=True), us)
+        self.faults.begin(NetworkFault(sources, nodes, cut=True), us)
 
-    def zone_slow(self, zone: str, times: float, us: int) -> None:
+    def slow_zone(self, zone: str, times: float, us: int) -> None:
         """Let what passes between heads and a zone's nodes take longer: as if these were slow."""
         sources = frozenset(slot.name for slot in self.heads)
         nodes = frozenset(shelf.settings.name for shelf in self.in_zone(zone))
-        self.faults.strike(NetworkFault(sources, nodes, late_us=int(times * SLOW_US)), us)
+        self.faults.begin(NetworkFault(sources, nodes, late_us=int(times * SLOW_US)), us)
 
-    def backup(self) -> None:
+    def back_up_witness(self) -> None:
         """Keep aside what the witness knows."""
         self._witness.backup()
 
-    def dark(self, us: int, old: bool) -> None:
+    def take_witness_down(self, us: int, old: bool) -> None:
         """Take the witness away for a time; `old`: it comes back as of the backup."""
         self._witness.dark(us, old)
 
     def _link(self, head: str, party: str, address: tuple[str, int]) -> tuple[str, int]:
         """Put a relay of streams between a head and a node or the list; return where the head finds it."""
-        return self.streams.between(head, party, address, self.scope)
+        return self.streams.route(head, party, address, self.scope)
 
     def new_shelf(  # type: ignore[override]
         self, settings: NodeStandInSettings, rack: ShardStorage, meter: object, seed: int
@@ -196,11 +196,11 @@
         )
         return FleetSettings(
             name=name, listen=self._inner[name], advertise=self._there[name], seeds=seeds,
-            budgets=told.budgets_of(day, self.witness_of(name))
+            budgets=head_settings.budgets_of(day, self.witness_of(name))
             if day.budgets is not None else None,
-            zones=told.zones_of(day, name), changes=day.changes, closing=day.closing,
-            scoring=told.scoring_of(day),
-            **told.figures(day),  # type: ignore[arg-type]
+            zones=head_settings.zones_of(day, name), changes=day.changes, closing=day.closing,
+            scoring=head_settings.scoring_of(day),
+            **head_settings.figures(day),  # type: ignore[arg-type]
         )  # fmt: skip
 
     # -- heads
@@ -209,7 +209,7 @@
         """Return where clients find a head; None while it is not up."""
         return self._nbd[slot.name] if slot.name in self.children.running else None
 
-    def launched(self, slot: HeadSlot) -> bool:
+    def has_launcher(self, slot: HeadSlot) -> bool:
         """Whether a launcher is at work for a head."""
         return self.fleet_day.launched and slot.name in self.children.running
 
@@ -232,10 +232,10 @@
             arguments += ["--clock-ahead", str(self.markets.ahead_us(slot) / 1e6)]
         if step.later:
             arguments.append("--as-later")
-        if self.lies(slot):
+        if self.is_liar(slot):
             arguments.append("--as-liar")
         if self.fleet_day.scoring_later is not None:
-            settings = told.at_start(self.fleet_day, slot.settings, step)
+            settings = head_settings.settings_at_start(self.fleet_day, slot.settings, step)
             self.path(f"{slot.name}.sexp").write_text(format_settings("head", settings))
         self.start_process(slot.name, arguments)
         self.hub.sleep(TURN_US)  # dozens that start together would hold the relays up
@@ -253,7 +253,7 @@
         while not process.ended:  # not waited for: what others send passes this process
             self.hub.sleep(TURN_US)
 
-    def stand(self, slot: HeadSlot, us: int) -> None:
+    def suspend(self, slot: HeadSlot, us: int) -> None:
         """Let a head stand still for a time."""
         process = self.children.running[slot.name]
         self._logs.read(slot)
@@ -270,7 +270,7 @@
 
         self.later(us, go_on)
 
-    def pause(self, slot: HeadSlot, us: int) -> None:
+    def pause_unrecorded(self, slot: HeadSlot, us: int) -> None:
         """Let a head stand still for a moment that nobody need hear of."""
         process = self.children.running.get(slot.name)
         if process is not None:
--- a/harriertrack/lab/fleet/processes/logs.py
+++ b/harriertrack/lab/fleet/processes/logs.py
@@ -60,4 +60,4 @@
                 rig.recorder.add(rec.HeadLifecycle(t=rig.hub.now(), head=slot.name, number=number, up=True))
             if event.startswith("launch: "):
                 launchers.heard(rig, slot, event, line)
-            rig.hearing.log_line(slot, event, line)
+            rig.observer.log_line(slot, event, line)
--- a/harriertrack/lab/fleet/regions.py
+++ b/harriertrack/lab/fleet/regions.py
@@ -68,4 +68,4 @@
 
 def reach(rig: FleetRig, name: str, address: tuple[str, int]) -> None:
     """Let a head's partner find it at an address."""
-    rig.streams.between(partner_of(name), name, address, rig.scope)
+    rig.streams.route(partner_of(name), name, address, rig.scope)
--- a/harriertrack/lab/fleet/rig/__init__.py
+++ b/harriertrack/lab/fleet/rig/__init__.py
@@ -1,8 +1,8 @@
-"""A fleet under faults: real heads with clients, storage nodes and a list, and what happens to them.
+"""Rigs that run a fleet day: heads with clients, storage nodes, the list service and the day's faults.
 
-The same steps play in simulated time (here, the heads on one virtual hub) and over processes
-(`lab/fleet/processes`). What heads tell of their views, and what clients and nodes saw, is recorded; the
-rules are judged from the recording alone.
+The same steps run in simulated time (here, all heads on one virtual hub) and with processes
+(`lab/fleet/processes`). What heads log of their views, and what clients and nodes observe, is recorded; the
+rules judge the recording alone.
 """
 
 from harriertrack.lab.fleet.rig.fleet import LAUNCH, LOOK_US, SEEDS, FleetRig
--- a/harriertrack/lab/fleet/rig/hearing.py
+++ b/harriertrack/lab/fleet/rig/log_observer.py
@@ -1,4 +1,4 @@
-"""What heads tell in their logs and each other, as records that the rules judge."""
+"""Turns log lines of heads, and datagrams between them, into records for the rules."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 if TYPE_CHECKING:
     from harriertrack.lab.fleet.rig.fleet import FleetRig
 
-FLEET = "fleet"  # the name of the rig's
-TOLD = ("state", "life", "incarnation", "there", "digest", "by")  # of a log line
+FLEET = "fleet"  # the name of the rig's fleet, as in its datagrams
+VIEW_FIELDS = ("state", "life", "incarnation", "there", "digest", "by")  # of a "fleet member" log line
 
 
-class Hearing:
-    """Ears of one day's rig."""
+class LogObserver:
+    """Observes the heads of one rig."""
 
     def __init__(self, rig: FleetRig) -> None:
         self._rig = rig
         self._tally = Tally(rig.recorder)
-        self.decider = ""  # as its log said last; "" as long as nobody did
-        self.keepers: dict[int, str] = {}  # of each ledger, likewise
+        self.decider = ""  # according to the latest log line; "" before the first
+        self.keepers: dict[int, str] = {}  # the owner of each ledger, likewise
 
     def log_line(self, slot: HeadSlot, event: str, fields: dict[str, object]) -> None:
-        """Take a line of a head's log."""
+        """Record what a line of a head's log reports."""
         rig, now, record = self._rig, self._rig.hub.now(), self._rig.recorder.add
         if event in ("zone used", "zone unused"):
             record(rec.ZoneUse(t=now, head=slot.name, zone=str(fields["zone"]), used=event == "zone used",
@@ -54,8 +54,8 @@
                 rec.VersionApplied(t=now, head=slot.name, thing=str(fields["thing"]),
                                 version=int(str(fields["version"])), why=str(fields.get("why", "")))
             )  # fmt: skip
-        if (said := weights.told(now, slot.name, event, fields)) is not None:
-            record(said)
+        if (weight_record := weights.told(now, slot.name, event, fields)) is not None:
+            record(weight_record)
         if event == "fleet budgets: term begins" and int(str(fields["ledger"])) == DECISION_LOCK:
             self.decider = slot.name
         if event in ("fleet budgets: term begins", "fleet budgets: term over"):
@@ -66,24 +66,24 @@
         if event == "rollout":
             record(staging.step_of(now, slot.name, fields))
         if event == "fleet member":
-            told = {name: fields[name] for name in TOLD}
-            told.update(t=now, member=slot.name, about=fields["member"])
-            viewed = msgspec.convert(told, rec.ViewReported)
-            rig.views.apply(viewed)
-            record(viewed)
+            reported = {name: fields[name] for name in VIEW_FIELDS}
+            reported.update(t=now, member=slot.name, about=fields["member"])
+            view = msgspec.convert(reported, rec.ViewReported)
+            rig.views.apply(view)
+            record(view)
 
-    def datagram(self, name: str, data: bytes, arrives: bool) -> None:
-        """Take what heads tell each other: of budgets asks as they leave, grants as they come."""
+    def datagram(self, name: str, data: bytes, is_arrival: bool) -> None:
+        """Record datagrams between heads: lease requests when they are sent, grants when they arrive."""
         rig, now = self._rig, self._rig.hub.now()
-        if rig.fleet_day.scoring is not None and not arrives:
+        if rig.fleet_day.scoring is not None and not is_arrival:
             self._tally.passed(now, name, data)
         if data[:1] != MARK:
             return
         try:
-            said = topic_datagrams.decode(FLEET, data)
+            message = topic_datagrams.decode(FLEET, data)
         except topic_datagrams.MalformedDatagram:
             return
-        if isinstance(said, LeaseRequest) and not arrives:
-            rig.recorder.add(shares.asked(now, said))
-        elif isinstance(said, Grant) and arrives:
-            rig.recorder.add(shares.granted(now, said))
+        if isinstance(message, LeaseRequest) and not is_arrival:
+            rig.recorder.add(shares.asked(now, message))
+        elif isinstance(message, Grant) and is_arrival:
+            rig.recorder.add(shares.granted(now, message))
--- a/harriertrack/lab/fleet/rig/nodes.py
+++ b/harriertrack/lab/fleet/rig/nodes.py
@@ -1,4 +1,4 @@
-"""Single nodes that are drained or come back cold on a fleet's day in simulated time."""
+"""Single nodes that are drained, or that restart cold, on a fleet day in simulated time."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 def drain(rig: Rig, part: float, us: int) -> None:
-    """Let a part of the nodes be listed as draining for a time."""
-    struck = rig.struck(part)
-    for shelf in struck:
-        rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.DRAINING)
+    """List a share of the nodes as draining for a time."""
+    drained = rig.struck(part)
+    for node in drained:
+        rig.listing_of(node).set_state(node.settings.name, NodeState.DRAINING)
 
-    def back() -> None:
-        for shelf in struck:
-            if shelf.up:  # what is dark is listed as up when it comes back
-                rig.listing_of(shelf).set_state(shelf.settings.name, NodeState.UP)
+    def end_drain() -> None:
+        for node in drained:
+            if node.up:  # a stopped node is listed as up when it restarts
+                rig.listing_of(node).set_state(node.settings.name, NodeState.UP)
 
-    rig.later(us, back)
+    rig.later(us, end_drain)
 
 
 def come_back_cold(rig: Rig, part: float, us: int) -> None:
-    """Let a part of the nodes go dark at once, and come back cold."""
-    struck = rig.struck(part)
-    for shelf in struck:
-        shelf.stop()
+    """Stop a share of the nodes now, and restart them cold after a time."""
+    stopped = rig.struck(part)
+    for node in stopped:
+        node.stop()
 
-    def back() -> None:
-        for shelf in struck:
-            if not shelf.up:
-                rig.restart_node(shelf)
+    def restart() -> None:
+        for node in stopped:
+            if not node.up:
+                rig.restart_node(node)
 
-    rig.later(us, back)
+    rig.later(us, restart)
--- a/harriertrack/lab/fleet/rig/operating.py
+++ b/harriertrack/lab/fleet/rig/operator_actions.py
@@ -1,4 +1,4 @@
-"""What an operator does on a day: proposes versions, says what becomes of them, waits for the verdict."""
+"""Operator actions on a day: proposing versions, changing their state, waiting for a rollout's verdict."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 if TYPE_CHECKING:
     from harriertrack.lab.fleet.rig.fleet import FleetRig
 
-CALL_US = 10_000_000  # an operator is patient: the witness shares the machine with all that a day starts
-DECIDED_US = 500_000
+CALL_US = 10_000_000  # long, as the witness shares the machine with all processes that a day starts
+POLL_US = 500_000
 
 
 def operator(rig: FleetRig) -> WitnessClient:
-    """Return the operator's way to the witness."""
+    """Return the operator's client of the witness."""
     return WitnessClient(rig.hub, rig.network, rig.witness_address, CALL_US, "operator")
 
 
-def change(rig: FleetRig, step: StepSettings, again: bool = False) -> None:
-    """Propose a version of a thing, or say what becomes of it.
+def change(rig: FleetRig, step: StepSettings, is_retry: bool = False) -> None:
+    """Propose a version of a thing, or change the state of its current one.
 
-    `again`: it may have been taken already, and the answer lost.
+    `is_retry`: an earlier attempt may have been applied already, and its answer lost.
     """
     now_ms, thing = rig.hub.clock.wall() // 1000, step.thing
 
@@ -40,18 +40,19 @@
             return set_state_as_operator(
                 record, thing, VersionState(step.to), "operator", now_ms, "the day says so"
             )
-        holds = record.in_force(thing)
-        base = holds.number if holds is not None else 0
+        in_force = record.in_force(thing)
+        base = in_force.number if in_force is not None else 0
         return propose(record, thing, base, step.body, "operator", now_ms, "the day says so", step.plan,
                        step.although)  # fmt: skip
 
     witness = operator(rig)
-    there = keeping.read(witness).record.versions_of(thing) if again and step.name is Verb.PROPOSE else ()
-    if there and there[-1].body == step.body:
-        last = there[-1]
+    is_repeated_proposal = is_retry and step.name is Verb.PROPOSE
+    known = keeping.read(witness).record.versions_of(thing) if is_repeated_proposal else ()
+    if known and known[-1].body == step.body:
+        last = known[-1]
     else:
-        found = keeping.write(witness, make)
-        last = found.record.in_progress(thing) or found.record.versions_of(thing)[-1]
+        written = keeping.write(witness, make)
+        last = written.record.in_progress(thing) or written.record.versions_of(thing)[-1]
     rig.recorder.add(
         rec.VersionProposed(t=rig.hub.now(), thing=thing, version=last.number, standing=last.standing.value)
     )
@@ -61,26 +62,26 @@
 
 
 def wish_zone(rig: FleetRig, step: StepSettings) -> None:
-    """Wish a zone out or in."""
+    """Set an operator's hold of a zone (out or in)."""
     write_operator_hold(operator(rig), step.zone, step.wish)
 
 
 def await_decided(rig: FleetRig, step: StepSettings) -> None:
     """Wait for the verdict on a thing's newest version, or for a stage, until the step's time is over.
 
-    What is paused for want of evidence goes on, as operators say.
+    Resumes, as an operator would, a rollout that is paused for lack of evidence.
     """
-    until, read, last = rig.hub.now() + step.within_us, 0, None
-    while rig.hub.now() < until:
+    deadline_us, seen_count, last = rig.hub.now() + step.within_us, 0, None
+    while rig.hub.now() < deadline_us:
         records = rig.recorder.records
-        for one in records[read:]:
+        for one in records[seen_count:]:
             if isinstance(one, rec.VersionProposed | rec.RolloutStep) and one.thing == step.thing:
                 if last is None or one.version >= last.version:
                     last = one
-        read = len(records)
+        seen_count = len(records)
         if last is None or staging.there(last, step.stage):
             return
         if staging.lacks_evidence(last):
-            with suppress(ChangeRefused, *FAILURES):  # who decides was first, or it is tried again
+            with suppress(ChangeRefused, *FAILURES):  # the decider was first; or tried again at the next poll
                 change(rig, StepSettings(name=Verb.CHANGE, thing=step.thing, to="going"))
-        rig.hub.sleep(DECIDED_US)
+        rig.hub.sleep(POLL_US)
--- a/harriertrack/lab/fleet/rig/insisting.py
+++ b/harriertrack/lab/fleet/rig/operator_retries.py
@@ -1,4 +1,4 @@
-"""Operators whose word may be refused, and who repeat it while nobody answers them."""
+"""Operators whose commands may be refused, and who repeat them while the witness does not answer."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from harriertrack.lab.fleet.scenario import StepSettings
 from harriertrack.runtime.hub import Hub
 
-AGAIN_US = 300_000
+RETRY_US = 300_000
 
-Act = Callable[[bool], None]  # `again`: the last time may have been heard, and its answer lost
+Act = Callable[[bool], None]  # `is_retry`: an earlier attempt may have been applied, and its answer lost
 
 
-def insist(hub: Hub, step: StepSettings, act: Act) -> None:
-    """Do what an operator does; unless the step says `perhaps` whatever fails is raised."""
+def retry_unanswered(hub: Hub, step: StepSettings, act: Act) -> None:
+    """Run an operator's command; unless the step says `perhaps`, any failure is raised."""
     if not step.perhaps:
         act(False)
         return
-    until, again = hub.now() + step.within_us, False
+    deadline_us, is_retry = hub.now() + step.within_us, False
     while True:
         try:
-            act(again)
+            act(is_retry)
             return
         except (ChangeRefused, IllegalTransition):
             return
         except FAILURES:
-            if hub.now() >= until:
+            if hub.now() >= deadline_us:
                 return
-        again = True
-        hub.sleep(AGAIN_US)
+        is_retry = True
+        hub.sleep(RETRY_US)
--- a/harriertrack/lab/fleet/rig/parties.py
+++ b/harriertrack/lab/fleet/rig/parties.py
@@ -1,4 +1,4 @@
-"""Whom a step means: heads by name, share, lot or the role that they have now, and what is no head."""
+"""The parties of a step: heads by name, share, chance or current role, and parties that are not heads."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 if TYPE_CHECKING:
     from harriertrack.lab.fleet.rig.fleet import FleetRig
 
-OUTSIDE = ("list", "witness")  # parties that are no heads or nodes
+OUTSIDE = ("list", "witness")  # parties that are neither heads nor nodes
 
 
 def heads_of(rig: FleetRig, step: StepSettings) -> list[HeadSlot]:
-    """Return the heads that a step is about."""
+    """Return the heads that a step applies to."""
     names = chosen(step.who, [slot.name for slot in rig.heads])
-    names += [name for word in step.who if word in ROLES for name in _in_role(rig, word)]
+    names += [name for role in step.who if role in ROLES for name in _in_role(rig, role)]
     if step.part < 1.0:
-        names = rig.drawn.sample(names, max(1, round(step.part * len(names))))
+        names = rig.rng.sample(names, max(1, round(step.part * len(names))))
     return [slot for slot in rig.heads if slot.name in names]
 
 
-def _in_role(rig: FleetRig, word: str) -> list[str]:
-    """Return the heads that have a role now, as far as they told."""
-    if word == "decider":
-        return [rig.hearing.decider] if rig.hearing.decider else []
-    if word == "keeper":
-        return sorted({name for ledger, name in rig.hearing.keepers.items() if ledger != DECISION_LOCK})
+def _in_role(rig: FleetRig, role: str) -> list[str]:
+    """Return the heads that currently have a role, as far as their logs and the recording show it."""
+    if role == "decider":
+        return [rig.observer.decider] if rig.observer.decider else []
+    if role == "keeper":
+        return sorted({name for ledger, name in rig.observer.keepers.items() if ledger != DECISION_LOCK})
     steps = [one for one in rig.recorder.records if isinstance(one, rec.RolloutStep) and one.heads]
     new = set(steps[-1].heads if steps else ())
     zones = {slot.zone for slot in rig.heads if slot.name in new}
     return [slot.name for slot in rig.heads
-            if slot.name in new or (word == "new-zone" and slot.zone in zones)]  # fmt: skip
+            if slot.name in new or (role == "new-zone" and slot.zone in zones)]  # fmt: skip
 
 
 def ends_of(rig: FleetRig, step: StepSettings) -> tuple[list[str], list[str]]:
-    """Return the parties between which a fault lies."""
+    """Return the parties on either side of a network fault."""
     heads = [slot.name for slot in rig.heads]
     sources = chosen(step.who, heads)
     if step.part < 1.0:
-        sources = rig.drawn.sample(sources, max(1, round(step.part * len(sources))))
+        sources = rig.rng.sample(sources, max(1, round(step.part * len(sources))))
     targets = chosen(step.other, heads, tuple(sources))
-    for words, found in ((step.who, sources), (step.other, targets)):
-        found += [name for name in words if name in rig.shelves or name in OUTSIDE]
-        if "shelves" in words:
-            found += list(rig.shelves)
+    for selectors, parties in ((step.who, sources), (step.other, targets)):
+        parties += [name for name in selectors if name in rig.shelves or name in OUTSIDE]
+        if "shelves" in selectors:
+            parties += list(rig.shelves)
     return sources, targets
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -1,4 +1,4 @@
-"""Heads of a fleet on one hub in simulated time."""
+"""Fleet heads on one hub in simulated time."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from harriertrack.lab.fleet.later import LaterDatagrams
 from harriertrack.lab.fleet.launched import SimulatedLauncher
 from harriertrack.lab.fleet.rehearsal import Rehearsal, WorseLinks
-from harriertrack.lab.fleet.rig import told
+from harriertrack.lab.fleet.rig import head_settings
 from harriertrack.lab.fleet.rig.fleet import LAUNCH, LOOK_US, SEEDS, FleetRig
-from harriertrack.lab.fleet.rig.reached import Reached
+from harriertrack.lab.fleet.rig.partitioned_network import PartitionedNetwork
 from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings
 from harriertrack.lab.fleet.weights import PLUGIN, LyingDatagrams
 from harriertrack.lab.rig import REGIONS, HeadSlot
@@ -34,27 +34,27 @@
 
 
 class SimulatedFleet(FleetRig):
-    """Heads on one hub in simulated time."""
+    """Fleet heads on one hub in simulated time."""
 
     def __init__(self, hub: Hub, network: Network, day: FleetDaySettings, heads: int, seed: int,
                  recorder: rec.Recorder, state_dir: str | None = None,
                  fleet: bool = True) -> None:  # fmt: skip
         super().__init__(hub, network, day, heads, seed, recorder, state_dir, fleet)
-        self.datagrams = MemoryDatagrams(hub, self.faults.weather.draw_delays)
-        self.datagrams.tap = self.hearing.datagram
+        self.datagrams = MemoryDatagrams(hub, self.faults.network_faults.draw_delays)
+        self.datagrams.tap = self.observer.datagram
         self.witness = Witness(hub, network)
         self._listings = {name: self.new_listing() for name in REGIONS} if day.regions else {}
-        self._kept = b""
-        self._later: set[str] = set()
-        self._bad: dict[str, Rehearsal] = {}  # what runs at heads whose version is worse
+        self._witness_backup = b""
+        self._later_version: set[str] = set()  # heads that run a later program version
+        self._rehearsals: dict[str, Rehearsal] = {}  # by head, where its version is worse
         self._launchers: dict[str, SimulatedLauncher] = {}
         self._launching: dict[str, Task] = {}
-        self._disks: dict[str, SavedState] = {}  # what launchers keep
-        self._changes: dict[str, ChangesCache] = {}  # what each head keeps of the record of changes
-        self._still_until: dict[str, int] = {}
+        self._disks: dict[str, SavedState] = {}  # the state that launchers save
+        self._changes: dict[str, ChangesCache] = {}  # each head's cached record of changes
+        self._suspended_until_us: dict[str, int] = {}
 
     def build(self) -> None:
-        """Start the nodes and the list, and make places for the heads."""
+        """Start the nodes and the list service, and create slots for the heads."""
         day = self.day
         for listing in self._listings.values() or [self.listing]:
             listing.start(self.scope)
@@ -67,11 +67,11 @@
 
     @property
     def witness_address(self) -> tuple[str, int]:
-        """Return where operators find the witness."""
+        """Return the witness's address for operators."""
         return self.witness.address
 
     def fleet_of(self, name: str) -> FleetSettings | None:
-        """Return what a head is told of its fleet."""
+        """Return a head's fleet settings."""
         if not self.with_fleet:
             return None
         day, number = self.fleet_day, int(name.removeprefix("head"))
@@ -81,45 +81,46 @@
         )
         return FleetSettings(
             name=name, listen=("127.0.0.1", FIRST_PORT + number), seeds=seeds,
-            budgets=told.budgets_of(day, self.witness_of(name)), zones=told.zones_of(day, name),
-            changes=day.changes, closing=day.closing, scoring=told.scoring_of(day),
-            **told.figures(day),  # type: ignore[arg-type]
+            budgets=head_settings.budgets_of(day, self.witness_of(name)),
+            zones=head_settings.zones_of(day, name),
+            changes=day.changes, closing=day.closing, scoring=head_settings.scoring_of(day),
+            **head_settings.figures(day),  # type: ignore[arg-type]
         )  # fmt: skip
 
     def listing_at(self, name: str) -> ListService:
-        """Return the list service of a head or node."""
+        """Return the list service of a head's or node's region."""
         return self._listings[regions.region_of(name)] if self._listings else self.listing
 
     def witness_of(self, name: str) -> tuple[str, int]:
-        """Return where a head finds the witness; on days of two regions through a relay."""
+        """Return the address at which a head reaches the witness: on days of two regions, a relay's."""
         if not self.fleet_day.regions or not self.with_fleet:
             return self.witness.address
-        return self.streams.between(name, "witness", self.witness.address, self.scope)
+        return self.streams.route(name, "witness", self.witness.address, self.scope)
 
     def wiring(self, slot: HeadSlot) -> Wiring:
-        """Return what a head is made of."""
+        """Return the dependencies that a head runs with."""
         datagrams: DatagramNetwork = self.datagrams
-        if slot.name in self._later:
+        if slot.name in self._later_version:
             datagrams = LaterDatagrams(datagrams)
-        if self.lies(slot):
+        if self.is_liar(slot):
             datagrams = LyingDatagrams(datagrams)
-        kept = self._changes.setdefault(slot.name, ChangesCache(None))
+        cache = self._changes.setdefault(slot.name, ChangesCache(None))
         wall = self.markets.wall_of(slot) if self.markets is not None else None
-        made = Wiring(datagrams=datagrams, changes_cache=kept, wall=wall, scorers=(PLUGIN,),
-                      handover=self._launchers.get(slot.name))  # fmt: skip
-        bad = self._bad.get(slot.name)
-        return replace(made, links=partial(WorseLinks, rehearsal=bad)) if bad is not None else made
+        wiring = Wiring(datagrams=datagrams, changes_cache=cache, wall=wall, scorers=(PLUGIN,),
+                        handover=self._launchers.get(slot.name))  # fmt: skip
+        worse = self._rehearsals.get(slot.name)
+        return replace(wiring, links=partial(WorseLinks, rehearsal=worse)) if worse is not None else wiring
 
     def note_of(self, slot: HeadSlot) -> Callable[..., None]:
-        """Return what hears a head's log."""
-        return lambda event, **fields: self.hearing.log_line(slot, event, fields)
+        """Return the function that receives a head's log lines."""
+        return lambda event, **fields: self.observer.log_line(slot, event, fields)
 
-    def launched(self, slot: HeadSlot) -> bool:
-        """Whether a launcher is at work for a head."""
+    def has_launcher(self, slot: HeadSlot) -> bool:
+        """Whether a launcher runs for a head."""
         return slot.name in self._launching
 
     def launch(self, slot: HeadSlot, step: StepSettings) -> None:
-        """Start a head; one that still leaves is awaited, for it holds its addresses."""
+        """Start a head, after its previous instance has terminated, which still holds its addresses."""
         while slot.task is not None and not slot.task.done:
             self.hub.sleep(LOOK_US)
         self.record_lifecycle(slot, "started")
@@ -127,14 +128,14 @@
             self._changes.pop(slot.name, None)
         if self.markets is not None:
             self.markets.set_clock(slot, step)
-        (self._later.add if step.later else self._later.discard)(slot.name)
-        slot.settings = told.at_start(self.fleet_day, slot.settings, step)
+        (self._later_version.add if step.later else self._later_version.discard)(slot.name)
+        slot.settings = head_settings.settings_at_start(self.fleet_day, slot.settings, step)
         if not self.fleet_day.launched:
             self.start_head(slot)
             return
         launcher = SimulatedLauncher(
             self, slot, LAUNCH, self._disks.get(slot.name, SavedState()),
-            lambda kept: self._disks.__setitem__(slot.name, kept),
+            lambda state: self._disks.__setitem__(slot.name, state),
         )  # fmt: skip
         self._launchers[slot.name] = launcher
         slot.head = slot.task = None
@@ -144,130 +145,130 @@
         slot.head.ready.wait()
 
     def start_child(self, slot: HeadSlot, rehearsal: Rehearsal) -> None:
-        """Start a head of a version; it serves when this returns, unless it is mute."""
+        """Start a head of a version; it serves when this returns, unless the rehearsal keeps it from that."""
         if slot.name not in self.views.alive:
             self.record_lifecycle(slot, "started")
         if rehearsal.class_name:
-            self._bad[slot.name] = rehearsal
+            self._rehearsals[slot.name] = rehearsal
         else:
-            self._bad.pop(slot.name, None)
+            self._rehearsals.pop(slot.name, None)
         self.start_head(slot)
 
     def crash(self, slot: HeadSlot) -> None:
-        """A head ends by itself."""
+        """Simulate the crash of a head."""
         self.record_lifecycle(slot, "killed")
         self.kill_head(slot)
 
     def kill(self, slot: HeadSlot) -> None:
-        """End a head at once; one that stands still, when it goes on: its tasks can't be ended before."""
-        self.hub.sleep_until(self._still_until.get(slot.name, 0))
+        """Kill a head immediately; a suspended one when it resumes, as its tasks can't be ended before."""
+        self.hub.sleep_until(self._suspended_until_us.get(slot.name, 0))
         if (launching := self._launching.pop(slot.name, None)) is not None:
             launching.cancel()
         self.record_lifecycle(slot, "killed")
         self.kill_head(slot)
 
-    def stand(self, slot: HeadSlot, us: int) -> None:
-        """Let a head stand still for a time."""
+    def suspend(self, slot: HeadSlot, us: int) -> None:
+        """Suspend a head for a time, and record it."""
         self.record_lifecycle(slot, "stopped")
         self.recorder.add(rec.HeadPaused(t=self.hub.now(), head=slot.name, us=us))
-        self.pause(slot, us)
+        self.pause_unrecorded(slot, us)
         self.later(
             us, lambda: self.record_lifecycle(slot, "went-on") if slot.name in self.views.alive else None
         )
 
-    def pause(self, slot: HeadSlot, us: int) -> None:
-        """Let a head stand still for a moment that nobody need hear of."""
-        self._still_until[slot.name] = self.hub.now() + us
+    def pause_unrecorded(self, slot: HeadSlot, us: int) -> None:
+        """Suspend a head briefly, without a lifecycle record."""
+        self._suspended_until_us[slot.name] = self.hub.now() + us
         self.hub.freeze(slot.head, us)
 
     def leave(self, slot: HeadSlot) -> None:
-        """Ask a head to end; its launcher ends with it, and starts none in its place."""
+        """Ask a head to terminate; its launcher ends with it and does not restart it."""
         if (launching := self._launching.pop(slot.name, None)) is not None:
             launching.cancel()
         self.end_child(slot)
 
     def end_child(self, slot: HeadSlot) -> None:
-        """Ask a head to end."""
+        """Ask a head to terminate."""
         assert slot.head is not None
         for connection in slot.connections:
             connection.address = None
         slot.head.stop()
 
-    def cut_zone(self, zone: str, who: list[HeadSlot], us: int) -> None:
-        """Let a zone's machines go silent, and come back cold; or for some heads only, be out of reach."""
-        struck = self.in_zone(zone)
-        if len(who) == len(self.heads):
-            for shelf in struck:
-                if shelf.up:
-                    shelf.stop(silent=True)
+    def cut_zone(self, zone: str, slots: list[HeadSlot], us: int) -> None:
+        """Stop a zone's nodes silently and restart them cold; or cut some heads off from its nodes."""
+        nodes = self.in_zone(zone)
+        if len(slots) == len(self.heads):
+            for node in nodes:
+                if node.up:
+                    node.stop(silent=True)
 
-            def back() -> None:
-                for shelf in struck:
-                    if not shelf.up:
-                        self.restart_node(shelf)
+            def restart() -> None:
+                for node in nodes:
+                    if not node.up:
+                        self.restart_node(node)
 
-            self.later(us, back)
+            self.later(us, restart)
             return
-        names = frozenset(slot.name for slot in who)
-        self.faults.strike(NetworkFault(names, frozenset(one.settings.name for one in struck), cut=True), us)
+        names = frozenset(slot.name for slot in slots)
+        self.faults.begin(NetworkFault(names, frozenset(one.settings.name for one in nodes), cut=True), us)
 
     def network_of(self, slot: HeadSlot) -> Network:
-        """Return what a head's streams go over: it may be cut off from the witness."""
-        return Reached(
+        """Return the network for a head's streams, which may be cut off from the witness."""
+        return PartitionedNetwork(
             self.hub, self.network,
-            lambda address: address == self.witness.address and self._apart(slot.name, "witness"),
+            lambda address: address == self.witness.address and self._is_cut(slot.name, "witness"),
         )  # fmt: skip
 
-    def _apart(self, head: str, party: str) -> bool:
-        """Whether no stream comes about, or goes on, between two: what passes one way alone is none."""
-        weather = self.faults.weather
-        return bool(len(weather)) and (weather.is_cut(head, party) or weather.is_cut(party, head))
+    def _is_cut(self, head: str, party: str) -> bool:
+        """Whether streams between two parties fail: a cut in either direction suffices."""
+        faults = self.faults.network_faults
+        return bool(len(faults)) and (faults.is_cut(head, party) or faults.is_cut(party, head))
 
-    def weather_changed(self) -> None:
-        """Let streams follow the faults in force, and nodes from whom they are cut off."""
-        super().weather_changed()
+    def apply_network_faults(self) -> None:
+        """Apply the active faults to streams, and set at each node the heads that it is cut off from."""
+        super().apply_network_faults()
         for name, shelf in self.shelves.items():
-            apart = frozenset(slot.head.head_id for slot in self.heads
-                              if slot.head is not None and self._apart(slot.name, name))  # fmt: skip
-            if apart != shelf.faults.cut_off:
-                shelf.faults = replace(shelf.faults, cut_off=apart)
+            cut_off = frozenset(slot.head.head_id for slot in self.heads
+                                if slot.head is not None and self._is_cut(slot.name, name))  # fmt: skip
+            if cut_off != shelf.faults.cut_off:
+                shelf.faults = replace(shelf.faults, cut_off=cut_off)
                 shelf.resume()
 
     def start_head(self, slot: HeadSlot) -> None:
-        """Start a head with nothing but what it kept on disk, and let others find it."""
+        """Start a head with only its state on disk, and make it reachable for others."""
         super().start_head(slot)
         if self.fleet_day.regions and slot.head is not None:
             regions.reach(self, slot.name, slot.head.address)
-        if len(self.faults.weather):
-            self.weather_changed()
+        if len(self.faults.network_faults):
+            self.apply_network_faults()
 
-    def zone_slow(self, zone: str, times: float, us: int) -> None:
-        """Let a zone's nodes work slower for a time."""
-        self._faulty(self.in_zone(zone), us, slow=times)
+    def slow_zone(self, zone: str, times: float, us: int) -> None:
+        """Slow a zone's nodes down for a time."""
+        self._add_node_faults(self.in_zone(zone), us, slow=times)
 
-    def _faulty(self, struck: list[NodeServer], us: int, **faults: object) -> None:
-        self.lasts(us)
-        self.scope.spawn("nodes at fault", partial(for_a_while, self, struck, us, **faults))
+    def _add_node_faults(self, nodes: list[NodeServer], us: int, **faults: object) -> None:
+        self.extend_fault_time(us)
+        self.scope.spawn("nodes at fault", partial(for_a_while, self, nodes, us, **faults))
 
-    def backup(self) -> None:
-        """Keep aside what the witness knows."""
-        self._kept = self.witness.backup()
+    def back_up_witness(self) -> None:
+        """Save a backup of the witness's state."""
+        self._witness_backup = self.witness.backup()
 
-    def dark(self, us: int, old: bool) -> None:
-        """Take the witness away for a time; `old`: it comes back as of the backup."""
+    def take_witness_down(self, us: int, old: bool) -> None:
+        """Stop the witness for a time; `old`: it restarts with the backup's state."""
         self.witness.down = True
 
-        def back() -> None:
+        def restart() -> None:
             self.witness.down = False
-            if old and self._kept:
-                self.witness.restore(self._kept)
+            if old and self._witness_backup:
+                self.witness.restore(self._witness_backup)
 
-        self.later(us, back)
+        self.later(us, restart)
 
 
 def simulate(day: FleetDaySettings, heads: int, seed: int, recorder: rec.Recorder,
              fleet: bool = True) -> FleetRig:  # fmt: skip
-    """Play a fleet's day in simulated time; all is in the recorder then."""
+    """Run a fleet day in simulated time; the recorder holds the result."""
     hub = Hub.virtual(seed)
     rig = SimulatedFleet(hub, MemoryNetwork(hub), day, heads, seed, recorder, None, fleet)
     hub.run(rig.run)
--- a/harriertrack/lab/fleet/rig/streams.py
+++ b/harriertrack/lab/fleet/rig/streams.py
@@ -1,4 +1,4 @@
-"""Relays of streams from heads to other parties: nodes, the list, the witness, a head of the other region."""
+"""Stream relays between heads and other parties: nodes, the list, the witness, a head of the other region."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 from harriertrack.standin.link import Direction, Link
 from harriertrack.standin.relay import NetworkFaults
 
-NOWHERE = ("127.0.0.1", 1)
+UNREACHABLE = ("127.0.0.1", 1)
 
 
-class Streams:
-    """Those of one rig, by head and other party."""
+class StreamRelays:
+    """The relays of one rig, by head and other party."""
 
     def __init__(self, hub: Hub, network: Network) -> None:
         self._hub, self._network = hub, network
         self._links: dict[tuple[str, str], Link] = {}
 
     def link(self, head: str, party: str, scope: Scope) -> Link:
-        """Return the relay from a head to a party; one that is new leads nowhere yet."""
+        """Return the relay from a head to a party; a new one has no reachable target yet."""
         link = self._links.get((head, party))
         if link is None:
-            link = Link(self._hub, self._network, NOWHERE, Direction(delay_us=0), Direction(delay_us=0))
+            link = Link(self._hub, self._network, UNREACHABLE, Direction(delay_us=0), Direction(delay_us=0))
             link.start(scope)
             self._links[head, party] = link
         return link
 
-    def between(self, head: str, party: str, address: tuple[str, int], scope: Scope) -> tuple[str, int]:
-        """Let the relay from a head to a party lead to an address; return where the head finds it."""
+    def route(self, head: str, party: str, address: tuple[str, int], scope: Scope) -> tuple[str, int]:
+        """Point the relay from a head to a party at an address; return the address that the head uses."""
         link = self.link(head, party, scope)
         link.set_target(address)
         return link.address
 
-    def follow(self, weather: NetworkFaults, nodes: Collection[str]) -> None:
-        """Take what is cut or slow, or is not any more; TCP mends the rest.
+    def apply(self, network_faults: NetworkFaults, nodes: Collection[str]) -> None:
+        """Apply the active cuts and delays to all relays; TCP retransmits after a cut.
 
-        Connections to nodes break where a cut ends: what lay in them would arrive as late as it was long, and
-        no recording could tell it from what was sent so late.
+        Connections to nodes are closed when a cut ends: bytes buffered in them would arrive as late as the
+        cut was long, and a recording could not distinguish them from bytes that were sent that late.
         """
         for (head, party), link in self._links.items():
-            if party in nodes and self._was_cut(link) and not _cut(weather, head, party):
+            if party in nodes and self._was_cut(link) and not _is_cut(network_faults, head, party):
                 link.set_cut(True)
                 link.set_cut(False)
-            for way, source, target in ((link.forward, head, party), (link.backward, party, head)):
-                way.blocked = weather.is_cut(source, target)
-                way.delay_us = weather.added_delay_us(source, target)
+            for direction, source, target in ((link.forward, head, party), (link.backward, party, head)):
+                direction.blocked = network_faults.is_cut(source, target)
+                direction.delay_us = network_faults.added_delay_us(source, target)
             link.notify_changed()
 
     @staticmethod
@@ -54,5 +54,5 @@
         return link.forward.blocked or link.backward.blocked
 
 
-def _cut(weather: NetworkFaults, head: str, party: str) -> bool:
-    return weather.is_cut(head, party) or weather.is_cut(party, head)
+def _is_cut(network_faults: NetworkFaults, head: str, party: str) -> bool:
+    return network_faults.is_cut(head, party) or network_faults.is_cut(party, head)
