--- a/harriertrack/lab/fleet/processes/launchers.py
+++ b/harriertrack/lab/fleet/processes/launchers.py
@@ -1,4 +1,4 @@
-"""Heads that run below launchers, which change their programs."""
+"""Heads that run below launchers, which replace their programs."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from harriertrack.config.formatting import format_settings
 from harriertrack.config.rollout import LaunchSettings
-from harriertrack.lab.fleet.processes.waits import READY_US
+from harriertrack.lab.fleet.processes.timeouts import READY_US
 from harriertrack.lab.fleet.rig import LAUNCH
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
@@ -18,17 +18,17 @@
 def start(rig: ProcessFleet, slot: HeadSlot) -> None:
     """Start a head below a launcher."""
     name, path = slot.name, rig.path(f"{slot.name}.launch.sexp")
-    told = LaunchSettings(
+    settings = LaunchSettings(
         name=name, head=str(rig.path(f"{name}.sexp")), state=str(rig.path(f"{name}.launch")),
         arguments=("--log", "json"), ready_us=READY_US, prove_us=LAUNCH.prove_us,
         drain_us=LAUNCH.drain_us,
     )  # fmt: skip
-    path.write_text(format_settings("launch", told))
+    path.write_text(format_settings("launch", settings))
     rig.start_process(name, ["launch", str(path)], group=True)
 
 
-def heard(rig: ProcessFleet, slot: HeadSlot, event: str, line: dict[str, object]) -> None:
-    """Follow what a launcher does with its head, by a line of its log."""
+def handle_log_line(rig: ProcessFleet, slot: HeadSlot, event: str, line: dict[str, object]) -> None:
+    """Record what a launcher does with its head, from a line of the launcher's log."""
     now, record = rig.hub.now(), rig.recorder.add
     if event == "launch: head is to end" and not line["at_once"]:
         record(rec.HeadHandover(t=now, head=slot.name, away=True, version=int(str(line["next"]))))
--- a/harriertrack/lab/fleet/processes/logs.py
+++ b/harriertrack/lab/fleet/processes/logs.py
@@ -1,4 +1,4 @@
-"""The logs of heads as they are written: what becomes of heads, and what they tell."""
+"""Reads the logs of heads while they are written, and records what they report."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Logs:
-    """Those of one rig's heads."""
+    """The logs of one rig's heads."""
 
     def __init__(self, rig: ProcessFleet) -> None:
         self._rig = rig
-        self._leaving: list[tuple[HeadSlot, Process]] = []
+        self._terminating: list[tuple[HeadSlot, Process]] = []
 
     def follow(self) -> None:
-        """Read what heads tell (a task). Raises FleetProcessError: one ended by itself."""
+        """Read the logs of all heads (a task). Raises FleetProcessError if a head ended unexpectedly."""
         rig = self._rig
         while True:
             for slot in rig.heads:
@@ -30,28 +30,28 @@
                 process = rig.children.running.get(slot.name)
                 if process is not None and process.ended:
                     raise FleetProcessError(f"{slot.name} ended by itself; see {process.log}")
-            for slot, process in list(self._leaving):
+            for slot, process in list(self._terminating):
                 if process.ended:
-                    self._leaving.remove((slot, process))
-                    self._take(slot, process)
+                    self._terminating.remove((slot, process))
+                    self._record_lines(slot, process)
                     rig.recorder.add(rec.HeadLifecycle(t=rig.hub.now(), head=slot.name, number=0, up=False))
             rig.hub.sleep(LOOK_US)
 
     def read(self, slot: HeadSlot) -> None:
-        """Take what a running head told since the last time."""
+        """Record what a running head has logged since the last call."""
         process = self._rig.children.running.get(slot.name)
         if process is not None:
-            self._take(slot, process)
+            self._record_lines(slot, process)
 
-    def leaves(self, slot: HeadSlot, process: Process) -> None:
-        """Read on until a head has ended that was asked to."""
-        self._leaving.append((slot, process))
+    def await_end(self, slot: HeadSlot, process: Process) -> None:
+        """Keep reading the log of a head that was asked to terminate, until it has ended."""
+        self._terminating.append((slot, process))
 
-    def still_leaves(self, slot: HeadSlot) -> bool:
-        """Whether a process of a head that was asked to end still runs."""
-        return any(one is slot for one, _ in self._leaving)
+    def is_terminating(self, slot: HeadSlot) -> bool:
+        """Whether a process of a head that was asked to terminate still runs."""
+        return any(one is slot for one, _ in self._terminating)
 
-    def _take(self, slot: HeadSlot, process: Process) -> None:
+    def _record_lines(self, slot: HeadSlot, process: Process) -> None:
         rig = self._rig
         for line in process.lines():
             event = str(line.get("event", ""))
@@ -59,5 +59,5 @@
                 number = int(str(line["head"]), 16)
                 rig.recorder.add(rec.HeadLifecycle(t=rig.hub.now(), head=slot.name, number=number, up=True))
             if event.startswith("launch: "):
-                launchers.heard(rig, slot, event, line)
+                launchers.handle_log_line(rig, slot, event, line)
             rig.observer.log_line(slot, event, line)
--- a/harriertrack/lab/fleet/processes/places.py
+++ b/harriertrack/lab/fleet/processes/loopback_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses for the processes of one rig."""
+"""Loopback addresses for the processes of one rig."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class LoopbackAddresses:
-    """Addresses of one rig: an address of the loopback range that is its process's own, and ports in turn.
+    """Assigns consecutive ports at one loopback address, which is derived from this process's id.
 
-    Ports that were merely free a moment ago may be taken by another rig, or by any connection that leaves
-    from this machine; nobody else listens at, or leaves from, this address.
+    A port that was merely free a moment ago may be taken by another rig, or by any outgoing connection of
+    this machine; nothing else listens at, or connects from, this address.
     """
 
     def __init__(self) -> None:
@@ -20,6 +20,6 @@
         self._port = FIRST_PORT
 
     def next(self) -> tuple[str, int]:
-        """Return the next address."""
+        """Return the next unused address."""
         self._port += 1
         return self.host, self._port
--- a/harriertrack/lab/fleet/processes/machine.py
+++ b/harriertrack/lab/fleet/processes/machine.py
@@ -1,7 +1,7 @@
-"""What the machine keeps from heads: a processor, while it runs other processes.
+"""Records when the machine had no processor for a head because it ran other processes.
 
-A head that is ready to run and is not run does nothing, as one that stands still; the kernel counts for how
-long. The rig's own loop is looked at by the rig itself (`lab/rig.py`).
+A head that is runnable without a processor makes no progress, like a suspended one; the kernel counts for how
+long. The rig watches its own event loop itself (`lab/rig.py`).
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
     from harriertrack.lab.fleet.processes.fleet import ProcessFleet
 
 
-def find_stall(before: int, now: int, waited_us: int) -> tuple[int, int] | None:
-    """Return since when and for how long a process stood still that waited so long between two looks.
+def find_stall(previous_us: int, now: int, waited_us: int) -> tuple[int, int] | None:
+    """Return the start and duration of a process's stall, if it waited that long between two samples.
 
-    A wait is counted when it ends: it may have begun before the last look. What waited less than half of the
-    time, or only for a moment, did run.
+    The kernel counts a wait when it ends, so it may have begun before the previous sample. A process that
+    waited for less than half of the time, or only briefly, counts as running.
     """
-    if waited_us < LATE_US or 2 * waited_us < now - before:
+    if waited_us < LATE_US or 2 * waited_us < now - previous_us:
         return None
-    since = min(before, now - waited_us)
-    return since, now - since
+    started_us = min(previous_us, now - waited_us)
+    return started_us, now - started_us
 
 
 class Machine:
-    """The machine below one rig's heads."""
+    """The machine that runs one rig's heads."""
 
     def __init__(self, rig: ProcessFleet) -> None:
         self._rig = rig
 
     def watch(self) -> None:
-        """Record when heads had no processor (a task)."""
+        """Record stalls of heads that had no processor (a task)."""
         rig, hub = self._rig, self._rig.hub
-        known: dict[Process, int] = {}
-        before = hub.now()
+        previous_waits: dict[Process, int] = {}
+        previous_us = hub.now()
         while True:
             hub.sleep(WATCH_US)
-            now, seen = hub.now(), {}
+            now, waits = hub.now(), {}
             for slot in rig.heads:
                 process = rig.children.running.get(slot.name)
                 if process is None:
                     continue
-                seen[process] = waited = process.waited_us
-                found = find_stall(before, now, waited - known.get(process, waited))
-                if found is not None:
-                    rig.recorder.add(rec.HeadPaused(t=found[0], head=slot.name, us=found[1]))
-            known, before = seen, now
+                waits[process] = waited = process.waited_us
+                stall = find_stall(previous_us, now, waited - previous_waits.get(process, waited))
+                if stall is not None:
+                    rig.recorder.add(rec.HeadPaused(t=stall[0], head=slot.name, us=stall[1]))
+            previous_waits, previous_us = waits, now
--- a/harriertrack/lab/fleet/processes/nodes.py
+++ b/harriertrack/lab/fleet/processes/nodes.py
@@ -13,7 +13,7 @@
 
 
 class ShelfProcess:
-    """One, as far as the rig knows nodes."""
+    """A node process, with the interface by which the rig uses node servers."""
 
     def __init__(self, rig: ProcessFleet, settings: NodeStandInSettings) -> None:
         self._rig, self.settings = rig, settings
@@ -21,7 +21,7 @@
         self._process: Process | None = None
 
     def start(self, _scope: object, _cold: bool = False) -> None:
-        """Come up."""
+        """Start the process."""
         rig, name = self._rig, self.settings.name
         path = rig.path(f"{name}.sexp")
         path.write_text(format_settings("shelf", self.settings))
@@ -29,6 +29,6 @@
         self._process = rig.start_process(name, arguments)
 
     def await_listening(self) -> None:
-        """Wait until it takes connections."""
+        """Wait until it accepts connections."""
         assert self._process is not None
         self._rig.await_listening(self._process, self.address)
--- a/harriertrack/lab/fleet/processes/witness.py
+++ b/harriertrack/lab/fleet/processes/witness.py
@@ -1,4 +1,4 @@
-"""The witness of a fleet of processes: its life, and its state that is kept aside."""
+"""The witness as a process: start, outages, and the backup of its state."""
 
 from __future__ import annotations
 
@@ -13,49 +13,49 @@
 
 
 class WitnessProcess:
-    """One rig's."""
+    """The witness of one rig."""
 
     def __init__(self, rig: ProcessFleet, address: tuple[str, int]) -> None:
         self._rig, self.address = rig, address
-        self._state, self._aside = rig.path("witness.state"), rig.path("witness.backup")
+        self._state, self._backup = rig.path("witness.state"), rig.path("witness.backup")
         self._process: Process | None = None
-        self._listens = False
+        self._is_listening = False
 
     def start(self) -> None:
-        """Come up with what is known on disk."""
+        """Start with the state on disk."""
         host, port = self.address
         arguments = ["standin", "witness", "--listen", f"{host}:{port}", "--state", str(self._state)]
         self._process = self._rig.start_process("witness", arguments)
 
     def await_listening(self) -> None:
-        """Wait until it takes connections."""
+        """Wait until it accepts connections."""
         assert self._process is not None
         self._rig.await_listening(self._process, self.address)
-        self._listens = True
+        self._is_listening = True
 
     def backup(self) -> None:
-        """Keep aside what it knows."""
-        shutil.copy(self._state, self._aside)
+        """Save a backup of its state."""
+        shutil.copy(self._state, self._backup)
 
-    def await_back(self) -> None:
-        """Wait until it is there, if it is on its way."""
-        while not self._listens:
+    def await_restart(self) -> None:
+        """Wait until it listens, if it is restarting."""
+        while not self._is_listening:
             self._rig.hub.sleep(LOOK_US)
 
-    def dark(self, us: int, old: bool) -> None:
-        """Go away for a time; `old`: come back as of the backup.
+    def take_down(self, us: int, old: bool) -> None:
+        """Stop it for a time; `old`: it restarts with the backup's state.
 
-        One that still comes back from the dark before is awaited: a busy machine takes seconds to start it.
+        Waits first if it still restarts after an earlier outage: a busy machine takes seconds to start it.
         """
         rig = self._rig
-        self.await_back()
-        self._listens = False
+        self.await_restart()
+        self._is_listening = False
         rig.children.running.pop("witness").end()
 
-        def back() -> None:
+        def restart() -> None:
             if old:
-                shutil.copy(self._aside, self._state)
+                shutil.copy(self._backup, self._state)
             self.start()
             rig.scope.spawn("witness", self.await_listening)
 
-        rig.later(us, back)
+        rig.later(us, restart)
--- a/harriertrack/lab/fleet/rig/operator_actions.py
+++ b/harriertrack/lab/fleet/rig/operator_actions.py
@@ -46,8 +46,7 @@
                        step.although)  # fmt: skip
 
     witness = operator(rig)
-    is_repeated_proposal = is_retry and step.name is Verb.PROPOSE
-    known = keeping.read(witness).record.versions_of(thing) if is_repeated_proposal else ()
+    known = keeping.read(witness).record.versions_of(thing) if is_retry and step.name is Verb.PROPOSE else ()
     if known and known[-1].body == step.body:
         last = known[-1]
     else:
--- a/harriertrack/lab/fleet/rig/partitioned_network.py
+++ b/harriertrack/lab/fleet/rig/partitioned_network.py
@@ -7,7 +7,7 @@
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import Listener, Network, Stream
 
-DEFAULT_CONNECT_TIMEOUT_US = 30_000_000  # for callers without a deadline
+CONNECT_TIMEOUT_US = 30_000_000  # for callers without a deadline
 
 
 class PartitionedNetwork:
@@ -26,8 +26,7 @@
         Raises OSError if refused, DeadlineExceeded at the deadline (microseconds).
         """
         if self._is_cut(address):
-            timeout_at_us = deadline if deadline is not None else self._hub.now() + DEFAULT_CONNECT_TIMEOUT_US
-            self._hub.sleep_until(timeout_at_us)
+            self._hub.sleep_until(deadline if deadline is not None else self._hub.now() + CONNECT_TIMEOUT_US)
             raise DeadlineExceeded()
         return self._network.connect(address, deadline, name)
 
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -106,10 +106,10 @@
             datagrams = LyingDatagrams(datagrams)
         cache = self._changes.setdefault(slot.name, ChangesCache(None))
         wall = self.markets.wall_of(slot) if self.markets is not None else None
-        wiring = Wiring(datagrams=datagrams, changes_cache=cache, wall=wall, scorers=(PLUGIN,),
-                        handover=self._launchers.get(slot.name))  # fmt: skip
+        full = Wiring(datagrams=datagrams, changes_cache=cache, wall=wall, scorers=(PLUGIN,),
+                      handover=self._launchers.get(slot.name))  # fmt: skip
         worse = self._rehearsals.get(slot.name)
-        return replace(wiring, links=partial(WorseLinks, rehearsal=worse)) if worse is not None else wiring
+        return replace(full, links=partial(WorseLinks, rehearsal=worse)) if worse is not None else full
 
     def note_of(self, slot: HeadSlot) -> Callable[..., None]:
         """Return the function that receives a head's log lines."""
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -142,12 +142,12 @@
 def moved(rig, name, party):
     """Write settings of a head that listens to its fleet elsewhere, behind a relay of its own."""
     (slot,) = [slot for slot in rig.heads if slot.name == name]
-    inner = rig.places.next()
+    inner = rig.addresses.next()
     fleet_ = msgspec.structs.replace(
         slot.settings.fleet, listen=inner, advertise=rig.relay.add_member(party, inner)
     )
     settings = msgspec.structs.replace(
-        slot.settings, fleet=fleet_, listen=rig.places.next(), state_dir=str(rig.path(party))
+        slot.settings, fleet=fleet_, listen=rig.addresses.next(), state_dir=str(rig.path(party))
     )
     rig.path(f"{party}.sexp").write_text(format_settings("head", settings))
     return slot
