--- a/harriertrack/lab/fleet/rig/reached.py
+++ b/harriertrack/lab/fleet/rig/partitioned_network.py
@@ -1,4 +1,4 @@
-"""What a simulated head reaches over streams: a network from which one address can be cut off."""
+"""A simulated head's stream network, from which single addresses can be cut off."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from harriertrack.runtime.hub import DeadlineExceeded, Hub
 from harriertrack.runtime.streams import Listener, Network, Stream
 
-GIVES_UP_US = 30_000_000  # who sets no deadline
+CONNECT_TIMEOUT_US = 30_000_000  # for callers without a deadline
 
 
-class Reached:
-    """One head's network; while `cut` says so of an address, nobody answers there.
+class PartitionedNetwork:
+    """One head's network; connections to an address time out while `is_cut` returns true for it.
 
-    A stream that is open goes on: calls to the witness have one each and take a millisecond. Nodes are cut
-    off by themselves (`Faults.cut_off`).
+    Streams that are open already continue: each call to the witness has its own and takes a millisecond.
+    Nodes cut heads off by themselves (`Faults.cut_off`).
     """
 
-    def __init__(self, hub: Hub, network: Network, cut: Callable[[tuple[str, int]], bool]) -> None:
-        self._hub, self._network, self._cut = hub, network, cut
+    def __init__(self, hub: Hub, network: Network, is_cut: Callable[[tuple[str, int]], bool]) -> None:
+        self._hub, self._network, self._is_cut = hub, network, is_cut
 
     def connect(self, address: tuple[str, int], deadline: int | None = None, name: str = "") -> Stream:
-        """Open a stream; `name` says who calls.
+        """Open a stream; `name` identifies the caller.
 
         Raises OSError if refused, DeadlineExceeded at the deadline (microseconds).
         """
-        if self._cut(address):
-            self._hub.sleep_until(deadline if deadline is not None else self._hub.now() + GIVES_UP_US)
+        if self._is_cut(address):
+            self._hub.sleep_until(deadline if deadline is not None else self._hub.now() + CONNECT_TIMEOUT_US)
             raise DeadlineExceeded()
         return self._network.connect(address, deadline, name)
 
