--- a/harriertrack/lab/load.py
+++ b/harriertrack/lab/load.py
@@ -58,6 +58,7 @@
                  new_client: Callable[[str], Client] | None = None, supports_hints: bool = True,
                  patience_us: int = 0) -> None:  # fmt: skip
         self.supports_hints, self._patience_us = supports_hints, patience_us
+        # Emulated connections are sessions of the head's reception, which reads these two attributes.
         self.multipath, self.max_patience_us = False, 0
         contexts = (BASE_ALLOCATION, HINTS_CONTEXT) if supports_hints else (BASE_ALLOCATION,)
         self._hub, self._network, self._recorder = hub, network, recorder
