--- a/harriertrack/lab/fleet/storm/__init__.py
+++ b/harriertrack/lab/fleet/storm/__init__.py
@@ -1,1 +1,1 @@
-"""Storms: days for a fleet that are drawn from a seed, judged as all days are, and shrunk when they fail."""
+"""Storms: random fleet days drawn from a seed, checked like all days, and shrunk when they break a rule."""
--- a/harriertrack/lab/fleet/storm/faults.py
+++ b/harriertrack/lab/fleet/storm/faults.py
@@ -1,6 +1,7 @@
-"""What each kind of fault is in steps of a day, with its figures drawn.
+"""Builds the steps of a day for each kind of fault, with random parameters.
 
-A kind says nothing of which parts it needs: where the day's own checks turn its steps down, another is drawn.
+Kinds do not state which parts of the fleet they need: if the check of days rejects the steps, another kind is
+drawn.
 """
 
 from __future__ import annotations
@@ -16,48 +17,53 @@
 
 SECOND = 1_000_000
 ROUND_US = 100_000
-AFTER_US = 4 * SECOND  # until all heads know of a change
-PUT_BACK_US = 16 * SECOND  # two of the longest sessions: until somebody has put a restored record back
-WORSE = 0.35  # of proposals of programs and settings
+PROPAGATION_US = 4 * SECOND  # until a change has reached all heads
+RESTORE_US = 16 * SECOND  # two of the longest sessions: until a decider has repaired a restored record
+WORSE_CHANCE = 0.35  # that a proposed program or settings version is worse
 Steps = tuple[StepSettings, ...]
 
 
-def evenly(rng: random.Random, least: int, most: int) -> int:
-    """Draw a time whose logarithm is even between two, in whole tenths of a second where it is that long."""
-    drawn = math.exp(rng.uniform(math.log(least), math.log(most)))
-    return round(drawn / ROUND_US) * ROUND_US or round(drawn)
+def log_uniform(rng: random.Random, least: int, most: int) -> int:
+    """Draw a log-uniform duration between two, rounded to tenths of a second unless it is shorter."""
+    duration_us = math.exp(rng.uniform(math.log(least), math.log(most)))
+    return round(duration_us / ROUND_US) * ROUND_US or round(duration_us)
 
 
 @dataclass(slots=True)
 class StormDraw:
-    """One storm's, as its steps are drawn."""
+    """The random state of one storm while its steps are drawn."""
 
     rng: random.Random
     figures: StormFigures
     heads: int
-    proposals: int = 0  # each has a body of its own
-    wished: set[str] = field(default_factory=set)  # zones that an operator has a wish on
-    off: set[str] = field(default_factory=set)  # heads whose clocks may be wrong
-    things: dict[str, None] = field(default_factory=dict)  # that come in stages, once proposed
+    proposals: int = 0  # so far; each gets a unique body
+    held_zones: set[str] = field(default_factory=set)  # on which an operator has set a hold
+    wrong_clocks: set[str] = field(default_factory=set)  # heads whose clocks may be wrong
+    staged_things: dict[str, None] = field(default_factory=dict)  # with staged rollouts, once proposed
 
     def copy(self) -> StormDraw:
-        """Return the same, to be tried: what it draws is drawn from the same numbers."""
-        return replace(self, wished=set(self.wished), off=set(self.off), things=dict(self.things))
-
-    def brief(self) -> int:
-        """Draw a time between two steps."""
-        return evenly(self.rng, *self.figures.brief_us)
-
-    def lasting(self) -> int:
-        """Draw for how long a fault lasts."""
-        return evenly(self.rng, *self.figures.fault_us)
+        """Return a copy for tentative steps; it shares the random generator."""
+        return replace(
+            self,
+            held_zones=set(self.held_zones),
+            wrong_clocks=set(self.wrong_clocks),
+            staged_things=dict(self.staged_things),
+        )
+
+    def interval(self) -> int:
+        """Draw the time between two steps."""
+        return log_uniform(self.rng, *self.figures.brief_us)
+
+    def duration(self) -> int:
+        """Draw how long a fault lasts."""
+        return log_uniform(self.rng, *self.figures.fault_us)
 
     def head(self) -> str:
         """Draw a head."""
         return f"head{self.rng.randrange(self.heads)}"
 
-    def some(self, most: float = 0.6) -> tuple[str, ...]:
-        """Draw some heads: one by name, or a share of all by their order."""
+    def some_heads(self, most: float = 0.6) -> tuple[str, ...]:
+        """Draw a selection of heads: one by name, or a contiguous share of all."""
         if self.rng.random() < 0.4:
             return (self.head(),)
         least = round(self.rng.uniform(0, 1 - most), 2)
@@ -69,171 +75,175 @@
 
 
 def rest(us: int) -> StepSettings:
-    """Return a step in which time passes."""
+    """Return a step that only waits."""
     return StepSettings(name=Verb.REST, for_us=us)
 
 
-def back(draw: StormDraw) -> StepSettings:
-    """Return a step in which all come back who are not there."""
+def restart_all(draw: StormDraw) -> StepSettings:
+    """Return a step that starts all heads that are not running."""
     return StepSettings(name=Verb.START, fresh=draw.rng.random() < 0.3)
 
 
 def _kill(draw: StormDraw) -> Steps:
-    return StepSettings(name=Verb.KILL, who=draw.some()), rest(draw.brief()), back(draw)
+    return StepSettings(name=Verb.KILL, who=draw.some_heads()), rest(draw.interval()), restart_all(draw)
 
 
 def _kill_decider(draw: StormDraw) -> Steps:
     who = draw.rng.choice(("decider", "keeper"))
-    return StepSettings(name=Verb.KILL, who=(who,)), rest(draw.lasting()), back(draw)
+    return StepSettings(name=Verb.KILL, who=(who,)), rest(draw.duration()), restart_all(draw)
 
 
 def _kill_most(draw: StormDraw) -> Steps:
     part = round(draw.rng.uniform(0.6, 1), 2)
-    return StepSettings(name=Verb.KILL, part=part), rest(draw.brief()), back(draw)
+    return StepSettings(name=Verb.KILL, part=part), rest(draw.interval()), restart_all(draw)
 
 
 def _flap(draw: StormDraw) -> Steps:
-    who, found = draw.some(0.4), []
+    who, steps = draw.some_heads(0.4), []
     for _ in range(draw.rng.randint(2, 4)):
-        found += [StepSettings(name=Verb.KILL, who=who), rest(draw.brief()),
-                  StepSettings(name=Verb.START, who=who), rest(draw.brief())]  # fmt: skip
-    return tuple(found)
+        steps += [StepSettings(name=Verb.KILL, who=who), rest(draw.interval()),
+                  StepSettings(name=Verb.START, who=who), rest(draw.interval())]  # fmt: skip
+    return tuple(steps)
 
 
 def _stop(draw: StormDraw) -> Steps:
-    return (StepSettings(name=Verb.STOP, who=draw.some(), for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.STOP, who=draw.some_heads(), for_us=draw.duration()),)
 
 
 def _starve(draw: StormDraw) -> Steps:
     share = round(draw.rng.uniform(0.4, 0.7), 2)
-    return (StepSettings(name=Verb.STARVE, who=draw.some(0.4), share=share, for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.STARVE, who=draw.some_heads(0.4), share=share, for_us=draw.duration()),)
 
 
 def _leave(draw: StormDraw) -> Steps:
-    # Who leaves hands on what it keeps at once: no session ends between its term and the next.
-    who = draw.some(0.4) if draw.rng.random() < 0.5 else (draw.rng.choice(("decider", "keeper")),)
-    return StepSettings(name=Verb.LEAVE, who=who), rest(3 * SECOND), back(draw)
+    # A head that leaves hands its locks over at once: no session expires between its term and the next.
+    who = draw.some_heads(0.4) if draw.rng.random() < 0.5 else (draw.rng.choice(("decider", "keeper")),)
+    return StepSettings(name=Verb.LEAVE, who=who), rest(3 * SECOND), restart_all(draw)
 
 
 def _later(draw: StormDraw) -> Steps:
-    who = draw.some(0.4)
-    return (StepSettings(name=Verb.KILL, who=who), rest(draw.brief()),
+    who = draw.some_heads(0.4)
+    return (StepSettings(name=Verb.KILL, who=who), rest(draw.interval()),
             StepSettings(name=Verb.START, who=who, later=True))  # fmt: skip
 
 
 def _partition(draw: StormDraw) -> Steps:
     other = draw.rng.choice((("rest",), ("rest", "witness"), ("witness",), ("rest", "witness", "shelves")))
-    return (StepSettings(name=Verb.WEATHER, who=draw.some(0.5), other=other, cut=True,
-                         for_us=draw.lasting()),)  # fmt: skip
+    return (StepSettings(name=Verb.WEATHER, who=draw.some_heads(0.5), other=other, cut=True,
+                         for_us=draw.duration()),)  # fmt: skip
 
 
 def _one_sided(draw: StormDraw) -> Steps:
-    return (StepSettings(name=Verb.WEATHER, who=draw.some(), cut=True, one_way=True,
-                         for_us=draw.lasting()),)  # fmt: skip
+    return (StepSettings(name=Verb.WEATHER, who=draw.some_heads(), cut=True, one_way=True,
+                         for_us=draw.duration()),)  # fmt: skip
 
 
 def _loss(draw: StormDraw) -> Steps:
     lost, twice = round(draw.rng.uniform(0.05, 0.4), 2), round(draw.rng.uniform(0, 0.3), 2)
     least = draw.rng.choice((0, 0, 400))
     return (StepSettings(name=Verb.WEATHER, other=("all",), lost=lost, twice=twice, least_bytes=least,
-                         for_us=draw.lasting()),)  # fmt: skip
+                         for_us=draw.duration()),)  # fmt: skip
 
 
 def _late(draw: StormDraw) -> Steps:
     late, jitter = draw.rng.randrange(0, 200, 10) * 1000, draw.rng.randrange(20, 400, 20) * 1000
-    return (StepSettings(name=Verb.WEATHER, who=draw.some(1.0), other=("all",), late_us=late,
-                         jitter_us=jitter, for_us=draw.lasting()),)  # fmt: skip
+    return (StepSettings(name=Verb.WEATHER, who=draw.some_heads(1.0), other=("all",), late_us=late,
+                         jitter_us=jitter, for_us=draw.duration()),)  # fmt: skip
 
 
 def _dark(draw: StormDraw) -> Steps:
-    return (StepSettings(name=Verb.DARK, for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.DARK, for_us=draw.duration()),)
 
 
 def _restored(draw: StormDraw) -> Steps:
-    dark = StepSettings(name=Verb.DARK, for_us=draw.lasting(), old=True)
-    # What operators write before who decides has put the record back is lost, as docs/changes.md says.
-    until_back = rest(dark.for_us + PUT_BACK_US)
+    dark = StepSettings(name=Verb.DARK, for_us=draw.duration(), old=True)
+    # Operator writes before the decider has repaired the record are lost, as docs/changes.md says.
+    until_repaired = rest(dark.for_us + RESTORE_US)
     if draw.rng.random() < 0.5:
-        return StepSettings(name=Verb.BACKUP), rest(draw.lasting()), dark, until_back
-    # What the witness forgets has reached the heads; what is written later is to come on top of that.
-    return (StepSettings(name=Verb.BACKUP), *_propose(draw), rest(AFTER_US), dark, until_back,
+        return StepSettings(name=Verb.BACKUP), rest(draw.duration()), dark, until_repaired
+    # The change that the witness loses has reached the heads; later writes must be applied on top of it.
+    return (StepSettings(name=Verb.BACKUP), *_propose(draw), rest(PROPAGATION_US), dark, until_repaired,
             *_propose(draw))  # fmt: skip
 
 
 def _zone_lost(draw: StormDraw) -> Steps:
-    return (StepSettings(name=Verb.ZONE, zone=draw.zone(), for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.ZONE, zone=draw.zone(), for_us=draw.duration()),)
 
 
 def _zone_hidden(draw: StormDraw) -> Steps:
-    return (StepSettings(name=Verb.ZONE, zone=draw.zone(), who=draw.some(), for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.ZONE, zone=draw.zone(), who=draw.some_heads(), for_us=draw.duration()),)
 
 
 def _zone_slow(draw: StormDraw) -> Steps:
     times = round(draw.rng.uniform(1.5, 8), 1)
-    return (StepSettings(name=Verb.SLOW, zone=draw.zone(), times=times, for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.SLOW, zone=draw.zone(), times=times, for_us=draw.duration()),)
 
 
 def _drain(draw: StormDraw) -> Steps:
     part = round(draw.rng.uniform(0.1, 0.4), 2)
-    return (StepSettings(name=Verb.DRAIN, part=part, for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.DRAIN, part=part, for_us=draw.duration()),)
 
 
 def _cold(draw: StormDraw) -> Steps:
     part = round(draw.rng.uniform(0.1, 0.6), 2)
-    return (StepSettings(name=Verb.COLD, part=part, for_us=draw.lasting()),)
+    return (StepSettings(name=Verb.COLD, part=part, for_us=draw.duration()),)
 
 
 def _demand(draw: StormDraw) -> Steps:
     times = round(draw.rng.uniform(0.5, 3), 1)
-    return (StepSettings(name=Verb.DEMAND, who=draw.some(1.0), times=times), rest(draw.lasting()),
+    return (StepSettings(name=Verb.DEMAND, who=draw.some_heads(1.0), times=times), rest(draw.duration()),
             StepSettings(name=Verb.DEMAND))  # fmt: skip
 
 
 def _jump(draw: StormDraw) -> Steps:
-    return (StepSettings(name=Verb.JUMP, who=draw.some(1.0), times=2.0, every_us=draw.brief(),
-                         for_us=draw.lasting()), StepSettings(name=Verb.DEMAND))  # fmt: skip
+    return (StepSettings(name=Verb.JUMP, who=draw.some_heads(1.0), times=2.0, every_us=draw.interval(),
+                         for_us=draw.duration()), StepSettings(name=Verb.DEMAND))  # fmt: skip
 
 
 def _clock(draw: StormDraw) -> Steps:
-    # Most clocks have to be true for the others to be found out: the same fifth is wrong all day.
-    wrong = sorted({*draw.off, draw.head()})[: max(1, draw.heads // 5)] if not draw.off else sorted(draw.off)
-    draw.off.update(wrong)
-    ahead = draw.rng.choice((-1, 1)) * evenly(draw.rng, 100_000, 20 * SECOND)
+    # Wrong clocks are detected only if most are correct: the same fifth of heads is wrong all day.
+    wrong = (
+        sorted({*draw.wrong_clocks, draw.head()})[: max(1, draw.heads // 5)]
+        if not draw.wrong_clocks
+        else sorted(draw.wrong_clocks)
+    )
+    draw.wrong_clocks.update(wrong)
+    ahead = draw.rng.choice((-1, 1)) * log_uniform(draw.rng, 100_000, 20 * SECOND)
     return (StepSettings(name=Verb.CLOCK, who=(draw.rng.choice(wrong),), ahead_us=ahead),)
 
 
 def _wish(draw: StormDraw) -> Steps:
     zone = draw.zone()
-    draw.wished.add(zone)
-    words: tuple[Literal["out", "in"], ...] = ("out", "out", "in")
-    wish = draw.rng.choice(words)
-    return StepSettings(name=Verb.WISH, zone=zone, wish=wish, perhaps=True), rest(draw.brief())
+    draw.held_zones.add(zone)
+    holds: tuple[Literal["out", "in"], ...] = ("out", "out", "in")
+    wish = draw.rng.choice(holds)
+    return StepSettings(name=Verb.WISH, zone=zone, wish=wish, perhaps=True), rest(draw.interval())
 
 
 def _limit(draw: StormDraw) -> Steps:
     times = round(draw.rng.uniform(0.3, 2.5), 1)
-    who = draw.some() if draw.rng.random() < 0.5 else ("all",)
-    steps = [StepSettings(name=Verb.LIMIT, who=who, times=times, perhaps=True), rest(draw.brief())]
+    who = draw.some_heads() if draw.rng.random() < 0.5 else ("all",)
+    steps = [StepSettings(name=Verb.LIMIT, who=who, times=times, perhaps=True), rest(draw.interval())]
     if who != ("all",):
         steps.append(StepSettings(name=Verb.LIMIT, times=times, perhaps=True))
     return tuple(steps)
 
 
 def _propose(draw: StormDraw) -> Steps:
-    # A thing of a kind that heads have no use for: taken into the record, turned down by each head.
+    # A kind of thing that heads do not use: the record accepts it, and each head rejects it.
     draw.proposals += 1
     thing = draw.rng.choice(("calendar/one", "calendar/two", "calendar/three"))
     return (StepSettings(name=Verb.PROPOSE, thing=thing, body=f"body {draw.proposals}", perhaps=True),)
 
 
 def _change(draw: StormDraw) -> Steps:
-    thing = draw.rng.choice([*draw.things, "calendar/one", "calendar/two"])
-    words: tuple[Literal["paused", "going", "aborted"], ...] = ("paused", "going", "aborted")
-    return (StepSettings(name=Verb.CHANGE, thing=thing, to=draw.rng.choice(words), perhaps=True),)
+    thing = draw.rng.choice([*draw.staged_things, "calendar/one", "calendar/two"])
+    states: tuple[Literal["paused", "going", "aborted"], ...] = ("paused", "going", "aborted")
+    return (StepSettings(name=Verb.CHANGE, thing=thing, to=draw.rng.choice(states), perhaps=True),)
 
 
 def plan(draw: StormDraw) -> str:
-    """Return a plan whose stages are short enough for a day."""
+    """Return a rollout plan whose stages are short enough for a day."""
     first = draw.rng.choice(("(heads 1)", "(share 0.2)", "(share 0.5)"))
     soak = draw.rng.randint(1, 5)
     return (
@@ -246,23 +256,23 @@
 def _program(draw: StormDraw) -> Steps:
     draw.proposals += 1
     arguments = ""
-    if draw.rng.random() < WORSE:
-        how = draw.rng.choice(("refuse:read:0.9", "crash:1.5"))
-        arguments = f' (arguments "--rehearse" "{how}")'
-    draw.things["program"] = None
+    if draw.rng.random() < WORSE_CHANCE:
+        rehearsal = draw.rng.choice(("refuse:read:0.9", "crash:1.5"))
+        arguments = f' (arguments "--rehearse" "{rehearsal}")'
+    draw.staged_things["program"] = None
     body = f'(program "p{draw.proposals}"{arguments})'
     return (StepSettings(name=Verb.PROPOSE, thing="program", body=body, plan=plan(draw), perhaps=True),
-            rest(draw.lasting()))  # fmt: skip
+            rest(draw.duration()))  # fmt: skip
 
 
 def _settings(draw: StormDraw) -> Steps:
     draw.proposals += 1
     body = f'(settings (plan "standard" (weight {3 + draw.proposals / 100:g})))'
-    if draw.rng.random() < WORSE:
+    if draw.rng.random() < WORSE_CHANCE:
         body = f'(settings (class "read" (aim 1ms) (deadline {2000 + draw.proposals}us)))'
-    draw.things["settings"] = None
+    draw.staged_things["settings"] = None
     return (StepSettings(name=Verb.PROPOSE, thing="settings", body=body, plan=plan(draw), perhaps=True),
-            rest(draw.lasting()))  # fmt: skip
+            rest(draw.duration()))  # fmt: skip
 
 
 STEP_BUILDERS: dict[Kind, Callable[[StormDraw], Steps]] = {
--- a/harriertrack/lab/fleet/storm/figures.py
+++ b/harriertrack/lab/fleet/storm/figures.py
@@ -1,6 +1,6 @@
-"""What storms are drawn from, as data: which parts with which chance, which faults with which weight.
+"""The distributions that storms are drawn from: the chance of each part and the weight of each kind of fault.
 
-`usual.sexp` beside this module holds what is used unless a file is named.
+`usual.sexp` in this folder holds the default.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 
 class Part(Enum):
-    """A part of the fleet that a storm may have; the view is always there."""
+    """An optional part of the fleet in a storm; membership is always included."""
 
     BUDGETS = "budgets"
     ZONES = "zones"
     CHANGES = "changes"
-    ROLLOUT = "rollout"  # versions come in stages
-    LAUNCHED = "launched"  # heads have launchers, and programs change
+    ROLLOUT = "rollout"  # versions are rolled out in stages
+    LAUNCHED = "launched"  # heads run below launchers, which replace their programs
     CLOSING = "closing"
     SCORING = "scoring"
 
 
 class Kind(Enum):
-    """A kind of fault, or of what operators do; `storm/faults.py` says which steps each is."""
+    """A kind of fault or operator action; `storm/faults.py` builds the steps of each."""
 
     KILL = "kill"
     KILL_DECIDER = "kill-decider"
@@ -64,43 +64,43 @@
 
 
 class PartChance(SettingsStruct, frozen=True, kw_only=True):
-    """How likely a part is there."""
+    """The probability that a storm includes a part."""
 
     name: Part
     chance: Share
 
 
 class KindWeight(SettingsStruct, frozen=True, kw_only=True):
-    """How often a kind is drawn, beside the others of its storm."""
+    """The weight of a kind relative to the others of its storm."""
 
     name: Kind
     weight: Weight
 
 
 class StormFigures(SettingsStruct, frozen=True, kw_only=True):
-    """What storms are drawn from. Times are the least and the most, drawn evenly by their logarithm."""
+    """The distributions of storms. Times are the least and the most of a log-uniform distribution."""
 
     name: str = "usual"
-    left_out: Share = 0.4  # chance that a storm does without a kind: rare mixtures come up too
-    brief_us: tuple[PositiveInt, PositiveInt] = (200_000, 2_000_000)  # between two faults
-    fault_us: tuple[PositiveInt, PositiveInt] = (400_000, 10_000_000)  # for which one lasts
+    left_out: Share = 0.4  # chance that a storm omits a kind, so that rare combinations occur too
+    brief_us: tuple[PositiveInt, PositiveInt] = (200_000, 2_000_000)  # time between two faults
+    fault_us: tuple[PositiveInt, PositiveInt] = (400_000, 10_000_000)  # duration of a fault
     parts: tuple[PartChance, ...]
     kinds: tuple[KindWeight, ...]
 
 
 def usual() -> StormFigures:
-    """Return what comes with the program. Raises SettingsError."""
+    """Return the built-in distributions. Raises SettingsError."""
     text = (resources.files("harriertrack.lab.fleet.storm") / SOURCE).read_text()
     return parse(text, SOURCE)
 
 
 def read(path: str) -> StormFigures:
-    """Read figures from a file. Raises SettingsError."""
+    """Read distributions from a file. Raises SettingsError."""
     return _checked(read_file(path), path)
 
 
 def parse(text: str, source: str) -> StormFigures:
-    """Read figures. Raises SettingsError."""
+    """Parse distributions. Raises SettingsError."""
     return _checked(read_text(text, source), source)
 
 
--- a/harriertrack/lab/fleet/storm/shrinking.py
+++ b/harriertrack/lab/fleet/storm/shrinking.py
@@ -1,8 +1,8 @@
-"""A day that fails, made as small as it still fails. Pure: whether a day fails is asked of who calls.
+"""Shrinks a failing day to a small one that still fails. Pure: the caller decides whether a day fails.
 
-Steps go first, in ever smaller groups (delta debugging by complements: Zeller and Hildebrandt, TSE 2002);
-then whole parts and fields of the day and of its steps, back to what they are by default; then figures,
-towards smaller ones. Round and round until nothing goes any more, or the tries are used up.
+Steps are removed first, in ever smaller groups (delta debugging by complements: Zeller and Hildebrandt, TSE
+2002); then parts and fields of the day and of its steps are reset to their defaults; then numbers are
+reduced. This repeats until nothing changes any more, or the tries are used up.
 """
 
 from __future__ import annotations
@@ -13,96 +13,98 @@
 
 from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings, Verb, chosen
 
-# Of a day: what its rules are judged by, and its size; neither goes back to what it is by default.
-KEPT = frozenset({"name", "about", "processes", "detect_us", "may_leave", "sway", "ends", "close_bound_us"})
-LEAST = {"processes": 2, "shelves": 1, "volumes": 1, "hosts": 2, "rate": 0.5}
+# Fields of a day that are never reset: the expectations that rules check, and its size.
+NEVER_RESET = frozenset(
+    {"name", "about", "processes", "detect_us", "may_leave", "sway", "ends", "close_bound_us"}
+)
+MINIMUMS = {"processes": 2, "shelves": 1, "volumes": 1, "hosts": 2, "rate": 0.5}
 ROUND_US = 100_000
 
 Fails = Callable[[FleetDaySettings], bool]
-Told = Callable[[FleetDaySettings, int], None]  # a smaller day was found, and how many tries are left
+ProgressCallback = Callable[[FleetDaySettings, int], None]  # the smaller day found, and the remaining tries
 
 
 class Shrinker:
-    """One failing day, as it gets smaller; `tries` plays at most."""
+    """Shrinks one failing day with at most `tries` runs."""
 
     def __init__(self, day: FleetDaySettings, fails: Fails, tries: int,
-                 told: Told = lambda _day, _left: None) -> None:  # fmt: skip
-        self.day, self.left, self._fails, self._told = day, tries, fails, told
-        self._known: set[bytes] = set()
+                 on_progress: ProgressCallback = lambda _day, _remaining: None) -> None:  # fmt: skip
+        self.day, self.tries_left, self._fails, self._on_progress = day, tries, fails, on_progress
+        self._tried: set[bytes] = set()
 
     def run(self) -> FleetDaySettings:
-        """Return the smallest that was found."""
-        before = None
-        while before != self.day and self.left:
-            before = self.day
-            self._steps()
-            for candidates in (fields_back, steps_back, smaller):
-                self._first_of(candidates)
+        """Return the smallest failing day that was found."""
+        previous = None
+        while previous != self.day and self.tries_left:
+            previous = self.day
+            self._remove_steps()
+            for candidates in (with_default_field, with_default_step_field, with_smaller_number):
+                self._accept_all(candidates)
         return self.day
 
     def _try(self, day: FleetDaySettings) -> bool:
-        """Whether a smaller day fails too; then it is the one to go on from."""
+        """Whether a smaller day fails too, which then becomes the current one; each day is tried once."""
         key = msgspec.msgpack.encode(day)
-        if not self.left or key in self._known:
+        if not self.tries_left or key in self._tried:
             return False
-        self._known.add(key)
-        self.left -= 1
+        self._tried.add(key)
+        self.tries_left -= 1
         if not self._fails(day):
             return False
         self.day = day
-        self._told(day, self.left)
+        self._on_progress(day, self.tries_left)
         return True
 
-    def _steps(self) -> None:
-        """Take steps away, in ever smaller groups, from the end on."""
+    def _remove_steps(self) -> None:
+        """Remove steps in ever smaller groups, starting from the end."""
         size = -(-count_scripted_steps(self.day) // 2)
-        while size and self.left:
-            at = count_scripted_steps(self.day)
-            while at > 0 and self.left:
-                first, steps = max(0, at - size), self.day.steps
-                self._try(msgspec.structs.replace(self.day, steps=steps[:first] + steps[at:]))
-                at = first
+        while size and self.tries_left:
+            end = count_scripted_steps(self.day)
+            while end > 0 and self.tries_left:
+                first, steps = max(0, end - size), self.day.steps
+                self._try(msgspec.structs.replace(self.day, steps=steps[:first] + steps[end:]))
+                end = first
             size = 0 if size == 1 else -(-size // 2)
 
-    def _first_of(self, candidates: Callable[[FleetDaySettings], Iterator[FleetDaySettings]]) -> None:
-        """Take each candidate that fails too, and go on from it, until none of them does."""
-        while self.left and any(self._try(one) for one in candidates(self.day)):
+    def _accept_all(self, candidates: Callable[[FleetDaySettings], Iterator[FleetDaySettings]]) -> None:
+        """Continue from each candidate that fails too, until none of them does."""
+        while self.tries_left and any(self._try(one) for one in candidates(self.day)):
             pass
 
 
 def count_scripted_steps(day: FleetDaySettings) -> int:
-    """Return how many steps come before the quiet time, which stays as it is: all is judged at its end."""
+    """Return the number of steps before the quiet period, which is never shrunk: rules check its end."""
     quiet = (at for at, step in enumerate(day.steps) if step.name is Verb.QUIET)
     return next(quiet, len(day.steps))
 
 
-def fields_back(day: FleetDaySettings) -> Iterator[FleetDaySettings]:
-    """Yield the day with one of its fields, or one of a part's, as by default."""
-    for name, default in _others(day, KEPT | {"steps"}):
+def with_default_field(day: FleetDaySettings) -> Iterator[FleetDaySettings]:
+    """Yield the day with one field, of its own or of one of its parts, reset to the default."""
+    for name, default in _non_default_fields(day, NEVER_RESET | {"steps"}):
         yield msgspec.structs.replace(day, **{name: default})
     for field in msgspec.structs.fields(day):
         part = getattr(day, field.name)
         if isinstance(part, msgspec.Struct):
-            for name, default in _others(part, frozenset()):
-                plainer = msgspec.structs.replace(part, **{name: default})
-                yield msgspec.structs.replace(day, **{field.name: plainer})
+            for name, default in _non_default_fields(part, frozenset()):
+                reset_part = msgspec.structs.replace(part, **{name: default})
+                yield msgspec.structs.replace(day, **{field.name: reset_part})
 
 
-def steps_back(day: FleetDaySettings) -> Iterator[FleetDaySettings]:
-    """Yield the day with one field of one step as by default."""
+def with_default_step_field(day: FleetDaySettings) -> Iterator[FleetDaySettings]:
+    """Yield the day with one field of one step reset to the default."""
     for at, step in enumerate(day.steps[: count_scripted_steps(day)]):
-        for name, default in _others(step, frozenset({"name", "for_us"})):
+        for name, default in _non_default_fields(step, frozenset({"name", "for_us"})):
             yield _with_step(day, at, msgspec.structs.replace(step, **{name: default}))
 
 
-def smaller(day: FleetDaySettings) -> Iterator[FleetDaySettings]:
-    """Yield the day with one figure halved, or with heads taken one by one by name."""
-    for name, least in LEAST.items():
-        held = getattr(day, name)
-        half = held / 2 if isinstance(held, float) else held // 2
-        for figure in (half, held - 1):
-            if least <= figure < held:
-                yield msgspec.structs.replace(day, **{name: figure})
+def with_smaller_number(day: FleetDaySettings) -> Iterator[FleetDaySettings]:
+    """Yield the day with a number halved or decremented, or with a step for one of its heads only."""
+    for name, least in MINIMUMS.items():
+        current = getattr(day, name)
+        half = current / 2 if isinstance(current, float) else current // 2
+        for reduced in (half, current - 1):
+            if least <= reduced < current:
+                yield msgspec.structs.replace(day, **{name: reduced})
     heads = [f"head{number}" for number in range(day.processes)]
     for at, step in enumerate(day.steps[: count_scripted_steps(day)]):
         if step.for_us >= 2 * ROUND_US:
@@ -118,13 +120,13 @@
     return msgspec.structs.replace(day, steps=(*day.steps[:at], step, *day.steps[at + 1 :]))
 
 
-def _others(one: msgspec.Struct, but: frozenset[str]) -> Iterator[tuple[str, object]]:
-    """Yield the fields of a part that are not as by default, with their defaults."""
-    for field in msgspec.structs.fields(one):
-        if field.name in but:
+def _non_default_fields(part: msgspec.Struct, excluded: frozenset[str]) -> Iterator[tuple[str, object]]:
+    """Yield the names and defaults of a part's fields that differ from their defaults."""
+    for field in msgspec.structs.fields(part):
+        if field.name in excluded:
             continue
         default = field.default
         if default is msgspec.NODEFAULT and field.default_factory is not msgspec.NODEFAULT:
             default = field.default_factory()
-        if default is not msgspec.NODEFAULT and getattr(one, field.name) != default:
+        if default is not msgspec.NODEFAULT and getattr(part, field.name) != default:
             yield field.name, default
--- a/tests/storms/test_drawing.py
+++ b/tests/storms/test_drawing.py
@@ -86,7 +86,7 @@
 # -- shrinking
 
 
-def shrunk(day, fails, tries=500):
+def shrink(day, fails, tries=500):
     plays = []
 
     def judge(one):
@@ -109,7 +109,7 @@
         return Verb.DARK in names and Verb.KILL in names[names.index(Verb.DARK) :]
 
     day = next(one for one in map(storm, range(50)) if fails(one))
-    least, plays = shrunk(day, fails)
+    least, plays = shrink(day, fails)
     assert [step.name for step in least.steps[:2]] == [Verb.DARK, Verb.KILL]
     assert least.steps[2:] == day.steps[count_scripted_steps(day) :]  # the quiet time stays
     assert fails(least) and least.processes == 2 and least.zones is None and least.scoring is None
@@ -127,14 +127,14 @@
             and sum(step.for_us for step in one.steps) >= 2_000_000
         )
 
-    least, _ = shrunk(day, fails)
+    least, _ = shrink(day, fails)
     assert least.processes == 4 and least.zones is None and least.budgets is None
     assert count_scripted_steps(least) <= 1
 
 
 def test_shrinking_keeps_to_its_tries_and_never_asks_twice():
     day = storm(2)
-    least, plays = shrunk(day, lambda one: len(one.steps) > 3, 25)
+    least, plays = shrink(day, lambda one: len(one.steps) > 3, 25)
     assert len(plays) <= 25 and len({msgspec.msgpack.encode(one) for one in plays}) == len(plays)
     assert len(least.steps) > 3
 
@@ -143,5 +143,5 @@
     day = FleetDaySettings(
         name="x", processes=2, shelves=1, volumes=0, rate=0.5, steps=(StepSettings(name=Verb.QUIET),)
     )
-    least, _ = shrunk(day, lambda one: any(step.name is Verb.QUIET for step in one.steps))
+    least, _ = shrink(day, lambda one: any(step.name is Verb.QUIET for step in one.steps))
     assert least.steps == day.steps
