--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -17,30 +17,30 @@
 
 from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN, Plan, Stage
-from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
+from harriertrack.lab.fleet.staged import SECOND_US, ClassOutcomes, Regression, RolloutSimulation
 
 HARMS = {
     "none": None,
-    "failed +0.25 % of writes": Harm("write", failed=0.0025),
-    "failed +0.5 % of writes": Harm("write", failed=0.005),
-    "failed +1 % of writes": Harm("write", failed=0.01),
-    "failed +2 % of writes": Harm("write", failed=0.02),
-    "refused +1 % of reads": Harm("read", refused=0.01),
-    "refused +2 % of reads": Harm("read", refused=0.02),
-    "refused +4 % of reads": Harm("read", refused=0.04),
-    "late +1 % of writes": Harm("write", late=0.01),
-    "late +2 % of writes": Harm("write", late=0.02),
-    "late +4 % of writes": Harm("write", late=0.04),
-    "reads a half slower": Harm("read", slower=1),
-    "failed +2 % of writes in one zone": Harm("write", failed=0.02, zone="z1"),
+    "failed +0.25 % of writes": Regression("write", failed=0.0025),
+    "failed +0.5 % of writes": Regression("write", failed=0.005),
+    "failed +1 % of writes": Regression("write", failed=0.01),
+    "failed +2 % of writes": Regression("write", failed=0.02),
+    "refused +1 % of reads": Regression("read", refused=0.01),
+    "refused +2 % of reads": Regression("read", refused=0.02),
+    "refused +4 % of reads": Regression("read", refused=0.04),
+    "late +1 % of writes": Regression("write", late=0.01),
+    "late +2 % of writes": Regression("write", late=0.02),
+    "late +4 % of writes": Regression("write", late=0.04),
+    "reads a half slower": Regression("read", slower=1),
+    "failed +2 % of writes in one zone": Regression("write", failed=0.02, zone="z1"),
 }
 BEFORE_S = 60
 QUICK = replace(DEFAULT_PLAN, stages=(
-    Stage("one", heads=1, soak_us=30 * S), Stage("half", share=0.5, soak_us=30 * S),
-    Stage("all", share=1.0, soak_us=10 * S, least=0),
-), before_us=BEFORE_S * S, patience_us=300 * S)  # fmt: skip
-CLASSES = {"read": Habit(0.65), "write": Habit(0.35)}
-AT_ONCE = replace(QUICK, stages=(Stage("all", share=1.0, soak_us=30 * S),))
+    Stage("one", heads=1, soak_us=30 * SECOND_US), Stage("half", share=0.5, soak_us=30 * SECOND_US),
+    Stage("all", share=1.0, soak_us=10 * SECOND_US, least=0),
+), before_us=BEFORE_S * SECOND_US, patience_us=300 * SECOND_US)  # fmt: skip
+CLASSES = {"read": ClassOutcomes(0.65), "write": ClassOutcomes(0.35)}
+AT_ONCE = replace(QUICK, stages=(Stage("all", share=1.0, soak_us=30 * SECOND_US),))
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 def _play(one: Play) -> tuple[str, int, float, int]:
     """Return how it ended, in which stage, how many requests were harmed, and after how many seconds."""
     harm = HARMS[one.harm]
-    fleet = Staged(one.heads, one.seed, one.plan, zones=2, rate=one.rate, clumps=one.clumps,
+    fleet = RolloutSimulation(one.heads, one.seed, one.plan, zones=2, rate=one.rate, clumps=one.clumps,
                    classes=CLASSES, report_s=2,
                    harms={(one.thing, 1): harm} if harm is not None else {})  # fmt: skip
     for head in fleet.heads.values():
@@ -77,9 +77,9 @@
             steps = len(fleet.history)
             fleet.new_decider()
 
-    ends = fleet.until(one.thing, one.most_s, look, (VersionState.PAUSED,) if one.pauses else ())
+    ends = fleet.run_until(one.thing, one.most_s, look, (VersionState.PAUSED,) if one.pauses else ())
     stage = max((version.stage for _, version in fleet.history), default=0)
-    return ends.value, stage, fleet.harmed, fleet.now // S
+    return ends.value, stage, fleet.harmed, fleet.now // SECOND_US
 
 
 def _run(plays: list[Play], workers: int) -> list[tuple[str, int, float, int]]:
--- a/benchmarks/fleet_scoring.py
+++ b/benchmarks/fleet_scoring.py
@@ -208,7 +208,7 @@
     for name in names:
         swarm.start(name)
         swarm.run(20_000)
-    swarm.settle(60 * S)
+    swarm.run_until_agreed(60 * S)
     says = {name: Publisher(1, rules) for name in names}
     # A part of the nodes differ from the others by more than chance.
     logs = {f"node{at}": draws.uniform(-1, 1) if at < nodes * part else 0.0 for at in range(nodes)}
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -31,7 +31,7 @@
     one = Swarm(Rules(), seed)
     for number in range(count):
         one.start(f"m{number}")
-    assert one.settle(120 * S) >= 0
+    assert one.run_until_agreed(120 * S) >= 0
     one.seen.clear()
     return one
 
@@ -59,7 +59,7 @@
     one.run(random.Random(seed).randrange(5 * S))
     killed = one.now
     one.kill("m3")
-    one.settle(200 * S)
+    one.run_until_agreed(200 * S)
     of = {state: [seen.t for seen in one.seen if seen.change.after.state is state] for state in State}
     first, last = min(of[State.DEAD]), max(of[State.DEAD])
     suspected = min(of[State.SUSPECT])
--- a/harriertrack/lab/fleet/division/division.py
+++ b/harriertrack/lab/fleet/division/division.py
@@ -176,7 +176,7 @@
         if self.measure is not None:
             self.sent_bytes += self.measure(message)
         if isinstance(message, LeaseRequest):
-            self.records.append(shares.asked(self.now, message))
+            self.records.append(shares.share_request_record(self.now, message))
         for _ in range(2 if self.twice and self.random.random() < self.twice else 1):
             if self.cut(source.name, target) or (self.loss and self.random.random() < self.loss):
                 continue
@@ -190,7 +190,7 @@
         if member is None:
             return
         if isinstance(message, Grant) and message.instance == member.instance:
-            self.records.append(shares.granted(self.now, message))
+            self.records.append(shares.share_grant_record(self.now, message))
         if len(member.inbox) < 2000:
             member.inbox.append((message, source))
 
@@ -280,7 +280,9 @@
                         self._send(member, name, ledger.term)
         for ask in member.holder.due_requests(now):
             if member.keeper == member.name:
-                self.records.append(shares.asked(self.now, ask))  # it needs no network for that
+                self.records.append(
+                    shares.share_request_record(self.now, ask)
+                )  # it needs no network for that
                 self._take(member, now, ask, member.name)
             else:
                 self._send(member, member.keeper, ask)
--- a/harriertrack/lab/fleet/later.py
+++ b/harriertrack/lab/fleet/later.py
@@ -18,7 +18,7 @@
 SHORT, REST = 17, ["", b""]  # what is of no topic is written without these two; a later field follows them
 
 
-def later(data: bytes) -> bytes:
+def as_later_version(data: bytes) -> bytes:
     """Return a datagram as a later version would write it; unchanged if it would not fit any more."""
     mark = data[:1] == MARK
     fields = msgspec.msgpack.decode(data[1:] if mark else data)
@@ -41,7 +41,7 @@
 
     def send(self, data: bytes, address: Address) -> None:
         """Send a datagram; if that can't be done at once it is lost."""
-        self._port.send(later(data), address)
+        self._port.send(as_later_version(data), address)
 
     def close(self) -> None:
         """Take and send no more."""
--- a/harriertrack/lab/fleet/limits.py
+++ b/harriertrack/lab/fleet/limits.py
@@ -68,7 +68,7 @@
 
         keeping.write(rig.operator(), make)
 
-    def heard(self, slot: HeadSlot, event: str, fields: dict[str, object]) -> None:
+    def handle_log_event(self, slot: HeadSlot, event: str, fields: dict[str, object]) -> None:
         """Take a line of a head's log."""
         if event == "fleet change taken" and fields.get("thing") == THING:
             # Settings that others proposed leave limits as they were at the start.
--- a/harriertrack/lab/fleet/markets.py
+++ b/harriertrack/lab/fleet/markets.py
@@ -21,7 +21,7 @@
 from harriertrack.gateway.front import REFUSED
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.fleet import regions
-from harriertrack.lab.fleet.scenario import AS_AFTER, SECOND, StepSettings, Verb, lull_us
+from harriertrack.lab.fleet.scenario import EXPECT_ALL, SECOND, StepSettings, Verb, proposal_lead_us
 from harriertrack.lab.load import Connection
 from harriertrack.lab.model import SECTOR, payload
 from harriertrack.protocol.nbd.client import Reply
@@ -54,7 +54,7 @@
         if two_regions:
             for pair in range(regions.pairs(heads)):
                 desk = VolumeSettings(name=f"desk{market}-{pair}", size_bytes=size, plan="standard")
-                found.append(regions.spread(desk, pair))
+                found.append(regions.across_regions(desk, pair))
             continue
         spread = tuple((market + step) % nodes for step in range(min(nodes, 3)))
         names = (f"desk{market}-{head}" for head in range(heads if desks else 0))
@@ -234,7 +234,7 @@
         afters = [*step.after_us]
         if step.again_us:
             afters += [afters[-1] + turn * step.again_us for turn in range(1, MOST_CLOSES)]
-        expect = step.after_us if step.expect_us == AS_AFTER else step.expect_us
+        expect = step.after_us if step.expect_us == EXPECT_ALL else step.expect_us
         instants, expected = (
             [-(-(true + after) // SECOND) * SECOND for after in one] for one in (afters, expect)
         )
@@ -273,7 +273,9 @@
         """Wait until no close of a market stands or is about to: a proposal now replaces all to come."""
         closing, hub = self._rig.fleet_day.closing, self._rig.hub
         assert closing is not None
-        while (rest := self._again[number]) and rest[0] - self._true_ahead - hub.now() < lull_us(closing):
+        while (rest := self._again[number]) and rest[0] - self._true_ahead - hub.now() < proposal_lead_us(
+            closing
+        ):
             hub.sleep(PAUSE_US[0])
 
     def _resume(self, thing: str) -> None:
@@ -292,7 +294,7 @@
                 self._rig.change(StepSettings(name=Verb.CHANGE, thing=thing, to="going"))
                 return
 
-    def heard(self, slot: HeadSlot, event: str, fields: dict[str, object]) -> None:
+    def handle_log_event(self, slot: HeadSlot, event: str, fields: dict[str, object]) -> None:
         """Take a line of a head's log."""
         if event == "close done":
             at = int(str(fields["at_us"])) - self._true_ahead
--- a/harriertrack/lab/fleet/processes/fleet.py
+++ b/harriertrack/lab/fleet/processes/fleet.py
@@ -119,7 +119,7 @@
             self.path(f"{name}.sexp").write_text(format_settings("head", slot.settings))
         if self.fleet_day.regions:
             for name in names:
-                regions.reach(self, name, self._nbd[name])
+                regions.set_partner_address(self, name, self._nbd[name])
         self.scope.spawn("logs", self._logs.follow)
         self.scope.spawn("processors", Machine(self).watch)
 
--- a/harriertrack/lab/fleet/regions.py
+++ b/harriertrack/lab/fleet/regions.py
@@ -36,12 +36,12 @@
     return heads // SPLIT
 
 
-def spread(volume: VolumeSettings, pair: int) -> VolumeSettings:
+def across_regions(volume: VolumeSettings, pair: int) -> VolumeSettings:
     """Return a pair's volume as one of two regions; homes take turns."""
     return msgspec.structs.replace(volume, regions=VolumeRegionSettings(home=REGIONS[pair % SPLIT]))
 
 
-def moving(number: int, heads: int, size_bytes: int) -> list[VolumeSettings]:
+def two_region_volumes(number: int, heads: int, size_bytes: int) -> list[VolumeSettings]:
     """Return so many volumes of two regions for each pair, of all plans, whose homes are region `a`."""
     home = VolumeRegionSettings(home=REGIONS[0])
     return [
@@ -66,6 +66,6 @@
     return RegionSettings(name=here, other=other, peer=peer, witness=witness)
 
 
-def reach(rig: FleetRig, name: str, address: tuple[str, int]) -> None:
+def set_partner_address(rig: FleetRig, name: str, address: tuple[str, int]) -> None:
     """Let a head's partner find it at an address."""
     rig.streams.between(partner_of(name), name, address, rig.scope)
--- a/harriertrack/lab/fleet/rig/facts.py
+++ b/harriertrack/lab/fleet/rig/facts.py
@@ -6,7 +6,7 @@
 
 from harriertrack.config.settings import BudgetName, PlanSettings, ScoringSettings, VolumeSettings
 from harriertrack.decisions.fleet.scoring.rules import MAX_LOG_WEIGHT
-from harriertrack.lab.fleet.scenario import ZONES, FleetDaySettings, chosen
+from harriertrack.lab.fleet.scenario import ZONES, FleetDaySettings, select_heads
 from harriertrack.lab.fleet.weights import BROKEN
 from harriertrack.rules import recording as rec
 
@@ -46,7 +46,7 @@
     return rec.WeightFacts(
         t=0, most=MAX_LOG_WEIGHT, rate=scoring.rate, fresh_us=scoring.stale_us, sway=day.sway,
         notes_bytes=2.0 * day.figures.topic_bytes,  # what a second brings, and what was spared
-        liars=chosen(day.liars, names), broken=list(BROKEN),
+        liars=select_heads(day.liars, names), broken=list(BROKEN),
     )  # fmt: skip
 
 
--- a/harriertrack/lab/fleet/rig/hearing.py
+++ b/harriertrack/lab/fleet/rig/hearing.py
@@ -42,9 +42,9 @@
             record(rec.VolumeMoved(t=now, head=slot.name, volume=str(fields["volume"]), region=region,
                                    held=event == "volume held"))  # fmt: skip
         if rig.markets is not None:
-            rig.markets.heard(slot, event, fields)
+            rig.markets.handle_log_event(slot, event, fields)
         if rig.limits is not None:
-            rig.limits.heard(slot, event, fields)
+            rig.limits.handle_log_event(slot, event, fields)
         if event == "fleet changes":
             numbers = {name: int(str(fields[name])) for name in ("revision", "digest", "epoch")}
             latest = msgspec.convert(fields["latest"], dict[str, int])
@@ -54,7 +54,7 @@
                 rec.VersionApplied(t=now, head=slot.name, thing=str(fields["thing"]),
                                 version=int(str(fields["version"])), why=str(fields.get("why", "")))
             )  # fmt: skip
-        if (said := weights.told(now, slot.name, event, fields)) is not None:
+        if (said := weights.record_from_log(now, slot.name, event, fields)) is not None:
             record(said)
         if event == "fleet budgets: term begins" and int(str(fields["ledger"])) == DECISION_LOCK:
             self.decider = slot.name
@@ -84,6 +84,6 @@
         except topic_datagrams.MalformedDatagram:
             return
         if isinstance(said, LeaseRequest) and not arrives:
-            rig.recorder.add(shares.asked(now, said))
+            rig.recorder.add(shares.share_request_record(now, said))
         elif isinstance(said, Grant) and arrives:
-            rig.recorder.add(shares.granted(now, said))
+            rig.recorder.add(shares.share_grant_record(now, said))
--- a/harriertrack/lab/fleet/rig/operating.py
+++ b/harriertrack/lab/fleet/rig/operating.py
@@ -78,7 +78,7 @@
                 if last is None or one.version >= last.version:
                     last = one
         read = len(records)
-        if last is None or staging.there(last, step.stage):
+        if last is None or staging.is_settled(last, step.stage):
             return
         if staging.lacks_evidence(last):
             with suppress(ChangeRefused, *FAILURES):  # who decides was first, or it is tried again
--- a/harriertrack/lab/fleet/rig/parties.py
+++ b/harriertrack/lab/fleet/rig/parties.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from harriertrack.gateway.fleet.locks import DECISION_LOCK
-from harriertrack.lab.fleet.scenario import ROLES, StepSettings, chosen
+from harriertrack.lab.fleet.scenario import ROLES, StepSettings, select_heads
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
 
@@ -17,7 +17,7 @@
 
 def heads_of(rig: FleetRig, step: StepSettings) -> list[HeadSlot]:
     """Return the heads that a step is about."""
-    names = chosen(step.who, [slot.name for slot in rig.heads])
+    names = select_heads(step.who, [slot.name for slot in rig.heads])
     names += [name for word in step.who if word in ROLES for name in _in_role(rig, word)]
     if step.part < 1.0:
         names = rig.drawn.sample(names, max(1, round(step.part * len(names))))
@@ -40,10 +40,10 @@
 def ends_of(rig: FleetRig, step: StepSettings) -> tuple[list[str], list[str]]:
     """Return the parties between which a fault lies."""
     heads = [slot.name for slot in rig.heads]
-    sources = chosen(step.who, heads)
+    sources = select_heads(step.who, heads)
     if step.part < 1.0:
         sources = rig.drawn.sample(sources, max(1, round(step.part * len(sources))))
-    targets = chosen(step.other, heads, tuple(sources))
+    targets = select_heads(step.other, heads, tuple(sources))
     for words, found in ((step.who, sources), (step.other, targets)):
         found += [name for name in words if name in rig.shelves or name in OUTSIDE]
         if "shelves" in words:
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -235,7 +235,7 @@
         """Start a head with nothing but what it kept on disk, and let others find it."""
         super().start_head(slot)
         if self.fleet_day.regions and slot.head is not None:
-            regions.reach(self, slot.name, slot.head.address)
+            regions.set_partner_address(self, slot.name, slot.head.address)
         if len(self.faults.weather):
             self.weather_changed()
 
--- a/harriertrack/lab/fleet/rig/told.py
+++ b/harriertrack/lab/fleet/rig/told.py
@@ -11,7 +11,7 @@
     ScoringSettings,
     ZonesSettings,
 )
-from harriertrack.lab.fleet.scenario import DayBudgets, FleetDaySettings, StepSettings, chosen
+from harriertrack.lab.fleet.scenario import DayBudgets, FleetDaySettings, StepSettings, select_heads
 
 
 def budgets_of(day: FleetDaySettings, witness: tuple[str, int]) -> FleetBudgetSettings | None:
@@ -46,7 +46,7 @@
 
 def lies(day: FleetDaySettings, name: str, heads: list[str]) -> bool:
     """Whether a head is a liar."""
-    return name in chosen(day.liars, heads)
+    return name in select_heads(day.liars, heads)
 
 
 def figures(day: FleetDaySettings) -> dict[str, object]:
--- a/harriertrack/lab/fleet/rig/traffic.py
+++ b/harriertrack/lab/fleet/rig/traffic.py
@@ -13,7 +13,7 @@
 
 def day_of(day: FleetDaySettings, heads: int) -> DaySettings:
     """Return the day of clients and nodes that goes on beside a fleet's day."""
-    beside = regions.moving(day.moving, heads, VOLUME_BYTES) if day.regions else []
+    beside = regions.two_region_volumes(day.moving, heads, VOLUME_BYTES) if day.regions else []
     if day.closing is not None:
         beside += markets.volumes(day.markets, heads, day.hosts, day.shelves, day.extent_bytes,
                                   day.desks, day.regions)  # fmt: skip
--- a/harriertrack/lab/fleet/scenario.py
+++ b/harriertrack/lab/fleet/scenario.py
@@ -39,7 +39,7 @@
 SPAN = re.compile(r"(\d+(?:\.\d+)?)\.\.(\d+(?:\.\d+)?)\Z")
 NAMED = re.compile(r"(?:head|node)\d+\Z|list\Z|witness\Z")
 ZONES = ("z0", "z1", "z2")
-AS_AFTER = (0,)  # of a market: all of its closes are to come to pass
+EXPECT_ALL = (0,)  # of a market: all of its closes are to come to pass
 # Who decides; who keeps a ledger; who runs what comes in stages; all in the zones of these.
 ROLES = ("decider", "keeper", "new", "new-zone")
 IN_REGION = {"region-a": 0, "region-b": 1}  # the heads of a region, on days of two
@@ -50,7 +50,7 @@
 TAKEN_UP_US = 5 * SECOND  # a calendar is on record and taken up by then, also on a busy machine
 
 
-def lull_us(closing: ClosingSettings) -> int:
+def proposal_lead_us(closing: ClosingSettings) -> int:
     """Return how long before a close a calendar without it has to be proposed."""
     return closing.notice_us + TAKEN_UP_US
 
@@ -119,7 +119,7 @@
     number: NonNegativeInt = 0  # of a market
     local: str = "UTC"  # its time zone
     after_us: tuple[NonNegativeInt, ...] = ()  # whole seconds past now, about
-    expect_us: tuple[NonNegativeInt, ...] = AS_AFTER  # which of these are to come to pass
+    expect_us: tuple[NonNegativeInt, ...] = EXPECT_ALL  # which of these are to come to pass
     # The last of these comes again so often, until the market has its next calendar.
     again_us: NonNegativeInt = 0
     ahead_us: int = 0  # of true time: the wall clock of who is started, or told so; of a close
@@ -221,7 +221,11 @@
             raise SettingsError(f"{at}: number: no such market, or no (closing ...)")
         if step.name is Verb.NEAR_CLOSE and day.closing is None:
             raise SettingsError(f"{at}: there are no closes on this day")
-        if step.again_us and day.closing is not None and step.again_us < lull_us(day.closing) + SECOND:
+        if (
+            step.again_us
+            and day.closing is not None
+            and step.again_us < proposal_lead_us(day.closing) + SECOND
+        ):
             raise SettingsError(f"{at}: again: leaves no time to stop it between two closes")
         if step.fresh and day.closing is not None:
             raise SettingsError(f"{at}: fresh: what was written and what closes purged is on a head's disk")
@@ -267,7 +271,7 @@
     return msgspec.structs.replace(day, steps=steps)
 
 
-def chosen(words: tuple[str, ...], heads: list[str], but: tuple[str, ...] = ()) -> list[str]:
+def select_heads(words: tuple[str, ...], heads: list[str], but: tuple[str, ...] = ()) -> list[str]:
     """Return the heads that words name, in order; `rest` are those that are not in `but`."""
     found: dict[str, None] = {}
     for word in words:
--- a/harriertrack/lab/fleet/shares.py
+++ b/harriertrack/lab/fleet/shares.py
@@ -10,7 +10,7 @@
     return term.epoch, term.nonce
 
 
-def asked(t: int, ask: LeaseRequest) -> rec.ShareRequested:
+def share_request_record(t: int, ask: LeaseRequest) -> rec.ShareRequested:
     """Return the record of an ask that leaves its head."""
     return rec.ShareRequested(
         t=t, holder=ask.holder, instance=ask.instance, ledger=ask.ledger, term=_pair(ask.term),
@@ -18,7 +18,7 @@
     )  # fmt: skip
 
 
-def granted(t: int, grant: Grant) -> rec.ShareGranted:
+def share_grant_record(t: int, grant: Grant) -> rec.ShareGranted:
     """Return the record of a grant that comes to its head."""
     return rec.ShareGranted(
         t=t, holder=grant.holder, instance=grant.instance, ledger=grant.ledger, term=_pair(grant.term),
--- a/harriertrack/lab/fleet/staged.py
+++ b/harriertrack/lab/fleet/staged.py
@@ -22,14 +22,14 @@
 from harriertrack.decisions.fleet.rollout.evidence import Report
 from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN as USUAL_PLAN, Plan
 
-S = 1_000_000
+SECOND_US = 1_000_000
 TOOK = np.array(
     [0.02, 0.10, 0.40, 0.30, 0.10, 0.05, 0.03] + [0.0] * (LATENCY_BUCKETS - 7)
 )  # of served requests
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
+class ClassOutcomes:
     """How requests of a class go at a head."""
 
     share: float  # of its requests
@@ -38,14 +38,14 @@
     late: float = 0.01
     slower: int = 0  # buckets
 
-    def worse(self, by: Harm) -> Habit:
+    def worse(self, by: Regression) -> ClassOutcomes:
         """Return the same at a head that runs a bad version."""
         return replace(self, refused=self.refused + by.refused, failed=self.failed + by.failed,
                        late=self.late + by.late, slower=self.slower + by.slower)  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
+class Regression:
     """What a bad version does to one class, in parts of its requests."""
 
     class_name: str = ""
@@ -107,16 +107,16 @@
     return Tally(timely, late, refused, failed, tally.past_deadline, list(tally.latency_counts))
 
 
-USUAL = {"read": Habit(0.6), "write": Habit(0.35), "list": Habit(0.05)}
+USUAL = {"read": ClassOutcomes(0.6), "write": ClassOutcomes(0.35), "list": ClassOutcomes(0.05)}
 
 
-class Staged:
+class RolloutSimulation:
     """A fleet, its record and who decides."""
 
     def __init__(self, heads: int, seed: int, plan: Plan | None = None, zones: int = 3, hosts: int = 3,
                  rate: float = 25.0, clumps: float = 0.0, uneven: float = 0.3, lost: float = 0.02,
-                 harms: dict[tuple[str, int], Harm] | None = None, restart_s: int = 8,
-                 classes: dict[str, Habit] | None = None, report_s: int = 1) -> None:  # fmt: skip
+                 harms: dict[tuple[str, int], Regression] | None = None, restart_s: int = 8,
+                 classes: dict[str, ClassOutcomes] | None = None, report_s: int = 1) -> None:  # fmt: skip
         self.random = np.random.default_rng(seed)
         self.plan, self.rate, self.clumps, self.lost, self.restart_s = plan, rate, clumps, lost, restart_s
         self.habits, self.harms, self.report_s = classes or USUAL, harms or {}, report_s
@@ -133,13 +133,13 @@
             for number in range(heads)
         }  # fmt: skip
         self.decider = next(iter(self.heads))
-        self.conductor = RolloutController(self.plan_of)
+        self.controller = RolloutController(self.plan_of)
         self.history: list[tuple[int, Version]] = []
         self.harmed = 0.0  # requests that went badly for running a bad version, as expected
         self.most_new: dict[tuple[int, int], int] = {}  # by version's number and stage
         self.most_away = 0
         self.fleetwide = 1.0
-        self.changed: Callable[[Staged], None] = lambda _fleet: None
+        self.changed: Callable[[RolloutSimulation], None] = lambda _fleet: None
 
     def plan_of(self, version: Version) -> Plan:
         """Return the plan of a version."""
@@ -156,16 +156,16 @@
         """Let another head decide, which knows the record alone."""
         others = [one.name for one in self.heads.values() if one.serves and one.name != self.decider]
         self.decider, self.epoch = name or others[0], self.epoch + 1
-        self.conductor = RolloutController(self.plan_of)
+        self.controller = RolloutController(self.plan_of)
 
     def run(self, seconds: int, each: Callable[[int], None] = lambda _second: None) -> None:
         """Let time pass; `each` is called with every second."""
         for second in range(seconds):
-            self.now += S
+            self.now += SECOND_US
             each(second)
             self._second()
 
-    def until(self, thing: str, most_s: int, each: Callable[[int], None] = lambda _second: None,
+    def run_until(self, thing: str, most_s: int, each: Callable[[int], None] = lambda _second: None,
               more: Collection[VersionState] = ()) -> VersionState:  # fmt: skip
         """Run until a thing's newest version is over or in force, or stands as one of `more`, or for a time.
 
@@ -173,7 +173,7 @@
         """
         done = {*FINISHED, VersionState.IN_FORCE, *more}
         for second in range(most_s):
-            self.now += S
+            self.now += SECOND_US
             each(second)
             self._second()
             if self.record.versions_of(thing)[-1].standing in done:
@@ -191,15 +191,15 @@
             decider = self.heads[self.decider]
         for one in self.heads.values():
             heard = one.serves and not one.cut and not decider.cut
-            if heard and self.now // S % self.report_s == 0 and self.random.random() >= self.lost:
+            if heard and self.now // SECOND_US % self.report_s == 0 and self.random.random() >= self.lost:
                 classes = {}
                 for name, tally in one.classes.items():
                     classes[name] = Tally()
                     classes[name].add(tally)
                 report = Report(one.name, one.life, dict(one.runs), classes, 100 << 20, 0, dict(one.fell), 1)
-                self.conductor.add_report(self.now, report, one.volumes, one.zone)
+                self.controller.add_report(self.now, report, one.volumes, one.zone)
                 if (before := one.before(self.now)) is not None:
-                    self.conductor.add_baseline(self.now, one.name, before)
+                    self.controller.add_baseline(self.now, one.name, before)
             if heard or (one is decider):
                 one.gone_at = -1
             elif one.gone_at < 0:
@@ -208,7 +208,7 @@
             one.name: HeadLocation(one.zone, absent_us=self.now - one.gone_at if one.gone_at >= 0 else -1)
             for one in self.heads.values()
         }
-        for step in self.conductor.next_steps(self.now, self.record, known, self.decider):
+        for step in self.controller.next_steps(self.now, self.record, known, self.decider):
             if not decider.cut:
                 self.record = step.apply(self.record, self.epoch, self.now // 1000)
                 self.history.append((self.now, self.record.find(step.version.thing, step.version.number)))  # type: ignore[arg-type]
@@ -224,7 +224,7 @@
             thing, number = one.becomes
             one.becomes = None
             one.restarted(self.now)
-            if self.harms.get((thing, number), Harm()).falls:
+            if self.harms.get((thing, number), Regression()).falls:
                 one.fell[thing] = (number, "not ready in time")
             else:
                 one.runs[thing] = number
@@ -238,7 +238,7 @@
             if number == one.runs.get(thing, 0) or number == one.fell.get(thing, (0, ""))[0] != 0:
                 continue
             if kind_of(thing) is Kind.PROGRAM:
-                one.becomes, one.away_until = (thing, number), self.now + self.restart_s * S
+                one.becomes, one.away_until = (thing, number), self.now + self.restart_s * SECOND_US
                 return
             one.runs[thing] = number
 
--- a/harriertrack/lab/fleet/staging.py
+++ b/harriertrack/lab/fleet/staging.py
@@ -32,7 +32,7 @@
     return msgspec.convert({**told, "t": now, "by": by}, rec.RolloutStep)
 
 
-def there(last: rec.RolloutStep | rec.VersionProposed, stage: int) -> bool:
+def is_settled(last: rec.RolloutStep | rec.VersionProposed, stage: int) -> bool:
     """Whether a version is in force or taken back, or (from 1) heads of a stage are named."""
     if VersionState(last.standing) in (*FINISHED, VersionState.IN_FORCE):
         return True
--- a/harriertrack/lab/fleet/storm/shrinking.py
+++ b/harriertrack/lab/fleet/storm/shrinking.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings, Verb, chosen
+from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings, Verb, select_heads
 
 # Of a day: what its rules are judged by, and its size; neither goes back to what it is by default.
 KEPT = frozenset({"name", "about", "processes", "detect_us", "may_leave", "sway", "ends", "close_bound_us"})
@@ -108,7 +108,7 @@
         if step.for_us >= 2 * ROUND_US:
             half = step.for_us // 2 // ROUND_US * ROUND_US
             yield _with_step(day, at, msgspec.structs.replace(step, for_us=half))
-        named = chosen(step.who, heads)
+        named = select_heads(step.who, heads)
         if len(named) > 1 and step.who != ("all",):
             for name in named:
                 yield _with_step(day, at, msgspec.structs.replace(step, who=(name,)))
--- a/harriertrack/lab/fleet/swarm.py
+++ b/harriertrack/lab/fleet/swarm.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ViewChangeSeen:
     """One member's view changed."""
 
     t: int
@@ -33,7 +33,7 @@
     def __init__(self, rules: Rules, seed: int = 0, seeds: int = 2) -> None:
         self.rules, self.now, self.random = rules, 1_000_000, random.Random(seed)
         self.members: dict[str, Swim] = {}
-        self.seen: list[Seen] = []
+        self.seen: list[ViewChangeSeen] = []
         self.said: list[tuple[int, str, LogEvent]] = []
         self.loss = 0.0  # share of datagrams that are lost
         self.late_us: Callable[[str, str], int] = lambda _source, _target: 0
@@ -82,7 +82,7 @@
         """Let a process stand still; its socket still takes what comes, up to some."""
         self._stopped.add(process)
 
-    def go_on(self, process: str) -> None:
+    def resume(self, process: str) -> None:
         """Let it go on: it finds what came, and its timers late."""
         self._stopped.discard(process)
         for data, source in self._waiting.pop(process, []):
@@ -101,7 +101,7 @@
             if isinstance(action, Send):
                 self._carry(process, action)
             elif isinstance(action, MemberChanged) and self.keep_changes:
-                self.seen.append(Seen(self.now, process, action.change))
+                self.seen.append(ViewChangeSeen(self.now, process, action.change))
             elif isinstance(action, LogEvent):
                 self.said.append((self.now, process, action))
         self._plan(process)
@@ -147,18 +147,18 @@
         self.now = end
         return until is not None and until()
 
-    def agree(self, names: Iterable[str] | None = None) -> bool:
+    def is_agreed(self, names: Iterable[str] | None = None) -> bool:
         """Whether all these processes hold exactly each other to be there."""
         processes = list(self.members if names is None else names)
         there = {self.members[one].me.name for one in processes}
         digests = {self.members[one].view.digest for one in processes}
         return len(digests) == 1 and set(self.members[processes[0]].view.present) == there
 
-    def settle(self, us: int, names: Iterable[str] | None = None) -> int:
+    def run_until_agreed(self, us: int, names: Iterable[str] | None = None) -> int:
         """Run until all these agree; return after how long, -1 if not within a time."""
         began, wanted = self.now, None if names is None else list(names)
         while self.now < began + us:
-            if self.agree(wanted):
+            if self.is_agreed(wanted):
                 return self.now - began
             self.run(50_000)
-        return self.now - began if self.agree(wanted) else -1
+        return self.now - began if self.is_agreed(wanted) else -1
--- a/harriertrack/lab/fleet/weights.py
+++ b/harriertrack/lab/fleet/weights.py
@@ -31,7 +31,7 @@
 WORST = "worst-first"
 
 
-def contrary(about: bytes) -> bytes:
+def invert_weights(about: bytes) -> bytes:
     """Return a page that says the contrary."""
     page = weight_pages.decode(about)
     entries = tuple(
@@ -41,7 +41,7 @@
     return weight_pages.encode(replace(page, entries=entries))
 
 
-def lied(data: bytes) -> bytes:
+def falsify_datagram(data: bytes) -> bytes:
     """Return a datagram as a liar sends it."""
     if data[:1] == MARK:
         return data
@@ -51,7 +51,7 @@
     sender = fields[4]
     for note in fields[TOPICS]:
         if note[0] == sender and note[5].startswith(weight_pages.TOPIC):
-            note[4] = contrary(note[4])
+            note[4] = invert_weights(note[4])
     return msgspec.msgpack.encode(fields)
 
 
@@ -63,7 +63,7 @@
 
     def send(self, data: bytes, address: Address) -> None:
         """Send a datagram; if that can't be done at once it is lost."""
-        self._port.send(lied(data), address)
+        self._port.send(falsify_datagram(data), address)
 
     def close(self) -> None:
         """Take and send no more."""
@@ -139,7 +139,7 @@
         self._sums[head] = since, total + sum(len(msgspec.msgpack.encode(note)) for note in topics)
 
 
-def told(now: int, head: str, event: str, fields: dict[str, object]) -> rec.Record | None:
+def record_from_log(now: int, head: str, event: str, fields: dict[str, object]) -> rec.Record | None:
     """Return what a line of a head's log says of weights, if anything."""
     if event == "fleet weights":
         said = {"used": fields["weights"], "own": fields["own"], "joined": fields["joined"]}
--- a/tests/rollout/test_baselines.py
+++ b/tests/rollout/test_baselines.py
@@ -23,7 +23,7 @@
 from harriertrack.gateway.fleet.rollout.reports import Heard, MalformedReport, encode_before
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
-from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
+from harriertrack.lab.fleet.staged import ClassOutcomes, Regression, SECOND_US, RolloutSimulation
 from harriertrack.membership.fleet.topic_datagrams import MAX_TOPIC_BODY
 from harriertrack.membership.fleet.messages import Record as Member, State
 from harriertrack.membership.fleet.view import View
@@ -31,26 +31,26 @@
 from harriertrack.storage.changes import ChangesCache
 
 QUICK = Plan(
-    (Stage("one", heads=1, soak_us=20 * S, least=100), Stage("half", share=0.5, soak_us=20 * S, least=100),
-     Stage("all", share=1.0, soak_us=20 * S, least=0)), before_us=60 * S, patience_us=400 * S,
+    (Stage("one", heads=1, soak_us=20 * SECOND_US, least=100), Stage("half", share=0.5, soak_us=20 * SECOND_US, least=100),
+     Stage("all", share=1.0, soak_us=20 * SECOND_US, least=0)), before_us=60 * SECOND_US, patience_us=400 * SECOND_US,
 )  # fmt: skip
-WORSE = Harm("write", failed=0.05, refused=0.05, late=0.05)
+WORSE = Regression("write", failed=0.05, refused=0.05, late=0.05)
 
 
-def fleet(seed: int = 1, heads: int = 6, **more: object) -> Staged:
-    return Staged(
+def fleet(seed: int = 1, heads: int = 6, **more: object) -> RolloutSimulation:
+    return RolloutSimulation(
         heads,
         seed,
         QUICK,
         zones=1,
         rate=150.0,
-        classes={"read": Habit(0.65), "write": Habit(0.35)},
+        classes={"read": ClassOutcomes(0.65), "write": ClassOutcomes(0.35)},
         **{"uneven": 0.3, **more},
     )  # type: ignore[arg-type]
 
 
-def tracked(one: Staged):
-    return next(iter(one.conductor.tracked.values()))
+def tracked(one: RolloutSimulation):
+    return next(iter(one.controller.tracked.values()))
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
@@ -83,7 +83,7 @@
     one.propose("settings")
     one.run(second)
     one.new_decider()
-    assert one.until("settings", 900) is VersionState.IN_FORCE
+    assert one.run_until("settings", 900) is VersionState.IN_FORCE
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
@@ -93,12 +93,12 @@
         each.propose(thing)
         steps: list[int] = []
 
-        def look(_second: int, each: Staged = each, steps: list[int] = steps) -> None:
+        def look(_second: int, each: RolloutSimulation = each, steps: list[int] = steps) -> None:
             if len(each.history) != len(steps):
                 steps.extend([0] * (len(each.history) - len(steps)))
                 each.new_decider()
 
-        each.until(thing, 1500, look)
+        each.run_until(thing, 1500, look)
     assert one.record.versions_of(thing)[0].standing is VersionState.IN_FORCE
     assert (
         bad.record.versions_of(thing)[0].standing is VersionState.STOPPED and max(bad.most_new.values()) == 1
@@ -114,13 +114,13 @@
     one.new_decider()
     one.run(40)
     assert tracked(one).test.baseline == {}, "heads of an older program: compared as if all heads were alike"
-    assert one.until("settings", 900) in (VersionState.IN_FORCE, VersionState.PAUSED)
+    assert one.run_until("settings", 900) in (VersionState.IN_FORCE, VersionState.PAUSED)
 
 
 def test_baseline_reported_tenfold_does_not_let_a_bad_version_pass() -> None:
     ends = []
     for seed in range(4):
-        one = fleet(seed=seed, harms={("settings", 1): Harm("write", failed=0.02)}, uneven=0.2)
+        one = fleet(seed=seed, harms={("settings", 1): Regression("write", failed=0.02)}, uneven=0.2)
         one.propose("settings")
         one.run(62)
         named = one.record.in_progress("settings")
@@ -131,11 +131,11 @@
         one.run(90)
         going = one.record.in_progress("settings")
         assert going is not None and going.stage == 1, "no stage ends by this head alone"
-        assert f"as 6 of 6 heads tell it; not {faulty.name}, " in one.conductor.status_lines(one.record)[0]
+        assert f"as 6 of 6 heads tell it; not {faulty.name}, " in one.controller.status_lines(one.record)[0]
         others = tuple(name for name in one.heads if name != one.decider)[:3]
         one.record = operations.set_state(one.record, one.epoch, "settings", 1, VersionState.ADVANCING, 1, "the others show it", 2,
                                   tuple({faulty.name, *others}))  # fmt: skip
-        ends.append(one.until("settings", 280))
+        ends.append(one.run_until("settings", 280))
     assert ends == [VersionState.STOPPED] * 4
 
 
@@ -152,11 +152,11 @@
 
     reported = {
         f"head{number}": ReportedBaseline(
-            100 * S, Baseline("settings", 1, 0, {"read": Tally(1000, 10, 10, 1)})
+            100 * SECOND_US, Baseline("settings", 1, 0, {"read": Tally(1000, 10, 10, 1)})
         )
         for number in range(5)
     }
-    week = ReportedBaseline(-600_000 * S, Baseline("settings", 1, 0, {"read": Tally(10, 900, 10, 1)}))
+    week = ReportedBaseline(-600_000 * SECOND_US, Baseline("settings", 1, 0, {"read": Tally(10, 900, 10, 1)}))
     found = accept_baselines({**reported, "late": week}, {*reported, "late"}, 0.01)
     assert {head for head, _ in found.counts} == set(reported) and not found.outliers
     assert (
@@ -200,7 +200,7 @@
 
     def second(at: int, now: Record) -> bool:
         counts["read"].timely += 10
-        return one.update(at * S, now, counts, 5 << 20, at * 100)
+        return one.update(at * SECOND_US, now, counts, 5 << 20, at * 100)
 
     for at in range(20):
         second(at, record)
@@ -211,16 +211,18 @@
         proposed, 1, "settings", 1, VersionState.ADVANCING, 1, "stage one", 1, ("a",)
     )
     assert second(50, named) and not second(51, named)
-    baseline = one.current(60 * S)
+    baseline = one.current(60 * SECOND_US)
     assert baseline is not None and (baseline.number, baseline.ago_us, baseline.classes["read"].timely) == (
         1,
-        10 * S,
+        10 * SECOND_US,
         300,
     )
     assert baseline.usage == Usage(5 << 20, 3000, 300, 30)
     assert not second(61, operations.set_state(named, 1, "settings", 1, VersionState.IN_FORCE, 1, "all", 1))
-    assert one.current(61 * S) is None, "the version is no longer in progress"
-    assert not BaselineRecorder(0).update(6 * S, named, counts), "it did not observe the baseline period"
+    assert one.current(61 * SECOND_US) is None, "the version is no longer in progress"
+    assert not BaselineRecorder(0).update(6 * SECOND_US, named, counts), (
+        "it did not observe the baseline period"
+    )
 
 
 def test_baseline_does_not_begin_while_another_version_goes_first() -> None:
@@ -230,17 +232,17 @@
     going = operations.set_state(both, 1, "program", 1, VersionState.ADVANCING, 1, "one", 1, ("a",))
     one = BaselineRecorder(0)
     for at in range(10, 20):
-        one.update(at * S, both, {"read": Tally(at)})
-    assert one.update(20 * S, going, {"read": Tally(20)})
-    assert one.current(20 * S).thing == "program"  # type: ignore[union-attr]
+        one.update(at * SECOND_US, both, {"read": Tally(at)})
+    assert one.update(20 * SECOND_US, going, {"read": Tally(20)})
+    assert one.current(20 * SECOND_US).thing == "program"  # type: ignore[union-attr]
     done = operations.set_state(going, 1, "program", 1, VersionState.IN_FORCE, 1, "all", 1)
-    assert not one.update(21 * S, done, {"read": Tally(21)}) and one.current(21 * S) is None
+    assert not one.update(21 * SECOND_US, done, {"read": Tally(21)}) and one.current(21 * SECOND_US) is None
     assert one.update(
-        23 * S,
+        23 * SECOND_US,
         operations.set_state(done, 1, "settings", 1, VersionState.ADVANCING, 1, "one", 1, ("a",)),
         {"read": Tally(29)},
     )
-    assert one.current(23 * S).classes["read"].timely == 8  # type: ignore[union-attr]
+    assert one.current(23 * SECOND_US).classes["read"].timely == 8  # type: ignore[union-attr]
 
 
 # -- encoding, and storage on disk
@@ -248,11 +250,15 @@
 
 def test_baseline_report_fits_and_round_trips() -> None:
     many = {f"class-{number}": Tally(number, 1, 2, 3, 4, [number] * 16) for number in range(40)}
-    before = Baseline("scorer/near", 7, 5 * S, many, Usage(1 << 30, 99, 0, 12))
+    before = Baseline("scorer/near", 7, 5 * SECOND_US, many, Usage(1 << 30, 99, 0, 12))
     data = encode_before(3, before)
     assert len(data) <= MAX_TOPIC_BODY
     back = Heard("a").take(data)
-    assert isinstance(back, Baseline) and (back.thing, back.number, back.ago_us) == ("scorer/near", 7, 5 * S)
+    assert isinstance(back, Baseline) and (back.thing, back.number, back.ago_us) == (
+        "scorer/near",
+        7,
+        5 * SECOND_US,
+    )
     assert set(back.classes) == {f"class-{number}" for number in range(40 - len(back.classes), 40)}, (
         "the busiest classes"
     )
@@ -267,24 +273,26 @@
     store = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
     before = Baseline("program", 2, 0, {"read": Tally(9, 1)}, Usage(1, 2, 10, 3))
     assert store.read(5) is None and not notes
-    store.write(1000 * S, before)
+    store.write(1000 * SECOND_US, before)
     again = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
-    assert again.read(1030 * S) == replace(before, ago_us=30 * S)
+    assert again.read(1030 * SECOND_US) == replace(before, ago_us=30 * SECOND_US)
     one = BaselineRecorder(0)
-    one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
+    one.restore(5 * SECOND_US, again.read(1030 * SECOND_US))  # type: ignore[arg-type]
     proposed = operations.propose(Record(), "program", 0, "b", "ann", 1, "w")
-    one.update(5 * S, Record(), {})
-    assert one.current(5 * S) is not None, "the record has not been received yet"
-    one.update(5 * S, proposed, {})
-    assert one.current(5 * S) is None, "that version is not in progress"
+    one.update(5 * SECOND_US, Record(), {})
+    assert one.current(5 * SECOND_US) is not None, "the record has not been received yet"
+    one.update(5 * SECOND_US, proposed, {})
+    assert one.current(5 * SECOND_US) is None, "that version is not in progress"
     going = replace(proposed.versions[0], number=2, standing=VersionState.ADVANCING, heads=("a",))
-    one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
-    assert not one.update(6 * S, Record(revision=2, versions=(going,)), {})
-    assert one.current(10 * S).ago_us == 35 * S  # type: ignore[union-attr]
-    one.restore(5 * S, again.read(10 * S))  # type: ignore[arg-type]
-    assert one.current(10 * S).ago_us == 35 * S, "the clock went back: the stored baseline is not usable"  # type: ignore[union-attr]
+    one.restore(5 * SECOND_US, again.read(1030 * SECOND_US))  # type: ignore[arg-type]
+    assert not one.update(6 * SECOND_US, Record(revision=2, versions=(going,)), {})
+    assert one.current(10 * SECOND_US).ago_us == 35 * SECOND_US  # type: ignore[union-attr]
+    one.restore(5 * SECOND_US, again.read(10 * SECOND_US))  # type: ignore[arg-type]
+    assert one.current(10 * SECOND_US).ago_us == 35 * SECOND_US, (
+        "the clock went back: the stored baseline is not usable"
+    )  # type: ignore[union-attr]
     (tmp_path / "before").write_bytes(b"x" * 40)
-    assert again.read(1030 * S) is None and notes == ["rollout: what was kept of before is of no use"]
+    assert again.read(1030 * SECOND_US) is None and notes == ["rollout: what was kept of before is of no use"]
 
 
 # -- requested exits
@@ -293,7 +301,9 @@
 def test_requested_exits_are_not_crashes() -> None:
     evidence = Evidence("settings", 1, 0)
     for at, incarnation in ((0, 1), (60, 2), (120, 3), (180, 4)):
-        evidence.add_report(at * S, Report("a", incarnation, {"settings": 1}, {}), "z0", stopped={1, 3})
+        evidence.add_report(
+            at * SECOND_US, Report("a", incarnation, {"settings": 1}, {}), "z0", stopped={1, 3}
+        )
     assert evidence.crash_counts() == (1, 0)
 
 
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -14,23 +14,23 @@
 from harriertrack.decisions.fleet.rollout.sequential_test import excess_usage
 from harriertrack.decisions.fleet.rollout.plan import Bounds, Plan, Stage
 from harriertrack.decisions.fleet.rollout.rollout import Step
-from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
+from harriertrack.lab.fleet.staged import ClassOutcomes, Regression, SECOND_US, RolloutSimulation
 
 QUICK = Plan(
-    (Stage("one", heads=1, soak_us=20 * S, least=100), Stage("most", share=0.7, soak_us=20 * S, least=100),
-     Stage("all", share=1.0, soak_us=20 * S, least=0)), before_us=60 * S, patience_us=400 * S,
+    (Stage("one", heads=1, soak_us=20 * SECOND_US, least=100), Stage("most", share=0.7, soak_us=20 * SECOND_US, least=100),
+     Stage("all", share=1.0, soak_us=20 * SECOND_US, least=0)), before_us=60 * SECOND_US, patience_us=400 * SECOND_US,
 )  # fmt: skip
 
 
-def fleet(seed: int = 1, heads: int = 6, **more: object) -> Staged:
-    return Staged(heads, seed, QUICK, rate=150.0, uneven=0.1, **more)  # type: ignore[arg-type]
+def fleet(seed: int = 1, heads: int = 6, **more: object) -> RolloutSimulation:
+    return RolloutSimulation(heads, seed, QUICK, rate=150.0, uneven=0.1, **more)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
 def test_good_version_reaches_all_heads_in_stages(thing: str) -> None:
     one = fleet()
     one.propose(thing)
-    assert one.until(thing, 1200) is VersionState.IN_FORCE
+    assert one.run_until(thing, 1200) is VersionState.IN_FORCE
     assert [one.most_new[1, stage] for stage in (1, 2)] == [1, 3], "one of two heads in a zone is left out"
     assert one.most_away == (1 if thing == "program" else 0)
     last = [version.heads[-1] for _, version in one.history if version.stage == 3 and version.heads]
@@ -38,12 +38,12 @@
 
 
 @pytest.mark.parametrize("harm", [
-    Harm("write", failed=0.05), Harm("read", refused=0.06), Harm("read", slower=2), Harm("list", late=0.2),
+    Regression("write", failed=0.05), Regression("read", refused=0.06), Regression("read", slower=2), Regression("list", late=0.2),
 ])  # fmt: skip
-def test_version_worse_in_one_class_is_stopped_at_the_first_head(harm: Harm) -> None:
+def test_version_worse_in_one_class_is_stopped_at_the_first_head(harm: Regression) -> None:
     one = fleet(harms={("settings", 1): harm})
     one.propose("settings")
-    assert one.until("settings", 600) is VersionState.STOPPED
+    assert one.run_until("settings", 600) is VersionState.STOPPED
     assert max(one.most_new.values()) == 1 and not any(
         head.runs.get("settings") for head in one.heads.values()
     )
@@ -55,21 +55,23 @@
 
 
 def test_flawless_baseline_needs_few_answers_to_stop_or_pass_a_version() -> None:
-    flawless = {"read": Habit(0.65, 0, 0, 0), "write": Habit(0.35, 0, 0, 0)}
-    bad = Staged(6, 1, QUICK, rate=50.0, classes=flawless, harms={("settings", 1): Harm("write", failed=0.3)})
-    good = Staged(6, 1, QUICK, rate=50.0, classes=flawless)
+    flawless = {"read": ClassOutcomes(0.65, 0, 0, 0), "write": ClassOutcomes(0.35, 0, 0, 0)}
+    bad = RolloutSimulation(
+        6, 1, QUICK, rate=50.0, classes=flawless, harms={("settings", 1): Regression("write", failed=0.3)}
+    )
+    good = RolloutSimulation(6, 1, QUICK, rate=50.0, classes=flawless)
     for one in (bad, good):
         one.propose("settings")
-    assert bad.until("settings", 100) is VersionState.STOPPED, (
+    assert bad.run_until("settings", 100) is VersionState.STOPPED, (
         "a rate raised to the minimum used to stay as uncertain as without any data"
     )
-    assert good.until("settings", 180) is VersionState.IN_FORCE
+    assert good.run_until("settings", 180) is VersionState.IN_FORCE
 
 
 def test_head_that_falls_back_stops_the_version() -> None:
-    one = fleet(harms={("program", 1): Harm(falls=True)})
+    one = fleet(harms={("program", 1): Regression(falls=True)})
     one.propose("program")
-    assert one.until("program", 300) is VersionState.STOPPED
+    assert one.run_until("program", 300) is VersionState.STOPPED
     assert "not ready in time" in one.record.versions_of("program")[0].reason
 
 
@@ -81,20 +83,20 @@
     one.run(200)
     going = one.record.in_progress("settings")
     assert going is not None and (going.standing, going.stage) == (VersionState.ADVANCING, 1)
-    assert "worse than before" in one.conductor.status_lines(one.record)[0]
+    assert "worse than before" in one.controller.status_lines(one.record)[0]
 
 
 def test_load_of_heads_that_are_away_does_not_count_against_the_version() -> None:
     one = fleet()
 
-    def add_load(fleet: Staged) -> None:
+    def add_load(fleet: RolloutSimulation) -> None:
         away_volumes = {volume for head in fleet.heads.values() if head.becomes for volume in head.volumes}
         for head in fleet.heads.values():
             head.clump = 6.0 if head.volumes & away_volumes else 1.0
 
     one.changed = add_load
     one.propose("program")
-    assert one.until("program", 1500) is VersionState.IN_FORCE
+    assert one.run_until("program", 1500) is VersionState.IN_FORCE
 
 
 def test_lost_zone_with_all_new_heads_does_not_stop_the_version() -> None:
@@ -112,15 +114,17 @@
     )
     for head in lost:
         head.cut, head.life, head.classes = False, head.life + 1, {}
-    assert one.until("settings", 800) is VersionState.IN_FORCE
+    assert one.run_until("settings", 800) is VersionState.IN_FORCE
 
 
 @pytest.mark.parametrize("every", [7, 180])
-@pytest.mark.parametrize("harm", [None, Harm("write", failed=0.1)])
-def test_rollout_continues_from_the_record_after_takeovers_in_any_step(every: int, harm: Harm | None) -> None:
+@pytest.mark.parametrize("harm", [None, Regression("write", failed=0.1)])
+def test_rollout_continues_from_the_record_after_takeovers_in_any_step(
+    every: int, harm: Regression | None
+) -> None:
     one = fleet(seed=every, harms={("settings", 1): harm} if harm else {})
     one.propose("settings")
-    ends = one.until(
+    ends = one.run_until(
         "settings",
         60 if every == 7 else 1300,
         lambda second: one.new_decider() if second % every == every - 1 else None,
@@ -137,7 +141,7 @@
 
 
 def test_insufficient_evidence_for_too_long_pauses_the_rollout() -> None:
-    one = Staged(4, 2, QUICK, rate=0.2)
+    one = RolloutSimulation(4, 2, QUICK, rate=0.2)
     one.propose("settings")
     one.run(520)
     paused = one.record.in_progress("settings")
@@ -157,7 +161,7 @@
 
 
 def test_resume_between_two_checks_restarts_the_patience() -> None:
-    one = Staged(4, 2, QUICK, rate=0.2)
+    one = RolloutSimulation(4, 2, QUICK, rate=0.2)
     one.propose("settings")
     resumed: list[int] = []
 
@@ -166,7 +170,7 @@
             one.record = operations.set_state_as_operator(
                 one.record, "settings", VersionState.ADVANCING, "ann", one.now // 1000, "wait on"
             )
-            resumed.append(one.now // S)
+            resumed.append(one.now // SECOND_US)
 
     one.run(1400, look)
     assert len(resumed) == 3 and resumed[1] - resumed[0] > 400
@@ -185,9 +189,9 @@
     def one_record():
         return one.record
 
-    assert one.until("settings", 900, look) is VersionState.IN_FORCE
+    assert one.run_until("settings", 900, look) is VersionState.IN_FORCE
     assert one.record.in_progress("calendar/tokyo").standing is VersionState.PROPOSED  # type: ignore[union-attr]
-    assert one.until("program", 1500, look) is VersionState.IN_FORCE
+    assert one.run_until("program", 1500, look) is VersionState.IN_FORCE
     assert not any({"settings", "program"} <= set(some) for some in both)
 
 
@@ -200,7 +204,7 @@
     asleep.cut = True
     one.run(30)
     late.dead = False
-    assert one.until("settings", 900) is VersionState.IN_FORCE, (
+    assert one.run_until("settings", 900) is VersionState.IN_FORCE, (
         "an unreachable head that is not named holds no stage up"
     )
     asleep.cut = False
@@ -264,24 +268,24 @@
 
 
 def test_bounds_come_from_the_plan() -> None:
-    lax = Plan(QUICK.stages, before_us=60 * S, bounds=Bounds(times=20.0, more=0.3))
-    one = Staged(8, 1, lax, rate=100.0, harms={("settings", 1): Harm("write", failed=0.02)})
+    lax = Plan(QUICK.stages, before_us=60 * SECOND_US, bounds=Bounds(times=20.0, more=0.3))
+    one = RolloutSimulation(8, 1, lax, rate=100.0, harms={("settings", 1): Regression("write", failed=0.02)})
     one.propose("settings")
-    assert one.until("settings", 900) is VersionState.IN_FORCE
+    assert one.run_until("settings", 900) is VersionState.IN_FORCE
 
 
 def test_last_stage_needs_no_requests_and_an_invalid_plan_is_withdrawn() -> None:
-    idle = Plan((Stage("all", share=1.0, soak_us=5 * S, least=0),), before_us=S)
-    one = Staged(4, 1, idle, rate=0.0)
+    idle = Plan((Stage("all", share=1.0, soak_us=5 * SECOND_US, least=0),), before_us=SECOND_US)
+    one = RolloutSimulation(4, 1, idle, rate=0.0)
     one.propose("settings")
-    assert one.until("settings", 60) is VersionState.IN_FORCE
+    assert one.run_until("settings", 60) is VersionState.IN_FORCE
 
     def no_plan(_version: object) -> Plan:
         raise InvalidPlan("p:1: plan: no such thing")
 
-    one.conductor.plan_of = no_plan
+    one.controller.plan_of = no_plan
     one.propose("settings", "c")
-    assert one.until("settings", 20) is VersionState.ABORTED
+    assert one.run_until("settings", 20) is VersionState.ABORTED
     assert "no such thing" in one.record.versions_of("settings")[-1].reason
 
 
@@ -311,7 +315,7 @@
             new = second >= 20 and head == "a"
             report = Report(head, 1, {"settings": 1} if new else {}, {"read": Tally(timely=second)},
                             (300 if new else 110 if second >= 20 else 100) << 20, second)  # fmt: skip
-            evidence.add_report(second * S, report, "z0")
+            evidence.add_report(second * SECOND_US, report, "z0")
     assert excess_usage(evidence, QUICK).startswith("memory: 3.00 times what it was, 1.10 times elsewhere")
     assert not excess_usage(evidence, replace(QUICK, bounds=Bounds(memory=3.0)))
 
@@ -320,5 +324,5 @@
     evidence = Evidence("settings", 1, 0)
     for incarnation, at in ((1, 0), (2, 10), (3, 100)):
         for head in ("a", "b", "c"):
-            evidence.add_report(at * S, Report(head, incarnation, {"settings": 1}, {}), "z0")
+            evidence.add_report(at * SECOND_US, Report(head, incarnation, {"settings": 1}, {}), "z0")
     assert evidence.crash_counts() == (2, 0)
--- a/tests/scoring/test_notes.py
+++ b/tests/scoring/test_notes.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings, strategies as st
 
 from harriertrack.decisions.fleet.scoring.weight_exchange import MAX_ENTRIES, Entry, Page, page_number
-from harriertrack.lab.fleet.later import later
+from harriertrack.lab.fleet.later import as_later_version
 from harriertrack.lab.fleet.swarm import Swarm
-from harriertrack.lab.fleet.weights import contrary, lied
+from harriertrack.lab.fleet.weights import invert_weights, falsify_datagram
 from harriertrack.membership.fleet import weight_pages
 from harriertrack.membership.fleet.messages import (
     MAX_TOPICS,
@@ -62,8 +62,8 @@
     old = msgspec.msgpack.decode(draft(2).pack(), type=OldDatagram)
     assert [note.payload for note in old.notes] == [b"about"]  # no topic is read as a note
     assert [note.topic for note in decode(draft(2).pack()).topics] == ["w/0", "w/1"]
-    assert [note.topic for note in decode(later(draft(2).pack())).topics] == ["w/0", "w/1"]
-    assert decode(later(draft(0).pack())).topics == []
+    assert [note.topic for note in decode(as_later_version(draft(2).pack())).topics] == ["w/0", "w/1"]
+    assert decode(as_later_version(draft(0).pack())).topics == []
 
 
 def test_topics_share_the_space_of_notes():
@@ -79,7 +79,7 @@
     assert (
         len(data) <= 256 and weight_pages.decode(data) == PAGE and weight_pages.decode(data + b"more") == PAGE
     )
-    assert {one.steps for one in weight_pages.decode(contrary(data)).entries} == {32}
+    assert {one.steps for one in weight_pages.decode(invert_weights(data)).entries} == {32}
 
 
 @given(st.binary(max_size=256))
@@ -105,8 +105,8 @@
     small = weight_pages.encode(Page(1, 1, 9, PAGE.entries[:2], 7))
     for name in ("m1", "m2"):
         both.add_topic(encode_item(TopicNote(name, 1, 2, 1, small, "w/00000001/1")))
-    mine, others = decode(lied(both.pack())).topics
-    assert others.payload == small and mine.payload == contrary(small) != small
+    mine, others = decode(falsify_datagram(both.pack())).topics
+    assert others.payload == small and mine.payload == invert_weights(small) != small
 
 
 @pytest.mark.parametrize("rate", [300, 2000])
@@ -114,7 +114,7 @@
     swarm = Swarm(Rules(topic_bytes=rate), seed=3)
     for number in range(12):
         swarm.start(f"m{number}")
-    assert swarm.settle(20_000_000) >= 0
+    assert swarm.run_until_agreed(20_000_000) >= 0
     started = swarm.now
     sent = 0
     carry = swarm._carry
@@ -139,7 +139,7 @@
 def test_topics_of_a_member_are_limited_and_a_new_incarnation_starts_without_any():
     swarm = Swarm(Rules(), seed=4)
     one, other = swarm.start("m0"), swarm.start("m1")
-    swarm.settle(20_000_000)
+    swarm.run_until_agreed(20_000_000)
     for number in range(MAX_TOPICS + 3):
         one.set_topic_note(f"t/{number}", b"x")
     with pytest.raises(ValueError, match="300 bytes"):
--- a/tests/test_fleet_budgets_carrier.py
+++ b/tests/test_fleet_budgets_carrier.py
@@ -34,7 +34,7 @@
 from harriertrack.gateway.fleet import budgets as carrier
 from harriertrack.gateway.head import Wiring
 from harriertrack.lab.fleet import scenario
-from harriertrack.lab.fleet.later import later
+from harriertrack.lab.fleet.later import as_later_version
 from harriertrack.lab.fleet.processes import Places
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.membership.fleet import topic_datagrams
@@ -98,7 +98,7 @@
     topic_datagrams.Report("t", "a", b"x"), topic_datagrams.Ruling("t", TERM, b"x"),
 ])  # fmt: skip
 def test_datagrams_of_the_simulated_later_version_are_read(said):
-    data = later(topic_datagrams.encode("f", said))
+    data = as_later_version(topic_datagrams.encode("f", said))
     assert data != topic_datagrams.encode("f", said) and topic_datagrams.decode("f", data) == said
 
 
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -77,9 +77,9 @@
 
 def test_who_is_named_whatever_the_number_of_heads():
     heads = [f"head{number}" for number in range(10)]
-    assert scenario.chosen(("seeds", "head7"), heads) == ["head0", "head1", "head7"]
-    assert scenario.chosen(("0.5..0.7",), heads) == ["head5", "head6"]
-    assert scenario.chosen(("rest",), heads, ("head1",)) == [name for name in heads if name != "head1"]
+    assert scenario.select_heads(("seeds", "head7"), heads) == ["head0", "head1", "head7"]
+    assert scenario.select_heads(("0.5..0.7",), heads) == ["head5", "head6"]
+    assert scenario.select_heads(("rest",), heads, ("head1",)) == [name for name in heads if name != "head1"]
 
 
 def test_the_weather_strikes_whom_it_says():
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -36,7 +36,7 @@
     one = Swarm(Rules(**rules), seed)
     for number in range(count):
         one.start(f"m{number}")
-    assert one.settle(60 * S) >= 0
+    assert one.run_until_agreed(60 * S) >= 0
     one.loss = loss
     one.seen.clear()
     return one
@@ -254,7 +254,7 @@
 def test_members_that_start_at_once_agree_and_none_is_suspected_at_rest(count):
     one = swarm(count)
     one.run(120 * S)
-    assert one.agree() and not one.seen
+    assert one.is_agreed() and not one.seen
     assert all(member.state is MembershipState.JOINED for member in one.members.values())
 
 
@@ -266,13 +266,13 @@
     assert {member.state for member in one.members.values()} == {MembershipState.ALONE}
     for number in (0, 1):
         one.start(f"m{number}")
-    assert one.settle(15 * S) >= 0
+    assert one.run_until_agreed(15 * S) >= 0
 
 
 def test_a_killed_member_alone_is_declared_dead_within_the_bound():
     one = swarm(8)
     one.kill("m5")
-    settled_after = one.settle(40 * S)
+    settled_after = one.run_until_agreed(40 * S)
     assert 5 * S < settled_after < 30 * S
     assert {seen.change.after.name for seen in changes_to(one, State.DEAD)} == {"m5"}
     row = one.members["m1"].view.find("m5")
@@ -283,12 +283,12 @@
 def test_leaving_is_known_at_once_and_not_a_death():
     one = swarm(8)
     one.leave("m5")
-    assert one.settle(3 * S, [name for name in one.members if name != "m5"]) >= 0
+    assert one.run_until_agreed(3 * S, [name for name in one.members if name != "m5"]) >= 0
     one.run(3 * S, lambda: one.members["m5"].leave_complete)
     assert one.members["m5"].leave_complete
     one.kill("m5")
     one.run(60 * S)
-    assert one.agree() and not changes_to(one, State.DEAD) and not changes_to(one, State.SUSPECT)
+    assert one.is_agreed() and not changes_to(one, State.DEAD) and not changes_to(one, State.SUSPECT)
 
 
 def test_all_but_one_are_killed_and_restart():
@@ -301,7 +301,7 @@
     for number in range(2, 8):  # without the seeds
         if number != 6:
             one.start(f"m{number}")
-    assert one.settle(90 * S) >= 0
+    assert one.run_until_agreed(90 * S) >= 0
 
 
 def test_a_restart_before_the_death_is_detected_is_a_new_process_at_once():
@@ -309,9 +309,9 @@
     one.kill("m5")
     one.run(100_000)
     one.start("m5")
-    assert one.settle(5 * S) >= 0
+    assert one.run_until_agreed(5 * S) >= 0
     one.run(60 * S)
-    assert not changes_to(one, State.DEAD) and one.agree()
+    assert not changes_to(one, State.DEAD) and one.is_agreed()
 
 
 def test_a_restart_with_a_clock_set_back_still_joins():
@@ -319,7 +319,7 @@
     one.kill("m5")
     one.run(100_000)
     one.start("m5", started=5)
-    assert one.settle(10 * S) >= 0
+    assert one.run_until_agreed(10 * S) >= 0
     assert one.members["m5"].me.started > 1_700_000_000_000
 
 
@@ -328,7 +328,7 @@
     one.run(5 * S)
     one.start("m5", address=("10.0.0.1", 77), process="later")
     others = [name for name in one.members if name != "m5"]
-    assert one.settle(30 * S, others) >= 0
+    assert one.run_until_agreed(30 * S, others) >= 0
     one.run(20 * S)
     displaced = one.members["m5"]
     assert displaced.state is MembershipState.DISPLACED and any(
@@ -338,17 +338,20 @@
     one.run(60 * S)
     assert displaced.counts.sent - sent < 10, "a displaced process only observes"
     one.kill("later")
-    assert one.run(120 * S, lambda: displaced.state is MembershipState.JOINED) and one.settle(20 * S) >= 0
+    assert (
+        one.run(120 * S, lambda: displaced.state is MembershipState.JOINED)
+        and one.run_until_agreed(20 * S) >= 0
+    )
 
 
 def test_a_member_paused_for_a_minute_declares_none_dead_and_rejoins():
     one = swarm(8)
     one.stop("m5")
     one.run(60 * S)
-    assert one.agree([name for name in one.members if name != "m5"])
+    assert one.is_agreed([name for name in one.members if name != "m5"])
     resumed_at = one.now
-    one.go_on("m5")
-    assert one.settle(5 * S) >= 0
+    one.resume("m5")
+    assert one.run_until_agreed(5 * S) >= 0
     one.run(60 * S)
     assert {seen.change.after.name for seen in changes_to(one, State.DEAD, resumed_at)} <= {"m5"}
     assert one.members["m5"].counts.stood == 1 and one.members["m5"].counts.refuted == 1
@@ -364,7 +367,7 @@
         one.stop("m5")
         one.run(60 * S)
         resumed_at = one.now
-        one.go_on("m5")
+        one.resume("m5")
         one.run(5 * S)
         declared += any(
             seen.member == "m5" and seen.change.after.name != "m5"
@@ -384,12 +387,12 @@
     one.run(120 * S)
     one.start("m7")
     one.run(400 * S)
-    assert one.agree([name for name in one.members if name in left])
+    assert one.is_agreed([name for name in one.members if name in left])
     healed_at = one.now
     one.cut = lambda a, b: False
-    assert one.settle(40 * S) >= 0
+    assert one.run_until_agreed(40 * S) >= 0
     one.run(60 * S)
-    assert one.agree() and not changes_to(one, State.DEAD, healed_at + 5 * S)
+    assert one.is_agreed() and not changes_to(one, State.DEAD, healed_at + 5 * S)
 
 
 def test_three_partitions_healed_in_two_steps():
@@ -398,16 +401,16 @@
     one.cut = lambda a, b: part[a] != part[b]
     one.run(120 * S)
     one.cut = lambda a, b: (part[a] == 2) != (part[b] == 2)
-    assert one.settle(60 * S, [name for name in one.members if part[name] != 2]) >= 0
+    assert one.run_until_agreed(60 * S, [name for name in one.members if part[name] != 2]) >= 0
     one.cut = lambda a, b: False
-    assert one.settle(60 * S) >= 0
+    assert one.run_until_agreed(60 * S) >= 0
 
 
 def test_two_members_cut_off_from_each_other_but_not_from_others_stay_alive():
     one = swarm(8)
     one.cut = lambda a, b: {a, b} == {"m1", "m2"}
     one.run(300 * S)
-    assert one.agree() and not changes_to(one, State.DEAD) and not changes_to(one, State.SUSPECT)
+    assert one.is_agreed() and not changes_to(one, State.DEAD) and not changes_to(one, State.SUSPECT)
 
 
 def test_without_indirect_pings_they_would_be_suspected(monkeypatch):
@@ -423,10 +426,10 @@
     one.cut = lambda a, b: a == "m5"
     one.run(60 * S)
     others = [name for name in one.members if name != "m5"]
-    assert one.agree(others) and "m5" not in one.members["m1"].view.present
+    assert one.is_agreed(others) and "m5" not in one.members["m1"].view.present
     assert {seen.change.after.name for seen in changes_to(one, State.DEAD) if seen.member != "m5"} == {"m5"}
     one.cut = lambda a, b: False
-    assert one.settle(40 * S) >= 0
+    assert one.run_until_agreed(40 * S) >= 0
 
 
 def test_loss_of_a_third_of_datagrams_declares_none_dead():
@@ -434,7 +437,7 @@
     one.run(120 * S)
     dead = changes_to(one, State.DEAD)
     one.loss = 0.0
-    assert one.settle(30 * S) >= 0
+    assert one.run_until_agreed(30 * S) >= 0
     assert len({(seen.t, seen.change.after.name) for seen in dead}) == 0
 
 
@@ -442,7 +445,7 @@
     one = Swarm(Rules(), seed)
     for number in range(8):
         one.start(f"m{number}")
-    assert one.settle(120 * S) >= 0
+    assert one.run_until_agreed(120 * S) >= 0
     one.loss = 0.3
     one.run(300 * S)
     return changes_to(one, State.DEAD)
@@ -470,7 +473,7 @@
         seen for seen in changes_to(one, State.DEAD) if seen.change.after.name != "m5"
     ]
     one.late_us = lambda a, b: 0
-    assert one.settle(30 * S) >= 0
+    assert one.run_until_agreed(30 * S) >= 0
 
 
 def test_an_address_reused_by_another_member():
@@ -478,7 +481,7 @@
     one.kill("m5")
     one.run(100_000)
     one.start("m9", address=one.address("m5"))
-    assert one.settle(40 * S) >= 0
+    assert one.run_until_agreed(40 * S) >= 0
     assert "m9" in one.members["m1"].view.present and "m5" not in one.members["m1"].view.present
     assert one.members["m9"].counts.misdirected > 0
 
@@ -489,12 +492,12 @@
     one.kill("m5")
     one.run(100_000)
     fresh = one.start("m5").me
-    assert one.settle(5 * S) >= 0
+    assert one.run_until_agreed(5 * S) >= 0
     for state in State:
         datagram = Draft("fleet", Kind.GOSSIP, "m6", ProcessInstance(1, 2), 0, 0)
         datagram.add(encode_item(msgspec.structs.replace(old, state=state, incarnation=99)))
         one.members["m1"].receive(one.now, datagram.pack(), ("10.0.0.1", 7))
-    assert one.members["m1"].view.find("m5").record.process == fresh.process and one.agree()
+    assert one.members["m1"].view.find("m5").record.process == fresh.process and one.is_agreed()
 
 
 def test_notes_reach_all_and_the_newest_is_valid():
@@ -512,7 +515,7 @@
     one = swarm(6, forget_us=60 * S)
     one.kill("m5")
     one.run(200 * S)
-    assert all(member.view.find("m5") is None for member in one.members.values()) and one.agree()
+    assert all(member.view.find("m5") is None for member in one.members.values()) and one.is_agreed()
 
 
 def test_traffic_of_a_member_does_not_grow_with_the_fleet():
