--- a/harriertrack/lab/fleet/rig/head_settings.py
+++ b/harriertrack/lab/fleet/rig/head_settings.py
@@ -11,7 +11,7 @@
     ScoringSettings,
     ZonesSettings,
 )
-from harriertrack.lab.fleet.scenario import DayBudgets, FleetDaySettings, StepSettings, chosen
+from harriertrack.lab.fleet.scenario import DayBudgets, FleetDaySettings, StepSettings, select_heads
 
 
 def budgets_of(day: FleetDaySettings, witness: tuple[str, int]) -> FleetBudgetSettings | None:
@@ -46,7 +46,7 @@
 
 def is_liar(day: FleetDaySettings, name: str, heads: list[str]) -> bool:
     """Whether a head sends false weights on this day."""
-    return name in chosen(day.liars, heads)
+    return name in select_heads(day.liars, heads)
 
 
 def figures(day: FleetDaySettings) -> dict[str, object]:
--- a/harriertrack/lab/fleet/rig/log_observer.py
+++ b/harriertrack/lab/fleet/rig/log_observer.py
@@ -42,9 +42,9 @@
             record(rec.VolumeMoved(t=now, head=slot.name, volume=str(fields["volume"]), region=region,
                                    held=event == "volume held"))  # fmt: skip
         if rig.markets is not None:
-            rig.markets.heard(slot, event, fields)
+            rig.markets.handle_log_event(slot, event, fields)
         if rig.limits is not None:
-            rig.limits.heard(slot, event, fields)
+            rig.limits.handle_log_event(slot, event, fields)
         if event == "fleet changes":
             numbers = {name: int(str(fields[name])) for name in ("revision", "digest", "epoch")}
             latest = msgspec.convert(fields["latest"], dict[str, int])
@@ -54,7 +54,7 @@
                 rec.VersionApplied(t=now, head=slot.name, thing=str(fields["thing"]),
                                 version=int(str(fields["version"])), why=str(fields.get("why", "")))
             )  # fmt: skip
-        if (weight_record := weights.told(now, slot.name, event, fields)) is not None:
+        if (weight_record := weights.record_from_log(now, slot.name, event, fields)) is not None:
             record(weight_record)
         if event == "fleet budgets: term begins" and int(str(fields["ledger"])) == DECISION_LOCK:
             self.decider = slot.name
@@ -84,6 +84,6 @@
         except topic_datagrams.MalformedDatagram:
             return
         if isinstance(message, LeaseRequest) and not is_arrival:
-            rig.recorder.add(shares.asked(now, message))
+            rig.recorder.add(shares.share_request_record(now, message))
         elif isinstance(message, Grant) and is_arrival:
-            rig.recorder.add(shares.granted(now, message))
+            rig.recorder.add(shares.share_grant_record(now, message))
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -238,7 +238,7 @@
         """Start a head with only its state on disk, and make it reachable for others."""
         super().start_head(slot)
         if self.fleet_day.regions and slot.head is not None:
-            regions.reach(self, slot.name, slot.head.address)
+            regions.set_partner_address(self, slot.name, slot.head.address)
         if len(self.faults.network_faults):
             self.apply_network_faults()
 
--- a/harriertrack/lab/fleet/rig/traffic.py
+++ b/harriertrack/lab/fleet/rig/traffic.py
@@ -13,7 +13,7 @@
 
 def day_of(day: FleetDaySettings, heads: int) -> DaySettings:
     """Return the day of clients and nodes that runs below a fleet day."""
-    extra_volumes = regions.moving(day.moving, heads, VOLUME_BYTES) if day.regions else []
+    extra_volumes = regions.two_region_volumes(day.moving, heads, VOLUME_BYTES) if day.regions else []
     if day.closing is not None:
         extra_volumes += markets.volumes(day.markets, heads, day.hosts, day.shelves, day.extent_bytes,
                                          day.desks, day.regions)  # fmt: skip
