--- a/harriertrack/cli/changes.py
+++ b/harriertrack/cli/changes.py
@@ -32,7 +32,7 @@
 )
 from harriertrack.decisions.fleet.changes.record import Kind, Record
 from harriertrack.decisions.fleet.changes.version_state import IllegalTransition, VersionState
-from harriertrack.gateway.fleet.changes import keeping
+from harriertrack.gateway.fleet.changes import stored_record
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.membership.fleet.change_record import DamagedRecord
 from harriertrack.runtime.hub import Hub
@@ -55,7 +55,7 @@
     hub, address = Hub(), settings.fleet.budgets.witness
     witness = WitnessClient(hub, SocketNetwork(hub), address, REQUEST_TIMEOUT_US, "operator")
     try:
-        return hub.run(keeping.write, witness, change).record
+        return hub.run(stored_record.write, witness, change).record
     except ChangeConflict as conflict:
         difference = "".join(f"\n  {line}" for line in conflict.difference)
         fail(f"{conflict}; your version differs from it by:{difference}")
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -15,7 +15,7 @@
 from harriertrack.config.settings import ChangesSettings
 from harriertrack.decisions.fleet.changes.follower import Follower
 from harriertrack.decisions.fleet.changes.record import Kind, Record, Version, kind_of
-from harriertrack.gateway.fleet.changes import keeping
+from harriertrack.gateway.fleet.changes import stored_record
 from harriertrack.gateway.fleet.decider import FleetDecider
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.gateway.witness import FAILURES
@@ -42,7 +42,7 @@
 class User(Protocol):
     """Applies versions of a kind of thing in a head."""
 
-    def take(self, thing: str, version: Version | None) -> str:
+    def apply(self, thing: str, version: Version | None) -> str:
         """Apply a version completely, between two events; None: the state at the head's start.
 
         Return "" if it is applied, otherwise the reason, with nothing changed.
@@ -81,11 +81,11 @@
         return self._follower.record
 
     @property
-    def kept(self) -> ChangesCache:
+    def cache(self) -> ChangesCache:
         """Return this head's cache on disk."""
         return self._cache
 
-    def use(self, kind: Kind, user: User) -> None:
+    def register_user(self, kind: Kind, user: User) -> None:
         """Register the user of a kind of thing; before `start`."""
         self._users[kind] = user
 
@@ -101,10 +101,10 @@
 
     # -- announcements
 
-    def heard(self, about: MemberNote) -> None:
+    def handle_member_note(self, note: MemberNote) -> None:
         """Handle the revision in another member's note."""
-        if about.record:
-            self._follower.observe_revision(self._fetch_time(), about.record)
+        if note.record:
+            self._follower.observe_revision(self._fetch_time(), note.record)
 
     def _handle_announcement(self, now: int, body: bytes) -> None:
         try:
@@ -140,7 +140,7 @@
     def _fetch(self) -> None:
         data, found = b"", None
         try:
-            fetched = keeping.read(self._decider.witness)
+            fetched = stored_record.read(self._decider.witness)
             data, found = fetched.data, fetched.record
         except FAILURES:
             data = self._fetch_from_member()
@@ -160,16 +160,16 @@
         damaged = False
         try:
             try:
-                found = keeping.read(self._decider.witness)
+                found = stored_record.read(self._decider.witness)
             except DamagedRecord:
                 damaged = True
             else:
                 self._offer(found.record, found.data)
             if (damaged or self._follower.witness_behind) and self.record.revision:
-                back = keeping.put_back(self._decider.witness, self.record)
-                if back is not None:
-                    self._parts.note("fleet changes: record put back", revision=back.record.revision)
-                    self._offer(back.record, back.data)
+                restored = stored_record.restore(self._decider.witness, self.record)
+                if restored is not None:
+                    self._parts.note("fleet changes: record put back", revision=restored.record.revision)
+                    self._offer(restored.record, restored.data)
         except FAILURES:
             return  # the current record stays in force
         self._decider.rule(TOPIC, msgspec.msgpack.encode(_Revision(self.record.revision)))
@@ -179,8 +179,8 @@
         rows = [self._swim.view.find(name) for name in self._swim.view.present]
         addresses = []
         for row in rows:
-            about = parse_member_note(row.note.payload) if row is not None and row.note is not None else None
-            if row is not None and about is not None and about.record > self.record.revision:
+            note = parse_member_note(row.note.payload) if row is not None and row.note is not None else None
+            if row is not None and note is not None and note.record > self.record.revision:
                 addresses.append(row.record.address)
         if not addresses:
             return b""
@@ -230,7 +230,7 @@
                 user = self._users.get(kind_of(thing))
             except ValueError:
                 user = None  # a kind that only later programs have
-            why = user.take(thing, version) if user is not None else "this head has no use for it"
+            why = user.apply(thing, version) if user is not None else "this head has no use for it"
             if why:
                 self._follower.mark_rejected(thing, number, why)
                 self._parts.note("fleet change turned down", thing=thing, version=number, why=why)
@@ -238,12 +238,12 @@
                 self._follower.mark_applied(thing, number)
                 self._parts.note("fleet change taken", thing=thing, version=number)
 
-    def took(self, thing: str, number: int) -> None:
+    def mark_running(self, thing: str, number: int) -> None:
         """Mark a version as running, now or since the head's start."""
         self._follower.mark_applied(thing, number)
         self._publish_note()
 
-    def turned_down(self) -> Mapping[str, tuple[int, str]]:
+    def rejections(self) -> Mapping[str, tuple[int, str]]:
         """Return what this head rejected, by thing: the version and the reason."""
         return {
             thing: (one.rejected, one.reason) for thing, one in self._follower.applied.items() if one.reason
@@ -254,20 +254,20 @@
     def write(self, make: Callable[[Record], Record]) -> Record:
         """Change the record (from a task), and return it.
 
-        Raises what `make` raises, Busy, DamagedRecord and `gateway.witness.FAILURES`.
+        Raises what `make` raises, WriteConflict, DamagedRecord and `gateway.witness.FAILURES`.
         """
-        found = keeping.write(self._decider.witness, make)
+        found = stored_record.write(self._decider.witness, make)
         self._offer(found.record, found.data)
         self._decider.rule(TOPIC, msgspec.msgpack.encode(_Revision(found.record.revision)))
         return found.record
 
     # -- notes and status
 
-    def about(self, about: ActivityNote) -> bytes:
+    def member_note(self, activity: ActivityNote) -> bytes:
         """Return the note on this head with its running versions, as many as fit."""
         runs = dict(self._follower.running_versions())
         while True:
-            note = MemberNote(about.volumes, about.open, about.taken, about.refused, self.record.revision,
+            note = MemberNote(activity.volumes, activity.open, activity.taken, activity.refused, self.record.revision,
                            self._follower.digest, LEVEL, runs)  # fmt: skip
             data = msgspec.msgpack.encode(note)
             if len(data) <= MAX_NOTE or not runs:
--- a/harriertrack/gateway/fleet/changes/keeping.py
+++ b/harriertrack/gateway/fleet/changes/stored_record.py
@@ -14,12 +14,12 @@
 TRIES = 8  # of a write that conflicts with concurrent ones
 
 
-class Busy(ChangeRefused):
+class WriteConflict(ChangeRefused):
     """Each attempt conflicted with a concurrent write."""
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class StoredRecord:
     """The record as stored at the witness."""
 
     record: Record
@@ -27,18 +27,18 @@
     index: int  # 0: not stored
 
 
-def read(witness: WitnessClient) -> Found:
+def read(witness: WitnessClient) -> StoredRecord:
     """Return the stored record, empty if there is none. Raises DamagedRecord and what calls raise."""
     key = witness.key(PATH)
     if key is None:
-        return Found(Record(), b"", 0)
-    return Found(decode(key.value), key.value, key.index)
+        return StoredRecord(Record(), b"", 0)
+    return StoredRecord(decode(key.value), key.value, key.index)
 
 
-def write(witness: WitnessClient, make: Callable[[Record], Record]) -> Found:
+def write(witness: WitnessClient, make: Callable[[Record], Record]) -> StoredRecord:
     """Replace the record by the result of `make`; read it again and retry on a conflict.
 
-    Raises what `make` raises, Busy, DamagedRecord and what calls raise.
+    Raises what `make` raises, WriteConflict, DamagedRecord and what calls raise.
     """
     for _ in range(TRIES):
         found = read(witness)
@@ -46,11 +46,11 @@
         data = encode(fresh)
         index = witness.replace(PATH, data, found.index)
         if index:
-            return Found(fresh, data, index)
-    raise Busy("others change the record all the time")
+            return StoredRecord(fresh, data, index)
+    raise WriteConflict("others change the record all the time")
 
 
-def put_back(witness: WitnessClient, known: Record) -> Found | None:
+def restore(witness: WitnessClient, known: Record) -> StoredRecord | None:
     """Restore a record that the witness lost (restored from a backup, or the value is damaged).
 
     Return None if it is there after all. The revision is raised above both, so that all heads apply it.
@@ -65,4 +65,4 @@
     fresh = known.with_versions([])
     data = encode(fresh)
     index = witness.replace(PATH, data, key.index if key is not None else 0)
-    return Found(fresh, data, index) if index else None
+    return StoredRecord(fresh, data, index) if index else None
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -110,14 +110,14 @@
             self.fences.fence(calendar)
         self._decider.on_report[TOPIC] = self._handle_query
         self._decider.on_ruling[TOPIC] = self._handle_ruling
-        self._changes.use(Kind.CALENDAR, self)
+        self._changes.register_user(Kind.CALENDAR, self)
         parts.scope.spawn("closes", self._run)
         parts.scope.spawn("closes decided", self._decide)
         parts.scope.spawn("trims", self._trimming.run)
 
     # -- versions of the record
 
-    def take(self, thing: str, version: Version | None) -> str:
+    def apply(self, thing: str, version: Version | None) -> str:
         """Apply a version of a calendar's closes; only the deciding head uses calendars themselves."""
         if not is_close_schedule(thing) or version is None:
             return ""
--- a/harriertrack/gateway/fleet/member.py
+++ b/harriertrack/gateway/fleet/member.py
@@ -142,7 +142,7 @@
                     if (changes := self.services.changes) is not None and (
                         about := parse_member_note(note.payload)
                     ):
-                        changes.heard(about)
+                        changes.handle_member_note(about)
                 case LogEvent(event, fields):
                     self._parts.note(event, **dict(fields))
         self._alarm.wake_at(self.swim.wake_at())
@@ -181,7 +181,7 @@
 
     def _publish_note(self) -> None:
         about, changes = self._load_note, self.services.changes
-        note = changes.about(about) if changes is not None else msgspec.msgpack.encode(about)
+        note = changes.member_note(about) if changes is not None else msgspec.msgpack.encode(about)
         self.swim.set_note(self._hub.now(), note)
         self._apply_actions()
 
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -73,7 +73,7 @@
         self._pages = list(encode_volumes(swim.me.instance, checksums))
         self._page = 0
         self._baseline = BaselineRecorder(parts.hub.now())
-        self._baseline_file = Remembered(changes.kept, parts.note)
+        self._baseline_file = Remembered(changes.cache, parts.note)
         decider.on_report[TOPIC] = self._handle_report
 
     def start(self) -> None:
@@ -109,7 +109,7 @@
     def _report(self) -> Report:
         memory, processor_us = self._usage()
         failed = {
-            thing: told for thing, told in self._changes.turned_down().items() if told[1] != HANDING_OVER
+            thing: told for thing, told in self._changes.rejections().items() if told[1] != HANDING_OVER
         }
         runs, me = self._changes.runs(), self._swim.me
         failed.update({thing: (runs[thing], why) for thing, why in self.failing().items() if thing in runs})
--- a/harriertrack/gateway/fleet/rollout/program_user.py
+++ b/harriertrack/gateway/fleet/rollout/program_user.py
@@ -37,7 +37,7 @@
     def __init__(self, handover: Handover | None) -> None:
         self._handover = handover
 
-    def take(self, thing: str, version: Version | None) -> str:
+    def apply(self, thing: str, version: Version | None) -> str:
         """Apply a version; return "" if it runs, or why it does not (yet)."""
         handover = self._handover
         if handover is None:
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -86,17 +86,17 @@
     def follow(self, changes: Changes) -> None:
         """Let the fleet's record override the settings' scorers; before `changes` starts."""
         self._changes = changes
-        changes.use(Kind.SCORER, self)
+        changes.register_user(Kind.SCORER, self)
 
     def close(self) -> None:
         """Send no further queries to scorers."""
         for one in self._asking.values():
             one.close()
 
-    def take(self, thing: str, version: Version | None) -> str:
+    def apply(self, thing: str, version: Version | None) -> str:
         """Apply a version of a scorer from the record; return "" if it now runs, otherwise the reason."""
         try:
-            self._choice.take(thing, version)
+            self._choice.apply(thing, version)
         except BadScorer as error:
             return str(error)
         self._follow()
--- a/harriertrack/gateway/fleet/scoring/choosing.py
+++ b/harriertrack/gateway/fleet/scoring/choosing.py
@@ -77,7 +77,7 @@
         self._own = {one.name: chosen(kinds, one) for one in settings}
         self._overrides: dict[str, Chosen | None] = {}
 
-    def take(self, thing: str, version: Version | None) -> None:
+    def apply(self, thing: str, version: Version | None) -> None:
         """Apply a version of the record; None: use the settings. Raises BadScorer, with nothing changed."""
         name = thing.partition("/")[2]
         overrides = dict(self._overrides)
--- a/harriertrack/gateway/fleet/settings_user.py
+++ b/harriertrack/gateway/fleet/settings_user.py
@@ -25,7 +25,7 @@
         self._started = self._current = started
         self._reconfigure, self._note = reconfigure, note
 
-    def take(self, thing: str, version: Version | None) -> str:
+    def apply(self, thing: str, version: Version | None) -> str:
         """Apply a version (None: the settings at the start); return "", or why it is rejected."""
         if thing != THING:
             return f"{thing}: a head has no settings but {THING}"
--- a/harriertrack/gateway/fleet/startup.py
+++ b/harriertrack/gateway/fleet/startup.py
@@ -111,7 +111,7 @@
 
         member, settings, resources = self._member, self._settings, self._member.resources
         user = SettingsUser(member.parts.settings, resources.reconfigure, member.parts.note)
-        changes.use(Kind.SETTINGS, user)
+        changes.register_user(Kind.SETTINGS, user)
         if settings.closing is not None:
             from harriertrack.gateway.fleet.closing.carrier import Closing
 
@@ -127,9 +127,9 @@
 
             handover, counting = resources.handover, member.parts.answer_counter
             assert counting is not None, "a head whose settings have rollouts counts its answers"
-            changes.use(Kind.PROGRAM, ProgramUser(handover))
+            changes.register_user(Kind.PROGRAM, ProgramUser(handover))
             if handover is not None and handover.number:
-                changes.took(Kind.PROGRAM.value, handover.number)
+                changes.mark_running(Kind.PROGRAM.value, handover.number)
             rollouts = Rollouts(member.parts, settings.changes.rollout, member.swim, decider, changes,
                                 counting, resources.usage or no_usage)  # fmt: skip
             if self.scoring is not None:
--- a/harriertrack/lab/fleet/limits.py
+++ b/harriertrack/lab/fleet/limits.py
@@ -14,7 +14,7 @@
 from harriertrack.decisions.fleet.changes.operations import set_state as take_step
 from harriertrack.decisions.fleet.changes.record import Kind, Record
 from harriertrack.decisions.fleet.changes.version_state import VersionState
-from harriertrack.gateway.fleet.changes import keeping
+from harriertrack.gateway.fleet.changes import stored_record
 from harriertrack.gateway.fleet.parameters import parameters_from
 from harriertrack.lab.fleet.scenario import StepSettings, Verb
 from harriertrack.rules import recording as rec
@@ -66,7 +66,7 @@
             return take_step(record, record.epoch, THING, number, standing, now_ms, "the day says so",
                              heads=heads)  # fmt: skip
 
-        keeping.write(rig.operator(), make)
+        stored_record.write(rig.operator(), make)
 
     def heard(self, slot: HeadSlot, event: str, fields: dict[str, object]) -> None:
         """Take a line of a head's log."""
--- a/harriertrack/lab/fleet/markets.py
+++ b/harriertrack/lab/fleet/markets.py
@@ -17,7 +17,7 @@
 from harriertrack.config.closing import RepeatedTime
 from harriertrack.config.settings import VolumeSettings
 from harriertrack.decisions.fleet.changes.version_state import VersionState
-from harriertrack.gateway.fleet.changes import keeping
+from harriertrack.gateway.fleet.changes import stored_record
 from harriertrack.gateway.front import REFUSED
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.fleet import regions
@@ -283,7 +283,7 @@
         while hub.now() < until:
             hub.sleep(100_000)
             try:
-                going = keeping.read(witness).record.in_progress(thing)
+                going = stored_record.read(witness).record.in_progress(thing)
             except FAILURES:
                 continue
             if going is None:
--- a/harriertrack/lab/fleet/rig/operator_actions.py
+++ b/harriertrack/lab/fleet/rig/operator_actions.py
@@ -9,7 +9,7 @@
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.version_state import VersionState
 from harriertrack.decisions.fleet.rollout.rollout import is_staged
-from harriertrack.gateway.fleet.changes import keeping
+from harriertrack.gateway.fleet.changes import stored_record
 from harriertrack.gateway.fleet.zones import write_operator_hold
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.fleet import staging
@@ -46,11 +46,15 @@
                        step.although)  # fmt: skip
 
     witness = operator(rig)
-    known = keeping.read(witness).record.versions_of(thing) if is_retry and step.name is Verb.PROPOSE else ()
+    known = (
+        stored_record.read(witness).record.versions_of(thing)
+        if is_retry and step.name is Verb.PROPOSE
+        else ()
+    )
     if known and known[-1].body == step.body:
         last = known[-1]
     else:
-        written = keeping.write(witness, make)
+        written = stored_record.write(witness, make)
         last = written.record.in_progress(thing) or written.record.versions_of(thing)[-1]
     rig.recorder.add(
         rec.VersionProposed(t=rig.hub.now(), thing=thing, version=last.number, standing=last.standing.value)
--- a/harriertrack/lab/interleaving/scenarios/changes.py
+++ b/harriertrack/lab/interleaving/scenarios/changes.py
@@ -19,7 +19,7 @@
     IllegalTransition,
     VersionState,
 )
-from harriertrack.gateway.fleet.changes import keeping
+from harriertrack.gateway.fleet.changes import stored_record
 from harriertrack.gateway.witness import FAILURES, WitnessClient
 from harriertrack.lab.interleaving.scenarios.witness import CALL_US, WITNESS, ApartWitness, witness_of
 from harriertrack.lab.interleaving.world import Scenario, World
@@ -93,7 +93,7 @@
             witness.up.wait()
             for act in acts[me]:
                 try:
-                    found = keeping.write(client, act)
+                    found = stored_record.write(client, act)
                     made[me].append(found.record.revision)
                     said[me].append("done")
                 except ChangeConflict:
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -186,7 +186,7 @@
         version = Version(CALENDAR + CLOSES_SUFFIX, self.number, self.number - 1, body, "d", 1, "worked out")
 
         def comes() -> None:
-            self.taker.take(version.thing, version)
+            self.taker.apply(version.thing, version)
 
         hub.at_for(HEAD, hub.now() + self.record_late_us, comes)
 
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -115,8 +115,8 @@
     def __init__(self, runs: dict[str, int], name: str, turns_down: Callable[[], bool]) -> None:
         self._runs, self._name, self._turns_down = runs, name, turns_down
 
-    def take(self, _thing: str, version: Version | None) -> str:
-        """Take a version."""
+    def apply(self, _thing: str, version: Version | None) -> str:
+        """Apply a version."""
         if version is not None and self._turns_down():
             return "not here"
         self._runs[self._name] = version.number if version is not None else 0
@@ -162,7 +162,7 @@
                 witness.up.wait()
                 changes = Changes(mine, CHANGES, swim, deciding, lambda: None, disks[name])
                 user = _User(runs, name, lambda: name == "d2" and refuses[0])
-                changes.use(Kind.SETTINGS, user)
+                changes.register_user(Kind.SETTINGS, user)
                 Rollouts(mine, ROLLOUT, swim, deciding, changes, AnswerCounter({}), no_usage).start()
                 changes.start()
 
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -217,7 +217,7 @@
 
             def swap() -> None:
                 if a.scoring is not None:
-                    world.wrong += [why for why in [a.scoring.take(THING, OTHER)] if why]
+                    world.wrong += [why for why in [a.scoring.apply(THING, OTHER)] if why]
 
             world.fault("a is to run another version", "a", swap)
         if hangs:
--- a/tests/changes/test_changes_carrier.py
+++ b/tests/changes/test_changes_carrier.py
@@ -9,7 +9,7 @@
 from harriertrack.decisions.fleet.changes.follower import Follower
 from harriertrack.decisions.fleet.changes.record import Record
 from harriertrack.decisions.fleet.changes.operations import ChangeConflict, ChangeRefused, propose
-from harriertrack.gateway.fleet.changes import keeping
+from harriertrack.gateway.fleet.changes import stored_record
 from harriertrack.gateway.fleet.changes.carrier import Changes
 from harriertrack.gateway.witness import WitnessClient
 from harriertrack.lab.fleet import scenario
@@ -37,7 +37,7 @@
 
 
 def test_the_rules_find_a_fleet_that_leaves_a_restored_witness_as_it_is(monkeypatch):
-    monkeypatch.setattr(keeping, "put_back", lambda *_: None)
+    monkeypatch.setattr(stored_record, "restore", lambda *_: None)
     assert 5 in {one.rule for one in rules.check(day())}
 
 
@@ -55,7 +55,7 @@
 
 def test_the_rules_find_heads_that_ignore_announcements_and_the_witness(monkeypatch):
     monkeypatch.setattr(Changes, "_handle_announcement", lambda *_: None)
-    monkeypatch.setattr(Changes, "heard", lambda *_: None)
+    monkeypatch.setattr(Changes, "handle_member_note", lambda *_: None)
     assert 4 in {one.rule for one in rules.check(day())}
 
 
@@ -112,13 +112,13 @@
     def main(client):
         def after_another(record):
             if not record.versions:
-                keeping.write(client, proposal("theirs"))
+                stored_record.write(client, proposal("theirs"))
             return proposal("mine")(record)
 
         with pytest.raises(ChangeConflict) as conflict:
-            keeping.write(client, after_another)
+            stored_record.write(client, after_another)
         assert conflict.value.difference[1:] == ["-theirs", "+mine"]
-        assert keeping.read(client).record.in_progress("settings").body == "theirs"
+        assert stored_record.read(client).record.in_progress("settings").body == "theirs"
 
     World().play(main)
 
@@ -129,27 +129,27 @@
 
         def always_late(record):
             tries.append(record.revision)
-            client.put(PATH, keeping.encode(record.with_versions([])))
+            client.put(PATH, stored_record.encode(record.with_versions([])))
             return record.with_versions([])
 
-        with pytest.raises(keeping.Busy):
-            keeping.write(client, always_late)
-        assert len(tries) == keeping.TRIES
+        with pytest.raises(stored_record.WriteConflict):
+            stored_record.write(client, always_late)
+        assert len(tries) == stored_record.TRIES
 
     World().play(main)
 
 
 def test_a_damaged_record_is_reported_and_written_back_but_never_over_a_newer_one():
     def main(client):
-        known = keeping.write(client, proposal("one")).record
+        known = stored_record.write(client, proposal("one")).record
         client.put(PATH, b"rubbish")
         with pytest.raises(DamagedRecord):
-            keeping.write(client, proposal("two"))
-        back = keeping.put_back(client, known)
+            stored_record.write(client, proposal("two"))
+        back = stored_record.restore(client, known)
         assert back.record.versions == known.versions and back.record.revision == known.revision + 1
-        assert keeping.put_back(client, known) is None
+        assert stored_record.restore(client, known) is None
         with pytest.raises(ChangeRefused):
-            keeping.write(client, proposal("two", base=3))
+            stored_record.write(client, proposal("two", base=3))
 
     World().play(main)
 
@@ -191,7 +191,7 @@
     one._follower.applied = {
         f"calendar/{'x' * 40}{number}": AppliedVersion(running=7) for number in range(20)
     } | {"settings": AppliedVersion(running=3)}
-    data = one.about(ActivityNote(9, 9, 9, 9))
+    data = one.member_note(ActivityNote(9, 9, 9, 9))
     told = parse_member_note(data)
     assert len(data) <= MAX_NOTE and told.record == 1 << 40 and told.runs["settings"] == 3
 
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -49,7 +49,7 @@
 HUB, STREAMS = "runtime.hub", "runtime.streams"
 SOCKET, MEMORY = f"{STREAMS}:SocketStream", f"{STREAMS}:MemoryStream"
 WITNESS, LEASES = "gateway.witness:WitnessClient", "membership.leases"
-KEEPING, WRITING = "gateway.fleet.changes.keeping", "decisions.fleet.changes.operations"
+STORED_RECORD, WRITING = "gateway.fleet.changes.stored_record", "decisions.fleet.changes.operations"
 WATCH, LIST = "decisions.discovery_watch:DiscoveryWatch", "service.discovery:Discovery"
 LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:LeaseHolder"
 LINK = "decisions.link_lifecycle:LinkLifecycle"
@@ -256,11 +256,11 @@
         " or not self.session.valid(now)",
         "",
     ),
-    Fault("a change that lost is told as made", "changes-two", f"{KEEPING}:write", "if index:", "if True:"),
+    Fault("a change that lost is told as made", "changes-two", f"{STORED_RECORD}:write", "if index:", "if True:"),
     Fault(
         "a change is written over another",
         "changes-two",
-        f"{KEEPING}:write",
+        f"{STORED_RECORD}:write",
         "witness.replace(PATH, data, found.index)",
         "witness.replace(PATH, data, read(witness).index)",
         newest=True,
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -99,7 +99,7 @@
 
 def apply_version(head, body):
     """Apply a version; return "", or why it is rejected."""
-    return head.user.take("settings", version(body))
+    return head.user.apply("settings", version(body))
 
 
 # -- each setting as declared
@@ -236,7 +236,7 @@
 def test_a_version_is_applied_or_rejected_completely_and_none_restores_the_start():
     def test(head):
         user, before = head.user, head.settings
-        assert user.take("settings/other", None).startswith("settings/other: ")
+        assert user.apply("settings/other", None).startswith("settings/other: ")
         reason = apply_version(head, "(settings (rules (warm 2s)) (tick 5ms))")
         assert reason == "settings 1:1: tick: can't change while the head runs" and head.settings is before
         assert "limit-burst" in apply_version(head, '(settings (plan "gold" (limit-burst 1)))')
@@ -244,9 +244,9 @@
         assert apply_version(head, '(settings (rules (warm 2s)) (plan "gold" (limit 10)))') == ""
         assert head.settings.plans[0].limit == 10 and head.settings.rules.warm_us == 2 * S
         # A version overrides the settings at the start, not those of the version before.
-        assert user.take("settings", version('(settings (plan "gold" (limit 20)))', 2)) == ""
+        assert user.apply("settings", version('(settings (plan "gold" (limit 20)))', 2)) == ""
         assert head.settings.plans[0].limit == 20 and head.settings.rules.warm_us == 0
-        assert user.take("settings", None) == "" and head.settings == before
+        assert user.apply("settings", None) == "" and head.settings == before
         assert [more["version"] for event, more in head.notes if event == "settings changed"] == [1, 2, 0]
 
     play(test)
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -161,7 +161,7 @@
 
 def test_head_rejects_programs_without_a_launcher_and_hands_over_with_one(tmp_path):
     two = Version("program", 2, 1, '(program "b" (arguments "--x"))', "ann", 1, "w")
-    assert ProgramUser(None).take("program", two) == "no launcher started this head"
+    assert ProgramUser(None).apply("program", two) == "no launcher started this head"
     of = launched(
         {
             "HARRIERTRACK_LAUNCH": str(tmp_path),
@@ -169,13 +169,13 @@
             "HARRIERTRACK_LAUNCH_FELL": "3 not ready in time",
         }
     )
-    assert ProgramUser(of).take("program", two) == HANDING_OVER
+    assert ProgramUser(of).apply("program", two) == HANDING_OVER
     assert Files(str(tmp_path)).wanted() == read_program(two)
     assert (
-        ProgramUser(of).take("program", Version("program", 3, 1, '(program "c")', "a", 1, "w"))
+        ProgramUser(of).apply("program", Version("program", 3, 1, '(program "c")', "a", 1, "w"))
         == "not ready in time"
     )
-    assert "expected (program" in ProgramUser(of).take(
+    assert "expected (program" in ProgramUser(of).apply(
         "program", Version("program", 4, 1, "(settings)", "a", 1, "w")
     )
     assert launched({}) is None
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -108,17 +108,17 @@
     for body, why in ((BODY % 9, "power"), ("(scorer", "brackets"), ('(scorer "main" (kind "none"))', "none"),
                       ('(scorer "main" (kind "steady") (version 4))', "version 4")):  # fmt: skip
         with pytest.raises(BadScorer, match=why):
-            choice.take("scorer/main", version(1, body))
+            choice.apply("scorer/main", version(1, body))
         assert choice.run()["main"].namespace == before
-    choice.take("scorer/main", version(2, BODY % 2))
+    choice.apply("scorer/main", version(2, BODY % 2))
     assert choice.run()["main"].make().power == 2.0 and choice.run()["main"].thing == "scorer/main"
-    choice.take("scorer/main", version(3, " "))
+    choice.apply("scorer/main", version(3, " "))
     assert choice.run() == {}
-    choice.take("scorer/main", None)
+    choice.apply("scorer/main", None)
     assert choice.run()["main"].namespace == before
-    choice.take("scorer/two", version(1, BODY % 1))
+    choice.apply("scorer/two", version(1, BODY % 1))
     with pytest.raises(BadScorer, match="more than 2"):
-        choice.take("scorer/three", version(1, BODY % 1))
+        choice.apply("scorer/three", version(1, BODY % 1))
 
 
 def test_invalid_settings_are_reported_with_their_field():
