--- a/harriertrack/decisions/requests/attempts.py
+++ b/harriertrack/decisions/requests/attempts.py
@@ -62,7 +62,7 @@
         if attempt.begin_before < until:
             state.schedule(attempt.begin_before, attempt)
         if part.places_extent and state.close_guard is not None:
-            state.close_guard.placing(request.volume.settings.name, part.extent, member.entry.shard)
+            state.close_guard.record_placement(request.volume.settings.name, part.extent, member.entry.shard)
         if self.standstill.holds(now):
             self.standstill.hold(attempt)
         else:
@@ -169,7 +169,7 @@
         part.may_have_run = True
         close_guard = self._state.close_guard
         if close_guard is not None and part.request.kind in MODIFYING_KINDS:
-            close_guard.may_run(part.request.volume.settings.name, part.extent)
+            close_guard.record_running(part.request.volume.settings.name, part.extent)
 
     def _report(self, now: int, attempt: Attempt, result: api.Result, report: ReplyMetadata | None) -> None:
         """Report an attempt's one outcome to the module."""
--- a/harriertrack/decisions/requests/closes.py
+++ b/harriertrack/decisions/requests/closes.py
@@ -96,7 +96,7 @@
                 state.queue_event(api.ClientLeft(part.number))
             ran = request.kind in MODIFYING_KINDS and part.may_have_effect
             if ran and state.close_guard is not None:
-                state.close_guard.may_run(request.volume.settings.name, part.extent)
+                state.close_guard.record_running(request.volume.settings.name, part.extent)
             refused, failed = refused + (not ran), failed + ran
             request.reason = CLOSED
             self._completion.give_up(part, PartStep.FAIL if ran else PartStep.REFUSE, 1)
--- a/harriertrack/decisions/requests/placement.py
+++ b/harriertrack/decisions/requests/placement.py
@@ -65,7 +65,7 @@
                 if part.state is PartState.QUEUED:
                     part.state = next_part_state(part.state, PartStep.AWAIT_PLACEMENT)
                 if held and self._state.close_guard is not None and self._holds[key].purged:
-                    self._state.close_guard.awaited(*key)
+                    self._state.close_guard.prioritize_trim(*key)
                 self._state.schedule(self._state.last_answer(part.request), part)
                 return
             part.places_extent = True
--- a/harriertrack/decisions/requests/port.py
+++ b/harriertrack/decisions/requests/port.py
@@ -56,13 +56,13 @@
     def refuses(self, request: ClientRequest) -> int | None:
         """Return the retry hint with which a request is refused now; None: it is allowed."""
 
-    def placing(self, volume: str, extent: int, shard: int) -> None:
+    def record_placement(self, volume: str, extent: int, shard: int) -> None:
         """Note that a first write to an extent is about to be sent to a shard."""
 
-    def may_run(self, volume: str, extent: int) -> None:
+    def record_running(self, volume: str, extent: int) -> None:
         """Note that an attempt for an extent may still run at its node, though its outcome is not awaited."""
 
-    def awaited(self, volume: str, extent: int) -> None:
+    def prioritize_trim(self, volume: str, extent: int) -> None:
         """Note that a request waits until an extent is trimmed."""
 
 
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -267,8 +267,8 @@
         """Return the note on this head with its running versions, as many as fit."""
         runs = dict(self._follower.running_versions())
         while True:
-            note = MemberNote(activity.volumes, activity.open, activity.taken, activity.refused, self.record.revision,
-                           self._follower.digest, LEVEL, runs)  # fmt: skip
+            note = MemberNote(activity.volumes, activity.open, activity.taken, activity.refused,
+                           self.record.revision, self._follower.digest, LEVEL, runs)  # fmt: skip
             data = msgspec.msgpack.encode(note)
             if len(data) <= MAX_NOTE or not runs:
                 return data
--- a/harriertrack/gateway/fleet/closing/showing.py
+++ b/harriertrack/gateway/fleet/closing/calendar_status.py
@@ -7,12 +7,12 @@
 from harriertrack.membership.fleet.status_document import CalendarStatus
 
 
-def fence_told(fence: Fence, reading: Interval | None, would: int, extents: int) -> CalendarStatus:
-    """Return the status; `would`: extents that the next close would purge; `extents`: that the last did."""
+def calendar_status(fence: Fence, reading: Interval | None, would_purge: int, extents: int) -> CalendarStatus:
+    """Return the status; `would_purge`: extents to be purged at the next close; `extents`: at the last."""
     close = fence.next_close
     state = fence.state(reading) if reading is not None else FenceState.CLOSING
     if close is None:
         return CalendarStatus(fence.calendar, fence.last_purged, state.value, "", 0, 0, extents)
     return CalendarStatus(
-        fence.calendar, fence.last_purged, state.value, close.name, close.at_us, would, extents
+        fence.calendar, fence.last_purged, state.value, close.name, close.at_us, would_purge, extents
     )
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -21,20 +21,25 @@
 from harriertrack.decisions.fleet.closing.trims import TrimQueue, TrimRules, TrimTarget
 from harriertrack.decisions.splitting import Kind as DataKind
 from harriertrack.gateway.fleet.changes.carrier import Changes
+from harriertrack.gateway.fleet.closing.calendar_status import calendar_status
+from harriertrack.gateway.fleet.closing.close_decider import CloseDecider, DeciderEnvironment
 from harriertrack.gateway.fleet.closing.guard import Guard
-from harriertrack.gateway.fleet.closing.keeping import Keeping, Surroundings
 from harriertrack.gateway.fleet.closing.messages import (
-    MOST_TOLD,
+    MAX_PROGRESS_ITEMS,
     TOPIC,
-    Ask,
-    Done,
-    Sweeping,
-    ask_from,
+    CalendarProgress,
+    CloseQuery,
+    SweepSlices,
+    decode_query,
+    decode_ruling,
     encode,
-    ruling_from,
 )
-from harriertrack.gateway.fleet.closing.reading import BadCloses, digest_of, reader_of, schedule_from
-from harriertrack.gateway.fleet.closing.showing import fence_told
+from harriertrack.gateway.fleet.closing.record_encoding import (
+    MalformedSchedule,
+    codec_for,
+    decode_schedule,
+    digest_of,
+)
 from harriertrack.gateway.fleet.closing.sweeping import Sweeps
 from harriertrack.gateway.fleet.closing.trimming import Trimming
 from harriertrack.gateway.fleet.decider import FleetDecider
@@ -48,7 +53,7 @@
 T = TypeVar("T")
 
 POLL_US = 100_000  # longest time between checks of the clock and the fences
-LEAST_US = 1_000
+MIN_WAIT_US = 1_000
 READING_INTERVALS = 3  # query intervals for which a head's clock reading is used
 
 
@@ -74,9 +79,9 @@
         self._settle_us = max(writes, default=0)
         self._trims = TrimQueue(parameters_from(TrimRules, settings), hub.now())
         self._trimming = Trimming(parts, self._trims, places, self._present_count, self._settle_us)
-        self._trimming.begins, self._trimming.emptied = self._begin_trim, self._report_trimmed
+        self._trimming.on_begin, self._trimming.on_all_done = self._begin_trim, self._report_trimmed
         self._sweeps = Sweeps(hub, self.fences, self._trims, parts.settings, swim.me.name, self._settle_us,
-                              self._trimming.call_off)  # fmt: skip
+                              self._trimming.cancel)  # fmt: skip
         self._guard = Guard(hub, self._wall, self.clock, self.fences, self._trims, places, epochs,
                             parts.settings.extent_bytes, self._settle_us)  # fmt: skip
         self._bodies: dict[str, str] = {}  # of the close schedules applied, by calendar
@@ -85,19 +90,19 @@
         self._clock_offset: tuple[int, Interval] | None = None
         self._query_at = 0
         self._clock_wrong = False
-        around = Surroundings(
+        environment = DeciderEnvironment(
             hub, decider.deciding_term, changes.write, lambda body: decider.rule(TOPIC, body), self._claim,
             self._guard.reading, lambda: sorted(swim.view.present), parts.note,
         )  # fmt: skip
-        self._keeping = Keeping(
-            around, lambda: TimeEstimator(rules, READING_INTERVALS * settings.ask_us, hub.now()),
-            reader_of(self._latest_time, self._purge_error), settings.notice_us,
+        self._close_decider = CloseDecider(
+            environment, lambda: TimeEstimator(rules, READING_INTERVALS * settings.ask_us, hub.now()),
+            codec_for(self._latest_time, self._purge_error), settings.notice_us,
         )  # fmt: skip
 
     def start(self) -> None:
         """Guard the purged ranges from now on, and resume the trims of an earlier incarnation."""
         parts, core = self._parts, self._parts.core
-        lefts = self._trimming.known()
+        lefts = self._trimming.recorded_targets()
         core.hold_purged({(left.volume, left.extent) for left in lefts})
         now = self._hub.now()  # requests of an earlier incarnation may still run at nodes
         self._trims.add(now, lefts, self._stagger(), dict.fromkeys(lefts, now + self._settle_us))
@@ -123,8 +128,8 @@
             return ""
         calendar = thing.removesuffix(CLOSES_SUFFIX)
         try:
-            schedule = schedule_from(version.body)
-        except BadCloses as error:
+            schedule = decode_schedule(version.body)
+        except MalformedSchedule as error:
             return str(error)
         purges = {purge for close in schedule.closes for purge in close.purges}
         if bad := next((why for purge in sorted(purges, key=str) if (why := self._purge_error(purge))), ""):
@@ -162,38 +167,39 @@
 
     def _send_query(self, now: int) -> None:
         settings = self._settings
-        soon = bool(self._sweeps.going()) or self.clock.offset(now) is None
+        soon = bool(self._sweeps.in_progress()) or self.clock.offset(now) is None
         self._query_at = now + (settings.notice_us // 10 if soon else settings.ask_us)
         self._decider.report(TOPIC, encode(self._query(now)))
 
-    def _query(self, now: int) -> Ask:
+    def _query(self, now: int) -> CloseQuery:
         epoch, apart = self._clock_offset or (0, Interval(0, 0))
         done = [
-            Done(fence.calendar, fence.last_purged, self._extents.get(fence.calendar, 0), len(self._trims))
+            CalendarProgress(fence.calendar, fence.last_purged, self._extents.get(fence.calendar, 0),
+                             len(self._trims))
             for fence in self.fences.fences.values()
         ]  # fmt: skip
         sweeps = [
-            Sweeping(sweep.key.calendar, sweep.key.number, sweep.key.volume, sweep.done_slices)
-            for sweep in self._sweeps.going()
+            SweepSlices(sweep.key.calendar, sweep.key.number, sweep.key.volume, sweep.done_slices)
+            for sweep in self._sweeps.in_progress()
         ]
         self._queries_sent += 1
-        return Ask(now, self._wall() - now, epoch, (apart.low, apart.high), self._select(done),
+        return CloseQuery(now, self._wall() - now, epoch, (apart.low, apart.high), self._select(done),
                    self._select(sweeps))  # fmt: skip
 
     def _select(self, every: list[T]) -> list[T]:
         """Return as many items as a message holds, rotating through all of them."""
-        turns = -(-len(every) // MOST_TOLD) or 1
-        at = self._queries_sent % turns * MOST_TOLD
-        return every[at : at + MOST_TOLD]
+        turns = -(-len(every) // MAX_PROGRESS_ITEMS) or 1
+        at = self._queries_sent % turns * MAX_PROGRESS_ITEMS
+        return every[at : at + MAX_PROGRESS_ITEMS]
 
     def _handle_query(self, now: int, head: str, body: bytes) -> None:
-        ask = ask_from(body)
-        if ask is not None and head != self._swim.me.name:
-            self._keeping.asked(now, head, ask)
+        query = decode_query(body)
+        if query is not None and head != self._swim.me.name:
+            self._close_decider.handle_query(now, head, query)
 
     def _handle_ruling(self, now: int, term: Term, body: bytes) -> None:
-        ruling = ruling_from(body)
-        if ruling is None or self._keeping.epoch == term.epoch:
+        ruling = decode_ruling(body)
+        if ruling is None or self._close_decider.epoch == term.epoch:
             return
         mine = next((one for one in ruling.answers if one.head == self._swim.me.name), None)
         if mine is not None:
@@ -202,7 +208,7 @@
                 self._clock_offset = term.epoch, apart
                 if ruling.truth is not None:
                     self._apply_time(now, Interval(*ruling.truth).plus(apart))
-        self._heard_closes(ruling.said, ruling.digest)
+        self._confirm_closes(ruling.said, ruling.digest)
 
     def _apply_time(self, now: int, ahead: Interval) -> None:
         self.clock.update(now, ahead)
@@ -212,7 +218,7 @@
             off = (ahead.low + ahead.high) // 2 - (self._wall() - now)
             self._parts.note("closing clock wrong" if wrong else "closing clock right again", off_us=-off)
 
-    def _heard_closes(self, said: int, digest: int) -> None:
+    def _confirm_closes(self, said: int, digest: int) -> None:
         if said and digest == digest_of(self._bodies):
             self.fences.confirm_until(said + self._settings.notice_us)
 
@@ -222,7 +228,7 @@
         blind = True
         while True:
             now = self._hub.now()
-            if not self._keeping.decides and now >= self._query_at:
+            if not self._close_decider.is_deciding and now >= self._query_at:
                 self._send_query(now)
             reading = self._guard.reading()
             if self.fences.is_blind(reading) != blind:
@@ -232,18 +238,18 @@
             if reading is not None:
                 self._purge_due(reading)
                 if (at := self.fences.us_until_change(reading)) is not None:
-                    wait = max(LEAST_US, min(wait, at))
+                    wait = max(MIN_WAIT_US, min(wait, at))
             self._hub.sleep(wait)
 
     def _decide(self) -> None:
         """Decide on closes in this head's term (a separate task: it waits for the witness)."""
         while True:
-            decided = self._keeping.look(self._changes.record.revision)
+            decided = self._close_decider.decide(self._changes.record.revision)
             if decided is not None:
                 self._clock_offset = decided.epoch, Interval(0, 0)
                 self._apply_time(decided.at, decided.truth)
-                self._heard_closes(decided.at + decided.truth.low, decided.digest)
-                self._keeping.told(self._swim.me.name, self._query(decided.at))
+                self._confirm_closes(decided.at + decided.truth.low, decided.digest)
+                self._close_decider.record_progress(self._swim.me.name, self._query(decided.at))
             self._hub.sleep(POLL_US)
 
     def _purge_due(self, reading: Interval) -> None:
@@ -270,9 +276,9 @@
         if self._regional is not None:
             self._regional.closed(lambda *place: self._covers(close, *place))
         mine = [TrimTarget(*left) for left in lefts if left[0] in core.volumes]
-        least = {left: self._guard.quiet_at(left.volume, left.extent) for left in mine}
+        least = {left: self._guard.settled_at(left.volume, left.extent) for left in mine}
         self._trims.add(now, mine, self._stagger(), least)
-        self._guard.forget_quiet()
+        self._guard.forget_settled()
         self._extents[fence.calendar] = len(lefts)
         self._parts.note("close done", calendar=fence.calendar, number=close.number, at_us=close.at_us,
                          name=close.name, extents=len(lefts), refused=refused, failed=failed)  # fmt: skip
@@ -282,7 +288,7 @@
     def _begin_trim(self, left: TrimTarget) -> Callable[[], None]:
         """Handle the start of a trim; return the function to call when it is done."""
         core, closing = self._parts.core, self._places.closing
-        sweeps = [sweep for sweep in self._sweeps.going() if sweep.key.volume == left.volume]
+        sweeps = [sweep for sweep in self._sweeps.in_progress() if sweep.key.volume == left.volume]
 
         def trimmed() -> None:
             for sweep in sweeps:
@@ -320,14 +326,14 @@
     def document(self, _now: int) -> ClosingStatus:
         """Return this head's status of closes."""
         reading = self._guard.reading()
-        told = [
-            fence_told(fence, reading, self._would_purge(fence), self._extents.get(fence.calendar, 0))
+        calendars = [
+            calendar_status(fence, reading, self._would_purge(fence), self._extents.get(fence.calendar, 0))
             for fence in self.fences.fences.values()
         ]
         return ClosingStatus(
-            self._keeping.decides, self.fences.is_blind(reading),
+            self._close_decider.is_deciding, self.fences.is_blind(reading),
             (reading.low, reading.high) if reading else None, self._clock_wrong, len(self._trims),
-            self._guard.refused, told,
+            self._guard.refused, calendars,
         )  # fmt: skip
 
     def _would_purge(self, fence: Fence) -> int:
--- a/harriertrack/gateway/fleet/closing/keeping.py
+++ b/harriertrack/gateway/fleet/closing/close_decider.py
@@ -26,12 +26,12 @@
 from harriertrack.gateway.fleet.closing.messages import (
     ANSWERS_BYTES,
     Answer,
-    Ask,
-    Done,
+    CalendarProgress,
+    CloseQuery,
     Ruling,
     encode,
 )
-from harriertrack.gateway.fleet.closing.reading import digest_of
+from harriertrack.gateway.fleet.closing.record_encoding import digest_of
 from harriertrack.gateway.witness import FAILURES
 from harriertrack.membership.fleet.change_record import DamagedRecord
 from harriertrack.runtime.hub import Hub
@@ -46,21 +46,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class DeciderEnvironment:
     """What the deciding head's work needs of the head."""
 
     hub: Hub
-    keeps: Callable[[int], Term | None]
+    deciding_term: Callable[[int], Term | None]
     write: Callable[[Callable[[Record], Record]], Record]
-    say: Callable[[bytes], object]  # sends a ruling to all heads
+    send_ruling: Callable[[bytes], object]  # sends a ruling to all heads
     claim: Callable[[], Interval]  # interval of true time by the head's wall clock
     reading: Callable[[], Interval | None]
-    names: Callable[[], list[str]]  # of the members present
+    present_heads: Callable[[], list[str]]
     note: Callable[..., None]
 
 
 @dataclass(frozen=True, slots=True)
-class Decided:
+class CloseDecision:
     """State at `at`, by the deciding head's clock: how far true time is ahead, and the closes on record."""
 
     epoch: int
@@ -69,10 +69,10 @@
     digest: int
 
 
-class Keeping:
+class CloseDecider:
     """Decides on closes while this head's term lasts."""
 
-    def __init__(self, environment: Surroundings, new_estimator: Callable[[], TimeEstimator],
+    def __init__(self, environment: DeciderEnvironment, new_estimator: Callable[[], TimeEstimator],
                  codec: CalendarCodec, notice_us: int) -> None:  # fmt: skip
         self._environment, self._new_estimator, self._codec = environment, new_estimator, codec
         self._notice_us = notice_us
@@ -83,11 +83,11 @@
         self._checked_revision = 0  # highest revision for which the record was checked
         self._faulty: list[str] = []
         self._swept = SweepProgress()
-        self._done: dict[str, dict[str, Done]] = {}  # progress by head and calendar
+        self._done: dict[str, dict[str, CalendarProgress]] = {}  # progress by head and calendar
         self._closed: dict[str, int] = {}  # by calendar: its last close that all heads have trimmed
 
     @property
-    def decides(self) -> bool:
+    def is_deciding(self) -> bool:
         """Whether this head decides and knows the record."""
         return self._term is not None
 
@@ -96,14 +96,14 @@
         """Return the epoch of the term; 0: this head does not decide."""
         return self._term.epoch if self._term is not None else 0
 
-    def asked(self, now: int, head: str, ask: Ask) -> None:
+    def handle_query(self, now: int, head: str, ask: CloseQuery) -> None:
         """Handle another head's query."""
         if self._term is not None:
             apart = Interval(*ask.apart) if ask.epoch == self._term.epoch else None
             self._estimator.add_query(now, head, ClockQuery(ask.at, ask.wall_ahead, apart))
-            self.told(head, ask)
+            self.record_progress(head, ask)
 
-    def told(self, head: str, ask: Ask) -> None:
+    def record_progress(self, head: str, ask: CloseQuery) -> None:
         """Record the progress of a head, possibly of this one."""
         for one in ask.sweeps:
             self._swept.record_done(SweepKey(one.calendar, one.number, one.volume), one.done)
@@ -114,27 +114,27 @@
 
     def _check_closed(self, calendar: str, number: int) -> None:
         """Log once that all present heads have trimmed a close."""
-        there = [self._done.get(name, {}).get(calendar) for name in self._environment.names()]
+        there = [self._done.get(name, {}).get(calendar) for name in self._environment.present_heads()]
         done = [one for one in there if one is not None and one.number >= number and not one.left]
         if len(done) == len(there) and number > self._closed.get(calendar, 0):
             self._closed[calendar] = number
             self._environment.note("closed everywhere", calendar=calendar, number=number, heads=len(done),
                               extents=sum(one.extents for one in done))  # fmt: skip
 
-    def look(self, revision: int) -> Decided | None:
+    def decide(self, revision: int) -> CloseDecision | None:
         """Decide if this head has the term, and return the result.
 
         `revision` is that of the head's copy of the record; a newer one is checked. None: this head does not
         decide, or the time is unknown.
         """
         environment, now = self._environment, self._environment.hub.now()
-        term = environment.keeps(now)
+        term = environment.deciding_term(now)
         if term is None:
             self._term = None
             return None
         if term != self._term and (now < self._retry_at or not self._begin(term, revision)):
             return None
-        truth = self._estimator.estimate(now, environment.claim(), len(environment.names()))
+        truth = self._estimator.estimate(now, environment.claim(), len(environment.present_heads()))
         if self._estimator.faulty != self._faulty:
             self._faulty = self._estimator.faulty
             environment.note("closing clocks wrong", heads=self._faulty)
@@ -145,7 +145,9 @@
         self._send_ruling(term, truth, digest)
         now = environment.hub.now()
         return (
-            Decided(term.epoch, now, truth, digest) if truth is not None and environment.keeps(now) else None
+            CloseDecision(term.epoch, now, truth, digest)
+            if truth is not None and environment.deciding_term(now)
+            else None
         )
 
     def _digest(self) -> int:
@@ -224,11 +226,13 @@
         self._ruled_at = now
         while True:
             now = environment.hub.now()
-            if environment.keeps(now) != term:
+            if environment.deciding_term(now) != term:
                 return
             said = now + truth.low if truth is not None else 0
             answers = [Answer(one.head, one.sent_at, one.received_at) for one in echoes]
             bounds = (truth.low, truth.high) if truth is not None else None
-            environment.say(encode(Ruling(said, digest, bounds, now, answers, self._faulty[:MAX_FAULTY])))
+            environment.send_ruling(
+                encode(Ruling(said, digest, bounds, now, answers, self._faulty[:MAX_FAULTY]))
+            )
             if not (echoes := self._estimator.take_echoes(ANSWERS_BYTES)):
                 return
--- a/harriertrack/gateway/fleet/closing/guard.py
+++ b/harriertrack/gateway/fleet/closing/guard.py
@@ -60,25 +60,25 @@
             return 0
         return self._fences.unsettled_us(self.reading(), volume, 2 * self._clock.rules.error_us)
 
-    def placing(self, volume: str, extent: int, shard: int) -> None:
+    def record_placement(self, volume: str, extent: int, shard: int) -> None:
         """Record on disk, in case of a crash, that an extent's first write is about to be sent to a shard."""
         if self._fences.may_purge(volume):
             self._places.doubt(volume, extent, shard)
 
-    def may_run(self, volume: str, extent: int) -> None:
+    def record_running(self, volume: str, extent: int) -> None:
         """Record that a request for an extent may still run at its node."""
         if self._fences.may_purge(volume):
             self._unsettled[volume, extent] = self._hub.now() + self._settle_us
 
-    def quiet_at(self, volume: str, extent: int) -> int:
+    def settled_at(self, volume: str, extent: int) -> int:
         """Return when no request sent for an extent can still run."""
         return self._unsettled.get((volume, extent), 0)
 
-    def forget_quiet(self) -> None:
+    def forget_settled(self) -> None:
         """Forget the requests that can no longer run."""
         now = self._hub.now()
         self._unsettled = {place: until for place, until in self._unsettled.items() if until > now}
 
-    def awaited(self, volume: str, extent: int) -> None:
+    def prioritize_trim(self, volume: str, extent: int) -> None:
         """Prioritise the trim of an extent that a request waits for."""
         self._trims.prioritize(self._hub.now(), volume, extent)
--- a/harriertrack/gateway/fleet/closing/messages.py
+++ b/harriertrack/gateway/fleet/closing/messages.py
@@ -10,10 +10,10 @@
 
 TOPIC = "closing"
 ANSWERS_BYTES = 750  # for the answers in a ruling; its other fields take up to 250
-MOST_TOLD = 4  # calendars, and as many sweeps, whose progress is in one query; others are in the next
+MAX_PROGRESS_ITEMS = 4  # of calendars, and as many of sweeps, in one query; others are in the next
 
 
-class Done(msgspec.Struct, frozen=True, array_like=True):
+class CalendarProgress(msgspec.Struct, frozen=True, array_like=True):
     """A head's progress in a calendar: its last close, and the extents left to trim."""
 
     calendar: str
@@ -22,7 +22,7 @@
     left: int
 
 
-class Sweeping(msgspec.Struct, frozen=True, array_like=True):
+class SweepSlices(msgspec.Struct, frozen=True, array_like=True):
     """The slices of a sweep that a head has completed."""
 
     calendar: str
@@ -31,7 +31,7 @@
     done: int
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True):
+class CloseQuery(msgspec.Struct, frozen=True, array_like=True):
     """A head's query for the time, with its clock reading and its progress."""
 
     at: int
@@ -40,8 +40,8 @@
         int  # of the term in which `apart`, the offset of the deciding head's clock, was measured; 0: never
     )
     apart: tuple[int, int]
-    done: list[Done]
-    sweeps: list[Sweeping] = []
+    done: list[CalendarProgress]
+    sweeps: list[SweepSlices] = []
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True):
@@ -66,17 +66,17 @@
     wrong: list[str]  # heads whose clocks can't be right
 
 
-def encode(what: Ask | Ruling) -> bytes:
+def encode(message: CloseQuery | Ruling) -> bytes:
     """Return a message's bytes."""
-    return msgspec.msgpack.encode(what)
+    return msgspec.msgpack.encode(message)
 
 
-def ask_from(body: bytes) -> Ask | None:
+def decode_query(body: bytes) -> CloseQuery | None:
     """Decode a query; None if malformed."""
-    return _decode(body, Ask)
+    return _decode(body, CloseQuery)
 
 
-def ruling_from(body: bytes) -> Ruling | None:
+def decode_ruling(body: bytes) -> Ruling | None:
     """Decode a ruling; None if malformed."""
     return _decode(body, Ruling)
 
--- a/harriertrack/gateway/fleet/closing/reading.py
+++ b/harriertrack/gateway/fleet/closing/record_encoding.py
@@ -18,19 +18,19 @@
 STEP_US = 3_600_000_000  # between recomputations of the closes ahead
 
 
-class BadCloses(ValueError):
+class MalformedSchedule(ValueError):
     """A body that is not a close schedule."""
 
 
-def schedule_from(body: str) -> Schedule:
-    """Decode a close schedule. Raises BadCloses."""
+def decode_schedule(body: str) -> Schedule:
+    """Decode a close schedule. Raises MalformedSchedule."""
     try:
         return msgspec.json.decode(body, type=Schedule)
     except msgspec.MsgspecError as error:
-        raise BadCloses(str(error)) from error
+        raise MalformedSchedule(str(error)) from error
 
 
-def written(schedule: Schedule) -> str:
+def encode_schedule(schedule: Schedule) -> str:
     """Return the encoded form of closes in the record."""
     return msgspec.json.encode(schedule).decode()
 
@@ -45,7 +45,7 @@
     return build_close_plan(parse_calendar(body, "calendar"), version, since, until)
 
 
-def reader_of(latest: Callable[[], int], check: Callable[[Purge], str]) -> CalendarCodec:
+def codec_for(latest: Callable[[], int], check: Callable[[Purge], str]) -> CalendarCodec:
     """Return the codec of record bodies; `latest`: the current time; `check`: why a purge is invalid."""
 
     def purges(body: str) -> tuple[Purge, ...]:
@@ -65,4 +65,4 @@
         except SettingsError as error:
             raise InvalidCalendar(str(error)) from error
 
-    return CalendarCodec(plan, purges, schedule_from, written)
+    return CalendarCodec(plan, purges, decode_schedule, encode_schedule)
--- a/harriertrack/gateway/fleet/closing/sweeping.py
+++ b/harriertrack/gateway/fleet/closing/sweeping.py
@@ -15,14 +15,14 @@
     """The sweeps in progress at one head."""
 
     def __init__(self, hub: Hub, fences: Fences, trims: TrimQueue, settings: HeadSettings, head: str,
-                 settle_us: int, call_off: Callable[[list[TrimTarget]], None]) -> None:  # fmt: skip
+                 settle_us: int, cancel_trims: Callable[[list[TrimTarget]], None]) -> None:  # fmt: skip
         self._hub, self._fences, self._trims = hub, fences, trims
-        self._call_off = call_off
+        self._cancel_trims = cancel_trims
         self._size, self._head, self._settle_us = settings.extent_bytes, head, settle_us
         self._volumes = {one.name: one for one in settings.volumes if one.shards}
         self._sweeps: dict[SweepKey, Sweep] = {}
 
-    def going(self) -> list[Sweep]:
+    def in_progress(self) -> list[Sweep]:
         """Return the sweeps in progress."""
         return list(self._sweeps.values())
 
@@ -62,4 +62,4 @@
             key.volume, {extent for extents in sweep.remaining.values() for extent in extents}
         )
         self._trims.drop(targets)
-        self._call_off(targets)
+        self._cancel_trims(targets)
--- a/harriertrack/gateway/fleet/closing/trimming.py
+++ b/harriertrack/gateway/fleet/closing/trimming.py
@@ -24,10 +24,10 @@
         self._settle_us = settle_us
         self._requests: dict[TrimTarget, tuple[ClientRequest, background.Waiter]] = {}  # of trims in progress
         # Called as a trim begins; the function that it returns is called as the trim is done.
-        self.begins: Callable[[TrimTarget], Callable[[], None]] = lambda _left: lambda: None
-        self.emptied: Callable[[], None] = lambda: None  # nothing is left to trim
+        self.on_begin: Callable[[TrimTarget], Callable[[], None]] = lambda _target: lambda: None
+        self.on_all_done: Callable[[], None] = lambda: None  # nothing is left to trim
 
-    def call_off(self, targets: Iterable[TrimTarget]) -> None:
+    def cancel(self, targets: Iterable[TrimTarget]) -> None:
         """Cancel these trims: further attempts would have the same epoch as the next writes."""
         for target in targets:
             if target in self._requests:
@@ -35,7 +35,7 @@
                 self._parts.core.client_left(request)
                 waiter.answer(request)
 
-    def known(self) -> list[TrimTarget]:
+    def recorded_targets(self) -> list[TrimTarget]:
         """Return the extents left to trim, as recorded on disk, in volumes that this head serves."""
         targets = self._places.closing.lefts
         return [
@@ -55,7 +55,7 @@
         parts, size = self._parts, self._parts.settings.extent_bytes
         start = target.extent * size
         length = min(size, self._sizes[target.volume] - start)
-        trimmed, waiter = self.begins(target), background.Waiter(parts.hub)
+        trimmed, waiter = self.on_begin(target), background.Waiter(parts.hub)
         request = ClientRequest(parts.core.volumes[target.volume], Kind.TRIM, start, length, b"", 0, waiter,
                                 background=True, moving=True, trim_shard=target.shard)  # fmt: skip
         self._requests[target] = request, waiter
@@ -69,4 +69,4 @@
             trimmed()
         self._trims.finish(parts.hub.now(), target, served)
         if served and not len(self._trims):
-            self.emptied()
+            self.on_all_done()
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -34,8 +34,8 @@
 from harriertrack.decisions.splitting import Outcome
 from harriertrack.gateway.fleet.changes.carrier import Changes
 from harriertrack.gateway.fleet.closing.carrier import Closing
-from harriertrack.gateway.fleet.closing.messages import TOPIC, Answer, Ruling, ask_from, encode
-from harriertrack.gateway.fleet.closing.reading import digest_of, written
+from harriertrack.gateway.fleet.closing.messages import TOPIC, Answer, Ruling, decode_query, encode
+from harriertrack.gateway.fleet.closing.record_encoding import digest_of, encode_schedule
 from harriertrack.gateway.fleet.decider import FleetDecider
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.lab.interleaving.observed import START
@@ -182,7 +182,7 @@
             return
         self.schedule = compute_schedule(self.schedule, plan, hub.now() + ERROR_US, NOTICE_US)
         self.number += 1
-        body = written(self.schedule)
+        body = encode_schedule(self.schedule)
         version = Version(CALENDAR + CLOSES_SUFFIX, self.number, self.number - 1, body, "d", 1, "worked out")
 
         def comes() -> None:
@@ -192,12 +192,12 @@
 
     def report(self, _topic: str, body: bytes) -> None:
         """A head asks."""
-        ask = ask_from(body)
+        ask = decode_query(body)
         assert ask is not None
         self._hub.at_for(DECIDER, self._hub.now(), lambda: self._says(ask.at))
 
     def _says(self, asked_at: int) -> None:
-        now, body = self._hub.now(), written(self.schedule)
+        now, body = self._hub.now(), encode_schedule(self.schedule)
         answer = Answer("h", asked_at, now)
         said = encode(Ruling(now, digest_of({CALENDAR: body}), (-ERROR_US, ERROR_US), now, [answer], []))
         self._hub.at_for(HEAD, now, lambda: self.on_ruling[TOPIC](self._hub.now(), Term(1, 1), said))
--- a/tests/closing/test_closing_cli.py
+++ b/tests/closing/test_closing_cli.py
@@ -7,7 +7,14 @@
 from harriertrack.cli import closing
 from harriertrack.config.settings import ClosingSettings
 from harriertrack.config.sexp import SettingsError
-from harriertrack.gateway.fleet.closing.messages import Ask, Done, Ruling, ask_from, encode, ruling_from
+from harriertrack.gateway.fleet.closing.messages import (
+    CloseQuery,
+    CalendarProgress,
+    Ruling,
+    decode_query,
+    encode,
+    decode_ruling,
+)
 from harriertrack.membership.fleet.status_document import ClosingStatus, Document, CalendarStatus
 
 CALENDAR = CalendarStatus(
@@ -51,10 +58,10 @@
 
 
 def test_messages_round_trip_and_malformed_ones_decode_to_none():
-    ask = Ask(1, 2, 3, (4, 5), [Done("c", 1, 2, 3)])
-    assert ask_from(encode(ask)) == ask and ask_from(b"\x91\x01") is None is ruling_from(b"")
+    ask = CloseQuery(1, 2, 3, (4, 5), [CalendarProgress("c", 1, 2, 3)])
+    assert decode_query(encode(ask)) == ask and decode_query(b"\x91\x01") is None is decode_ruling(b"")
     ruling = Ruling(1, 2, None, 3, [], [])
-    assert ruling_from(encode(ruling)) == ruling
+    assert decode_ruling(encode(ruling)) == ruling
 
 
 @pytest.mark.parametrize(
--- a/tests/closing/test_closing_core.py
+++ b/tests/closing/test_closing_core.py
@@ -26,13 +26,13 @@
     def refuses(self, request):
         return self.hint if request.kind is not Kind.FLUSH and request.trim_shard < 0 else None
 
-    def placing(self, volume, extent, shard):
+    def record_placement(self, volume, extent, shard):
         self._places.doubt(volume, extent, shard)
 
-    def may_run(self, volume, extent):
+    def record_running(self, volume, extent):
         self.risky.append((volume, extent))
 
-    def awaited(self, volume, extent):
+    def prioritize_trim(self, volume, extent):
         self.waited.append((volume, extent))
 
 
@@ -287,13 +287,13 @@
         with hub.scope("head") as scope:
             parts = SimpleNamespace(hub=hub, core=rig.core, scope=scope, settings=rig.settings)
             trimming = Trimming(parts, trims, rig.extents, lambda: 1, 1000)
-            trimming.begins = lambda _left: lambda: done.append(1)
+            trimming.on_begin = lambda _left: lambda: done.append(1)
             task = scope.spawn("trims", trimming.run)
             hub.sleep(1000)
             rig.flush()
             (attempt,) = rig.port.sent
             trims.drop([left])
-            trimming.call_off([left])
+            trimming.cancel([left])
             rig.flush()
             assert rig.port.called_off == [attempt]
             hub.sleep(10_000_000)
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -41,10 +41,10 @@
     def refuses(self, request):
         return None
 
-    def placing(self, *where):
+    def record_placement(self, *where):
         pass
 
-    may_run = awaited = placing
+    record_running = prioritize_trim = record_placement
 
     def generation(self, volume):
         return self.done
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -595,7 +595,7 @@
     Fault(
         "a word for another list confirms this one",
         "close-late",
-        f"{CLOSES}._heard_closes",
+        f"{CLOSES}._confirm_closes",
         "and digest == digest_of(self._bodies)",
         "",
     ),
