--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -57,13 +57,13 @@
 
 
 def _even(one: Division, part: float) -> None:
-    rate = one.wholes["v"].rate
+    rate = one.totals["v"].rate
     _set_demand(one, **{name: part * rate / len(one.names) for name in one.names})
 
 
 def _skewed(one: Division, part: float) -> None:
     """A quarter of the heads get ten times what the others do."""
-    rate, many = one.wholes["v"].rate, max(1, len(one.names) // 4)
+    rate, many = one.totals["v"].rate, max(1, len(one.names) // 4)
     weights = {name: 10.0 if at < many else 1.0 for at, name in enumerate(one.names)}
     total = sum(weights.values())
     _set_demand(one, **{name: part * rate * weight / total for name, weight in weights.items()})
@@ -72,20 +72,20 @@
 def _jumping(one: Division, us: int) -> None:
     end, turn = one.now + us, 0
     while one.now < end:
-        _set_demand(one, **{one.names[(turn * 7) % len(one.names)]: 0.9 * one.wholes["v"].rate})
+        _set_demand(one, **{one.names[(turn * 7) % len(one.names)]: 0.9 * one.totals["v"].rate})
         one.run(S)
         turn += 1
 
 
 def _kills(one: Division, part: float) -> None:
     """Some are killed, and their traffic goes to the others."""
-    keeper = one.keeper()
+    keeper = one.ledger_owner()
     others = [name for name in one.names if keeper is None or name != keeper.name]
     gone = one.random.sample(others, max(1, round(part * len(others))))
     for name in gone:
         one.kill(name)
     left = [name for name in one.names if name in one.members]
-    _set_demand(one, **{name: 0.9 * one.wholes["v"].rate / len(left) for name in left})
+    _set_demand(one, **{name: 0.9 * one.totals["v"].rate / len(left) for name in left})
 
 
 def _served_one(arguments: tuple[str, int, float, int]) -> tuple[float, float, float, float]:
@@ -133,9 +133,9 @@
     """Return after how many seconds a head that got all traffic holds nine tenths of what it may."""
     what, heads, seed = arguments
     one = _division(heads, seed, 0.1, 50.0 * heads)
-    rate = one.wholes["v"].rate
+    rate = one.totals["v"].rate
     one.run(5 * S)
-    keeper = one.keeper()
+    keeper = one.ledger_owner()
     assert keeper is not None
     first, second = [name for name in one.names if name != keeper.name][:2]
     _set_demand(one, **{first: rate})
--- a/benchmarks/fleet_settings.py
+++ b/benchmarks/fleet_settings.py
@@ -34,13 +34,13 @@
         one.demand[name, BUDGET] = 2 * max(1.0, times) * WHOLE.rate / len(busy)
     one.run(8 * SECOND)
     one.loss = loss
-    whole = one.wholes[BUDGET]
-    one.change(BUDGET, replace(whole, rate=times * whole.rate, burst=times * whole.burst))
+    whole = one.totals[BUDGET]
+    one.change_total(BUDGET, replace(whole, rate=times * whole.rate, burst=times * whole.burst))
     for name in one.random.sample(one.names, heads):
-        one.tell(name)
+        one.apply_totals(name)
         if apart_us:
             one.run(apart_us)
-    told, want = one.now, one.wholes[BUDGET].rate
+    told, want = one.now, one.totals[BUDGET].rate
     while one.now < told + 20 * SECOND:
         if used(one) <= want if times < 1 else used(one) >= 0.9 * want:
             break
--- a/harriertrack/lab/fleet/division/division.py
+++ b/harriertrack/lab/fleet/division/division.py
@@ -15,7 +15,7 @@
 from harriertrack.decisions.fleet.terms import LockAcquired, WitnessCall, rank
 from harriertrack.lab.fleet import shares
 from harriertrack.lab.fleet.division.members import REAL, Member, Parts
-from harriertrack.lab.fleet.division.use import Judge, Tally, serve
+from harriertrack.lab.fleet.division.use import DemandModel, Tally, serve
 from harriertrack.lab.fleet.division.witness import WitnessModel
 from harriertrack.rules import recording as rec
 
@@ -35,7 +35,7 @@
                  parts: Parts = REAL, clocks: float = 0.0, slack: float = 0.0) -> None:  # fmt: skip
         self.random = random.Random(seed)
         self.rules, self.parts = rules, parts
-        self.wholes = wholes = {name: replace(one, source=name) for name, one in wholes.items()}
+        self.totals = wholes = {name: replace(one, source=name) for name, one in wholes.items()}
         self.now = 0
         self.names = [f"head{number}" for number in range(heads)]
         self.members: dict[str, Member] = {}
@@ -43,9 +43,9 @@
         self.demand: dict[tuple[str, str], float] = {}  # units a second, by head and budget
         self.tally = {budget: Tally() for budget in wholes}
         self.records: list[rec.Record] = []
-        self.cut: Callable[[str, str], bool] = lambda _source, _target: False
-        self.blind: set[str] = set()  # who can't reach the witness
-        self.loss = self.twice = 0.0
+        self.is_cut: Callable[[str, str], bool] = lambda _source, _target: False
+        self.cut_off_from_witness: set[str] = set()  # who can't reach the witness
+        self.loss = self.duplication = 0.0
         self.late_us = 0
         self.sent = self.sent_bytes = 0
         self.measure: Callable[[LeaseRequest | Grant | Term], int] | None = None
@@ -53,8 +53,8 @@
         self._gone_at: dict[str, int] = {}
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._serial = 0
-        self._ideal = {name: Judge(Bucket(0, one.rate, one.burst)) for name, one in wholes.items()}
-        self._even: dict[tuple[str, str], Judge] = {}
+        self._ideal = {name: DemandModel(Bucket(0, one.rate, one.burst)) for name, one in wholes.items()}
+        self._even: dict[tuple[str, str], DemandModel] = {}
         self._slack = slack
         self._facts: dict[str, BudgetTotal] = {}  # as recorded last
         self._allowed: dict[str, list[tuple[int, BudgetTotal]]] = {name: [] for name in wholes}  # until when
@@ -72,7 +72,8 @@
         clock = self._clock(rate)
         self.members[name] = Member(
             name, instance, rate, self.parts.holder(LEDGER, name, instance, self.rules, clock),
-            self.parts.candidate(LEDGER, self.rules, instance & 0xFFFF, clock), told=dict(self.wholes),
+            self.parts.candidate(LEDGER, self.rules, instance & 0xFFFF, clock),
+            applied_totals=dict(self.totals),
         )  # fmt: skip
         self._gone_at.pop(name, None)
 
@@ -98,7 +99,7 @@
         self.kill(name)
         self._gone_at[name] = self.now - KNOWN_GONE_US  # it said so
 
-    def stop(self, name: str, us: int) -> None:
+    def suspend(self, name: str, us: int) -> None:
         """Let a process stand still: what it decides in its next step is sent when it goes on."""
         if (member := self.members.get(name)) is not None and not member.stopped:
             member.stops_for = us
@@ -110,7 +111,7 @@
             for target, message in unsent:
                 self._send(member, target, message)
 
-    def keeper(self) -> Member | None:
+    def ledger_owner(self) -> Member | None:
         """Return who keeps the ledger by its own word."""
         for member in self.members.values():
             if member.candidate.holds_term(self.clock(member)):
@@ -126,33 +127,33 @@
                             moving=whole.movable, slack=self._slack + whole.rate * 2 * STEP_US / 1e6 + 1)
         )  # fmt: skip
 
-    def change(self, budget: str, whole: BudgetTotal) -> None:
+    def change_total(self, budget: str, whole: BudgetTotal) -> None:
         """Decide on another whole: heads go by it once they are told, or started."""
-        self.wholes[budget] = whole
-        self._ideal[budget] = Judge(Bucket(self.now, whole.rate, whole.burst))
+        self.totals[budget] = whole
+        self._ideal[budget] = DemandModel(Bucket(self.now, whole.rate, whole.burst))
 
-    def tell(self, name: str) -> None:
+    def apply_totals(self, name: str) -> None:
         """Let a head hear of the wholes as they are now, unless it stands still."""
         member = self.members.get(name)
         if member is None or member.stopped:
             return
-        for budget, whole in self.wholes.items():
-            before = member.told[budget]
+        for budget, whole in self.totals.items():
+            before = member.applied_totals[budget]
             if before != whole:
-                member.told[budget] = whole
+                member.applied_totals[budget] = whole
                 member.holder.update_source(self.clock(member), whole.source, (before.rate, before.burst),
                                      (whole.rate, whole.burst))  # fmt: skip
 
     @property
-    def all_told(self) -> bool:
+    def all_applied(self) -> bool:
         """Whether every process goes by the wholes as they are now."""
-        return all(member.told == self.wholes for member in self.members.values())
+        return all(member.applied_totals == self.totals for member in self.members.values())
 
     def _follow_wholes(self) -> None:
         """Record what all together may use: the most that anybody is told, or was until lately."""
         lately = int(self.rules.settling_us * (1 + 2 * self.rules.clock_error)) + 2 * STEP_US
         for budget, until in self._allowed.items():
-            now = {member.told[budget] for member in self.members.values()}
+            now = {member.applied_totals[budget] for member in self.members.values()}
             kept = [(end, whole) for end, whole in until if end > self.now and whole not in now]
             kept += [(self.now + lately, whole) for whole in now]
             kept = self._allowed[budget] = kept or until
@@ -177,8 +178,8 @@
             self.sent_bytes += self.measure(message)
         if isinstance(message, LeaseRequest):
             self.records.append(shares.asked(self.now, message))
-        for _ in range(2 if self.twice and self.random.random() < self.twice else 1):
-            if self.cut(source.name, target) or (self.loss and self.random.random() < self.loss):
+        for _ in range(2 if self.duplication and self.random.random() < self.duplication else 1):
+            if self.is_cut(source.name, target) or (self.loss and self.random.random() < self.loss):
                 continue
             delay = self.random.randrange(*DELAY_US) + (
                 self.random.randrange(self.late_us) if self.late_us else 0
@@ -196,17 +197,17 @@
 
     def _call(self, member: Member, call: WitnessCall) -> None:
         asked_at = self.clock(member)
-        if self.witness.dark or member.name in self.blind:
+        if self.witness.is_down or member.name in self.cut_off_from_witness:
             self.later(DARK_US, lambda: self._called(member, call, asked_at, None))
         else:
             self.later(CALL_US // 2, lambda: self._at_witness(member, call, asked_at))
 
     def _at_witness(self, member: Member, call: WitnessCall, asked_at: int) -> None:
         found: LockAcquired | bool | None = None
-        if self.witness.dark:
+        if self.witness.is_down:
             pass
         elif call is WitnessCall.ACQUIRE:
-            taken = self.witness.take(self.now, self.rules.lease_us)
+            taken = self.witness.acquire(self.now, self.rules.lease_us)
             if taken is not None:
                 member.session, epoch, lease_us = taken
                 found = LockAcquired(epoch, lease_us)
@@ -279,11 +280,11 @@
                     if name != member.name and member.contact.get(name, 0) < now - self.rules.lease_us:
                         self._send(member, name, ledger.term)
         for ask in member.holder.due_requests(now):
-            if member.keeper == member.name:
+            if member.ledger_owner == member.name:
                 self.records.append(shares.asked(self.now, ask))  # it needs no network for that
                 self._take(member, now, ask, member.name)
             else:
-                self._send(member, member.keeper, ask)
+                self._send(member, member.ledger_owner, ask)
 
     def _grant(self, member: Member, grant: Grant) -> None:
         if grant.holder == member.name:
@@ -294,7 +295,7 @@
     def _heard(self, member: Member, now: int, term: Term, source: str) -> None:
         member.candidate.observe_term(now, term)
         if member.holder.observe_term(now, term):
-            member.keeper = source
+            member.ledger_owner = source
 
     def _take(self, member: Member, now: int, message: LeaseRequest | Grant | Term, source: str) -> None:
         candidate = member.candidate
@@ -325,19 +326,19 @@
         came_of: dict[str, int] = {}
         for (name, budget), rate in self.demand.items():
             came = self._arrivals(rate * STEP_US / 1e6) if rate else 0
-            whole, tally = self.wholes[budget], self.tally[budget]
+            whole, tally = self.totals[budget], self.tally[budget]
             came_of[budget] = came_of.get(budget, 0) + came
             member = self.members.get(name)
             even = self._even.get((name, budget))
             if even is None:
                 part = 1 / whole.hosts
-                even = self._even[name, budget] = Judge(
+                even = self._even[name, budget] = DemandModel(
                     Bucket(0, whole.rate * part, whole.burst * part, whole.burst * part)
                 )
             if member is None or member.stopped:
                 came = 0
             tally.even += even.serve(self.now, came)
-            tally.came += came
+            tally.arrived += came
             if member is not None and not member.stopped:
                 units = self._use(member, budget, came)
                 tally.served += units
@@ -351,7 +352,7 @@
         if not came and not waiting:
             return 0
         clock = self.clock(member)
-        portion = member.holder.open(clock, budget, member.told[budget])
+        portion = member.holder.open(clock, budget, member.applied_totals[budget])
         for _ in range(came):
             portion.record_demand(1.0)
         waiting.extend([self.now] * came)
--- a/harriertrack/lab/fleet/division/members.py
+++ b/harriertrack/lab/fleet/division/members.py
@@ -38,8 +38,8 @@
     stops_for: int = 0  # it is about to be stopped, between what it decides next and its socket
     unsent: list[tuple[str, LeaseRequest | Grant | Term]] = field(default_factory=list)
     inbox: list[tuple[LeaseRequest | Grant | Term, str]] = field(default_factory=list)
-    keeper: str = ""  # who keeps the ledger, as far as it heard
+    ledger_owner: str = ""  # who keeps the ledger, as far as it heard
     announced_at: int = 0
     contact: dict[str, int] = field(default_factory=dict)  # of a keeper: when each head asked last
     waiting: dict[str, deque[int]] = field(default_factory=dict)  # units, by when they came
-    told: dict[str, BudgetTotal] = field(default_factory=dict)  # the wholes that it goes by
+    applied_totals: dict[str, BudgetTotal] = field(default_factory=dict)  # the wholes that it goes by
--- a/harriertrack/lab/fleet/division/trial.py
+++ b/harriertrack/lab/fleet/division/trial.py
@@ -15,7 +15,7 @@
         self._random = random.Random(division.random.getrandbits(32))
         self._kept = division.witness.backup()
         self._dark_since = 0
-        self.happened: list[str] = []
+        self.events: list[str] = []
 
     def run(self, us: int) -> None:
         """Let things happen for a time."""
@@ -28,7 +28,7 @@
                 self._dark, self._light, self._herd, self._leave, self._rest,
             ))  # fmt: skip
             act()
-            self.happened.append(f"{division.now / 1e6:.2f} {act.__name__.strip('_')}")
+            self.events.append(f"{division.now / 1e6:.2f} {act.__name__.strip('_')}")
             division.run(rng.choice((50_000, 300_000, 1_000_000, 2_500_000)))
 
     def heal(self) -> None:
@@ -45,7 +45,7 @@
 
     def _demand(self) -> None:
         division, rng = self.division, self._random
-        for budget, whole in division.wholes.items():
+        for budget, whole in division.totals.items():
             name = rng.choice(division.names)
             division.demand[name, budget] = rng.choice((0.0, 0.02, 0.1, 0.5, 1.2)) * whole.rate
 
@@ -60,49 +60,49 @@
 
     def _stop(self) -> None:
         who = self._some(0.15)
-        if (keeper := self.division.keeper()) is not None and self._random.random() < 0.5:
+        if (keeper := self.division.ledger_owner()) is not None and self._random.random() < 0.5:
             who.append(keeper.name)
         for name in who:
-            self.division.stop(name, self._random.choice((100_000, 700_000, 1_100_000, 4_000_000)))
+            self.division.suspend(name, self._random.choice((100_000, 700_000, 1_100_000, 4_000_000)))
 
     def _part(self) -> None:
         side = set(self._some(self._random.choice((0.1, 0.5))))
         one_way = self._random.random() < 0.3
-        self.division.blind = side if self._random.random() < 0.5 else set()
-        self.division.cut = lambda source, target: (
+        self.division.cut_off_from_witness = side if self._random.random() < 0.5 else set()
+        self.division.is_cut = lambda source, target: (
             (source in side) != (target in side) and (not one_way or source in side)
         )
 
     def _heal(self) -> None:
         division = self.division
-        division.cut = lambda _source, _target: False
-        division.loss = division.twice = 0.0
-        division.late_us, division.blind = 0, set()
+        division.is_cut = lambda _source, _target: False
+        division.loss = division.duplication = 0.0
+        division.late_us, division.cut_off_from_witness = 0, set()
 
     def _weather(self) -> None:
         division, rng = self.division, self._random
-        division.loss, division.twice = rng.choice((0.0, 0.1, 0.4)), rng.choice((0.0, 0.3))
+        division.loss, division.duplication = rng.choice((0.0, 0.1, 0.4)), rng.choice((0.0, 0.3))
         division.late_us = rng.choice((0, 20_000, 400_000, 2_500_000))
 
     def _jump(self) -> None:
         """One head gets all the traffic."""
         division = self.division
-        for budget, whole in division.wholes.items():
+        for budget, whole in division.totals.items():
             for name in division.names:
                 division.demand[name, budget] = 0.0
             division.demand[self._random.choice(division.names), budget] = 1.2 * whole.rate
 
     def _dark(self) -> None:
         witness = self.division.witness
-        if not witness.dark:
-            witness.dark, self._dark_since = True, self.division.now
+        if not witness.is_down:
+            witness.is_down, self._dark_since = True, self.division.now
             self._kept = witness.backup() if self._random.random() < 0.3 else self._kept
 
     def _light(self) -> None:
         """The witness is back, from a backup if it was away for longer than a session."""
         division = self.division
-        if division.witness.dark:
-            division.witness.dark = False
+        if division.witness.is_down:
+            division.witness.is_down = False
             away = division.now - self._dark_since
             if away > 2 * division.rules.term_us and self._random.random() < 0.5:
                 division.witness.restore(division.now, self._kept)
@@ -114,7 +114,7 @@
             self.division.start(name)
 
     def _leave(self) -> None:
-        if (keeper := self.division.keeper()) is not None and not keeper.stopped:
+        if (keeper := self.division.ledger_owner()) is not None and not keeper.stopped:
             self.division.leave(keeper.name)
 
     def _rest(self) -> None:
--- a/harriertrack/lab/fleet/division/use.py
+++ b/harriertrack/lab/fleet/division/use.py
@@ -14,14 +14,14 @@
 class Tally:
     """What became of demand for a budget."""
 
-    came: float = 0.0
+    arrived: float = 0.0
     served: float = 0.0
     ideal: float = 0.0  # one bucket for all
     even: float = 0.0  # each head an even part
 
 
 @dataclass(slots=True)
-class Judge:
+class DemandModel:
     """The same demand at one bucket, or at one for each head."""
 
     bucket: Bucket
--- a/harriertrack/lab/fleet/division/witness.py
+++ b/harriertrack/lab/fleet/division/witness.py
@@ -10,7 +10,7 @@
     """One lock with sessions, by the witness's own clock, and what a restored backup makes of it."""
 
     term_us: int
-    dark: bool = False
+    is_down: bool = False
     epoch: int = 0
     session: int = 0  # that holds the lock; 0: none
     lease_us: int = 0
@@ -22,7 +22,7 @@
         if self.session not in self.sessions:
             self.session = 0
 
-    def take(self, now: int, lease_us: int) -> tuple[int, int, int] | None:
+    def acquire(self, now: int, lease_us: int) -> tuple[int, int, int] | None:
         """Return the new session, its epoch and the last holder's lease; None if another holds the lock."""
         self._expire(now)
         if self.session:
--- a/harriertrack/lab/interleaving/models/terms.py
+++ b/harriertrack/lab/interleaving/models/terms.py
@@ -127,12 +127,12 @@
         if call.name.startswith("dead"):
             state.calls.remove(call)
             if call.call is WitnessCall.ACQUIRE:
-                state.witness.take(state.now, RULES.lease_us)  # its session ends by itself
+                state.witness.acquire(state.now, RULES.lease_us)  # its session ends by itself
             return
         if call.name == state.cut:
             return
         if call.call is WitnessCall.ACQUIRE:
-            taken = state.witness.take(state.now, RULES.lease_us)
+            taken = state.witness.acquire(state.now, RULES.lease_us)
             call.answer = LockHeld(state.witness.epoch)
             if taken is not None:
                 state.sessions[call.name], epoch, lease_us = taken
--- a/tests/live/test_budget_totals.py
+++ b/tests/live/test_budget_totals.py
@@ -33,8 +33,8 @@
 
 def change_total(division, total):
     """Change the total's rate and burst, and return the new total."""
-    total = replace(division.wholes["v0"], rate=total.rate, burst=total.burst)
-    division.change("v0", total)
+    total = replace(division.totals["v0"], rate=total.rate, burst=total.burst)
+    division.change_total("v0", total)
     return total
 
 
@@ -54,7 +54,7 @@
         change_total(division, total)
         end = division.now + each
         while division.now < end:
-            division.tell(rng.choice(division.names))
+            division.apply_totals(rng.choice(division.names))
             trial.run(100_000) if faults else division.run(100_000)
             set_demand(division, rng.choice((5.0, 60.0, 300.0)))
     trial.heal()
@@ -65,12 +65,12 @@
     division = make_division(seed)
     order = division.random.sample([LOW, HIGH, TOTAL], 3)
     change_under_faults(division, order, faults=seed % 2 == 0)
-    total = division.wholes["v0"]
+    total = division.totals["v0"]
     division.run(5 * S)  # suspended heads resume
     set_demand(division, 0.4 * total.rate)
     for name in division.names:
-        division.tell(name)
-    assert division.all_told
+        division.apply_totals(name)
+    assert division.all_applied
     division.run(12 * S)
     assert budgets.check(division.records) == []
     assert 0.9 * total.rate < usable_rate(division) <= total.rate
@@ -132,7 +132,7 @@
     division.run(12 * S)
     change_total(division, replace(HIGH, burst=4000.0))
     for name in division.names:
-        division.tell(name)
+        division.apply_totals(name)
     set_demand(division, 3000.0)
     division.run(S)
 
@@ -142,7 +142,7 @@
     division.run(3 * S)
     change_total(division, replace(HIGH, burst=4000.0))
     for name in division.names:
-        division.tell(name)
+        division.apply_totals(name)
     set_demand(division, 3000.0)
     division.run(S)
 
@@ -173,7 +173,7 @@
     assert usable_rate(division) > 0.9 * TOTAL.rate
     change_total(division, LOW)
     for name in division.names:
-        division.tell(name)
+        division.apply_totals(name)
     assert usable_rate(division) <= TOTAL.rate
     division.run(RULES.lease_us // 2)
     assert usable_rate(division) <= LOW.rate
@@ -183,18 +183,18 @@
     division = make_division(4)
     set_demand(division, 120.0)
     division.run(4 * S)
-    division.stop("head3", 4 * S)
+    division.suspend("head3", 4 * S)
     division.run(100_000)
     change_total(division, LOW)
     for name in division.names:
-        division.tell(name)
+        division.apply_totals(name)
     division.run(4 * S)  # the suspended head has just resumed
     member = division.members["head3"]
     assert member.holder.budgets["v0"].share.refill(division.clock(member)) <= TOTAL.burst * 0.1 / 8
     division.run(S)
     other_rates = usable_rate(division) - member.holder.budgets["v0"].share.rate
-    assert other_rates <= LOW.rate and not division.all_told
-    division.tell("head3")
+    assert other_rates <= LOW.rate and not division.all_applied
+    division.apply_totals("head3")
     division.run(S)
     assert usable_rate(division) <= LOW.rate and budgets.check(division.records) == []
 
--- a/tests/test_fleet_budgets.py
+++ b/tests/test_fleet_budgets.py
@@ -329,10 +329,10 @@
     assert one.members["head7"].holder.budgets["v0"].share.leased > 0.8 * 900
     for name in ("head7", "head1", "head2"):
         one.kill(name)
-    keeper = one.keeper()
+    keeper = one.ledger_owner()
     set_demand(one, head9=800)
     one.run(2 * S)
-    if keeper is one.keeper():
+    if keeper is one.ledger_owner():
         assert one.members["head9"].holder.budgets["v0"].share.leased > 0.8 * 900, (
             "a dead head's share is lost for one lease at most"
         )
@@ -343,8 +343,8 @@
     one = division(4, seed=2, fixed=0.5)
     set_demand(one, head1=200, head2=200)
     one.run(6 * S)
-    one.cut = lambda source, target: "head1" in (source, target)
-    one.witness.dark = True
+    one.is_cut = lambda source, target: "head1" in (source, target)
+    one.witness.is_down = True
     one.run(6 * S)
     before = sum(r.units for r in one.records if isinstance(r, rec.BudgetUsed) and r.holder == "head1")
     one.run(10 * S)
@@ -362,7 +362,7 @@
     set_demand(one, head0=300)
     set_demand(one, "v1")
     one.run(12 * S)
-    assert budgets.check(one.records) == [], trial.happened
+    assert budgets.check(one.records) == [], trial.events
     assert one.members["head0"].holder.budgets["v0"].share.leased > 0.8 * 180
 
 
@@ -485,28 +485,28 @@
         one.run(3 * S)
         one.late_us = 900_000
         one.run(3 * S)
-        one.cut = lambda source, target, name=f"head{number}": name in (source, target)
+        one.is_cut = lambda source, target, name=f"head{number}": name in (source, target)
         one.late_us = 0
         one.demand["head5", "v0"] = 300
         one.run(3 * S)
-        one.cut = lambda _source, _target: False
+        one.is_cut = lambda _source, _target: False
         one.run(S)
 
 
 def drift(one):
     """A head with a slow clock is repeatedly cut off from a ledger with a fast clock."""
     one.run(3 * S)
-    keeper = one.keeper()
+    keeper = one.ledger_owner()
     keeper.rate, slow = 1.2, next(m for m in one.members.values() if m is not keeper)
     slow.rate = 0.8
     others = [m.name for m in one.members.values() if m not in (keeper, slow)]
     for _ in range(6):
         set_demand(one, **{slow.name: 300})
         one.run(3 * S)
-        one.cut = lambda source, target: slow.name in (source, target)
+        one.is_cut = lambda source, target: slow.name in (source, target)
         one.demand[others[0], "v0"] = 300
         one.run(2 * S)
-        one.cut = lambda _source, _target: False
+        one.is_cut = lambda _source, _target: False
         set_demand(one)
         one.run(2 * S)
 
@@ -523,21 +523,21 @@
     """A head that holds everything is killed and restarts at once; others demand it too."""
     one.run(4 * S)
     for _ in range(6):
-        keeper = one.keeper()
+        keeper = one.ledger_owner()
         name, other = [name for name in one.names if name != keeper.name][:2]
         set_demand(one, **{name: 300})
         one.run(2 * S)
         one.kill(name)
         one.start(name)
         one.members[name].holder.observe_term(one.clock(one.members[name]), keeper.candidate.ledger.term)
-        one.members[name].keeper = keeper.name
+        one.members[name].ledger_owner = keeper.name
         one.demand[other, "v0"] = 300
         one.run(2 * S)
 
 
 def stormy(one):
     """Messages are duplicated and reordered while traffic moves."""
-    one.twice, one.late_us = 0.7, 300_000
+    one.duplication, one.late_us = 0.7, 300_000
     swings(one)
     swings(one)
 
@@ -560,9 +560,9 @@
     one.run(4 * S)
     set_demand(one, **dict.fromkeys(one.names, 100))
     one.run(2 * S)
-    keeper = one.keeper().name
+    keeper = one.ledger_owner().name
     side = {keeper, next(name for name in one.names if name != keeper)}
-    one.cut, one.blind = lambda source, target: (source in side) != (target in side), side
+    one.is_cut, one.cut_off_from_witness = lambda source, target: (source in side) != (target in side), side
     one.run(8 * S)
 
 
@@ -572,7 +572,7 @@
     for turn in range(4):
         set_demand(one, **{one.names[number]: 300 for number in range(6) if number % 2 == turn % 2})
         one.run(3 * S)
-        left = one.keeper().name
+        left = one.ledger_owner().name
         one.leave(left)
         one.run(3 * S)
         one.start(left)
@@ -582,15 +582,15 @@
     """The witness is restored from a backup in which another head held the lock and the present owner's session
     was alive."""
     one.run(3 * S)
-    first = one.keeper()
+    first = one.ledger_owner()
     one.demand = {(name, "v0"): 100.0 for name in one.names}
     witness = one.witness
-    one.stop(first.name, 6 * S)
+    one.suspend(first.name, 6 * S)
     one.run(5 * S)
-    second = one.keeper()
+    second = one.ledger_owner()
     witness.restore(one.now, (witness.epoch, 10_000, {second.session: 0, 10_000: 0}))
     side = {second.name, next(name for name in one.names if name not in (first.name, second.name))}
-    one.cut = lambda source, target: (source in side) != (target in side)
+    one.is_cut = lambda source, target: (source in side) != (target in side)
     one.run(10 * S)
 
 
