--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -256,7 +256,9 @@
         " or not self.session.valid(now)",
         "",
     ),
-    Fault("a change that lost is told as made", "changes-two", f"{STORED_RECORD}:write", "if index:", "if True:"),
+    Fault(
+        "a change that lost is told as made", "changes-two", f"{STORED_RECORD}:write", "if index:", "if True:"
+    ),
     Fault(
         "a change is written over another",
         "changes-two",
