--- a/harriertrack/lab/fleet/division/__init__.py
+++ b/harriertrack/lab/fleet/division/__init__.py
@@ -1,8 +1,8 @@
-"""Heads that divide budgets, without the rest of a head: what holds under any faults, and what is served.
+"""Heads reduced to dividing budgets, to check the rules under faults and to measure how much is served.
 
-Time moves in steps; every head has a clock of its own rate, and all that passes between heads or arrives
-where a budget counts is recorded for rules/budgets.py. Demand is in units; a head serves what its portion
-lets it, and turns away what waited past its patience, as a module does with requests past their aim.
+Time advances in steps; every head has a clock with its own rate. Messages between heads and the use of
+budgets are recorded for rules/budgets.py. Demand is in units; a head serves what its portion allows, and
+rejects units that waited for longer than a limit, as a module does with requests past their aim.
 """
 
 from harriertrack.lab.fleet.division.division import Division
--- a/harriertrack/lab/fleet/division/members.py
+++ b/harriertrack/lab/fleet/division/members.py
@@ -1,4 +1,4 @@
-"""What heads that only divide are made of."""
+"""The members of a division, and the state machines that they consist of."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """What heads are made of; a test exchanges one for a faulty one."""
+    """Constructors of the state machines of a head; tests replace one by a faulty one."""
 
     holder: Callable[[int, str, int, BudgetRules, int], LeaseHolder] = LeaseHolder
     ledger: Callable[[int, Term, int, BudgetRules], Ledger] = Ledger
@@ -26,20 +26,20 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """One process."""
+    """One head process."""
 
     name: str
     instance: int
-    rate: float  # of its clock
+    rate: float  # of its clock, relative to true time
     holder: LeaseHolder
     candidate: Candidate
     session: int = 0
-    stopped: bool = False
-    stops_for: int = 0  # it is about to be stopped, between what it decides next and its socket
+    is_suspended: bool = False
+    suspend_us: int = 0  # if not 0: how long to suspend it after its next step, before its messages are sent
     unsent: list[tuple[str, LeaseRequest | Grant | Term]] = field(default_factory=list)
     inbox: list[tuple[LeaseRequest | Grant | Term, str]] = field(default_factory=list)
-    ledger_owner: str = ""  # who keeps the ledger, as far as it heard
+    ledger_owner: str = ""  # the owner of the ledger, as far as this head knows
     announced_at: int = 0
-    contact: dict[str, int] = field(default_factory=dict)  # of a keeper: when each head asked last
-    waiting: dict[str, deque[int]] = field(default_factory=dict)  # units, by when they came
-    applied_totals: dict[str, BudgetTotal] = field(default_factory=dict)  # the wholes that it goes by
+    contact: dict[str, int] = field(default_factory=dict)  # if it owns the ledger: each head's last request
+    waiting: dict[str, deque[int]] = field(default_factory=dict)  # arrival times of waiting units
+    applied_totals: dict[str, BudgetTotal] = field(default_factory=dict)  # the totals that it uses
--- a/harriertrack/lab/fleet/division/use.py
+++ b/harriertrack/lab/fleet/division/use.py
@@ -1,4 +1,4 @@
-"""What becomes of demand: in the heads' shares, at one bucket for all, and at an even part for each."""
+"""How much demand is served: with the heads' shares, one common bucket, or an even split."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 from harriertrack.decisions.bucket import Bucket
 
-WAITS_US = 300_000  # what waits longer for a portion is turned away
+MAX_WAIT_US = 300_000  # units that wait longer for a portion are rejected
 
 
 @dataclass(slots=True)
 class Tally:
-    """What became of demand for a budget."""
+    """Units of demand for a budget: arrived, served, and served by two reference models."""
 
     arrived: float = 0.0
     served: float = 0.0
-    ideal: float = 0.0  # one bucket for all
-    even: float = 0.0  # each head an even part
+    ideal: float = 0.0  # with one bucket for all heads
+    even: float = 0.0  # with an even part for each head
 
 
 @dataclass(slots=True)
 class DemandModel:
-    """The same demand at one bucket, or at one for each head."""
+    """A reference model: the same demand served from one bucket."""
 
     bucket: Bucket
     waiting: deque[int] = field(default_factory=deque)
 
-    def serve(self, now: int, came: int) -> int:
-        """Let units come, and serve what may be; return how many."""
-        self.waiting.extend([now] * came)
+    def serve(self, now: int, arrivals: int) -> int:
+        """Queue arriving units, serve what the bucket allows, and return how many."""
+        self.waiting.extend([now] * arrivals)
         return serve(self.bucket, now, self.waiting, now)
 
 
 def serve(bucket: Bucket, clock: int, waiting: deque[int], now: int) -> int:
-    """Serve what waits as far as a bucket lets it, turn away what waited too long; return how many units."""
-    while waiting and waiting[0] < now - WAITS_US:
+    """Reject units that waited too long, serve what a bucket allows, and return the number served."""
+    while waiting and waiting[0] < now - MAX_WAIT_US:
         waiting.popleft()
     units = min(len(waiting), int(max(0.0, bucket.refill(clock))))
     bucket.level -= units
