--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -1,6 +1,6 @@
-"""Small wrong changes over the fleet's machines, each to be found by a bounded number of storms.
+"""Faults seeded into the fleet's state machines, each of which a bounded number of storms has to find.
 
-`python -m tests.storms.faults [NAME ...]` plays storms with each, and tells which seed found it by which rule.
+`python -m tests.storms.faults [NAME ...]` runs storms with each, and prints which seed found it by which rule.
 """
 
 import sys
@@ -21,7 +21,7 @@
     Fault,
 )
 
-HEADS, LENGTH_US, MOST = 4, 12_000_000, 12
+HEADS, LENGTH_US, MAX_STORMS = 4, 12_000_000, 12
 SWIM = "membership.fleet.swim"
 ROLLOUT = "decisions.fleet.rollout"
 SCORING = "decisions.fleet.scoring"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Found:
-    """By which storm a fault was found first, of those from seed 0 on."""
+    """The first storm, of those from seed 0 on, that found a fault, and the rules that it broke."""
 
     seed: int
     rules: tuple[str, ...]
@@ -65,10 +65,10 @@
     return drawing.draw(seed, heads, LENGTH_US, figures.usual(), playing.check)
 
 
-def search(fault, most=MOST):
-    """Return what found a fault first; None if none of the first so many storms that have its part does."""
+def search(fault, max_storms=MAX_STORMS):
+    """Return the first storm that finds a fault; None if the first `max_storms` with its part do not."""
     days = ((seed, storm(seed)) for seed in count())
-    for seed, day in islice((one for one in days if concerns(one[1], fault.by)), most):
+    for seed, day in islice((one for one in days if exercises(one[1], fault.by)), max_storms):
         with fault.made():
             verdict = playing.play_and_judge(day)
         if verdict.broken_rules and not playing.play_and_judge(day).broken_rules:
@@ -76,8 +76,8 @@
     return None
 
 
-def concerns(day, by):
-    """Whether a storm has the part that a fault lies in: without it the play is the same."""
+def exercises(day, by):
+    """Whether a storm includes the part that a fault changes; without it the run is the same."""
     parts = {"views": True, "budgets": day.budgets, "record": day.changes, "zones": day.zones,
              "closes": day.closing, "scores": day.scoring,
              "rollouts": day.changes is not None and day.changes.rollout}  # fmt: skip
@@ -88,5 +88,5 @@
     for one in FAULTS:
         if len(sys.argv) > 1 and one.name not in sys.argv[1:]:
             continue
-        began = time.monotonic()
-        print(f"{one.name}: {search(one)} in {time.monotonic() - began:.0f} s", flush=True)
+        started_s = time.monotonic()
+        print(f"{one.name}: {search(one)} in {time.monotonic() - started_s:.0f} s", flush=True)
--- a/tests/storms/test_drawing.py
+++ b/tests/storms/test_drawing.py
@@ -1,4 +1,4 @@
-"""Storms as they are drawn and made small: pure, nothing is played."""
+"""Drawing and shrinking of storms: pure, no day is run."""
 
 from pathlib import Path
 
@@ -17,15 +17,15 @@
 MINUTE = 60_000_000
 
 
-def storm(seed, heads=6, length_us=MINUTE, told=FIGURES):
-    return drawing.draw(seed, heads, length_us, told, playing.check)
+def storm(seed, heads=6, length_us=MINUTE, distributions=FIGURES):
+    return drawing.draw(seed, heads, length_us, distributions, playing.check)
 
 
-def test_one_seed_is_one_storm_and_another_seed_is_another():
+def test_a_seed_determines_the_storm():
     assert storm(3) == storm(3) != storm(4)
 
 
-def test_a_storm_is_a_day_that_is_read_back_as_it_was_written():
+def test_a_storm_round_trips_through_its_file_format():
     for seed in range(4):
         day = storm(seed)
         text = format_settings("fleet-day", day)
@@ -33,22 +33,22 @@
         playing.check(day)
 
 
-def test_every_kind_of_fault_is_drawn_and_each_storm_does_without_some():
+def test_every_kind_of_fault_is_drawn_and_each_storm_omits_some():
     kinds = [frozenset(step.name for step in storm(seed).steps) for seed in range(40)]
-    of_faults = set().union(*(
+    fault_steps = set().union(*(
         {step.name for step in make(drawing.StormDraw(drawing.random.Random(1), FIGURES, 6))} for make in STEP_BUILDERS.values()
     ))  # fmt: skip
-    assert of_faults <= frozenset().union(*kinds)
-    assert all(of_faults - drawn for drawn in kinds)
+    assert fault_steps <= frozenset().union(*kinds)
+    assert all(fault_steps - drawn for drawn in kinds)
 
 
-def test_the_shortest_storms_have_room_for_their_closes():
+def test_the_shortest_storms_have_time_for_all_their_closes():
     days = [storm(seed, 4, 6_000_000) for seed in range(60)]
-    told = {len(step.after_us) for day in days for step in day.steps if step.name is Verb.MARKET}
-    assert told == {1, 2, 3, 4}
+    close_counts = {len(step.after_us) for day in days for step in day.steps if step.name is Verb.MARKET}
+    assert close_counts == {1, 2, 3, 4}
 
 
-def test_a_storm_ends_in_quiet_with_all_heads_back():
+def test_a_storm_ends_without_faults_and_with_all_heads_restarted():
     day = storm(5)
     quiet = next(at for at, step in enumerate(day.steps) if step.name is Verb.QUIET)
     after = [step.name for step in day.steps[quiet:]]
@@ -56,7 +56,7 @@
     assert not {Verb.WEATHER, Verb.STOP, Verb.DARK, Verb.ZONE} & set(after)
 
 
-def test_what_the_checks_turn_down_is_not_drawn():
+def test_steps_and_parts_that_the_check_rejects_are_not_drawn():
     for seed in range(30):
         day = storm(seed)
         assert day.budgets is not None or (day.zones is None and day.changes is None)
@@ -64,7 +64,7 @@
         FIGURES, parts=(figures.PartChance(name=figures.Part.ZONES, chance=1),)
     )
     with pytest.raises(drawing.NoStorm, match="needs budgets"):
-        storm(1, told=only_zones)
+        storm(1, distributions=only_zones)
 
 
 @pytest.mark.parametrize(("text", "why"), [
@@ -73,12 +73,12 @@
     ('(storms "x" (part budgets (chance 0.5)) (kind quake (weight 1)))', "quake"),
     ('(storms "x" (brief 2s 1s) (part budgets (chance 0.5)) (kind kill (weight 1)))', "brief"),
 ])  # fmt: skip
-def test_figures_that_can_not_be_are_told(text, why):
+def test_invalid_distributions_are_reported(text, why):
     with pytest.raises(SettingsError, match=why):
         figures.parse(text, "x.sexp")
 
 
-def test_figures_name_what_they_draw_from_once():
+def test_the_default_distributions_name_every_kind_once():
     assert {one.name for one in FIGURES.kinds} == set(figures.Kind) == set(STEP_BUILDERS)
     assert (Path(figures.__file__).parent / figures.SOURCE).exists()
 
@@ -87,37 +87,37 @@
 
 
 def shrink(day, fails, tries=500):
-    plays = []
+    runs = []
 
-    def judge(one):
-        playing.check(one)
-        plays.append(one)
-        return fails(one)
+    def run(day):
+        playing.check(day)
+        runs.append(day)
+        return fails(day)
 
-    def safe(one):
+    def run_if_valid(day):
         try:
-            return judge(one)
+            return run(day)
         except SettingsError:
             return False
 
-    return Shrinker(day, safe, tries).run(), plays
+    return Shrinker(day, run_if_valid, tries).run(), runs
 
 
-def test_a_failure_is_shrunk_to_the_two_steps_that_make_it():
+def test_a_failure_is_shrunk_to_the_two_steps_that_cause_it():
     def fails(day):
         names = [step.name for step in day.steps[: count_scripted_steps(day)]]
         return Verb.DARK in names and Verb.KILL in names[names.index(Verb.DARK) :]
 
     day = next(one for one in map(storm, range(50)) if fails(one))
-    least, plays = shrink(day, fails)
-    assert [step.name for step in least.steps[:2]] == [Verb.DARK, Verb.KILL]
-    assert least.steps[2:] == day.steps[count_scripted_steps(day) :]  # the quiet time stays
-    assert fails(least) and least.processes == 2 and least.zones is None and least.scoring is None
-    assert least.budgets is not None  # the checks want a witness for it to be dark
-    assert len(plays) < 300
+    smallest, runs = shrink(day, fails)
+    assert [step.name for step in smallest.steps[:2]] == [Verb.DARK, Verb.KILL]
+    assert smallest.steps[2:] == day.steps[count_scripted_steps(day) :]  # the quiet period stays
+    assert fails(smallest) and smallest.processes == 2 and smallest.zones is None and smallest.scoring is None
+    assert smallest.budgets is not None  # the check requires a witness for a DARK step
+    assert len(runs) < 300
 
 
-def test_parts_that_a_failure_does_not_need_go_and_figures_get_smaller():
+def test_unneeded_parts_are_removed_and_numbers_reduced():
     day = next(one for one in map(storm, range(50)) if one.zones is not None and one.scoring is not None)
 
     def fails(one):
@@ -127,21 +127,21 @@
             and sum(step.for_us for step in one.steps) >= 2_000_000
         )
 
-    least, _ = shrink(day, fails)
-    assert least.processes == 4 and least.zones is None and least.budgets is None
-    assert count_scripted_steps(least) <= 1
+    smallest, _ = shrink(day, fails)
+    assert smallest.processes == 4 and smallest.zones is None and smallest.budgets is None
+    assert count_scripted_steps(smallest) <= 1
 
 
-def test_shrinking_keeps_to_its_tries_and_never_asks_twice():
+def test_shrinking_respects_its_tries_and_runs_no_day_twice():
     day = storm(2)
-    least, plays = shrink(day, lambda one: len(one.steps) > 3, 25)
-    assert len(plays) <= 25 and len({msgspec.msgpack.encode(one) for one in plays}) == len(plays)
-    assert len(least.steps) > 3
+    smallest, runs = shrink(day, lambda one: len(one.steps) > 3, 25)
+    assert len(runs) <= 25 and len({msgspec.msgpack.encode(one) for one in runs}) == len(runs)
+    assert len(smallest.steps) > 3
 
 
-def test_a_day_that_is_as_small_as_can_be_stays():
+def test_a_minimal_day_is_not_changed():
     day = FleetDaySettings(
         name="x", processes=2, shelves=1, volumes=0, rate=0.5, steps=(StepSettings(name=Verb.QUIET),)
     )
-    least, _ = shrink(day, lambda one: any(step.name is Verb.QUIET for step in one.steps))
-    assert least.steps == day.steps
+    smallest, _ = shrink(day, lambda one: any(step.name is Verb.QUIET for step in one.steps))
+    assert smallest.steps == day.steps
--- a/tests/storms/test_playing.py
+++ b/tests/storms/test_playing.py
@@ -1,4 +1,4 @@
-"""Storms that are played: a few seeds, a fault that is found, shrunk and written, and the command."""
+"""Runs of storms: a few seeds, a fault that is found, shrunk and written, and the command."""
 
 import subprocess
 import sys
@@ -29,7 +29,7 @@
     assert verdict.length_us > faults.LENGTH_US
 
 
-def test_one_seed_is_one_play():
+def test_a_seed_determines_the_recording():
     day = FleetDaySettings(name="x", processes=3, rate=4, steps=(
         StepSettings(name=Verb.START), StepSettings(name=Verb.AGREE), StepSettings(name=Verb.KILL, part=0.4),
         StepSettings(name=Verb.START), StepSettings(name=Verb.QUIET), StepSettings(name=Verb.AGREE),
@@ -40,7 +40,7 @@
     assert recorders[0].records == recorders[1].records
 
 
-def test_a_play_that_ends_by_itself_is_a_breach(monkeypatch):
+def test_an_exception_that_ends_a_run_is_a_breach(monkeypatch):
     day = FleetDaySettings(name="x", processes=2, steps=(StepSettings(name=Verb.START),))
 
     def breaks(*_args):
@@ -50,16 +50,16 @@
     assert playing.play_and_judge(day).broken_rules == {("play: ValueError", 0)}
 
 
-def test_what_only_simulated_days_have_is_told_before_processes_start():
+def test_steps_for_simulated_time_only_are_rejected_before_processes_start():
     day = FleetDaySettings(name="x", steps=(StepSettings(name=Verb.COLD, for_us=S),))
     with pytest.raises(SettingsError, match="step 1 cold: in simulated time only"):
         check_for_processes(day)
 
 
-# -- the quiet time, and what is judged at its end
+# -- rules that are checked at the end of the quiet period
 
-LIVED = [rec.MemberLifecycle(t=1, member=name, how="started") for name in ("a", "b")]
-KEPT = rec.LedgerOwnership(t=2, head="a", ledger=0, keeps=True)
+STARTED = [rec.MemberLifecycle(t=1, member=name, how="started") for name in ("a", "b")]
+OWNED = rec.LedgerOwnership(t=2, head="a", ledger=0, keeps=True)
 QUIET = rec.FaultsOver(t=3)
 
 
@@ -75,35 +75,35 @@
 
 
 @pytest.mark.parametrize(("records", "why"), [
-    ([KEPT, QUIET, ask(8 * S, 1), grant(8 * S + 1, 1), ask(9 * S, 2)], ""),
-    ([KEPT, ask(8 * S, 1)], ""),  # nobody said that it was quiet
-    ([KEPT, grant(5, 0), QUIET, ask(8 * S, 1)], "asks ledger 0, and has no lease"),
-    ([KEPT, QUIET, rec.MemberLifecycle(t=4, member="a", how="killed")], "nobody keeps it"),
-    ([KEPT, QUIET, rec.LedgerOwnership(t=4, head="b", ledger=0, keeps=True)], "a, b keeps it"),
+    ([OWNED, QUIET, ask(8 * S, 1), grant(8 * S + 1, 1), ask(9 * S, 2)], ""),
+    ([OWNED, ask(8 * S, 1)], ""),  # no record says that faults are over
+    ([OWNED, grant(5, 0), QUIET, ask(8 * S, 1)], "asks ledger 0, and has no lease"),
+    ([OWNED, QUIET, rec.MemberLifecycle(t=4, member="a", how="killed")], "nobody keeps it"),
+    ([OWNED, QUIET, rec.LedgerOwnership(t=4, head="b", ledger=0, keeps=True)], "a, b keeps it"),
 ])  # fmt: skip
-def test_budgets_are_whole_again_after_quiet(records, why):
-    first = grant(4 * S, 0)  # which tells how long leases are
-    found = budgets.check([*LIVED, *records, *([first] if KEPT in records and "ask" in why else [])])
+def test_every_head_has_a_lease_and_every_ledger_one_owner_after_the_quiet_period(records, why):
+    first = grant(4 * S, 0)  # it shows how long leases are
+    found = budgets.check([*STARTED, *records, *([first] if OWNED in records and "ask" in why else [])])
     assert [one.why for one in found] == ([why] if why else [])
 
 
-def test_versions_are_settled_after_quiet():
+def test_versions_are_settled_after_the_quiet_period():
     facts = rec.RolloutFacts(t=1, thing="settings", version=1, zones={"a": "z0", "b": "z1"}, volumes={},
                              stages=[rec.StageFacts(heads=1, share=0)], away=1, back_away=1, missing=0)  # fmt: skip
     end = rec.RolloutExpected(t=0, thing="settings", version=0, settled=True)
     going = rec.RolloutStep(
         t=5, by="a", epoch=1, thing="settings", version=1, standing="going", stage=1, heads=["a"], why=""
     )
-    took = rec.VersionApplied(t=6, head="a", thing="settings", version=1)
-    told = [one.why for one in rollout.check([facts, end, *LIVED, going, took, QUIET])]
-    assert told == ["at the end heads run {'a': 1, 'b': 0}", "version 1 is going at the end"]
-    assert rollout.check([facts, end, *LIVED, going, took]) == []
-    done = msgspec.structs.replace(going, t=7, standing="stopped", heads=[])
-    back = msgspec.structs.replace(took, t=8, version=0)
-    assert rollout.check([facts, end, *LIVED, going, took, done, back, QUIET]) == []
+    applied = rec.VersionApplied(t=6, head="a", thing="settings", version=1)
+    reasons = [one.why for one in rollout.check([facts, end, *STARTED, going, applied, QUIET])]
+    assert reasons == ["at the end heads run {'a': 1, 'b': 0}", "version 1 is going at the end"]
+    assert rollout.check([facts, end, *STARTED, going, applied]) == []
+    stopped = msgspec.structs.replace(going, t=7, standing="stopped", heads=[])
+    back = msgspec.structs.replace(applied, t=8, version=0)
+    assert rollout.check([facts, end, *STARTED, going, applied, stopped, back, QUIET]) == []
 
 
-# -- faults found, and made small
+# -- faults that are found and shrunk
 
 NEVER_DEAD = next(one for one in faults.FAULTS if one.name == "the dead are never found")
 DAY = """(fleet-day "x" (processes 4) (rate 2) (figures (probe 300ms) (answer 150ms) (gossip 60ms) (slack 3))
@@ -113,27 +113,27 @@
   (step quiet) (step start (who "head0" "head2" "head3")) (step agree (within 12s)))"""
 
 
-def test_a_fault_is_found_shrunk_and_written_as_a_day_that_fails_again(tmp_path):
+def test_a_fault_is_found_shrunk_and_written_as_a_failing_day(tmp_path):
     day = scenario.parse(read_text(DAY, "x"), "x")
     with NEVER_DEAD.made():
         verdict = playing.play_and_judge(day)
         assert ("views", 1) in verdict.broken_rules
-        least = playing.shrink(day, verdict.broken_rules, 16)
-        again = playing.play_and_judge(least)
-        playing.write(least, tmp_path / "least.sexp", again.breaches)
-        kept = [step.name for step in least.steps]
-        assert kept[:2] == [Verb.START, Verb.KILL] and len(kept) <= 6
+        smallest = playing.shrink(day, verdict.broken_rules, 16)
+        again = playing.play_and_judge(smallest)
+        playing.write(smallest, tmp_path / "least.sexp", again.breaches)
+        remaining = [step.name for step in smallest.steps]
+        assert remaining[:2] == [Verb.START, Verb.KILL] and len(remaining) <= 6
         read = scenario.load(str(tmp_path / "least.sexp"))
         assert "views: rule 1" in read.about
         assert ("views", 1) in playing.play_and_judge(read).broken_rules
-    assert not playing.play_and_judge(least).broken_rules
+    assert not playing.play_and_judge(smallest).broken_rules
 
 
-def test_the_command_tells_each_seed_and_what_can_not_be(tmp_path):
+def test_the_command_prints_each_seed_and_rejects_invalid_options(tmp_path):
     runner = CliRunner()
-    said = runner.invoke(main, ["fleet", "storm", "--virtual", "--heads", "3", "--minutes", "0.1", "--seed", "3",
+    result = runner.invoke(main, ["fleet", "storm", "--virtual", "--heads", "3", "--minutes", "0.1", "--seed", "3",
                                 "--keep", str(tmp_path)])  # fmt: skip
-    assert said.exit_code == 0 and "seed 3: 3 heads" in said.output and "all rules held" in said.output
+    assert result.exit_code == 0 and "seed 3: 3 heads" in result.output and "all rules held" in result.output
     assert not list(tmp_path.iterdir())
     for words, why in ((["--seeds", "5..5"], "FROM..TO"), (["--from", "no.sexp"], "no.sexp")):
         done = subprocess.run(
@@ -142,7 +142,7 @@
         assert done.returncode == 2 and why in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_head_that_stood_still_sends_nothing_to_a_node_that_drained_meanwhile():
+def test_a_resumed_head_sends_nothing_to_a_node_that_began_draining_meanwhile():
     day = scenario.load(str(ROOT / "docs/measurements/storm-drain.sexp"))
     verdict = playing.play_and_judge(day)
     assert verdict.requests > 100 and verdict.broken_rules == frozenset()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Fleets of processes with faults between them, and what operators see of one."""
+"""Fleet days with processes and faults between them, and the commands for operators."""
 
 import json
 import os
@@ -26,8 +26,8 @@
 
 
 def running(folder):
-    """Return the ids of processes that were started with settings of a folder."""
-    found = []
+    """Return the ids of running processes that were started with settings in a folder."""
+    pids = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
             try:
@@ -35,27 +35,32 @@
             except OSError:
                 continue
             if str(folder) in line and "harriertrack" in line:
-                found.append(int(entry.name))
-    return found
+                pids.append(int(entry.name))
+    return pids
 
 
-CHIEF = ("close-killed", "score-broken-plugin", "roll-crashing", "settings-lowered")  # of these kinds
-KINDS = ("close-", "score-", "roll-", "settings-")  # the others of them play in simulated time
+MAIN_DAYS = (
+    "close-killed",
+    "score-broken-plugin",
+    "roll-crashing",
+    "settings-lowered",
+)  # the days of KINDS that run here
+KINDS = ("close-", "score-", "roll-", "settings-")  # their other days run in simulated time only
 
 
 def length_us(name):
-    """Return for how long a day rests at least."""
+    """Return the time for which a day at least lasts."""
     steps = scenario.load(name).steps
     return sum(one.for_us for one in steps if one.name in (scenario.Verb.REST, scenario.Verb.JUMP))
 
 
-# The longest first: none is left to the end, where all other workers would wait for it.
-BY_THE_CLOCK = (
+# The longest first, so that no worker is left with a long day while the others are idle.
+TIMING_SENSITIVE = (
     "region-paced-return",
     "zone-restart",
-)  # bounds that a busy machine breaks: simulated in the suite
+)  # a busy machine breaks their time bounds; the suite runs them in simulated time
 NAMES = sorted((name for name in scenario.names()
-                if (not name.startswith(KINDS) or name in CHIEF) and name not in BY_THE_CLOCK),
+                if (not name.startswith(KINDS) or name in MAIN_DAYS) and name not in TIMING_SENSITIVE),
                key=length_us, reverse=True)  # fmt: skip
 
 
@@ -66,7 +71,7 @@
     play_processes(day, HEADS, 1, recorder, tmp_path)
     assert {what: found for what, found in check_all(recorder.records, day.detect_us).items() if found} == {}
     assert any(isinstance(one, rec.AttemptReceived) for one in recorder.records), (
-        "nodes' recordings are part of it"
+        "the nodes' recordings are included"
     )
     assert not running(tmp_path)
 
@@ -87,19 +92,19 @@
 
 
 @pytest.mark.timeout(200)
-def test_operators_see_members_and_why(tmp_path):
-    """While a day plays, its heads are asked."""
+def test_operators_see_the_members_and_the_reasons_for_their_states(tmp_path):
+    """Queries heads while a day runs."""
     day = subprocess.Popen([*COMMAND, "day", small(tmp_path, '(step kill (who "head2")) (step rest (for 60s))'),
                             "--keep", str(tmp_path / "kept")], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)  # fmt: skip
     try:
-        settings, until, told = str(tmp_path / "kept" / "head0.sexp"), time.monotonic() + 80, None
-        while told is None or {one.name: one.state for one in told.members}.get("head2") != "dead":
-            assert time.monotonic() < until and day.poll() is None, told
+        settings, deadline_s, status = str(tmp_path / "kept" / "head0.sexp"), time.monotonic() + 80, None
+        while status is None or {one.name: one.state for one in status.members}.get("head2") != "dead":
+            assert time.monotonic() < deadline_s and day.poll() is None, status
             done = fleet_command("members", "--settings", settings, "--json")
-            told = parse_document(done.stdout.encode()) if done.returncode == 0 else None
-        assert told.there == 2 and told.standing == "in"
+            status = parse_document(done.stdout.encode()) if done.returncode == 0 else None
+        assert status.there == 2 and status.standing == "in"
         table = fleet_command("members", "--settings", settings).stdout
-        assert "head2" in table and "dead" in table and told.digest in table
+        assert "head2" in table and "dead" in table and status.digest in table
         why = fleet_command("explain", "head2", "--settings", settings)
         assert why.returncode == 0 and "by the word of head" in why.stdout and "suspect" in why.stdout
         one = json.loads(fleet_command("explain", "head1", "--settings", settings, "--json").stdout)
@@ -109,15 +114,15 @@
         assert fleet_command("explain", "nobody", "--settings", settings).returncode == 2
     finally:
         day.send_signal(signal.SIGINT)
-        _, said = day.communicate(timeout=60)
-    assert day.returncode == 2 and "interrupted" in said
-    assert not running(tmp_path), "an interrupted day ends what it started"
+        _, stderr = day.communicate(timeout=60)
+    assert day.returncode == 2 and "interrupted" in stderr
+    assert not running(tmp_path), "an interrupted day ends all processes that it started"
 
 
-def test_bad_places_and_settings_are_one_line(tmp_path):
+def test_invalid_addresses_and_settings_are_reported_in_one_line(tmp_path):
     host, port = LoopbackAddresses().next()
-    nobody = f"{host}:{port}"
-    for arguments in (["members"], ["members", "--at", "x"], ["members", "--at", nobody], ["day", "nothing"],
+    unused_address = f"{host}:{port}"
+    for arguments in (["members"], ["members", "--at", "x"], ["members", "--at", unused_address], ["day", "nothing"],
                       ["day", small(tmp_path, "(step rest)")], ["explain", "a", "--at", "1.2.3.4:99999"]):  # fmt: skip
         done = fleet_command(*arguments)
         assert done.returncode == 2 and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr, (
@@ -126,25 +131,25 @@
 
 
 def at_first_rest(rig, act):
-    """Do something in place of the day's first rest, inside the rig."""
+    """Run `act` in the rig's task instead of the day's first REST step."""
     step, done = rig.step, []
 
-    def instead(one):
+    def run_step(one):
         if one.name is scenario.Verb.REST and not done:
             done.append(one)
             act()
         else:
             step(one)
 
-    rig.step = instead
+    rig.step = run_step
 
 
-def moved(rig, name, party):
-    """Write settings of a head that listens to its fleet elsewhere, behind a relay of its own."""
+def write_moved_settings(rig, name, party):
+    """Write a head's settings with another fleet address, behind a relay of its own."""
     (slot,) = [slot for slot in rig.heads if slot.name == name]
-    inner = rig.addresses.next()
+    listen = rig.addresses.next()
     fleet_ = msgspec.structs.replace(
-        slot.settings.fleet, listen=inner, advertise=rig.relay.add_member(party, inner)
+        slot.settings.fleet, listen=listen, advertise=rig.relay.add_member(party, listen)
     )
     settings = msgspec.structs.replace(
         slot.settings, fleet=fleet_, listen=rig.addresses.next(), state_dir=str(rig.path(party))
@@ -154,18 +159,18 @@
 
 
 @pytest.mark.timeout(200)
-def test_two_processes_of_one_name_and_the_first_returns_when_the_second_dies(tmp_path):
+def test_with_two_processes_of_one_name_the_first_returns_when_the_second_dies(tmp_path):
     day, seen = scenario.load(small(tmp_path, "(step rest (for 1s)) (step agree (within 30s))")), {}
 
-    def spoil(rig):
-        def told(life):
+    def prepare(rig):
+        def is_seen_alive_after(life):
             return any(isinstance(one, rec.ViewReported) and (one.member, one.about, one.state) == ("head0", "head1", "alive")
                        and one.life > life for one in rig.recorder.records)  # fmt: skip
 
-        def wait(what, life):
-            until = rig.hub.now() + 40_000_000
-            while not told(life):
-                assert rig.hub.now() < until, what
+        def wait(expectation, life):
+            deadline_us = rig.hub.now() + 40_000_000
+            while not is_seen_alive_after(life):
+                assert rig.hub.now() < deadline_us, expectation
                 rig.hub.sleep(50_000)
 
         def newest():
@@ -176,71 +181,71 @@
             )
 
         def twin():
-            moved(rig, "head1", "twin")
+            write_moved_settings(rig, "head1", "twin")
             first = newest()
             process = rig.start_process("twin", ["head", str(rig.path("twin.sexp"))])
-            wait("the second holds the name", first)
+            wait("the second process has the name", first)
             second = newest()
-            until = rig.hub.now() + 40_000_000
+            deadline_us = rig.hub.now() + 40_000_000
             while "fleet: displaced" not in rig.path("head1.log").read_text():
-                assert rig.hub.now() < until, "the first is told that another has its name"
+                assert rig.hub.now() < deadline_us, "the first notices that another process has its name"
                 rig.hub.sleep(50_000)
             process.end()
-            wait("the first comes back", second)
+            wait("the first process returns", second)
             seen["back"] = True
 
         at_first_rest(rig, twin)
 
-    play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=spoil)
+    play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=prepare)
     assert seen["back"]
 
 
 @pytest.mark.timeout(200)
-def test_a_head_that_comes_back_at_another_address_is_found_there(tmp_path):
+def test_a_head_that_restarts_at_another_address_is_found_there(tmp_path):
     day = scenario.load(small(tmp_path, '(step kill (who "head1")) (step rest (for 1s)) (step start) (step agree (within 30s))'
                                         '(step rest (for 6s)) (step agree (within 30s))'))  # fmt: skip
     recorder = rec.Recorder()
 
-    def spoil(rig):
+    def prepare(rig):
         def move():
-            moved(rig, "head1", "elsewhere")
+            write_moved_settings(rig, "head1", "elsewhere")
             rig.path("elsewhere.sexp").replace(rig.path("head1.sexp"))
 
         at_first_rest(rig, move)
 
-    play_processes(day, 3, 1, recorder, tmp_path, started=spoil)
+    play_processes(day, 3, 1, recorder, tmp_path, started=prepare)
     assert all(one.reached for one in recorder.records if isinstance(one, rec.AgreementCheck))
     assert fleet.check(recorder.records, day.detect_us) == []
 
 
 @pytest.mark.timeout(200)
-def test_a_head_that_ends_by_itself_ends_the_day_and_all_else(tmp_path):
+def test_a_head_that_ends_unexpectedly_ends_the_day_and_all_processes(tmp_path):
     day = scenario.load(small(tmp_path, "(step rest (for 60s))"))
 
-    def spoil(rig):
+    def prepare(rig):
         launch = rig.launch
 
-        def strange(slot, step):
+        def launch_with_broken_settings(slot, step):
             if slot.name == "head1":
                 rig.path("head1.sexp").write_text("(head")
             launch(slot, step)
 
-        rig.launch = strange
+        rig.launch = launch_with_broken_settings
 
     with pytest.raises(FleetProcessError, match="head1 ended by itself"):
-        play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=spoil)
+        play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=prepare)
     assert not running(tmp_path)
 
 
 @pytest.mark.timeout(100)
-def test_a_witness_that_comes_back_slowly_is_awaited_before_it_goes_dark_again(tmp_path):
-    soon = SMALL.replace(
+def test_a_slowly_restarting_witness_is_awaited_before_its_next_outage(tmp_path):
+    text = SMALL.replace(
         "(step start)",
         "(extent 32KiB) (limit 1) (limit-burst 200) (budgets (term 2s) (patience 1s) (budget limits (fixed 0.25))) (step start)",
     )
     path = tmp_path / "small.sexp"
     path.write_text(
-        soon % "(step dark (for 100ms)) (step rest (for 200ms)) (step dark (for 100ms)) (step rest (for 1s))"
+        text % "(step dark (for 100ms)) (step rest (for 200ms)) (step dark (for 100ms)) (step rest (for 1s))"
     )
     starts = []
 
@@ -258,33 +263,33 @@
 
 
 @pytest.mark.parametrize(("waited_us", "found"), [
-    (0, None),  # it ran, or had nothing to do: what it is late by is its own
+    (0, None),  # it ran, or was idle: any lateness is its own
     (15_000, None),
     (25_000, (1_000_000, 30_000)),
-    (400_000, (630_000, 400_000)),  # counted when it ended: it began before the last look
+    (400_000, (630_000, 400_000)),  # counted at its end: it began before the previous sample
 ])  # fmt: skip
-def test_a_head_without_a_processor_stood_still(waited_us, found):
+def test_a_head_without_a_processor_is_stalled(waited_us, found):
     assert find_stall(1_000_000, 1_030_000, waited_us) == found
 
 
-def test_a_head_that_ran_for_most_of_a_long_look_did_not_stand_still():
+def test_a_head_that_ran_for_most_of_a_long_interval_is_not_stalled():
     assert find_stall(1_000_000, 1_100_000, 40_000) is None
 
 
-def test_how_long_a_process_had_no_processor_is_what_the_kernel_counts():
+def test_the_kernel_counts_how_long_a_process_had_no_processor():
     core = {min(os.sched_getaffinity(0))}
     busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"], preexec_fn=lambda: os.sched_setaffinity(0, core))
             for _ in range(2)]  # fmt: skip
     try:
-        until = time.monotonic() + 60
-        while min(cpu_wait_us(one.pid) for one in busy) < 100_000:  # two that never rest want one core
-            assert time.monotonic() < until
+        deadline_s = time.monotonic() + 60
+        while min(cpu_wait_us(one.pid) for one in busy) < 100_000:  # two busy loops compete for one core
+            assert time.monotonic() < deadline_s
             time.sleep(0.01)
     finally:
         for process in busy:
             process.kill()
             process.wait()
-    assert cpu_wait_us(busy[0].pid) == 0, "nothing is known of one that has ended"
+    assert cpu_wait_us(busy[0].pid) == 0, "the wait of a process that has ended is unknown: 0"
 
 
 def test_the_rig_ends_only_what_it_started(tmp_path):
