--- a/harriertrack/lab/fleet/processes/fleet.py
+++ b/harriertrack/lab/fleet/processes/fleet.py
@@ -31,7 +31,7 @@
 from harriertrack.lab.fleet.processes.nodes import ShelfProcess
 from harriertrack.lab.fleet.processes.timeouts import PASSING_US, READY_US, RESUME_ALLOWANCE_US, TURN_US
 from harriertrack.lab.fleet.processes.witness import WitnessProcess
-from harriertrack.lab.fleet.rig import LOOK_US, SEEDS, FleetRig, head_settings
+from harriertrack.lab.fleet.rig import POLL_US, SEEDS, FleetRig, head_settings
 from harriertrack.lab.fleet.scenario import SIMULATED, FleetDaySettings, StepSettings
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
@@ -164,7 +164,7 @@
             except ConnectionRefusedError:
                 if process.ended or self.hub.now() > deadline_us:
                     raise FleetProcessError(f"{process.name} does not listen; see {process.log}") from None
-                self.hub.sleep(LOOK_US)
+                self.hub.sleep(POLL_US)
             except (OSError, DeadlineExceeded) as error:
                 raise FleetProcessError(f"{process.name}: {error}; see {process.log}") from error
 
@@ -217,7 +217,7 @@
     def launch(self, slot: HeadSlot, step: StepSettings) -> None:
         """Start a head, after its previous instance has terminated, which still holds its addresses."""
         while self._logs.is_terminating(slot):
-            self.hub.sleep(LOOK_US)
+            self.hub.sleep(POLL_US)
         if step.fresh:
             shutil.rmtree(self.path(slot.name), ignore_errors=True)
         self.record_lifecycle(slot, "started")
--- a/harriertrack/lab/fleet/processes/logs.py
+++ b/harriertrack/lab/fleet/processes/logs.py
@@ -6,7 +6,7 @@
 
 from harriertrack.lab.fleet.processes import launchers
 from harriertrack.lab.fleet.processes.children import FleetProcessError, Process
-from harriertrack.lab.fleet.rig import LOOK_US
+from harriertrack.lab.fleet.rig import POLL_US
 from harriertrack.lab.rig import HeadSlot
 from harriertrack.rules import recording as rec
 
@@ -35,7 +35,7 @@
                     self._terminating.remove((slot, process))
                     self._record_lines(slot, process)
                     rig.recorder.add(rec.HeadLifecycle(t=rig.hub.now(), head=slot.name, number=0, up=False))
-            rig.hub.sleep(LOOK_US)
+            rig.hub.sleep(POLL_US)
 
     def read(self, slot: HeadSlot) -> None:
         """Record what a running head has logged since the last call."""
--- a/harriertrack/lab/fleet/processes/witness.py
+++ b/harriertrack/lab/fleet/processes/witness.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from harriertrack.lab.fleet.processes.children import Process
-from harriertrack.lab.fleet.rig import LOOK_US
+from harriertrack.lab.fleet.rig import POLL_US
 
 if TYPE_CHECKING:
     from harriertrack.lab.fleet.processes.fleet import ProcessFleet
@@ -40,7 +40,7 @@
     def await_restart(self) -> None:
         """Wait until it listens, if it is restarting."""
         while not self._is_listening:
-            self._rig.hub.sleep(LOOK_US)
+            self._rig.hub.sleep(POLL_US)
 
     def take_down(self, us: int, old: bool) -> None:
         """Stop it for a time; `old`: it restarts with the backup's state.
--- a/harriertrack/lab/fleet/rig/__init__.py
+++ b/harriertrack/lab/fleet/rig/__init__.py
@@ -5,7 +5,7 @@
 rules judge the recording alone.
 """
 
-from harriertrack.lab.fleet.rig.fleet import LAUNCH, LOOK_US, SEEDS, FleetRig
+from harriertrack.lab.fleet.rig.fleet import LAUNCH, POLL_US, SEEDS, FleetRig
 from harriertrack.lab.fleet.rig.simulated import SimulatedFleet, simulate
 
-__all__ = ["LAUNCH", "LOOK_US", "SEEDS", "FleetRig", "SimulatedFleet", "simulate"]
+__all__ = ["LAUNCH", "POLL_US", "SEEDS", "FleetRig", "SimulatedFleet", "simulate"]
--- a/harriertrack/lab/fleet/rig/fleet.py
+++ b/harriertrack/lab/fleet/rig/fleet.py
@@ -27,7 +27,7 @@
 from harriertrack.standin.node_server import NodeServer
 from harriertrack.standin.relay import NetworkFaults
 
-LOOK_US = 20_000
+POLL_US = 20_000
 # For heads that run below launchers.
 LAUNCH = LaunchRules(ready_us=5_000_000, prove_us=4_000_000, drain_us=5_000_000)
 SEEDS = 2
@@ -221,7 +221,7 @@
     def _agree(self, names: list[str], within_us: int) -> None:
         started_us = self.hub.now()
         while not (reached := self.views.is_agreed_by(names)) and self.hub.now() - started_us < within_us:
-            self.hub.sleep(LOOK_US)
+            self.hub.sleep(POLL_US)
         now = self.hub.now()
         self.recorder.add(
             rec.AgreementCheck(
--- a/harriertrack/lab/fleet/rig/operator_actions.py
+++ b/harriertrack/lab/fleet/rig/operator_actions.py
@@ -20,7 +20,7 @@
     from harriertrack.lab.fleet.rig.fleet import FleetRig
 
 CALL_US = 10_000_000  # long, as the witness shares the machine with all processes that a day starts
-POLL_US = 500_000
+DECISION_POLL_US = 500_000
 
 
 def operator(rig: FleetRig) -> WitnessClient:
@@ -83,4 +83,4 @@
         if staging.lacks_evidence(last):
             with suppress(ChangeRefused, *FAILURES):  # the decider was first; or tried again at the next poll
                 change(rig, StepSettings(name=Verb.CHANGE, thing=step.thing, to="going"))
-        rig.hub.sleep(POLL_US)
+        rig.hub.sleep(DECISION_POLL_US)
--- a/harriertrack/lab/fleet/rig/simulated.py
+++ b/harriertrack/lab/fleet/rig/simulated.py
@@ -14,7 +14,7 @@
 from harriertrack.lab.fleet.launched import SimulatedLauncher
 from harriertrack.lab.fleet.rehearsal import Rehearsal, WorseLinks
 from harriertrack.lab.fleet.rig import head_settings
-from harriertrack.lab.fleet.rig.fleet import LAUNCH, LOOK_US, SEEDS, FleetRig
+from harriertrack.lab.fleet.rig.fleet import LAUNCH, POLL_US, SEEDS, FleetRig
 from harriertrack.lab.fleet.rig.partitioned_network import PartitionedNetwork
 from harriertrack.lab.fleet.scenario import FleetDaySettings, StepSettings
 from harriertrack.lab.fleet.weights import PLUGIN, LyingDatagrams
@@ -122,7 +122,7 @@
     def launch(self, slot: HeadSlot, step: StepSettings) -> None:
         """Start a head, after its previous instance has terminated, which still holds its addresses."""
         while slot.task is not None and not slot.task.done:
-            self.hub.sleep(LOOK_US)
+            self.hub.sleep(POLL_US)
         self.record_lifecycle(slot, "started")
         if step.fresh:
             self._changes.pop(slot.name, None)
@@ -141,7 +141,7 @@
         slot.head = slot.task = None
         self._launching[slot.name] = self.scope.spawn(f"launcher {slot.name}", launcher.run)
         while slot.head is None:
-            self.hub.sleep(LOOK_US)
+            self.hub.sleep(POLL_US)
         slot.head.ready.wait()
 
     def start_child(self, slot: HeadSlot, rehearsal: Rehearsal) -> None:
--- a/harriertrack/lab/fleet/storm/faults.py
+++ b/harriertrack/lab/fleet/storm/faults.py
@@ -89,8 +89,8 @@
 
 
 def _kill_decider(draw: StormDraw) -> Steps:
-    who = draw.rng.choice(("decider", "keeper"))
-    return StepSettings(name=Verb.KILL, who=(who,)), rest(draw.duration()), restart_all(draw)
+    role = draw.rng.choice(("decider", "keeper"))
+    return StepSettings(name=Verb.KILL, who=(role,)), rest(draw.duration()), restart_all(draw)
 
 
 def _kill_most(draw: StormDraw) -> Steps:
@@ -99,10 +99,10 @@
 
 
 def _flap(draw: StormDraw) -> Steps:
-    who, steps = draw.some_heads(0.4), []
+    heads, steps = draw.some_heads(0.4), []
     for _ in range(draw.rng.randint(2, 4)):
-        steps += [StepSettings(name=Verb.KILL, who=who), rest(draw.interval()),
-                  StepSettings(name=Verb.START, who=who), rest(draw.interval())]  # fmt: skip
+        steps += [StepSettings(name=Verb.KILL, who=heads), rest(draw.interval()),
+                  StepSettings(name=Verb.START, who=heads), rest(draw.interval())]  # fmt: skip
     return tuple(steps)
 
 
@@ -117,14 +117,14 @@
 
 def _leave(draw: StormDraw) -> Steps:
     # A head that leaves hands its locks over at once: no session expires between its term and the next.
-    who = draw.some_heads(0.4) if draw.rng.random() < 0.5 else (draw.rng.choice(("decider", "keeper")),)
-    return StepSettings(name=Verb.LEAVE, who=who), rest(3 * SECOND), restart_all(draw)
+    heads = draw.some_heads(0.4) if draw.rng.random() < 0.5 else (draw.rng.choice(("decider", "keeper")),)
+    return StepSettings(name=Verb.LEAVE, who=heads), rest(3 * SECOND), restart_all(draw)
 
 
 def _later(draw: StormDraw) -> Steps:
-    who = draw.some_heads(0.4)
-    return (StepSettings(name=Verb.KILL, who=who), rest(draw.interval()),
-            StepSettings(name=Verb.START, who=who, later=True))  # fmt: skip
+    heads = draw.some_heads(0.4)
+    return (StepSettings(name=Verb.KILL, who=heads), rest(draw.interval()),
+            StepSettings(name=Verb.START, who=heads, later=True))  # fmt: skip
 
 
 def _partition(draw: StormDraw) -> Steps:
@@ -139,9 +139,9 @@
 
 
 def _loss(draw: StormDraw) -> Steps:
-    lost, twice = round(draw.rng.uniform(0.05, 0.4), 2), round(draw.rng.uniform(0, 0.3), 2)
+    lost, duplicated = round(draw.rng.uniform(0.05, 0.4), 2), round(draw.rng.uniform(0, 0.3), 2)
     least = draw.rng.choice((0, 0, 400))
-    return (StepSettings(name=Verb.WEATHER, other=("all",), lost=lost, twice=twice, least_bytes=least,
+    return (StepSettings(name=Verb.WEATHER, other=("all",), lost=lost, twice=duplicated, least_bytes=least,
                          for_us=draw.duration()),)  # fmt: skip
 
 
@@ -222,9 +222,9 @@
 
 def _limit(draw: StormDraw) -> Steps:
     times = round(draw.rng.uniform(0.3, 2.5), 1)
-    who = draw.some_heads() if draw.rng.random() < 0.5 else ("all",)
-    steps = [StepSettings(name=Verb.LIMIT, who=who, times=times, perhaps=True), rest(draw.interval())]
-    if who != ("all",):
+    heads = draw.some_heads() if draw.rng.random() < 0.5 else ("all",)
+    steps = [StepSettings(name=Verb.LIMIT, who=heads, times=times, perhaps=True), rest(draw.interval())]
+    if heads != ("all",):
         steps.append(StepSettings(name=Verb.LIMIT, times=times, perhaps=True))
     return tuple(steps)
 
--- a/tests/storms/test_drawing.py
+++ b/tests/storms/test_drawing.py
@@ -89,14 +89,14 @@
 def shrink(day, fails, tries=500):
     runs = []
 
-    def run(day):
-        playing.check(day)
-        runs.append(day)
-        return fails(day)
+    def run(candidate):
+        playing.check(candidate)
+        runs.append(candidate)
+        return fails(candidate)
 
-    def run_if_valid(day):
+    def run_if_valid(candidate):
         try:
-            return run(day)
+            return run(candidate)
         except SettingsError:
             return False
 
