--- a/benchmarks/fleet_rollout.py
+++ b/benchmarks/fleet_rollout.py
@@ -65,7 +65,7 @@
     harm = HARMS[one.harm]
     fleet = RolloutSimulation(one.heads, one.seed, one.plan, zones=2, rate=one.rate, clumps=one.clumps,
                    classes=CLASSES, report_s=2,
-                   harms={(one.thing, 1): harm} if harm is not None else {})  # fmt: skip
+                   regressions={(one.thing, 1): harm} if harm is not None else {})  # fmt: skip
     for head in fleet.heads.values():
         head.tells = one.tells
     fleet.propose(one.thing)
--- a/tests/rollout/test_baselines.py
+++ b/tests/rollout/test_baselines.py
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("thing", ["settings", "program"])
 def test_takeover_after_each_step_changes_only_the_duration(thing: str) -> None:
-    one, bad = fleet(seed=4), fleet(seed=4, harms={(thing, 1): WORSE})
+    one, bad = fleet(seed=4), fleet(seed=4, regressions={(thing, 1): WORSE})
     for each in (one, bad):
         each.propose(thing)
         steps: list[int] = []
@@ -120,7 +120,7 @@
 def test_baseline_reported_tenfold_does_not_let_a_bad_version_pass() -> None:
     ends = []
     for seed in range(4):
-        one = fleet(seed=seed, harms={("settings", 1): Regression("write", failed=0.02)}, uneven=0.2)
+        one = fleet(seed=seed, regressions={("settings", 1): Regression("write", failed=0.02)}, uneven=0.2)
         one.propose("settings")
         one.run(62)
         named = one.record.in_progress("settings")
@@ -148,7 +148,7 @@
     one.run(60)
     suspended.asleep = False
     one.run(1)
-    assert suspended.before(one.now) is None, "it was suspended when the baseline period ended"
+    assert suspended.reported_baseline(one.now) is None, "it was suspended when the baseline period ended"
 
     reported = {
         f"head{number}": ReportedBaseline(
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -41,7 +41,7 @@
     Regression("write", failed=0.05), Regression("read", refused=0.06), Regression("read", slower=2), Regression("list", late=0.2),
 ])  # fmt: skip
 def test_version_worse_in_one_class_is_stopped_at_the_first_head(harm: Regression) -> None:
-    one = fleet(harms={("settings", 1): harm})
+    one = fleet(regressions={("settings", 1): harm})
     one.propose("settings")
     assert one.run_until("settings", 600) is VersionState.STOPPED
     assert max(one.most_new.values()) == 1 and not any(
@@ -57,7 +57,12 @@
 def test_flawless_baseline_needs_few_answers_to_stop_or_pass_a_version() -> None:
     flawless = {"read": ClassOutcomes(0.65, 0, 0, 0), "write": ClassOutcomes(0.35, 0, 0, 0)}
     bad = RolloutSimulation(
-        6, 1, QUICK, rate=50.0, classes=flawless, harms={("settings", 1): Regression("write", failed=0.3)}
+        6,
+        1,
+        QUICK,
+        rate=50.0,
+        classes=flawless,
+        regressions={("settings", 1): Regression("write", failed=0.3)},
     )
     good = RolloutSimulation(6, 1, QUICK, rate=50.0, classes=flawless)
     for one in (bad, good):
@@ -69,7 +74,7 @@
 
 
 def test_head_that_falls_back_stops_the_version() -> None:
-    one = fleet(harms={("program", 1): Regression(falls=True)})
+    one = fleet(regressions={("program", 1): Regression(falls=True)})
     one.propose("program")
     assert one.run_until("program", 300) is VersionState.STOPPED
     assert "not ready in time" in one.record.versions_of("program")[0].reason
@@ -113,7 +118,7 @@
         "the absent head counts neither way and none is added"
     )
     for head in lost:
-        head.cut, head.life, head.classes = False, head.life + 1, {}
+        head.cut, head.instance, head.classes = False, head.instance + 1, {}
     assert one.run_until("settings", 800) is VersionState.IN_FORCE
 
 
@@ -122,7 +127,7 @@
 def test_rollout_continues_from_the_record_after_takeovers_in_any_step(
     every: int, harm: Regression | None
 ) -> None:
-    one = fleet(seed=every, harms={("settings", 1): harm} if harm else {})
+    one = fleet(seed=every, regressions={("settings", 1): harm} if harm else {})
     one.propose("settings")
     ends = one.run_until(
         "settings",
@@ -269,7 +274,9 @@
 
 def test_bounds_come_from_the_plan() -> None:
     lax = Plan(QUICK.stages, before_us=60 * SECOND_US, bounds=Bounds(times=20.0, more=0.3))
-    one = RolloutSimulation(8, 1, lax, rate=100.0, harms={("settings", 1): Regression("write", failed=0.02)})
+    one = RolloutSimulation(
+        8, 1, lax, rate=100.0, regressions={("settings", 1): Regression("write", failed=0.02)}
+    )
     one.propose("settings")
     assert one.run_until("settings", 900) is VersionState.IN_FORCE
 
