--- a/benchmarks/fleet_scoring.py
+++ b/benchmarks/fleet_scoring.py
@@ -214,13 +214,13 @@
     logs = {f"node{at}": draws.uniform(-1, 1) if at < nodes * part else 0.0 for at in range(nodes)}
     said: dict[tuple[str, str], dict[int, int]] = defaultdict(dict)  # when each version was
     sent: dict[str, int] = defaultdict(int)
-    carry = swarm._carry
+    transmit = swarm._transmit
 
     def counted(process: str, send: Send) -> None:
         sent[process] += sum(len(encode_item(note)) for note in decode(send.data).topics)
-        carry(process, send)
+        transmit(process, send)
 
-    swarm._carry = counted  # type: ignore[method-assign]
+    swarm._transmit = counted  # type: ignore[method-assign]
     began, speaking = swarm.now, sorted(select_publishers(names, 0, rules.reporters))
     for _ in range(2 * seconds):
         for name in speaking:
--- a/tests/scoring/test_notes.py
+++ b/tests/scoring/test_notes.py
@@ -117,14 +117,14 @@
     assert swarm.run_until_agreed(20_000_000) >= 0
     started = swarm.now
     sent = 0
-    carry = swarm._carry
+    transmit = swarm._transmit
 
     def count_topics(process, send):
         nonlocal sent
         sent += sum(len(msgspec.msgpack.encode(one)) for one in decode(send.data).topics)
-        carry(process, send)
+        transmit(process, send)
 
-    swarm._carry = count_topics
+    swarm._transmit = count_topics
     for step in range(40):
         for name, swim in swarm.members.items():
             swim.set_topic_note(f"w/{step % 3}", f"{name} {step}".encode())
