--- a/harriertrack/cli/rollout.py
+++ b/harriertrack/cli/rollout.py
@@ -12,7 +12,7 @@
 from harriertrack.cli.common import fail
 from harriertrack.cli.head_status import address_option, fetch_document, resolve_head_address, settings_option
 from harriertrack.gateway.fleet.locks import DECISION_LOCK
-from harriertrack.gateway.fleet.rollout.launcher.files import Launched, launched
+from harriertrack.gateway.fleet.rollout.launcher.files import LauncherConnection, connect_to_launcher
 from harriertrack.gateway.fleet.rollout.usage import usage
 from harriertrack.gateway.head import Head, Wiring
 from harriertrack.runtime.datagrams import DatagramNetwork, SocketDatagrams
@@ -28,7 +28,7 @@
 
     `rehearse` is the option's text: a fault that the head simulates.
     """
-    launcher = launched(dict(os.environ))
+    launcher = connect_to_launcher(dict(os.environ))
     wiring, crash_us, mute = Wiring(handover=launcher, usage=usage), 0, False
     if later or liar:
         wiring = replace(wiring, datagrams=_datagrams(hub, later, liar))
@@ -54,13 +54,13 @@
     return LyingDatagrams(datagrams) if liar else datagrams
 
 
-def _serve(launcher: Launched | None, crash_us: int, hub: Hub, head: Head) -> None:
+def _serve(launcher: LauncherConnection | None, crash_us: int, hub: Hub, head: Head) -> None:
     """Run a head, and notify the launcher once it serves (a task); exit after `crash_us` unless 0."""
 
     def notify_launcher() -> None:
         head.ready.wait()
         if launcher is not None:
-            launcher.ready()
+            launcher.report_ready()
 
     with hub.scope("launched") as scope:
         scope.spawn("ready", notify_launcher)
--- a/harriertrack/gateway/fleet/rollout/remembered.py
+++ b/harriertrack/gateway/fleet/rollout/baseline_file.py
@@ -15,11 +15,11 @@
 _HEADER_BYTES = 16  # bytes: a checksum, and the wall clock in microseconds since 1970 when it was written
 
 
-class Remembered:
+class BaselineFile:
     """One head's file. If it can't be read or written, that is logged and other heads' baselines are used."""
 
-    def __init__(self, kept: ChangesCache, note: Callable[..., None]) -> None:
-        self._file, self._note = kept.sibling(FILE), note
+    def __init__(self, cache: ChangesCache, note: Callable[..., None]) -> None:
+        self._file, self._note = cache.sibling(FILE), note
 
     def write(self, wall: int, before: Baseline) -> None:
         """Store a baseline; `wall`: the wall clock, in microseconds since 1970."""
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -25,11 +25,11 @@
 from harriertrack.decisions.fleet.rollout.rollout import Step
 from harriertrack.gateway.fleet.changes.carrier import LEVEL, Changes
 from harriertrack.gateway.fleet.decider import FleetDecider
+from harriertrack.gateway.fleet.rollout.baseline_file import BaselineFile
 from harriertrack.gateway.fleet.rollout.program_user import HANDING_OVER
-from harriertrack.gateway.fleet.rollout.remembered import Remembered
 from harriertrack.gateway.fleet.rollout.reports import (
-    Heard,
     MalformedReport,
+    ReportAssembler,
     encode_before,
     encode_counts,
     encode_volumes,
@@ -50,7 +50,7 @@
     return 0, 0
 
 
-def asked(row: Row | None) -> frozenset[int]:
+def ended_on_request(row: Row | None) -> frozenset[int]:
     """Return a member's incarnations that ended on request: they announced that, unlike a crash."""
     if row is None:
         return frozenset()
@@ -68,12 +68,12 @@
         self.failing: Callable[[], Mapping[str, str]] = dict  # things that run but do not work, and why
         self._term: Term | None = None
         self._controller: RolloutController | None = None
-        self._received: dict[str, Heard] = {}
+        self._received: dict[str, ReportAssembler] = {}
         checksums = sorted({crc32(one.name.encode()) for one in parts.settings.volumes})
         self._pages = list(encode_volumes(swim.me.instance, checksums))
         self._page = 0
         self._baseline = BaselineRecorder(parts.hub.now())
-        self._baseline_file = Remembered(changes.cache, parts.note)
+        self._baseline_file = BaselineFile(changes.cache, parts.note)
         decider.on_report[TOPIC] = self._handle_report
 
     def start(self) -> None:
@@ -109,7 +109,9 @@
     def _report(self) -> Report:
         memory, processor_us = self._usage()
         failed = {
-            thing: told for thing, told in self._changes.rejections().items() if told[1] != HANDING_OVER
+            thing: rejection
+            for thing, rejection in self._changes.rejections().items()
+            if rejection[1] != HANDING_OVER
         }
         runs, me = self._changes.runs(), self._swim.me
         failed.update({thing: (runs[thing], why) for thing, why in self.failing().items() if thing in runs})
@@ -121,9 +123,9 @@
     def _handle_report(self, now: int, head: str, body: bytes) -> None:
         if self._controller is None:
             return
-        received = self._received.setdefault(head, Heard(head))
+        received = self._received.setdefault(head, ReportAssembler(head))
         try:
-            report = received.take(body)
+            report = received.handle_report(body)
         except MalformedReport:
             return  # ignored
         if isinstance(report, Baseline):
@@ -131,7 +133,7 @@
         elif report is not None:
             row = self._swim.view.find(head)
             zone = row.record.zone if row is not None else ""
-            self._controller.add_report(now, report, received.volumes, zone, asked(row))
+            self._controller.add_report(now, report, received.volumes, zone, ended_on_request(row))
 
     def _run(self) -> None:
         """Control the rollouts in progress while this head decides (a task)."""
--- a/harriertrack/gateway/fleet/rollout/launcher/child.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/child.py
@@ -43,7 +43,7 @@
         except OSError:
             return False
 
-    def how(self) -> str:
+    def exit_reason(self) -> str:
         """Describe how it ended."""
         code = self._popen.poll() if self._popen is not None else None
         if code is None:
--- a/harriertrack/gateway/fleet/rollout/launcher/files.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/files.py
@@ -23,7 +23,7 @@
 FELL_VARIABLE = "HARRIERTRACK_LAUNCH_FELL"
 
 
-class Files:
+class LauncherFiles:
     """The folder of one launcher."""
 
     def __init__(self, folder: str) -> None:
@@ -55,19 +55,19 @@
         except (OSError, msgspec.MsgspecError, UnicodeDecodeError):
             return None
 
-    def kept(self) -> SavedState | None:
+    def saved_state(self) -> SavedState | None:
         """Return the state saved by an earlier incarnation of the launcher; None if missing or damaged."""
         return self._read(STATE, SavedState)
 
-    def keep(self, kept: SavedState) -> None:
+    def save_state(self, state: SavedState) -> None:
         """Save the state; on disk when this returns. Raises OSError."""
-        self._write(STATE, kept)
+        self._write(STATE, state)
 
-    def wanted(self) -> Program | None:
+    def requested_program(self) -> Program | None:
         """Return the version that the head requests to run in its place."""
         return self._read(WANTED, Program)
 
-    def want(self, program: Program) -> None:
+    def request_program(self, program: Program) -> None:
         """Request a version, as the head. Raises OSError."""
         self._write(WANTED, program)
 
@@ -75,20 +75,20 @@
         """Whether the child started with a token serves."""
         return self._read(READY, str) == token
 
-    def ready(self, token: str) -> None:
+    def report_ready(self, token: str) -> None:
         """Report that the head serves, as the head. Raises OSError."""
         self._write(READY, token)
 
 
-class Launched:
+class LauncherConnection:
     """A head's connection to the launcher that started it."""
 
     def __init__(self, environment: dict[str, str]) -> None:
-        self._files = Files(environment[FOLDER_VARIABLE])
+        self._files = LauncherFiles(environment[FOLDER_VARIABLE])
         self._token = environment.get(TOKEN_VARIABLE, "")
         self._number = int(environment.get(NUMBER_VARIABLE, "0"))
         number, _, why = environment.get(FELL_VARIABLE, "0 ").partition(" ")
-        self._fell = int(number), why
+        self._failed_version = int(number), why
 
     @property
     def number(self) -> int:
@@ -96,19 +96,19 @@
         return self._number
 
     @property
-    def fell(self) -> tuple[int, str]:
+    def failed_version(self) -> tuple[int, str]:
         """Return the version that failed when it was tried, and why; 0: none."""
-        return self._fell
+        return self._failed_version
 
-    def wanted(self, program: Program) -> None:
+    def request_program(self, program: Program) -> None:
         """Request that a version replace the running one. Raises OSError."""
-        self._files.want(program)
+        self._files.request_program(program)
 
-    def ready(self) -> None:
+    def report_ready(self) -> None:
         """Report to the launcher that this head serves. Raises OSError."""
-        self._files.ready(self._token)
+        self._files.report_ready(self._token)
 
 
-def launched(environment: dict[str, str]) -> Launched | None:
+def connect_to_launcher(environment: dict[str, str]) -> LauncherConnection | None:
     """Return the launcher that started this process, if any."""
-    return Launched(environment) if environment.get(FOLDER_VARIABLE) else None
+    return LauncherConnection(environment) if environment.get(FOLDER_VARIABLE) else None
--- a/harriertrack/gateway/fleet/rollout/launcher/launcher.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/launcher.py
@@ -26,7 +26,7 @@
     FOLDER_VARIABLE,
     NUMBER_VARIABLE,
     TOKEN_VARIABLE,
-    Files,
+    LauncherFiles,
 )
 from harriertrack.runtime.hub import Hub
 
@@ -34,20 +34,20 @@
 OWN = (sys.executable, "-m", "harriertrack")  # the launcher's own program
 
 
-class Unfit(Exception):
+class InvalidProgram(Exception):
     """A version that must not be started here; the text says why."""
 
 
 def command_of(settings: LaunchSettings, program: Program) -> list[str]:
-    """Return the command that starts a version. Raises Unfit."""
+    """Return the command that starts a version. Raises InvalidProgram."""
     own = list(OWN)
     if program.folder:
         folder = Path(program.folder).resolve()
         if not any(folder.is_relative_to(Path(allowed).resolve()) for allowed in settings.folders):
-            raise Unfit(f"{program.folder} is not below one of this launcher's folders")
+            raise InvalidProgram(f"{program.folder} is not below one of this launcher's folders")
         binary = folder / "bin" / "harriertrack"
         if not binary.is_file():
-            raise Unfit(f"{binary} is not there")
+            raise InvalidProgram(f"{binary} is not there")
         own = [str(binary)]
     return [*own, "head", settings.head, *settings.arguments, *program.arguments]
 
@@ -63,7 +63,7 @@
     def alive(self) -> bool:
         """Whether it runs."""
 
-    def how(self) -> str:
+    def exit_reason(self) -> str:
         """Describe how it ended."""
 
     def end(self, at_once: bool) -> None:
@@ -81,19 +81,19 @@
 
 
 class Disk(Protocol):
-    """State shared by a launcher and its head; `files.Files` on disk."""
+    """State shared by a launcher and its head; `files.LauncherFiles` on disk."""
 
     @property
     def folder(self) -> Path:
         """Return the folder."""
 
-    def kept(self) -> SavedState | None:
+    def saved_state(self) -> SavedState | None:
         """Return the state saved by an earlier incarnation of the launcher."""
 
-    def keep(self, kept: SavedState) -> None:
+    def save_state(self, state: SavedState) -> None:
         """Save the state."""
 
-    def wanted(self) -> Program | None:
+    def requested_program(self) -> Program | None:
         """Return the version that the head requests to run in its place."""
 
     def is_ready(self, token: str) -> bool:
@@ -106,8 +106,8 @@
     def __init__(self, hub: Hub, settings: LaunchSettings, note: Callable[..., None],
                  files: Disk | None = None, processes: Processes = children) -> None:  # fmt: skip
         self._hub, self._settings, self._note = hub, settings, note
-        self._files, self._processes = files or Files(settings.state), processes
-        kept = self._files.kept()
+        self._files, self._processes = files or LauncherFiles(settings.state), processes
+        kept = self._files.saved_state()
         self._child: Process | None = processes.find(kept.child, kept.token) if kept is not None else None
         self.machine = LaunchStateMachine(parameters_from(LaunchRules, settings), kept or SavedState())
         self._done = False
@@ -121,14 +121,14 @@
             self._hub.sleep(POLL_US)
             now = self._hub.now()
             if self._child is not None and not self._child.alive:
-                how, self._child = self._child.how(), None
+                how, self._child = self._child.exit_reason(), None
                 self._note("launch: head ended", how=how, version=machine.saved.runs,
                            asked=machine.phase is Phase.DRAINING)  # fmt: skip
                 machine.child_ended(now, how)
             elif machine.phase is Phase.STARTING and self._files.is_ready(machine.saved.token):
                 machine.child_ready(now)
                 self._note("launch: head serves", version=machine.saved.runs)
-            if machine.phase is not Phase.IDLE and (wanted := self._files.wanted()) is not None:
+            if machine.phase is not Phase.IDLE and (wanted := self._files.requested_program()) is not None:
                 machine.request_program(now, wanted)
             machine.advance(now)
             self._act()
@@ -145,7 +145,7 @@
                     case Save(kept):
                         if kept.fell and kept.trial is None and kept.tries == 0 and not kept.child:
                             self._note("launch: version given up", version=kept.fell, why=kept.why)
-                        self._files.keep(kept)
+                        self._files.save_state(kept)
                     case Start(program, fell, why):
                         self._start(program, fell, why)
                     case Terminate(at_once):
@@ -167,7 +167,7 @@
             self.machine.record_start(token)
             self._act()
             self._child = self._processes.start(command, environment)
-        except (Unfit, OSError) as error:
+        except (InvalidProgram, OSError) as error:
             self._note("launch: version can't be started", version=program.number, why=str(error))
             self.machine.reject_program(now, program.number, str(error))
             return
--- a/harriertrack/gateway/fleet/rollout/program_user.py
+++ b/harriertrack/gateway/fleet/rollout/program_user.py
@@ -24,10 +24,10 @@
         """Return the running version."""
 
     @property
-    def fell(self) -> tuple[int, str]:
+    def failed_version(self) -> tuple[int, str]:
         """Return the version that failed when it was tried, and why; 0: none."""
 
-    def wanted(self, program: Program) -> None:
+    def request_program(self, program: Program) -> None:
         """Request that a version replace the running one. Raises OSError."""
 
 
@@ -48,10 +48,10 @@
             return str(error)
         if program.number == handover.number:
             return ""
-        if program.number and program.number == handover.fell[0]:
-            return handover.fell[1]
+        if program.number and program.number == handover.failed_version[0]:
+            return handover.failed_version[1]
         try:
-            handover.wanted(program)
+            handover.request_program(program)
         except OSError as error:
             return f"the launcher can't be told: {error}"
         return HANDING_OVER
--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -131,7 +131,7 @@
         yield msgspec.msgpack.encode(_Volumes(life, page, pages, sums[page * PAGE : (page + 1) * PAGE]))
 
 
-class Heard:
+class ReportAssembler:
     """The reports of one head, combined."""
 
     def __init__(self, head: str) -> None:
@@ -139,7 +139,7 @@
         self._pages: dict[int, list[int]] = {}
         self._page_count = 0
 
-    def take(self, body: bytes) -> Report | Baseline | None:
+    def handle_report(self, body: bytes) -> Report | Baseline | None:
         """Handle a report; return its counts or baseline, if it has one. Raises MalformedReport."""
         read = _decode(body)
         if read.life != self._life:
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -18,9 +18,9 @@
 from harriertrack.decisions.fleet.scoring.scorers.base import Namespace, Scorer
 from harriertrack.decisions.fleet.scoring.shared_weights import HeadContext, SharedWeights
 from harriertrack.gateway.fleet.parameters import parameters_from
-from harriertrack.gateway.fleet.scoring.asking import Asking, asking_of
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
 from harriertrack.gateway.fleet.scoring.plugins import found
+from harriertrack.gateway.fleet.scoring.scorer_runner import ScorerRunner, runner_of
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.membership.fleet import weight_pages
 from harriertrack.membership.fleet.messages import ProcessInstance
@@ -64,17 +64,17 @@
     """Runs this head's scorers and exchanges their opinions with other heads."""
 
     def __init__(self, parts: HeadParts, settings: ScoringSettings, scored: Scored, swim: Swim,
-                 asking: Callable[[Hub, Scorer, str], Asking] = asking_of) -> None:  # fmt: skip
+                 new_runner: Callable[[Hub, Scorer, str], ScorerRunner] = runner_of) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._observer, self._shared, self._choice = scored.sights, scored.shared, scored.choice
-        self._swim, self._asking_of = swim, asking
+        self._swim, self._new_runner = swim, new_runner
         self._changes: Changes | None = None
-        self._asking: dict[str, Asking] = {}
+        self._runners: dict[str, ScorerRunner] = {}
         self._votes: dict[str, bool] = {}
         self._versions: dict[
             tuple[str, str], tuple[int, int, int]
         ] = {}  # last version received, by head and topic
-        self._lives: dict[str, ProcessInstance] = {}  # incarnations whose pages are stored, by head
+        self._incarnations: dict[str, ProcessInstance] = {}  # incarnations whose pages are stored, by head
         self._logged_at = 0
         self.garbage = 0
 
@@ -90,7 +90,7 @@
 
     def close(self) -> None:
         """Send no further queries to scorers."""
-        for one in self._asking.values():
+        for one in self._runners.values():
             one.close()
 
     def apply(self, thing: str, version: Version | None) -> str:
@@ -108,11 +108,11 @@
         run = self._choice.run()
         self._shared.set_scorers({name: one.namespace for name, one in run.items()})
         kept = {name for name, one in run.items() if before.get(name) == one.namespace}
-        for name in self._asking.keys() - kept:
-            self._asking.pop(name).close()
+        for name in self._runners.keys() - kept:
+            self._runners.pop(name).close()
         for name, one in run.items():
-            if name not in self._asking:
-                self._asking[name] = self._asking_of(self._hub, one.make(), name)
+            if name not in self._runners:
+                self._runners[name] = self._new_runner(self._hub, one.make(), name)
                 self._votes.pop(name, None)
                 self._parts.note("scorer runs", scorer=name, of=str(one.namespace))
 
@@ -128,20 +128,20 @@
 
     def _query_scorers(self, began: int) -> None:
         snapshot = self._observer.snapshot(began)
-        asked = dict(self._shared.by_scorer)
-        for name, one in asked.items():
+        scorers = dict(self._shared.by_scorer)
+        for name, one in scorers.items():
             if snapshots := one.guard.next_queries(began, snapshot):
-                self._asking[name].ask(snapshots)
+                self._runners[name].start_round(snapshots)
         open_ = {
             name: one
-            for name, one in asked.items()
+            for name, one in scorers.items()
             if one.guard.state in (ScorerState.PENDING, ScorerState.HUNG)
         }
         while True:
             for name, one in list(open_.items()):
                 if self._shared.by_scorer.get(name) is not one:
                     del open_[name]  # replaced by another version meanwhile
-                elif (answers := self._asking[name].answers()) is not None:
+                elif (answers := self._runners[name].answers()) is not None:
                     one.guard.handle_answers(self._hub.now(), answers)
                     del open_[name]
             if not open_ or self._hub.now() >= began + self._shared.rules.look_us // 2:
@@ -159,11 +159,11 @@
 
     def _exchange_weights(self) -> None:
         now, shared = self._hub.now(), self._shared
-        self._hear(now)
-        there = frozenset(self._swim.view.present)
+        self._receive_pages(now)
+        present = frozenset(self._swim.view.present)
         snapshot = self._observer.snapshot(now)
         moment = HeadContext(
-            self._swim.me.name, self._hub.clock.wall(), snapshot, there, self._expected_heads
+            self._swim.me.name, self._hub.clock.wall(), snapshot, present, self._expected_heads
         )
         for page in shared.update(now, moment):
             self._swim.set_topic_note(weight_pages.topic_of(page), weight_pages.encode(page))
@@ -178,28 +178,30 @@
 
     def _expected_heads(self, space: Namespace) -> frozenset[str]:
         """Return the present heads that should run a scorer: by the record, or all if settings name it."""
-        there = frozenset(self._swim.view.present)
+        present = frozenset(self._swim.view.present)
         run = next((one for one in self._choice.run().values() if one.namespace == space), None)
         if run is None or not run.thing or self._changes is None:
-            return there
+            return present
         record = self._changes.record
         mine = record.version_for(run.thing, self._swim.me.name)
         if mine is None:
-            return there
-        return frozenset(name for name in there if record.version_for(run.thing, name) == mine)
+            return present
+        return frozenset(name for name in present if record.version_for(run.thing, name) == mine)
 
-    def _hear(self, now: int) -> None:
+    def _receive_pages(self, now: int) -> None:
         """Handle new pages among the view's notes, and forget heads that left."""
         known = self._versions
         self._versions = {}
-        self._lives = {name: life for name, life in self._lives.items() if name in self._swim.view.present}
+        self._incarnations = {
+            name: process for name, process in self._incarnations.items() if name in self._swim.view.present
+        }
         for row in self._swim.view:
             if not row.record.present or row.record.name == self._swim.me.name:
                 continue
-            if self._lives.setdefault(row.record.name, row.record.process) != row.record.process:
+            if self._incarnations.setdefault(row.record.name, row.record.process) != row.record.process:
                 # The new incarnation may not publish on every topic of the last, whose pages would remain.
                 self._shared.forget(row.record.name)
-                self._lives[row.record.name] = row.record.process
+                self._incarnations[row.record.name] = row.record.process
             for topic, note in row.topics.items():
                 key = row.record.name, topic
                 self._versions[key] = note.precedence
--- a/harriertrack/gateway/fleet/scoring/asking.py
+++ b/harriertrack/gateway/fleet/scoring/scorer_runner.py
@@ -32,10 +32,10 @@
     return ScorerAnswer(snapshot, scores, raised, took_us)
 
 
-class Asking(Protocol):
+class ScorerRunner(Protocol):
     """Queries one scorer, one round at a time."""
 
-    def ask(self, snapshots: Sequence[Snapshot]) -> None:
+    def start_round(self, snapshots: Sequence[Snapshot]) -> None:
         """Begin a round."""
 
     def answers(self) -> list[ScorerAnswer] | None:
@@ -45,14 +45,14 @@
         """Send no further queries."""
 
 
-class AtOnce:
+class InlineRunner:
     """Runs the scorer within the call."""
 
     def __init__(self, scorer: Scorer) -> None:
         self._scorer = scorer
         self._answers: list[ScorerAnswer] | None = None
 
-    def ask(self, snapshots: Sequence[Snapshot]) -> None:
+    def start_round(self, snapshots: Sequence[Snapshot]) -> None:
         """Run a complete round."""
         self._answers = [_answer(self._scorer, snapshot, False) for snapshot in snapshots]
 
@@ -65,7 +65,7 @@
         """Do nothing: there is no thread."""
 
 
-class OnThread:
+class ThreadRunner:
     """Runs the scorer on a thread."""
 
     def __init__(self, scorer: Scorer, name: str) -> None:
@@ -78,7 +78,7 @@
         while (snapshots := self._rounds.get()) is not None:
             self._done.put([_answer(self._scorer, snapshot, True) for snapshot in snapshots])
 
-    def ask(self, snapshots: Sequence[Snapshot]) -> None:
+    def start_round(self, snapshots: Sequence[Snapshot]) -> None:
         """Begin a round."""
         self._rounds.put(snapshots)
 
@@ -94,6 +94,6 @@
         self._rounds.put(None)
 
 
-def asking_of(hub: Hub, scorer: Scorer, name: str) -> Asking:
+def runner_of(hub: Hub, scorer: Scorer, name: str) -> ScorerRunner:
     """Return the runner of a scorer on a hub."""
-    return AtOnce(scorer) if isinstance(hub.clock, VirtualTime) else OnThread(scorer, name)
+    return InlineRunner(scorer) if isinstance(hub.clock, VirtualTime) else ThreadRunner(scorer, name)
--- a/harriertrack/lab/fleet/launched.py
+++ b/harriertrack/lab/fleet/launched.py
@@ -66,11 +66,11 @@
         return self._machine.saved.runs
 
     @property
-    def fell(self) -> tuple[int, str]:
+    def failed_version(self) -> tuple[int, str]:
         """Return the version that did not run when it was tried, and why."""
         return self._machine.saved.fell, self._machine.saved.why
 
-    def wanted(self, program: Program) -> None:
+    def request_program(self, program: Program) -> None:
         """Let a version run in this one's place."""
         self._wanted = program
 
--- a/harriertrack/lab/interleaving/scenarios/launching.py
+++ b/harriertrack/lab/interleaving/scenarios/launching.py
@@ -39,7 +39,7 @@
         self._system.touch()
         return self.there
 
-    def how(self) -> str:
+    def exit_reason(self) -> str:
         """Return how it ended."""
         return "it is gone"
 
@@ -111,19 +111,19 @@
 
     # -- as its files
 
-    def kept(self) -> SavedState | None:
+    def saved_state(self) -> SavedState | None:
         """Return what was kept."""
         self.touch()
         return self.disk
 
-    def keep(self, kept: SavedState) -> None:
+    def save_state(self, kept: SavedState) -> None:
         """Keep it."""
         self._others()
         self.touch()
         self.disk = kept
         self._others()
 
-    def wanted(self) -> Program | None:
+    def requested_program(self) -> Program | None:
         """Return which version is wanted."""
         self.touch()
         return self.wants
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -21,9 +21,9 @@
 from harriertrack.decisions.fleet.scoring.weight_exchange import Entry
 from harriertrack.decisions.fleet.scoring.weights import weight_factor
 from harriertrack.decisions.interface import AttemptEnded, ListKind, NodeEntry, NodesChanged, Result
-from harriertrack.gateway.fleet.scoring.asking import Asking, AtOnce
 from harriertrack.gateway.fleet.scoring.carrier import Scored, Scoring, rules_of
 from harriertrack.gateway.fleet.scoring.choosing import Choice
+from harriertrack.gateway.fleet.scoring.scorer_runner import InlineRunner, ScorerRunner
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.lab.interleaving.world import Scenario, World
 from harriertrack.membership.fleet.messages import Draft, Kind, Record, State, TopicNote, encode_item
@@ -50,15 +50,15 @@
 
     def __init__(self, world: World, hub: Hub, scorer: Scorer, place: str) -> None:
         self._world, self._hub, self._place = world, hub, place
-        self._inner = AtOnce(scorer)
+        self._inner = InlineRunner(scorer)
         self._ready = False
         self.hangs_until = 0
 
-    def ask(self, pictures: Sequence[Snapshot]) -> None:
+    def start_round(self, pictures: Sequence[Snapshot]) -> None:
         """Begin a round."""
 
         def work() -> None:
-            self._inner.ask(pictures)
+            self._inner.start_round(pictures)
             self._ready = True
             self._world.touched.write(f"answers at {self._place}")
 
@@ -155,7 +155,7 @@
         parts = SimpleNamespace(hub=self._world.hub, scope=scope, note=lambda *_args, **_fields: None)
         return cast(HeadParts, parts)
 
-    def _asking(self, hub: Hub, scorer: Scorer, _name: str) -> Asking:
+    def _asking(self, hub: Hub, scorer: Scorer, _name: str) -> ScorerRunner:
         self.thread = _OnThread(self._world, hub, scorer, self.place)
         return self.thread
 
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -256,7 +256,9 @@
         " or not self.session.valid(now)",
         "",
     ),
-    Fault("a change that lost is told as made", "changes-two", f"{STORED_RECORD}:write", "if index:", "if True:"),
+    Fault(
+        "a change that lost is told as made", "changes-two", f"{STORED_RECORD}:write", "if index:", "if True:"
+    ),
     Fault(
         "a change is written over another",
         "changes-two",
@@ -452,7 +454,7 @@
     Fault(
         "pages of two lives stand side by side",
         "weights-restart",
-        f"{WEIGHTS}._hear",
+        f"{WEIGHTS}._receive_pages",
         "self._shared.forget(row.record.name)",
         "pass",
     ),
--- a/tests/rollout/test_baselines.py
+++ b/tests/rollout/test_baselines.py
@@ -18,9 +18,9 @@
 from harriertrack.decisions.fleet.rollout.evidence import Evidence, Report, Usage
 from harriertrack.decisions.fleet.rollout.plan import Plan, Stage
 from harriertrack.decisions.fleet.rollout.baseline import Baseline, BaselineRecorder
-from harriertrack.gateway.fleet.rollout.carrier import asked
-from harriertrack.gateway.fleet.rollout.remembered import Remembered
-from harriertrack.gateway.fleet.rollout.reports import Heard, MalformedReport, encode_before
+from harriertrack.gateway.fleet.rollout.carrier import ended_on_request
+from harriertrack.gateway.fleet.rollout.baseline_file import BaselineFile
+from harriertrack.gateway.fleet.rollout.reports import ReportAssembler, MalformedReport, encode_before
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
@@ -251,7 +251,7 @@
     before = Baseline("scorer/near", 7, 5 * S, many, Usage(1 << 30, 99, 0, 12))
     data = encode_before(3, before)
     assert len(data) <= MAX_TOPIC_BODY
-    back = Heard("a").take(data)
+    back = ReportAssembler("a").handle_report(data)
     assert isinstance(back, Baseline) and (back.thing, back.number, back.ago_us) == ("scorer/near", 7, 5 * S)
     assert set(back.classes) == {f"class-{number}" for number in range(40 - len(back.classes), 40)}, (
         "the busiest classes"
@@ -259,16 +259,16 @@
     assert all(back.classes[name] == many[name] for name in back.classes)
     for bad in (data[:-1], b"", b"\x93\x02\x01\x01"):
         with pytest.raises(MalformedReport):
-            Heard("a").take(bad)
+            ReportAssembler("a").handle_report(bad)
 
 
 def test_stored_baseline_survives_a_restart_and_damage_counts_as_none(tmp_path) -> None:
     notes: list[str] = []
-    store = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
+    store = BaselineFile(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
     before = Baseline("program", 2, 0, {"read": Tally(9, 1)}, Usage(1, 2, 10, 3))
     assert store.read(5) is None and not notes
     store.write(1000 * S, before)
-    again = Remembered(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
+    again = BaselineFile(ChangesCache(str(tmp_path)), lambda event, **_fields: notes.append(event))
     assert again.read(1030 * S) == replace(before, ago_us=30 * S)
     one = BaselineRecorder(0)
     one.restore(5 * S, again.read(1030 * S))  # type: ignore[arg-type]
@@ -305,8 +305,8 @@
     for record in (member(1, 11, State.ALIVE), member(1, 11, State.LEFT), member(2, 22, State.ALIVE), member(2, 22, State.DEAD),
                    member(3, 33, State.ALIVE)):  # fmt: skip
         view.apply(0, record)
-    assert asked(view.find("a")) == {11}
-    assert asked(view.find("b")) == frozenset()
+    assert ended_on_request(view.find("a")) == {11}
+    assert ended_on_request(view.find("b")) == frozenset()
 
 
 DAY = """(fleet-day "successor"
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -16,10 +16,15 @@
 )  # fmt: skip
 from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN, Measure
 from harriertrack.gateway.fleet.rollout.launcher import child as children
-from harriertrack.gateway.fleet.rollout.launcher.files import Files, launched
-from harriertrack.gateway.fleet.rollout.launcher.launcher import Launcher, Unfit, command_of
+from harriertrack.gateway.fleet.rollout.launcher.files import LauncherFiles, connect_to_launcher
+from harriertrack.gateway.fleet.rollout.launcher.launcher import Launcher, InvalidProgram, command_of
 from harriertrack.gateway.fleet.rollout.program_user import HANDING_OVER, ProgramUser
-from harriertrack.gateway.fleet.rollout.reports import Heard, MalformedReport, encode_counts, encode_volumes
+from harriertrack.gateway.fleet.rollout.reports import (
+    ReportAssembler,
+    MalformedReport,
+    encode_counts,
+    encode_volumes,
+)
 from harriertrack.membership.fleet.topic_datagrams import MAX_TOPIC_BODY
 from harriertrack.decisions.fleet.rollout.answer_counts import Tally
 from harriertrack.decisions.fleet.rollout.evidence import Report
@@ -130,13 +135,13 @@
 
 
 def test_damaged_state_file_counts_as_missing(tmp_path):
-    files = Files(str(tmp_path))
-    files.keep(SavedState(good=Program(5), fell=6, why="w"))
-    assert Files(str(tmp_path)).kept() == SavedState(good=Program(5), fell=6, why="w")
+    files = LauncherFiles(str(tmp_path))
+    files.save_state(SavedState(good=Program(5), fell=6, why="w"))
+    assert LauncherFiles(str(tmp_path)).saved_state() == SavedState(good=Program(5), fell=6, why="w")
     data = (tmp_path / "state").read_bytes()
     for broken in (data[:-1], b"", data.replace(b"5", b"7")):
         (tmp_path / "state").write_bytes(broken)
-        assert files.kept() is None
+        assert files.saved_state() is None
 
 
 def launcher_file(tmp_path, extra=""):
@@ -155,14 +160,14 @@
         f"{tmp_path}/head.sexp",
     ]
     for folder, why in ((f"{tmp_path}/opt/../other", "not below"), (f"{tmp_path}/opt/1.0", "is not there")):
-        with pytest.raises(Unfit, match=why):
+        with pytest.raises(InvalidProgram, match=why):
             command_of(launch_settings, Program(1, folder=folder))
 
 
 def test_head_rejects_programs_without_a_launcher_and_hands_over_with_one(tmp_path):
     two = Version("program", 2, 1, '(program "b" (arguments "--x"))', "ann", 1, "w")
     assert ProgramUser(None).apply("program", two) == "no launcher started this head"
-    of = launched(
+    of = connect_to_launcher(
         {
             "HARRIERTRACK_LAUNCH": str(tmp_path),
             "HARRIERTRACK_LAUNCH_VERSION": "1",
@@ -170,7 +175,7 @@
         }
     )
     assert ProgramUser(of).apply("program", two) == HANDING_OVER
-    assert Files(str(tmp_path)).wanted() == read_program(two)
+    assert LauncherFiles(str(tmp_path)).requested_program() == read_program(two)
     assert (
         ProgramUser(of).apply("program", Version("program", 3, 1, '(program "c")', "a", 1, "w"))
         == "not ready in time"
@@ -178,14 +183,14 @@
     assert "expected (program" in ProgramUser(of).apply(
         "program", Version("program", 4, 1, "(settings)", "a", 1, "w")
     )
-    assert launched({}) is None
+    assert connect_to_launcher({}) is None
 
 
 CHILD = """import os, sys, time
 sys.path.insert(0, {root!r})
-from harriertrack.gateway.fleet.rollout.launcher.files import launched
+from harriertrack.gateway.fleet.rollout.launcher.files import connect_to_launcher
 if "--bad" in sys.argv: sys.exit(3)
-launched(dict(os.environ)).ready()
+connect_to_launcher(dict(os.environ)).report_ready()
 time.sleep(60)
 """
 
@@ -228,14 +233,14 @@
 @pytest.mark.real_time
 def test_real_child_is_replaced_found_again_and_ended(host):
     play, one, folder = host
-    files = Files(str(folder / "launch"))
+    files = LauncherFiles(str(folder / "launch"))
 
     def steps(one, hub):
         until(hub, lambda: one.machine.phase is Phase.RUNNING)
-        files.want(Program(2, arguments=("--bad",)))
+        files.request_program(Program(2, arguments=("--bad",)))
         until(hub, lambda: one.machine.saved.fell == 2 and one.machine.phase is Phase.RUNNING)
         assert one.machine.saved.runs == 0
-        files.want(Program(4))
+        files.request_program(Program(4))
         until(hub, lambda: one.machine.saved.good.number == 4)
         found = Launcher(Hub(), load_launcher(str(folder / "launch.sexp")), lambda *_, **__: None)
         assert found._child is not None and found._child.pid == one.machine.saved.child, (
@@ -297,25 +302,25 @@
     )
     data = encode_counts(report)
     assert len(data) <= MAX_TOPIC_BODY
-    received = Heard("h")
-    read = received.take(data)
+    received = ReportAssembler("h")
+    read = received.handle_report(data)
     assert read.versions == report.versions and set(read.classes) < set(classes) and len(read.classes) >= 5
     assert all(read.classes[name] == classes[name] for name in read.classes)
     assert received.volumes is None
     for body in encode_volumes(9, list(range(10**9, 10**9 + 400))):
-        assert len(body) <= MAX_TOPIC_BODY and received.take(body) is None
+        assert len(body) <= MAX_TOPIC_BODY and received.handle_report(body) is None
     assert len(received.volumes) == 400
     next_incarnation = next(iter(encode_volumes(10, [1] * 151)))
-    assert received.take(next_incarnation) is None and received.volumes is None, (
+    assert received.handle_report(next_incarnation) is None and received.volumes is None, (
         "nothing is known of the new incarnation yet"
     )
 
 
 @given(st.binary(max_size=60))
 def test_arbitrary_bytes_are_rejected_or_decoded(data):
-    received = Heard("h")
+    received = ReportAssembler("h")
     try:
-        report = received.take(data)
+        report = received.handle_report(data)
     except MalformedReport:
         report = None
     assert report is None or report.head == "h"
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -16,7 +16,7 @@
 from harriertrack.decisions.fleet.scoring.snapshot import NodeObservation, Snapshot
 from harriertrack.decisions.fleet.scoring.scorers.base import Parameter, ScorerKind
 from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerState
-from harriertrack.gateway.fleet.scoring.asking import OnThread
+from harriertrack.gateway.fleet.scoring.scorer_runner import ThreadRunner
 from harriertrack.gateway.fleet.scoring.carrier import scored_of
 from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
 from harriertrack.gateway.fleet.scoring.plugins import found, scorers
@@ -84,8 +84,8 @@
             resume.wait(30)
             raise LookupError("x" * 500)
 
-    runner = OnThread(Hangs(), "hangs")
-    runner.ask([SNAPSHOT])
+    runner = ThreadRunner(Hangs(), "hangs")
+    runner.start_round([SNAPSHOT])
     assert runner.answers() is None
     resume.set()
     while (answers := runner.answers()) is None:
