--- a/benchmarks/fleet_scoring.py
+++ b/benchmarks/fleet_scoring.py
@@ -76,7 +76,7 @@
     def start_head(self, slot: HeadSlot) -> None:
         """Start a head; for an oracle's weights nobody is asked."""
         super().start_head(slot)
-        scored = slot.head.scored if slot.head is not None else None
+        scored = slot.head.scoring_state if slot.head is not None else None
         if self.oracle and scored is not None:
             scored.shared.update = lambda now, moment: []  # type: ignore[method-assign]
             self.scope.spawn("oracle", self._tell, scored.shared.factors)
--- a/harriertrack/cli/scoring.py
+++ b/harriertrack/cli/scoring.py
@@ -6,7 +6,7 @@
 
 import click
 
-from harriertrack.gateway.fleet.scoring.plugins import found as find_scorers
+from harriertrack.gateway.fleet.scoring.plugins import discover_kinds as find_scorers
 from harriertrack.membership.fleet.status_document import ScoresStatus
 
 NODE_COLUMNS = ("node", "zone", "weight", "gain", "latency", "taken", "refused", "answers")
--- a/harriertrack/gateway/fleet/closing/carrier.py
+++ b/harriertrack/gateway/fleet/closing/carrier.py
@@ -102,10 +102,10 @@
     def start(self) -> None:
         """Guard the purged ranges from now on, and resume the trims of an earlier incarnation."""
         parts, core = self._parts, self._parts.core
-        lefts = self._trimming.recorded_targets()
-        core.hold_purged({(left.volume, left.extent) for left in lefts})
+        targets = self._trimming.recorded_targets()
+        core.hold_purged({(target.volume, target.extent) for target in targets})
         now = self._hub.now()  # requests of an earlier incarnation may still run at nodes
-        self._trims.add(now, lefts, self._stagger(), dict.fromkeys(lefts, now + self._settle_us))
+        self._trims.add(now, targets, self._stagger(), dict.fromkeys(targets, now + self._settle_us))
         core.close_guard = self._guard
         for volume, epoch in self._places.closing.raised.items():
             self._epochs.record_close(volume, epoch)
@@ -137,7 +137,7 @@
         if why := self.fences.fence(calendar).set_schedule(schedule):
             return why
         self._bodies[calendar] = version.body
-        self._sweeps.follow(self.fences.fence(calendar))
+        self._sweeps.update(self.fences.fence(calendar))
         self._raise_epochs()
         return ""
 
@@ -265,38 +265,38 @@
         """Carry out a close: on disk first, then in all state in memory."""
         core, size, now = self._parts.core, self._parts.settings.extent_bytes, self._hub.now()
         refused, failed = core.close_off(now, lambda *place: self._covers(close, *place))
-        lefts = self._places.purge(
+        purged = self._places.purge(
             fence.calendar, close.number, close.at_us,
             lambda volume, extent: self._covers(close, volume, extent * size, size),
         )  # fmt: skip
         fence.mark_purged(close.number)
-        core.hold_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})
-        self._sweeps.follow(fence)
+        core.hold_purged({(volume, extent) for volume, extent, _ in purged if volume in core.volumes})
+        self._sweeps.update(fence)
         self._raise_epochs()
         if self._regional is not None:
             self._regional.closed(lambda *place: self._covers(close, *place))
-        mine = [TrimTarget(*left) for left in lefts if left[0] in core.volumes]
-        least = {left: self._guard.settled_at(left.volume, left.extent) for left in mine}
-        self._trims.add(now, mine, self._stagger(), least)
+        targets = [TrimTarget(*place) for place in purged if place[0] in core.volumes]
+        settled_at = {one: self._guard.settled_at(one.volume, one.extent) for one in targets}
+        self._trims.add(now, targets, self._stagger(), settled_at)
         self._guard.forget_settled()
-        self._extents[fence.calendar] = len(lefts)
+        self._extents[fence.calendar] = len(purged)
         self._parts.note("close done", calendar=fence.calendar, number=close.number, at_us=close.at_us,
-                         name=close.name, extents=len(lefts), refused=refused, failed=failed)  # fmt: skip
+                         name=close.name, extents=len(purged), refused=refused, failed=failed)  # fmt: skip
         if not len(self._trims):
             self._report_trimmed()
 
-    def _begin_trim(self, left: TrimTarget) -> Callable[[], None]:
+    def _begin_trim(self, target: TrimTarget) -> Callable[[], None]:
         """Handle the start of a trim; return the function to call when it is done."""
         core, closing = self._parts.core, self._places.closing
-        sweeps = [sweep for sweep in self._sweeps.in_progress() if sweep.key.volume == left.volume]
+        sweeps = [sweep for sweep in self._sweeps.in_progress() if sweep.key.volume == target.volume]
 
         def trimmed() -> None:
             for sweep in sweeps:
-                sweep.mark_trimmed(left.extent)
-            if left.volume not in self._several:
-                self._places.mark_trimmed(left.volume, left.extent, left.shard)
-                if not any(extent == left.extent for extent, _ in closing.lefts[left.volume]):
-                    core.release_trimmed(left.volume, left.extent)
+                sweep.mark_trimmed(target.extent)
+            if target.volume not in self._several:
+                self._places.mark_trimmed(target.volume, target.extent, target.shard)
+                if not any(extent == target.extent for extent, _ in closing.lefts[target.volume]):
+                    core.release_trimmed(target.volume, target.extent)
 
         return trimmed
 
--- a/harriertrack/gateway/fleet/closing/sweeping.py
+++ b/harriertrack/gateway/fleet/closing/sweeping.py
@@ -26,7 +26,7 @@
         """Return the sweeps in progress."""
         return list(self._sweeps.values())
 
-    def follow(self, fence: Fence) -> None:
+    def update(self, fence: Fence) -> None:
         """Begin the sweeps that a calendar's closes need, and end those that the record has as complete."""
         for key in [key for key in self._sweeps if key.calendar == fence.calendar]:
             if fence.schedule.last_swept(key.volume) >= key.number:
--- a/harriertrack/gateway/fleet/resources.py
+++ b/harriertrack/gateway/fleet/resources.py
@@ -15,7 +15,7 @@
     from harriertrack.decisions.fleet.zones.evidence import Evidence
     from harriertrack.gateway.fleet.rollout.carrier import Usage
     from harriertrack.gateway.fleet.rollout.program_user import Handover
-    from harriertrack.gateway.fleet.scoring.carrier import Scored
+    from harriertrack.gateway.fleet.scoring.carrier import ScoringState
     from harriertrack.gateway.regional import Regional
     from harriertrack.runtime.datagrams import DatagramNetwork
     from harriertrack.storage.changes import ChangesCache
@@ -32,7 +32,7 @@
     reconfigure: Callable[[HeadSettings], None]  # applies other settings to the head at once
     close_links: Callable[[str, int], None]  # closes a number of links to a node
     evidence: Evidence | None = None  # observations of zones
-    scored_choice: Scored | None = None
+    scoring_state: ScoringState | None = None
     datagrams: DatagramNetwork | None = None  # None: UDP sockets
     changes_cache: ChangesCache | None = None  # cache of the record of changes; None: a file
     handover: Handover | None = None  # to the launcher, which started the head and starts other versions
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -65,7 +65,7 @@
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._swim, self._decider, self._changes = swim, decider, changes
         self._counting, self._usage = counting, usage
-        self.failing: Callable[[], Mapping[str, str]] = dict  # things that run but do not work, and why
+        self.failures: Callable[[], Mapping[str, str]] = dict  # things that run but do not work, and why
         self._term: Term | None = None
         self._controller: RolloutController | None = None
         self._received: dict[str, ReportAssembler] = {}
@@ -114,7 +114,7 @@
             if rejection[1] != HANDING_OVER
         }
         runs, me = self._changes.runs(), self._swim.me
-        failed.update({thing: (runs[thing], why) for thing, why in self.failing().items() if thing in runs})
+        failed.update({thing: (runs[thing], why) for thing, why in self.failures().items() if thing in runs})
         return Report(me.name, me.instance, runs, self._counting.classes, memory,
                       processor_us, failed, LEVEL)  # fmt: skip
 
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -18,9 +18,9 @@
 from harriertrack.decisions.fleet.scoring.scorers.base import Namespace, Scorer
 from harriertrack.decisions.fleet.scoring.shared_weights import HeadContext, SharedWeights
 from harriertrack.gateway.fleet.parameters import parameters_from
-from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
-from harriertrack.gateway.fleet.scoring.plugins import found
+from harriertrack.gateway.fleet.scoring.plugins import discover_kinds
 from harriertrack.gateway.fleet.scoring.scorer_runner import ScorerRunner, runner_of
+from harriertrack.gateway.fleet.scoring.selection import InvalidScorer, ScorerSelection
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.membership.fleet import weight_pages
 from harriertrack.membership.fleet.messages import ProcessInstance
@@ -40,33 +40,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scored:
+class ScoringState:
     """The scoring state that a head creates before it joins a fleet, as its decision module uses it."""
 
-    sights: NodeObserver
+    observer: NodeObserver
     shared: SharedWeights
-    choice: Choice
+    selection: ScorerSelection
 
 
-def scored_of(head: HeadSettings, settings: ScoringSettings, note: Callable[..., None],
-              further: Iterable[object] = ()) -> Scored:  # fmt: skip
+def create_scoring_state(head: HeadSettings, settings: ScoringSettings, note: Callable[..., None],
+              further: Iterable[object] = ()) -> ScoringState:  # fmt: skip
     """Create the scoring state. Raises SettingsError for scorers that can't be run."""
     try:
-        choice = Choice(found(note, further), settings.scorers)
-    except BadScorer as error:
+        selection = ScorerSelection(discover_kinds(note, further), settings.scorers)
+    except InvalidScorer as error:
         raise SettingsError(f"fleet: scoring: {error}") from error
-    return Scored(
-        NodeObserver(head.zone, head.rules.warm_us), SharedWeights(rules_of(settings), settings.alone), choice
+    return ScoringState(
+        NodeObserver(head.zone, head.rules.warm_us),
+        SharedWeights(rules_of(settings), settings.alone),
+        selection,
     )
 
 
 class Scoring:
     """Runs this head's scorers and exchanges their opinions with other heads."""
 
-    def __init__(self, parts: HeadParts, settings: ScoringSettings, scored: Scored, swim: Swim,
+    def __init__(self, parts: HeadParts, settings: ScoringSettings, state: ScoringState, swim: Swim,
                  new_runner: Callable[[Hub, Scorer, str], ScorerRunner] = runner_of) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
-        self._observer, self._shared, self._choice = scored.sights, scored.shared, scored.choice
+        self._observer, self._shared, self._selection = state.observer, state.shared, state.selection
         self._swim, self._new_runner = swim, new_runner
         self._changes: Changes | None = None
         self._runners: dict[str, ScorerRunner] = {}
@@ -76,14 +78,14 @@
         ] = {}  # last version received, by head and topic
         self._incarnations: dict[str, ProcessInstance] = {}  # incarnations whose pages are stored, by head
         self._logged_at = 0
-        self.garbage = 0
+        self.malformed_pages = 0
 
     def start(self) -> None:
         """Start the scorers and the task."""
         self._follow()
         self._parts.scope.spawn("scoring", self._run)
 
-    def follow(self, changes: Changes) -> None:
+    def follow_record(self, changes: Changes) -> None:
         """Let the fleet's record override the settings' scorers; before `changes` starts."""
         self._changes = changes
         changes.register_user(Kind.SCORER, self)
@@ -96,16 +98,16 @@
     def apply(self, thing: str, version: Version | None) -> str:
         """Apply a version of a scorer from the record; return "" if it now runs, otherwise the reason."""
         try:
-            self._choice.apply(thing, version)
-        except BadScorer as error:
+            self._selection.apply(thing, version)
+        except InvalidScorer as error:
             return str(error)
         self._follow()
         return ""
 
     def _follow(self) -> None:
-        """Run the chosen scorers; those that did not change continue."""
+        """Run the selected scorers; those that did not change continue."""
         before = {name: one.namespace for name, one in self._shared.by_scorer.items()}
-        run = self._choice.run()
+        run = self._selection.selected()
         self._shared.set_scorers({name: one.namespace for name, one in run.items()})
         kept = {name for name, one in run.items() if before.get(name) == one.namespace}
         for name in self._runners.keys() - kept:
@@ -179,7 +181,7 @@
     def _expected_heads(self, space: Namespace) -> frozenset[str]:
         """Return the present heads that should run a scorer: by the record, or all if settings name it."""
         present = frozenset(self._swim.view.present)
-        run = next((one for one in self._choice.run().values() if one.namespace == space), None)
+        run = next((one for one in self._selection.selected().values() if one.namespace == space), None)
         if run is None or not run.thing or self._changes is None:
             return present
         record = self._changes.record
@@ -210,15 +212,15 @@
                 try:
                     page = weight_pages.decode(note.payload)
                 except weight_pages.MalformedPage:
-                    self.garbage += 1
+                    self.malformed_pages += 1
                     continue
                 if weight_pages.topic_of(page) == topic:
                     self._shared.receive(now, row.record.name, page)
 
-    def lost(self) -> dict[str, str]:
+    def scorers_without_vote(self) -> dict[str, str]:
         """Return the record's scorers that have no vote here, by thing, with the reason."""
         run, votes = (
-            self._choice.run(),
+            self._selection.selected(),
             {name: one.guard for name, one in self._shared.by_scorer.items()},
         )
         return {
@@ -255,7 +257,7 @@
                     sight.latency_us / 1e3, sight.fill, sight.refused, sight.cold, sight.evidence,
                 )
             )  # fmt: skip
-        return ScoresStatus(scorers, nodes, self.garbage, shared.alone)
+        return ScoresStatus(scorers, nodes, self.malformed_pages, shared.alone)
 
 
 def _rounded(logs: dict[str, float]) -> dict[str, float]:
--- a/harriertrack/gateway/fleet/scoring/plugins.py
+++ b/harriertrack/gateway/fleet/scoring/plugins.py
@@ -37,7 +37,7 @@
         """Return the kinds of scorers that a package offers."""
 
 
-def found(note: Callable[..., None], further: Iterable[object] = ()) -> Kinds:
+def discover_kinds(note: Callable[..., None], further: Iterable[object] = ()) -> Kinds:
     """Return all kinds of scorers by name and version; `further`: modules in addition to installed ones."""
     manager = pluggy.PluginManager(PROJECT)
     manager.add_hookspecs(_Hooks)
--- a/harriertrack/gateway/fleet/scoring/choosing.py
+++ b/harriertrack/gateway/fleet/scoring/selection.py
@@ -1,4 +1,4 @@
-"""Choice of the scorers that a head runs: those of its settings, overridden by the fleet's record.
+"""Selection of the scorers that a head runs: those of its settings, overridden by the fleet's record.
 
 The record's `scorer/NAME` is a form as in settings: `(scorer "NAME" (kind "least-latency") (version 1)
 (parameter "power" (value 2)))`; a blank body removes the scorer.
@@ -20,33 +20,33 @@
 )
 from harriertrack.gateway.fleet.scoring.plugins import Kinds
 
-MOST_SCORERS = 2  # at a time, as each publishes pages of its own
+MAX_SCORERS = 2  # at a time, as each publishes pages of its own
 
 
-class BadScorer(ValueError):
+class InvalidScorer(ValueError):
     """A scorer that this head can't run; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Chosen:
-    """A scorer chosen for a head."""
+class SelectedScorer:
+    """A scorer selected for a head."""
 
     namespace: Namespace
     make: Callable[[], Scorer]
-    thing: str = ""  # the thing in the record that chose it; "": chosen by the settings
+    thing: str = ""  # the thing in the record that selects it; "": selected by the settings
 
 
-def chosen(kinds: Kinds, settings: ScorerSettings, thing: str = "") -> Chosen:
-    """Return the scorer that settings name, after making one as a check. Raises BadScorer."""
+def select_scorer(kinds: Kinds, settings: ScorerSettings, thing: str = "") -> SelectedScorer:
+    """Return the scorer that settings name, after making one as a check. Raises InvalidScorer."""
     name = settings.kind or settings.name
     kind = kinds.get((name, settings.version))
     if kind is None:
         there = ", ".join(f"{one} {version}" for one, version in sorted(kinds))
-        raise BadScorer(f"no scorer {name} of version {settings.version} is installed; there are {there}")
+        raise InvalidScorer(f"no scorer {name} of version {settings.version} is installed; there are {there}")
     try:
         values = check_parameters(kind.parameters, {one.name: one.value for one in settings.parameters})
     except BadParameters as error:
-        raise BadScorer(f"{name}: {error}") from error
+        raise InvalidScorer(f"{name}: {error}") from error
 
     def make() -> Scorer:
         return kind.make(**values)
@@ -54,45 +54,45 @@
     try:
         make()
     except Exception as error:  # a plugin's code may raise anything
-        raise BadScorer(f"{name}: can't be made: {type(error).__name__}: {error}") from error
-    return Chosen(Namespace(name, settings.version, tuple(sorted(values.items()))), make, thing)
+        raise InvalidScorer(f"{name}: can't be made: {type(error).__name__}: {error}") from error
+    return SelectedScorer(Namespace(name, settings.version, tuple(sorted(values.items()))), make, thing)
 
 
-def read(body: str, thing: str) -> ScorerSettings | None:
-    """Return the scorer settings in a version's body; None: no scorer. Raises BadScorer."""
+def parse_settings(body: str, thing: str) -> ScorerSettings | None:
+    """Return the scorer settings in a version's body; None: no scorer. Raises InvalidScorer."""
     if not body.strip():
         return None
     try:
         return bind(read_text(body, thing), ScorerSettings, thing)
     except SettingsError as error:
-        raise BadScorer(str(error)) from error
+        raise InvalidScorer(str(error)) from error
 
 
-class Choice:
+class ScorerSelection:
     """The scorers that one head runs."""
 
     def __init__(self, kinds: Kinds, settings: Iterable[ScorerSettings]) -> None:
-        """Start with the scorers of the settings. Raises BadScorer."""
+        """Start with the scorers of the settings. Raises InvalidScorer."""
         self._kinds = kinds
-        self._own = {one.name: chosen(kinds, one) for one in settings}
-        self._overrides: dict[str, Chosen | None] = {}
+        self._own = {one.name: select_scorer(kinds, one) for one in settings}
+        self._overrides: dict[str, SelectedScorer | None] = {}
 
     def apply(self, thing: str, version: Version | None) -> None:
-        """Apply a version of the record; None: use the settings. Raises BadScorer, with nothing changed."""
+        """Apply a version of the record; None: use the settings. Raises InvalidScorer with no change made."""
         name = thing.partition("/")[2]
         overrides = dict(self._overrides)
         if version is None:
             overrides.pop(name, None)
         else:
-            settings = read(version.body, f"{thing} {version.number}")
-            overrides[name] = chosen(self._kinds, settings, thing) if settings is not None else None
-        if len(self._merge(overrides)) > MOST_SCORERS:
-            raise BadScorer(f"more than {MOST_SCORERS} scorers at a time")
+            settings = parse_settings(version.body, f"{thing} {version.number}")
+            overrides[name] = select_scorer(self._kinds, settings, thing) if settings is not None else None
+        if len(self._merge(overrides)) > MAX_SCORERS:
+            raise InvalidScorer(f"more than {MAX_SCORERS} scorers at a time")
         self._overrides = overrides
 
-    def _merge(self, overrides: dict[str, Chosen | None]) -> dict[str, Chosen]:
+    def _merge(self, overrides: dict[str, SelectedScorer | None]) -> dict[str, SelectedScorer]:
         return {name: one for name, one in {**self._own, **overrides}.items() if one is not None}
 
-    def run(self) -> dict[str, Chosen]:
-        """Return the chosen scorers by name."""
+    def selected(self) -> dict[str, SelectedScorer]:
+        """Return the selected scorers by name."""
         return self._merge(self._overrides)
--- a/harriertrack/gateway/fleet/startup.py
+++ b/harriertrack/gateway/fleet/startup.py
@@ -57,7 +57,7 @@
     def start(self) -> None:
         """Start the configured services; others are not even imported."""
         member, settings = self._member, self._settings
-        if member.resources.scored_choice is not None and settings.scoring is not None:
+        if member.resources.scoring_state is not None and settings.scoring is not None:
             self._start_scoring()
         if member.parts.budget_shares is not None and settings.budgets is not None:
             self._start_budgets()
@@ -66,8 +66,8 @@
         from harriertrack.gateway.fleet.scoring.carrier import Scoring
 
         member, settings = self._member, self._settings
-        assert settings.scoring is not None and member.resources.scored_choice is not None
-        self.scoring = Scoring(member.parts, settings.scoring, member.resources.scored_choice, member.swim)
+        assert settings.scoring is not None and member.resources.scoring_state is not None
+        self.scoring = Scoring(member.parts, settings.scoring, member.resources.scoring_state, member.swim)
         self.status_sources["scores"] = self.scoring
         self.scoring.start()
 
@@ -120,7 +120,7 @@
             self.status_sources["closing"] = closing
             closing.start()
         if self.scoring is not None:
-            self.scoring.follow(changes)
+            self.scoring.follow_record(changes)
         if settings.changes is not None and settings.changes.rollout is not None:
             from harriertrack.gateway.fleet.rollout.carrier import Rollouts, no_usage
             from harriertrack.gateway.fleet.rollout.program_user import ProgramUser
@@ -133,7 +133,7 @@
             rollouts = Rollouts(member.parts, settings.changes.rollout, member.swim, decider, changes,
                                 counting, resources.usage or no_usage)  # fmt: skip
             if self.scoring is not None:
-                rollouts.failing = self.scoring.lost
+                rollouts.failures = self.scoring.scorers_without_vote
             self.status_sources["rollouts"] = rollouts
             rollouts.start()
 
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -36,7 +36,7 @@
     from harriertrack.gateway.fleet.member import FleetMember
     from harriertrack.gateway.fleet.rollout.carrier import Usage
     from harriertrack.gateway.fleet.rollout.program_user import Handover
-    from harriertrack.gateway.fleet.scoring.carrier import Scored
+    from harriertrack.gateway.fleet.scoring.carrier import ScoringState
     from harriertrack.runtime.datagrams import DatagramNetwork
     from harriertrack.storage.changes import ChangesCache
 
@@ -89,11 +89,13 @@
         self._budget_shares: BudgetShares | None = None
         self._evidence: Evidence | None = None  # of zones
         self._cells = load_head_cell_map(settings.cell_map, settings.volumes) if settings.cell_map else None
-        self.scored: Scored | None = None
+        self.scoring_state: ScoringState | None = None
         if settings.fleet is not None and settings.fleet.scoring is not None:
-            from harriertrack.gateway.fleet.scoring.carrier import scored_of  # loaded only where it is used
+            from harriertrack.gateway.fleet.scoring.carrier import (
+                create_scoring_state,  # loaded only where it is used
+            )
 
-            self.scored = scored_of(settings, settings.fleet.scoring, note, wiring.scorers)
+            self.scoring_state = create_scoring_state(settings, settings.fleet.scoring, note, wiring.scorers)
         self.nodes = NodeList()
         self.head_id = hub.random.getrandbits(64)
 
@@ -156,10 +158,10 @@
 
             self._evidence = Evidence({plan.name for plan in settings.plans if plan.reserve})
             module = ObservedModule(self.module, self._evidence)
-        if self.scored is not None:
+        if self.scoring_state is not None:
             from harriertrack.gateway.fleet.observing import ObservedModule
 
-            module = ObservedModule(module, self.scored.sights)
+            module = ObservedModule(module, self.scoring_state.observer)
         self._answer_counter = self._make_answer_counter()
         self.core = Core(request_rules(settings), module, settings.volumes, self, self.nodes, extents)
         return HeadParts(hub, self._network, scope, settings, self.core, self.nodes, self.head_id, self._note,
@@ -201,7 +203,7 @@
 
         wiring = self._wiring
         resources = HeadResources(self._listing, extents, self._links.epochs, self.regional,
-                                  self.apply_settings, self._links.shed, self._evidence, self.scored,
+                                  self.apply_settings, self._links.shed, self._evidence, self.scoring_state,
                                   wiring.datagrams, wiring.changes_cache, wiring.handover,
                                   wiring.usage)  # fmt: skip
         self.fleet = FleetMember(parts, settings, resources)
@@ -238,7 +240,7 @@
     def _make_module(self, settings: api.Settings, seed: int) -> Scheduler | CellScheduler:
         """Create the decision module, or one for each cell if there is a cell map."""
         shares = self._budget_shares
-        weights = self.scored.shared.factors if self.scored is not None else None
+        weights = self.scoring_state.shared.factors if self.scoring_state is not None else None
         if self._cells is not None:
             return CellScheduler(settings, seed, self._cells, partial(Scheduler, weights=weights), shares)
         if shares is None and weights is None:
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -21,9 +21,9 @@
 from harriertrack.decisions.fleet.scoring.weight_exchange import Entry
 from harriertrack.decisions.fleet.scoring.weights import weight_factor
 from harriertrack.decisions.interface import AttemptEnded, ListKind, NodeEntry, NodesChanged, Result
-from harriertrack.gateway.fleet.scoring.carrier import Scored, Scoring, rules_of
-from harriertrack.gateway.fleet.scoring.choosing import Choice
+from harriertrack.gateway.fleet.scoring.carrier import Scoring, ScoringState, rules_of
 from harriertrack.gateway.fleet.scoring.scorer_runner import InlineRunner, ScorerRunner
+from harriertrack.gateway.fleet.scoring.selection import ScorerSelection
 from harriertrack.gateway.parts import HeadParts
 from harriertrack.lab.interleaving.world import Scenario, World
 from harriertrack.membership.fleet.messages import Draft, Kind, Record, State, TopicNote, encode_item
@@ -140,8 +140,8 @@
             self.swim.send = send
             self.swim.start(hub.now())
             self.swim.send(self.swim.told([]))
-            choice = Choice({(NAME, latency.KIND.version): latency.KIND}, SETTINGS.scorers)
-            scored = Scored(self._seen(), self.shared, choice)
+            choice = ScorerSelection({(NAME, latency.KIND.version): latency.KIND}, SETTINGS.scorers)
+            scored = ScoringState(self._seen(), self.shared, choice)
             self.scoring = Scoring(self._parts(scope), SETTINGS, scored, self.swim, self._asking)
             self.scoring.start()
 
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -560,7 +560,7 @@
         "a new write overtakes a trim",
         "close-write",
         f"{CLOSES}._close",
-        "core.hold_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
+        "core.hold_purged({(volume, extent) for volume, extent, _ in purged if volume in core.volumes})",
         "pass",
     ),
     Fault(
--- a/tests/scoring/test_carrier.py
+++ b/tests/scoring/test_carrier.py
@@ -17,9 +17,9 @@
 from harriertrack.decisions.fleet.scoring.scorers.base import Parameter, ScorerKind
 from harriertrack.decisions.fleet.scoring.scorer_guard import ScorerState
 from harriertrack.gateway.fleet.scoring.scorer_runner import ThreadRunner
-from harriertrack.gateway.fleet.scoring.carrier import scored_of
-from harriertrack.gateway.fleet.scoring.choosing import BadScorer, Choice
-from harriertrack.gateway.fleet.scoring.plugins import found, scorers
+from harriertrack.gateway.fleet.scoring.carrier import create_scoring_state
+from harriertrack.gateway.fleet.scoring.selection import InvalidScorer, ScorerSelection
+from harriertrack.gateway.fleet.scoring.plugins import discover_kinds, scorers
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.rules import recording as rec, scoring as score_rules
@@ -52,7 +52,7 @@
 
 def test_plugins_are_found_and_invalid_ones_are_logged_and_skipped():
     notes = []
-    kinds = found(lambda event, **fields: notes.append((event, fields["why"])),
+    kinds = discover_kinds(lambda event, **fields: notes.append((event, fields["why"])),
                   [Plugin(KIND, "no kind"), Plugin(KIND), Plugin(ScorerKind("Bad Name", 1, (), Constant))])  # fmt: skip
     assert {("steady", 3), ("least-latency", 1), ("fill-aware", 1), ("cost-by-zone", 1)} == set(kinds)
     reasons = " ".join(why for _, why in notes)
@@ -102,23 +102,26 @@
 
 
 def test_the_record_replaces_scorers_of_the_settings_completely_or_not_at_all():
-    kinds = found(lambda *_, **__: None, [Plugin(KIND)])
-    choice = Choice(kinds, [ScorerSettings(name="main", kind="least-latency")])
-    before = choice.run()["main"].namespace
+    kinds = discover_kinds(lambda *_, **__: None, [Plugin(KIND)])
+    selection = ScorerSelection(kinds, [ScorerSettings(name="main", kind="least-latency")])
+    before = selection.selected()["main"].namespace
     for body, why in ((BODY % 9, "power"), ("(scorer", "brackets"), ('(scorer "main" (kind "none"))', "none"),
                       ('(scorer "main" (kind "steady") (version 4))', "version 4")):  # fmt: skip
-        with pytest.raises(BadScorer, match=why):
-            choice.apply("scorer/main", version(1, body))
-        assert choice.run()["main"].namespace == before
-    choice.apply("scorer/main", version(2, BODY % 2))
-    assert choice.run()["main"].make().power == 2.0 and choice.run()["main"].thing == "scorer/main"
-    choice.apply("scorer/main", version(3, " "))
-    assert choice.run() == {}
-    choice.apply("scorer/main", None)
-    assert choice.run()["main"].namespace == before
-    choice.apply("scorer/two", version(1, BODY % 1))
-    with pytest.raises(BadScorer, match="more than 2"):
-        choice.apply("scorer/three", version(1, BODY % 1))
+        with pytest.raises(InvalidScorer, match=why):
+            selection.apply("scorer/main", version(1, body))
+        assert selection.selected()["main"].namespace == before
+    selection.apply("scorer/main", version(2, BODY % 2))
+    assert (
+        selection.selected()["main"].make().power == 2.0
+        and selection.selected()["main"].thing == "scorer/main"
+    )
+    selection.apply("scorer/main", version(3, " "))
+    assert selection.selected() == {}
+    selection.apply("scorer/main", None)
+    assert selection.selected()["main"].namespace == before
+    selection.apply("scorer/two", version(1, BODY % 1))
+    with pytest.raises(InvalidScorer, match="more than 2"):
+        selection.apply("scorer/three", version(1, BODY % 1))
 
 
 def test_invalid_settings_are_reported_with_their_field():
@@ -127,10 +130,10 @@
     )
     assert one.fleet.scoring.scorers[0].parameters == (ParameterSettings(name="power", value=2.0),)
     scoring = one.fleet.scoring
-    assert scored_of(one, scoring, print).choice.run()
+    assert create_scoring_state(one, scoring, print).selection.selected()
     wrong = msgspec.structs.replace(scoring, scorers=(ScorerSettings(name="unknown"),))
     with pytest.raises(SettingsError, match="fleet: scoring: no scorer unknown"):
-        scored_of(one, wrong, print)
+        create_scoring_state(one, wrong, print)
 
 
 def short(name, seconds, **changes):
