--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -64,11 +64,11 @@
     """This head's copy of the record, and the users that apply it."""
 
     def __init__(self, parts: HeadParts, settings: ChangesSettings, swim: Swim, decider: FleetDecider,
-                 publish_note: Callable[[], None], kept: ChangesCache | None = None) -> None:  # fmt: skip
+                 publish_note: Callable[[], None], cache: ChangesCache | None = None) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._swim, self._decider, self._publish_note = swim, decider, publish_note
         self._follower = Follower(swim.me.name)
-        self._cache = kept or ChangesCache(parts.settings.state_dir)
+        self._cache = cache or ChangesCache(parts.settings.state_dir)
         self._users: dict[Kind, User] = {}
         self._data = b""
         self._polled_at = 0
@@ -94,7 +94,7 @@
         try:
             data = self._cache.read()
             if data is not None:
-                self._offer(decode(data), data, keep=False)
+                self._offer(decode(data), data, store=False)
         except (OSError, DamagedRecord) as error:
             self._parts.note("fleet changes: copy on disk is of no use", why=str(error))
         self._parts.scope.spawn("fleet changes", self._run)
@@ -202,14 +202,14 @@
             stream.close()
         return document.record.record if document.record is not None else b""
 
-    def _offer(self, record: Record, data: bytes, keep: bool = True) -> None:
+    def _offer(self, record: Record, data: bytes, store: bool = True) -> None:
         if self._follower.finish_fetch(self._hub.now(), record, digest_of(data) if data else 0):
-            self._apply_record(data, keep)
+            self._apply_record(data, store)
 
-    def _apply_record(self, data: bytes, keep: bool = True) -> None:
+    def _apply_record(self, data: bytes, store: bool = True) -> None:
         """Handle a new record: cache it, apply it, and publish its revision."""
         self._data = data
-        if keep:
+        if store:
             try:
                 self._cache.write(data)
             except OSError as error:
@@ -279,19 +279,20 @@
         record, follower = self.record, self._follower
         things = []
         for thing in record.things():
-            holds, going, taken = (
+            in_force, in_progress, applied = (
                 record.in_force(thing),
                 record.in_progress(thing),
                 follower.applied.get(thing),
             )
-            last = going or holds or record.versions_of(thing)[-1]
+            last = in_progress or in_force or record.versions_of(thing)[-1]
             things.append(
                 ChangeStatus(
-                    thing, holds.number if holds is not None else 0,
-                    taken.running if taken is not None else 0,
-                    going.number if going is not None else 0, last.standing.value, last.stage,
+                    thing, in_force.number if in_force is not None else 0,
+                    applied.running if applied is not None else 0,
+                    in_progress.number if in_progress is not None else 0, last.standing.value, last.stage,
                     list(last.heads), f"{last.why} ({last.by})", last.reason, last.since_ms / 1e3,
-                    taken.rejected if taken is not None else 0, taken.reason if taken is not None else "",
+                    applied.rejected if applied is not None else 0,
+                    applied.reason if applied is not None else "",
                 )
             )  # fmt: skip
         return ChangesStatus(record.revision, follower.digest, record.epoch, record.level,
--- a/harriertrack/gateway/fleet/changes/stored_record.py
+++ b/harriertrack/gateway/fleet/changes/stored_record.py
@@ -56,11 +56,11 @@
     Return None if it is there after all. The revision is raised above both, so that all heads apply it.
     """
     key = witness.key(PATH)
-    there = Record()
+    stored = Record()
     if key is not None:
         with suppress(DamagedRecord):
-            there = decode(key.value)
-        if there.revision >= known.revision:
+            stored = decode(key.value)
+        if stored.revision >= known.revision:
             return None
     fresh = known.with_versions([])
     data = encode(fresh)
--- a/harriertrack/gateway/fleet/closing/close_decider.py
+++ b/harriertrack/gateway/fleet/closing/close_decider.py
@@ -96,27 +96,27 @@
         """Return the epoch of the term; 0: this head does not decide."""
         return self._term.epoch if self._term is not None else 0
 
-    def handle_query(self, now: int, head: str, ask: CloseQuery) -> None:
+    def handle_query(self, now: int, head: str, query: CloseQuery) -> None:
         """Handle another head's query."""
         if self._term is not None:
-            apart = Interval(*ask.apart) if ask.epoch == self._term.epoch else None
-            self._estimator.add_query(now, head, ClockQuery(ask.at, ask.wall_ahead, apart))
-            self.record_progress(head, ask)
+            apart = Interval(*query.apart) if query.epoch == self._term.epoch else None
+            self._estimator.add_query(now, head, ClockQuery(query.at, query.wall_ahead, apart))
+            self.record_progress(head, query)
 
-    def record_progress(self, head: str, ask: CloseQuery) -> None:
+    def record_progress(self, head: str, query: CloseQuery) -> None:
         """Record the progress of a head, possibly of this one."""
-        for one in ask.sweeps:
+        for one in query.sweeps:
             self._swept.record_done(SweepKey(one.calendar, one.number, one.volume), one.done)
         known = self._done.setdefault(head, {})
-        for done in ask.done:
+        for done in query.done:
             known[done.calendar] = done
             self._check_closed(done.calendar, done.number)
 
     def _check_closed(self, calendar: str, number: int) -> None:
         """Log once that all present heads have trimmed a close."""
-        there = [self._done.get(name, {}).get(calendar) for name in self._environment.present_heads()]
-        done = [one for one in there if one is not None and one.number >= number and not one.left]
-        if len(done) == len(there) and number > self._closed.get(calendar, 0):
+        progress = [self._done.get(name, {}).get(calendar) for name in self._environment.present_heads()]
+        done = [one for one in progress if one is not None and one.number >= number and not one.left]
+        if len(done) == len(progress) and number > self._closed.get(calendar, 0):
             self._closed[calendar] = number
             self._environment.note("closed everywhere", calendar=calendar, number=number, heads=len(done),
                               extents=sum(one.extents for one in done))  # fmt: skip
--- a/harriertrack/gateway/fleet/member.py
+++ b/harriertrack/gateway/fleet/member.py
@@ -140,9 +140,9 @@
                     self._handle_change(change)
                 case NoteReceived(note):
                     if (changes := self.services.changes) is not None and (
-                        about := parse_member_note(note.payload)
+                        member_note := parse_member_note(note.payload)
                     ):
-                        changes.handle_member_note(about)
+                        changes.handle_member_note(member_note)
                 case LogEvent(event, fields):
                     self._parts.note(event, **dict(fields))
         self._alarm.wake_at(self.swim.wake_at())
@@ -180,8 +180,8 @@
             self._hub.sleep(settings.note_us)
 
     def _publish_note(self) -> None:
-        about, changes = self._load_note, self.services.changes
-        note = changes.member_note(about) if changes is not None else msgspec.msgpack.encode(about)
+        activity, changes = self._load_note, self.services.changes
+        note = changes.member_note(activity) if changes is not None else msgspec.msgpack.encode(activity)
         self.swim.set_note(self._hub.now(), note)
         self._apply_actions()
 
--- a/harriertrack/gateway/fleet/rollout/launcher/launcher.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/launcher.py
@@ -107,9 +107,9 @@
                  files: Disk | None = None, processes: Processes = children) -> None:  # fmt: skip
         self._hub, self._settings, self._note = hub, settings, note
         self._files, self._processes = files or LauncherFiles(settings.state), processes
-        kept = self._files.saved_state()
-        self._child: Process | None = processes.find(kept.child, kept.token) if kept is not None else None
-        self.machine = LaunchStateMachine(parameters_from(LaunchRules, settings), kept or SavedState())
+        saved = self._files.saved_state()
+        self._child: Process | None = processes.find(saved.child, saved.token) if saved is not None else None
+        self.machine = LaunchStateMachine(parameters_from(LaunchRules, settings), saved or SavedState())
         self._done = False
 
     def run(self) -> None:
@@ -128,8 +128,8 @@
             elif machine.phase is Phase.STARTING and self._files.is_ready(machine.saved.token):
                 machine.child_ready(now)
                 self._note("launch: head serves", version=machine.saved.runs)
-            if machine.phase is not Phase.IDLE and (wanted := self._files.requested_program()) is not None:
-                machine.request_program(now, wanted)
+            if machine.phase is not Phase.IDLE and (requested := self._files.requested_program()) is not None:
+                machine.request_program(now, requested)
             machine.advance(now)
             self._act()
 
@@ -142,10 +142,10 @@
         while actions := self.machine.take_actions():
             for action in actions:
                 match action:
-                    case Save(kept):
-                        if kept.fell and kept.trial is None and kept.tries == 0 and not kept.child:
-                            self._note("launch: version given up", version=kept.fell, why=kept.why)
-                        self._files.save_state(kept)
+                    case Save(state):
+                        if state.fell and state.trial is None and state.tries == 0 and not state.child:
+                            self._note("launch: version given up", version=state.fell, why=state.why)
+                        self._files.save_state(state)
                     case Start(program, fell, why):
                         self._start(program, fell, why)
                     case Terminate(at_once):
--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -80,13 +80,13 @@
         classes.pop()
 
 
-def encode_before(life: int, before: Baseline) -> bytes:
+def encode_before(incarnation: int, before: Baseline) -> bytes:
     """Return a report of the baseline before a version."""
     classes = sorted(before.classes.items(), key=lambda one: -one[1].answers)
     usage = before.usage
     while True:
         data = msgspec.msgpack.encode(
-            _Before(life, before.thing, before.number, before.ago_us, usage.memory, usage.processor_us,
+            _Before(incarnation, before.thing, before.number, before.ago_us, usage.memory, usage.processor_us,
                     usage.reports, {name: _flatten(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MAX_TOPIC_BODY:
@@ -124,26 +124,28 @@
     }  # fmt: skip
 
 
-def encode_volumes(life: int, sums: list[int]) -> Iterator[bytes]:
+def encode_volumes(incarnation: int, sums: list[int]) -> Iterator[bytes]:
     """Yield reports of the volumes that a head serves, as checksums of their names."""
     pages = max(1, -(-len(sums) // PAGE))
     for page in range(pages):
-        yield msgspec.msgpack.encode(_Volumes(life, page, pages, sums[page * PAGE : (page + 1) * PAGE]))
+        yield msgspec.msgpack.encode(
+            _Volumes(incarnation, page, pages, sums[page * PAGE : (page + 1) * PAGE])
+        )
 
 
 class ReportAssembler:
     """The reports of one head, combined."""
 
     def __init__(self, head: str) -> None:
-        self._head, self._life = head, -1
+        self._head, self._incarnation = head, -1
         self._pages: dict[int, list[int]] = {}
         self._page_count = 0
 
     def handle_report(self, body: bytes) -> Report | Baseline | None:
         """Handle a report; return its counts or baseline, if it has one. Raises MalformedReport."""
         read = _decode(body)
-        if read.life != self._life:
-            self._life, self._pages, self._page_count = read.life, {}, 0
+        if read.life != self._incarnation:
+            self._incarnation, self._pages, self._page_count = read.life, {}, 0
         if isinstance(read, _Volumes):
             if read.pages != self._page_count:
                 self._pages, self._page_count = {}, read.pages
--- a/harriertrack/gateway/fleet/scoring/selection.py
+++ b/harriertrack/gateway/fleet/scoring/selection.py
@@ -41,8 +41,10 @@
     name = settings.kind or settings.name
     kind = kinds.get((name, settings.version))
     if kind is None:
-        there = ", ".join(f"{one} {version}" for one, version in sorted(kinds))
-        raise InvalidScorer(f"no scorer {name} of version {settings.version} is installed; there are {there}")
+        installed = ", ".join(f"{one} {version}" for one, version in sorted(kinds))
+        raise InvalidScorer(
+            f"no scorer {name} of version {settings.version} is installed; there are {installed}"
+        )
     try:
         values = check_parameters(kind.parameters, {one.name: one.value for one in settings.parameters})
     except BadParameters as error:
--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -42,7 +42,7 @@
     Fault("a term opens at once", "budgets", f"{TERMS}.handle_acquire", "now + earlier_us", "now"),
     Fault("a ledger ends leases early", "budgets", f"{BUDGETS}:BudgetRules.granter_lease_us", "lease_us * (1 + self.clock_error)", "lease_us * 0.2"),
     Fault("a share never lapses", "budgets", f"{HOLDER}._drop", "held.share.drop_leased(now)", "pass"),
-    Fault("a restored record is left", "record", f"{STORED_RECORD}:restore", "there.revision >= known.revision", "True"),
+    Fault("a restored record is left", "record", f"{STORED_RECORD}:restore", "stored.revision >= known.revision", "True"),
     Fault("a follower goes back", "record", f"{FOLLOWING}.finish_fetch",
           "newer = found is not None and (found.revision, digest) > (self.record.revision, self.digest)",
           "newer = found is not None"),
