--- a/harriertrack/cli/rollout.py
+++ b/harriertrack/cli/rollout.py
@@ -13,7 +13,7 @@
 from harriertrack.cli.head_status import address_option, fetch_document, resolve_head_address, settings_option
 from harriertrack.gateway.fleet.locks import DECISION_LOCK
 from harriertrack.gateway.fleet.rollout.launcher.files import LauncherConnection, connect_to_launcher
-from harriertrack.gateway.fleet.rollout.usage import usage
+from harriertrack.gateway.fleet.rollout.usage import read_usage
 from harriertrack.gateway.head import Head, Wiring
 from harriertrack.runtime.datagrams import DatagramNetwork, SocketDatagrams
 from harriertrack.runtime.hub import Hub
@@ -29,7 +29,7 @@
     `rehearse` is the option's text: a fault that the head simulates.
     """
     launcher = connect_to_launcher(dict(os.environ))
-    wiring, crash_us, mute = Wiring(handover=launcher, usage=usage), 0, False
+    wiring, crash_us, mute = Wiring(handover=launcher, usage=read_usage), 0, False
     if later or liar:
         wiring = replace(wiring, datagrams=_datagrams(hub, later, liar))
     if rehearse:
--- a/harriertrack/decisions/requests/closes.py
+++ b/harriertrack/decisions/requests/closes.py
@@ -27,7 +27,7 @@
     def intercept(self, now: int, request: ClientRequest) -> bool:
         """Refuse a new request that a close may cover, or make it wait, before any work is done for it."""
         close_guard = self._state.close_guard
-        if close_guard is None or (hint := close_guard.refuses(request)) is None:
+        if close_guard is None or (hint := close_guard.refusal_hint_us(request)) is None:
             return False
         if not self._restart_later(now, request, hint):
             request.hint_us, request.reason = hint, CLOSED
@@ -40,7 +40,7 @@
         Return whether it is not answered now because its client waits.
         """
         close_guard = self._state.close_guard
-        if close_guard is None or (hint := close_guard.refuses(request)) is None:
+        if close_guard is None or (hint := close_guard.refusal_hint_us(request)) is None:
             return False
         return self._refuse_read(request, hint) and self._retract_refusal(now, request, hint)
 
--- a/harriertrack/decisions/requests/port.py
+++ b/harriertrack/decisions/requests/port.py
@@ -53,7 +53,7 @@
 class CloseGuard(Protocol):
     """Guards ranges that are purged at closes."""
 
-    def refuses(self, request: ClientRequest) -> int | None:
+    def refusal_hint_us(self, request: ClientRequest) -> int | None:
         """Return the retry hint with which a request is refused now; None: it is allowed."""
 
     def record_placement(self, volume: str, extent: int, shard: int) -> None:
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -32,7 +32,7 @@
 from harriertrack.runtime.hub import DeadlineExceeded
 from harriertrack.storage.changes import ChangesCache
 
-LEVEL = 1  # feature level of this program: of records, notes and durable state
+FEATURE_LEVEL = 1  # feature level of this program: of records, notes and durable state
 POLL_US = 50_000
 DOCUMENT_TIMEOUT_US = 2_000_000  # for another head's status document
 MAX_DOCUMENT_BYTES = 4 << 20  # of a status document
@@ -118,7 +118,7 @@
         share = min(1.0, len(self._swim.view.present) / 100)
         return self._hub.now() + int(self._settings.spread_us * share * self._hub.random.random())
 
-    def runs(self) -> Mapping[str, int]:
+    def running_versions(self) -> Mapping[str, int]:
         """Return the versions that this head runs, by thing, without things that were never changed."""
         return self._follower.running_versions()
 
@@ -268,7 +268,7 @@
         runs = dict(self._follower.running_versions())
         while True:
             note = MemberNote(activity.volumes, activity.open, activity.taken, activity.refused,
-                           self.record.revision, self._follower.digest, LEVEL, runs)  # fmt: skip
+                           self.record.revision, self._follower.digest, FEATURE_LEVEL, runs)  # fmt: skip
             data = msgspec.msgpack.encode(note)
             if len(data) <= MAX_NOTE or not runs:
                 return data
--- a/harriertrack/gateway/fleet/closing/guard.py
+++ b/harriertrack/gateway/fleet/closing/guard.py
@@ -33,7 +33,7 @@
         self._clock.check_jump(now, self._wall())
         return self._clock.reading(now)
 
-    def refuses(self, request: ClientRequest) -> int | None:
+    def refusal_hint_us(self, request: ClientRequest) -> int | None:
         """Return the retry hint with which a request is refused now; None: it passes."""
         volume = request.volume.settings.name
         if request.kind is Kind.FLUSH or request.trim_shard >= 0 or not self._fences.may_purge(volume):
--- a/harriertrack/gateway/fleet/resources.py
+++ b/harriertrack/gateway/fleet/resources.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from harriertrack.decisions.fleet.zones.evidence import Evidence
-    from harriertrack.gateway.fleet.rollout.carrier import Usage
+    from harriertrack.gateway.fleet.rollout.carrier import UsageReader
     from harriertrack.gateway.fleet.rollout.program_user import Handover
     from harriertrack.gateway.fleet.scoring.carrier import ScoringState
     from harriertrack.gateway.regional import Regional
@@ -36,4 +36,4 @@
     datagrams: DatagramNetwork | None = None  # None: UDP sockets
     changes_cache: ChangesCache | None = None  # cache of the record of changes; None: a file
     handover: Handover | None = None  # to the launcher, which started the head and starts other versions
-    usage: Usage | None = None  # of its process; None: can't be told apart from other heads' in the process
+    usage: UsageReader | None = None  # of its process; None: several heads share the process
--- a/harriertrack/gateway/fleet/rollout/baseline_file.py
+++ b/harriertrack/gateway/fleet/rollout/baseline_file.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from harriertrack.decisions.fleet.rollout.baseline import Baseline
-from harriertrack.gateway.fleet.rollout.reports import MalformedReport, decode_before, encode_before
+from harriertrack.gateway.fleet.rollout.reports import MalformedReport, decode_baseline, encode_baseline
 from harriertrack.storage.changes import ChangesCache
 
 FILE = "before"
@@ -23,7 +23,7 @@
 
     def write(self, wall: int, before: Baseline) -> None:
         """Store a baseline; `wall`: the wall clock, in microseconds since 1970."""
-        body = wall.to_bytes(8, "big") + encode_before(0, before)
+        body = wall.to_bytes(8, "big") + encode_baseline(0, before)
         try:
             self._file.write(xxhash.xxh64_digest(body) + body)
         except OSError as error:
@@ -37,7 +37,7 @@
                 return None
             if len(data) < _HEADER_BYTES or xxhash.xxh64_digest(data[8:]) != data[:8]:
                 raise MalformedReport("its checksum is another's")
-            before = decode_before(data[_HEADER_BYTES:])
+            before = decode_baseline(data[_HEADER_BYTES:])
         except (OSError, MalformedReport) as error:
             self._note("rollout: what was kept of before is of no use", why=str(error))
             return None
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -23,14 +23,14 @@
 from harriertrack.decisions.fleet.rollout.feature_levels import level_conflict, next_level
 from harriertrack.decisions.fleet.rollout.plan import Plan
 from harriertrack.decisions.fleet.rollout.rollout import Step
-from harriertrack.gateway.fleet.changes.carrier import LEVEL, Changes
+from harriertrack.gateway.fleet.changes.carrier import FEATURE_LEVEL, Changes
 from harriertrack.gateway.fleet.decider import FleetDecider
 from harriertrack.gateway.fleet.rollout.baseline_file import BaselineFile
 from harriertrack.gateway.fleet.rollout.program_user import HANDING_OVER
 from harriertrack.gateway.fleet.rollout.reports import (
     MalformedReport,
     ReportAssembler,
-    encode_before,
+    encode_baseline,
     encode_counts,
     encode_volumes,
 )
@@ -42,7 +42,7 @@
 from harriertrack.membership.fleet.view import Row
 
 TOPIC = "rollout"
-Usage = Callable[[], tuple[int, int]]  # bytes of memory, microseconds of processor time
+UsageReader = Callable[[], tuple[int, int]]  # bytes of memory, microseconds of processor time
 
 
 def no_usage() -> tuple[int, int]:
@@ -61,7 +61,7 @@
     """Reports for rollouts and, in this head's term, controls them."""
 
     def __init__(self, parts: HeadParts, settings: RolloutSettings, swim: Swim, decider: FleetDecider,
-                 changes: Changes, counting: AnswerCounter, usage: Usage) -> None:  # fmt: skip
+                 changes: Changes, counting: AnswerCounter, usage: UsageReader) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._swim, self._decider, self._changes = swim, decider, changes
         self._counting, self._usage = counting, usage
@@ -91,7 +91,7 @@
             self._update_baseline()
             self._decider.report(TOPIC, encode_counts(self._report()))
             if (baseline := self._baseline.current(self._hub.now())) is not None:
-                self._decider.report(TOPIC, encode_before(self._swim.me.instance, baseline))
+                self._decider.report(TOPIC, encode_baseline(self._swim.me.instance, baseline))
             self._decider.report(TOPIC, self._pages[self._page])
             self._page = (self._page + 1) % len(self._pages)
             self._hub.sleep(self._settings.report_us)
@@ -113,10 +113,10 @@
             for thing, rejection in self._changes.rejections().items()
             if rejection[1] != HANDING_OVER
         }
-        runs, me = self._changes.runs(), self._swim.me
+        runs, me = self._changes.running_versions(), self._swim.me
         failed.update({thing: (runs[thing], why) for thing, why in self.failures().items() if thing in runs})
         return Report(me.name, me.instance, runs, self._counting.classes, memory,
-                      processor_us, failed, LEVEL)  # fmt: skip
+                      processor_us, failed, FEATURE_LEVEL)  # fmt: skip
 
     # -- deciding
 
--- a/harriertrack/gateway/fleet/rollout/launcher/launcher.py
+++ b/harriertrack/gateway/fleet/rollout/launcher/launcher.py
@@ -31,7 +31,7 @@
 from harriertrack.runtime.hub import Hub
 
 POLL_US = 50_000
-OWN = (sys.executable, "-m", "harriertrack")  # the launcher's own program
+OWN_COMMAND = (sys.executable, "-m", "harriertrack")  # the launcher's own program
 
 
 class InvalidProgram(Exception):
@@ -40,7 +40,7 @@
 
 def command_of(settings: LaunchSettings, program: Program) -> list[str]:
     """Return the command that starts a version. Raises InvalidProgram."""
-    own = list(OWN)
+    own = list(OWN_COMMAND)
     if program.folder:
         folder = Path(program.folder).resolve()
         if not any(folder.is_relative_to(Path(allowed).resolve()) for allowed in settings.folders):
--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -22,7 +22,7 @@
 Name = Annotated[str, msgspec.Meta(max_length=128)]
 
 
-class _Counted(msgspec.Struct, array_like=True, tag=0):
+class _CountsReport(msgspec.Struct, array_like=True, tag=0):
     life: Number
     level: Number
     memory: Number
@@ -32,14 +32,14 @@
     classes: dict[Name, Counts]
 
 
-class _Volumes(msgspec.Struct, array_like=True, tag=1):
+class _VolumesReport(msgspec.Struct, array_like=True, tag=1):
     life: Number
     page: Number
     pages: Number
     sums: Annotated[list[Number], msgspec.Meta(max_length=PAGE)]
 
 
-class _Before(msgspec.Struct, array_like=True, tag=2):
+class _BaselineReport(msgspec.Struct, array_like=True, tag=2):
     life: Number
     thing: Name
     number: Number
@@ -50,7 +50,7 @@
     classes: dict[Name, Counts]
 
 
-_DECODER = msgspec.msgpack.Decoder(_Counted | _Volumes | _Before)
+_DECODER = msgspec.msgpack.Decoder(_CountsReport | _VolumesReport | _BaselineReport)
 
 
 class MalformedReport(ValueError):
@@ -70,7 +70,7 @@
     fell = {thing: (number, why[:60]) for thing, (number, why) in report.rejected.items()}
     while True:
         data = msgspec.msgpack.encode(
-            _Counted(report.incarnation, report.feature_level, report.memory, report.processor_us,
+            _CountsReport(report.incarnation, report.feature_level, report.memory, report.processor_us,
                      dict(report.versions), fell, {name: _flatten(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MAX_TOPIC_BODY:
@@ -80,36 +80,36 @@
         classes.pop()
 
 
-def encode_before(incarnation: int, before: Baseline) -> bytes:
+def encode_baseline(incarnation: int, before: Baseline) -> bytes:
     """Return a report of the baseline before a version."""
     classes = sorted(before.classes.items(), key=lambda one: -one[1].answers)
     usage = before.usage
     while True:
         data = msgspec.msgpack.encode(
-            _Before(incarnation, before.thing, before.number, before.ago_us, usage.memory, usage.processor_us,
-                    usage.reports, {name: _flatten(tally) for name, tally in classes})
+            _BaselineReport(incarnation, before.thing, before.number, before.ago_us, usage.memory,
+                            usage.processor_us, usage.reports, {name: _flatten(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MAX_TOPIC_BODY:
             return data
         classes.pop()
 
 
-def decode_before(data: bytes) -> Baseline:
+def decode_baseline(data: bytes) -> Baseline:
     """Decode a report of a baseline. Raises MalformedReport."""
     read = _decode(data)
-    if not isinstance(read, _Before):
+    if not isinstance(read, _BaselineReport):
         raise MalformedReport("another kind of report")
     return _baseline(read)
 
 
-def _decode(data: bytes) -> _Counted | _Volumes | _Before:
+def _decode(data: bytes) -> _CountsReport | _VolumesReport | _BaselineReport:
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise MalformedReport(str(error)) from error
 
 
-def _baseline(read: _Before) -> Baseline:
+def _baseline(read: _BaselineReport) -> Baseline:
     classes = _tallies(read.classes)
     answers = sum(one.answers for one in classes.values())
     usage = Usage(read.memory, read.processor_us, answers, read.looks)
@@ -129,7 +129,7 @@
     pages = max(1, -(-len(sums) // PAGE))
     for page in range(pages):
         yield msgspec.msgpack.encode(
-            _Volumes(incarnation, page, pages, sums[page * PAGE : (page + 1) * PAGE])
+            _VolumesReport(incarnation, page, pages, sums[page * PAGE : (page + 1) * PAGE])
         )
 
 
@@ -146,12 +146,12 @@
         read = _decode(body)
         if read.life != self._incarnation:
             self._incarnation, self._pages, self._page_count = read.life, {}, 0
-        if isinstance(read, _Volumes):
+        if isinstance(read, _VolumesReport):
             if read.pages != self._page_count:
                 self._pages, self._page_count = {}, read.pages
             self._pages[read.page] = read.sums
             return None
-        if isinstance(read, _Before):
+        if isinstance(read, _BaselineReport):
             return _baseline(read)
         return Report(self._head, read.life, read.runs, _tallies(read.classes), read.memory,
                       read.processor_us, read.fell, read.level)  # fmt: skip
--- a/harriertrack/gateway/fleet/rollout/usage.py
+++ b/harriertrack/gateway/fleet/rollout/usage.py
@@ -10,7 +10,7 @@
 _STATM = Path("/proc/self/statm")
 
 
-def usage() -> tuple[int, int]:
+def read_usage() -> tuple[int, int]:
     """Return bytes of resident memory (0 where not available) and microseconds of processor time."""
     try:
         resident = int(_STATM.read_bytes().split()[1]) * _PAGE
--- a/harriertrack/gateway/head.py
+++ b/harriertrack/gateway/head.py
@@ -34,7 +34,7 @@
     from harriertrack.decisions.fleet.rollout.answer_counts import AnswerCounter
     from harriertrack.decisions.fleet.zones.evidence import Evidence
     from harriertrack.gateway.fleet.member import FleetMember
-    from harriertrack.gateway.fleet.rollout.carrier import Usage
+    from harriertrack.gateway.fleet.rollout.carrier import UsageReader
     from harriertrack.gateway.fleet.rollout.program_user import Handover
     from harriertrack.gateway.fleet.scoring.carrier import ScoringState
     from harriertrack.runtime.datagrams import DatagramNetwork
@@ -60,7 +60,7 @@
     wall: Callable[[], int] | None = None  # for rehearsals: another wall clock than the hub's
     scorers: tuple[object, ...] = ()  # plugins in addition to the installed ones
     handover: Handover | None = None  # to the launcher that runs this head and can start other versions
-    usage: Usage | None = None  # resources that its process uses; None: its process runs other heads too
+    usage: UsageReader | None = None  # of its process; None: its process runs other heads too
 
 
 class Head:
--- a/tests/closing/test_closing_core.py
+++ b/tests/closing/test_closing_core.py
@@ -23,7 +23,7 @@
     def __init__(self, places):
         self.hint, self.waited, self.risky, self._places = None, [], [], places
 
-    def refuses(self, request):
+    def refusal_hint_us(self, request):
         return self.hint if request.kind is not Kind.FLUSH and request.trim_shard < 0 else None
 
     def record_placement(self, volume, extent, shard):
--- a/tests/closing/test_closing_days.py
+++ b/tests/closing/test_closing_days.py
@@ -78,7 +78,7 @@
 
 
 def answers_in_doubt(monkeypatch):
-    monkeypatch.setattr(Guard, "refuses", lambda _self, _request: None)
+    monkeypatch.setattr(Guard, "refusal_hint_us", lambda _self, _request: None)
     monkeypatch.setattr(Core, "close_off", lambda _self, _now, _covers: (0, 0))
 
 
--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -38,7 +38,7 @@
     def __init__(self):
         self.done, self.settled_at = 0, 0
 
-    def refuses(self, request):
+    def refusal_hint_us(self, request):
         return None
 
     def record_placement(self, *where):
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -573,7 +573,7 @@
     Fault(
         "a guard lets all pass",
         "close-write",
-        "gateway.fleet.closing.guard:Guard.refuses",
+        "gateway.fleet.closing.guard:Guard.refusal_hint_us",
         "or not self._fences.may_purge(volume)",
         "or True",
     ),
--- a/tests/rollout/test_baselines.py
+++ b/tests/rollout/test_baselines.py
@@ -20,7 +20,7 @@
 from harriertrack.decisions.fleet.rollout.baseline import Baseline, BaselineRecorder
 from harriertrack.gateway.fleet.rollout.carrier import ended_on_request
 from harriertrack.gateway.fleet.rollout.baseline_file import BaselineFile
-from harriertrack.gateway.fleet.rollout.reports import ReportAssembler, MalformedReport, encode_before
+from harriertrack.gateway.fleet.rollout.reports import ReportAssembler, MalformedReport, encode_baseline
 from harriertrack.lab.fleet import scenario
 from harriertrack.lab.fleet.rig import simulate
 from harriertrack.lab.fleet.staged import Habit, Harm, S, Staged
@@ -249,7 +249,7 @@
 def test_baseline_report_fits_and_round_trips() -> None:
     many = {f"class-{number}": Tally(number, 1, 2, 3, 4, [number] * 16) for number in range(40)}
     before = Baseline("scorer/near", 7, 5 * S, many, Usage(1 << 30, 99, 0, 12))
-    data = encode_before(3, before)
+    data = encode_baseline(3, before)
     assert len(data) <= MAX_TOPIC_BODY
     back = ReportAssembler("a").handle_report(data)
     assert isinstance(back, Baseline) and (back.thing, back.number, back.ago_us) == ("scorer/near", 7, 5 * S)
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -202,7 +202,7 @@
 
     script = tmp_path / "child.py"
     script.write_text(CHILD.format(root=os.getcwd()))
-    monkeypatch.setattr(module, "OWN", (sys.executable, str(script)))
+    monkeypatch.setattr(module, "OWN_COMMAND", (sys.executable, str(script)))
     launch_settings = load_launcher(launcher_file(tmp_path, "(prove 300ms) (tries 2) (drain 2s)"))
     events = []
     hub = Hub()
