--- a/harriertrack/gateway/fleet/rollout/reports.py
+++ b/harriertrack/gateway/fleet/rollout/reports.py
@@ -71,7 +71,7 @@
     while True:
         data = msgspec.msgpack.encode(
             _CountsReport(report.incarnation, report.feature_level, report.memory, report.processor_us,
-                     dict(report.versions), fell, {name: _flatten(tally) for name, tally in classes})
+                          dict(report.versions), fell, {name: _flatten(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MAX_TOPIC_BODY:
             return data
@@ -87,7 +87,8 @@
     while True:
         data = msgspec.msgpack.encode(
             _BaselineReport(incarnation, before.thing, before.number, before.ago_us, usage.memory,
-                            usage.processor_us, usage.reports, {name: _flatten(tally) for name, tally in classes})
+                            usage.processor_us, usage.reports,
+                            {name: _flatten(tally) for name, tally in classes})
         )  # fmt: skip
         if len(data) <= MAX_TOPIC_BODY:
             return data
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -49,7 +49,7 @@
 
 
 def create_scoring_state(head: HeadSettings, settings: ScoringSettings, note: Callable[..., None],
-              further: Iterable[object] = ()) -> ScoringState:  # fmt: skip
+                         further: Iterable[object] = ()) -> ScoringState:  # fmt: skip
     """Create the scoring state. Raises SettingsError for scorers that can't be run."""
     try:
         selection = ScorerSelection(discover_kinds(note, further), settings.scorers)
