--- a/harriertrack/gateway/fleet/resources.py
+++ b/harriertrack/gateway/fleet/resources.py
@@ -13,9 +13,9 @@
 
 if TYPE_CHECKING:
     from harriertrack.decisions.fleet.zones.evidence import Evidence
-    from harriertrack.gateway.fleet.rollout.carrier import Usage
+    from harriertrack.gateway.fleet.rollout.carrier import UsageReader
     from harriertrack.gateway.fleet.rollout.program_user import Handover
-    from harriertrack.gateway.fleet.scoring.carrier import Scored
+    from harriertrack.gateway.fleet.scoring.carrier import ScoringState
     from harriertrack.gateway.regional import Regional
     from harriertrack.runtime.datagrams import DatagramNetwork
     from harriertrack.storage.changes import ChangesCache
@@ -32,8 +32,8 @@
     reconfigure: Callable[[HeadSettings], None]  # applies other settings to the head at once
     close_links: Callable[[str, int], None]  # closes a number of links to a node
     evidence: Evidence | None = None  # observations of zones
-    scored_choice: Scored | None = None
+    scoring_state: ScoringState | None = None
     datagrams: DatagramNetwork | None = None  # None: UDP sockets
     changes_cache: ChangesCache | None = None  # cache of the record of changes; None: a file
     handover: Handover | None = None  # to the launcher, which started the head and starts other versions
-    usage: Usage | None = None  # of its process; None: can't be told apart from other heads' in the process
+    usage: UsageReader | None = None  # of its process; None: several heads share the process
--- a/harriertrack/gateway/fleet/rollout/remembered.py
+++ b/harriertrack/gateway/fleet/rollout/baseline_file.py
@@ -8,22 +8,22 @@
 import xxhash
 
 from harriertrack.decisions.fleet.rollout.baseline import Baseline
-from harriertrack.gateway.fleet.rollout.reports import MalformedReport, decode_before, encode_before
+from harriertrack.gateway.fleet.rollout.reports import MalformedReport, decode_baseline, encode_baseline
 from harriertrack.storage.changes import ChangesCache
 
 FILE = "before"
 _HEADER_BYTES = 16  # bytes: a checksum, and the wall clock in microseconds since 1970 when it was written
 
 
-class Remembered:
+class BaselineFile:
     """One head's file. If it can't be read or written, that is logged and other heads' baselines are used."""
 
-    def __init__(self, kept: ChangesCache, note: Callable[..., None]) -> None:
-        self._file, self._note = kept.sibling(FILE), note
+    def __init__(self, cache: ChangesCache, note: Callable[..., None]) -> None:
+        self._file, self._note = cache.sibling(FILE), note
 
     def write(self, wall: int, before: Baseline) -> None:
         """Store a baseline; `wall`: the wall clock, in microseconds since 1970."""
-        body = wall.to_bytes(8, "big") + encode_before(0, before)
+        body = wall.to_bytes(8, "big") + encode_baseline(0, before)
         try:
             self._file.write(xxhash.xxh64_digest(body) + body)
         except OSError as error:
@@ -37,7 +37,7 @@
                 return None
             if len(data) < _HEADER_BYTES or xxhash.xxh64_digest(data[8:]) != data[:8]:
                 raise MalformedReport("its checksum is another's")
-            before = decode_before(data[_HEADER_BYTES:])
+            before = decode_baseline(data[_HEADER_BYTES:])
         except (OSError, MalformedReport) as error:
             self._note("rollout: what was kept of before is of no use", why=str(error))
             return None
--- a/harriertrack/gateway/fleet/rollout/carrier.py
+++ b/harriertrack/gateway/fleet/rollout/carrier.py
@@ -23,14 +23,14 @@
 from harriertrack.decisions.fleet.rollout.feature_levels import level_conflict, next_level
 from harriertrack.decisions.fleet.rollout.plan import Plan
 from harriertrack.decisions.fleet.rollout.rollout import Step
-from harriertrack.gateway.fleet.changes.carrier import LEVEL, Changes
+from harriertrack.gateway.fleet.changes.carrier import FEATURE_LEVEL, Changes
 from harriertrack.gateway.fleet.decider import FleetDecider
+from harriertrack.gateway.fleet.rollout.baseline_file import BaselineFile
 from harriertrack.gateway.fleet.rollout.program_user import HANDING_OVER
-from harriertrack.gateway.fleet.rollout.remembered import Remembered
 from harriertrack.gateway.fleet.rollout.reports import (
-    Heard,
     MalformedReport,
-    encode_before,
+    ReportAssembler,
+    encode_baseline,
     encode_counts,
     encode_volumes,
 )
@@ -42,7 +42,7 @@
 from harriertrack.membership.fleet.view import Row
 
 TOPIC = "rollout"
-Usage = Callable[[], tuple[int, int]]  # bytes of memory, microseconds of processor time
+UsageReader = Callable[[], tuple[int, int]]  # bytes of memory, microseconds of processor time
 
 
 def no_usage() -> tuple[int, int]:
@@ -50,7 +50,7 @@
     return 0, 0
 
 
-def asked(row: Row | None) -> frozenset[int]:
+def ended_on_request(row: Row | None) -> frozenset[int]:
     """Return a member's incarnations that ended on request: they announced that, unlike a crash."""
     if row is None:
         return frozenset()
@@ -61,19 +61,19 @@
     """Reports for rollouts and, in this head's term, controls them."""
 
     def __init__(self, parts: HeadParts, settings: RolloutSettings, swim: Swim, decider: FleetDecider,
-                 changes: Changes, counting: AnswerCounter, usage: Usage) -> None:  # fmt: skip
+                 changes: Changes, counting: AnswerCounter, usage: UsageReader) -> None:  # fmt: skip
         self._parts, self._hub, self._settings = parts, parts.hub, settings
         self._swim, self._decider, self._changes = swim, decider, changes
         self._counting, self._usage = counting, usage
-        self.failing: Callable[[], Mapping[str, str]] = dict  # things that run but do not work, and why
+        self.failures: Callable[[], Mapping[str, str]] = dict  # things that run but do not work, and why
         self._term: Term | None = None
         self._controller: RolloutController | None = None
-        self._received: dict[str, Heard] = {}
+        self._received: dict[str, ReportAssembler] = {}
         checksums = sorted({crc32(one.name.encode()) for one in parts.settings.volumes})
         self._pages = list(encode_volumes(swim.me.instance, checksums))
         self._page = 0
         self._baseline = BaselineRecorder(parts.hub.now())
-        self._baseline_file = Remembered(changes.cache, parts.note)
+        self._baseline_file = BaselineFile(changes.cache, parts.note)
         decider.on_report[TOPIC] = self._handle_report
 
     def start(self) -> None:
@@ -91,7 +91,7 @@
             self._update_baseline()
             self._decider.report(TOPIC, encode_counts(self._report()))
             if (baseline := self._baseline.current(self._hub.now())) is not None:
-                self._decider.report(TOPIC, encode_before(self._swim.me.instance, baseline))
+                self._decider.report(TOPIC, encode_baseline(self._swim.me.instance, baseline))
             self._decider.report(TOPIC, self._pages[self._page])
             self._page = (self._page + 1) % len(self._pages)
             self._hub.sleep(self._settings.report_us)
@@ -109,21 +109,23 @@
     def _report(self) -> Report:
         memory, processor_us = self._usage()
         failed = {
-            thing: told for thing, told in self._changes.rejections().items() if told[1] != HANDING_OVER
+            thing: rejection
+            for thing, rejection in self._changes.rejections().items()
+            if rejection[1] != HANDING_OVER
         }
-        runs, me = self._changes.runs(), self._swim.me
-        failed.update({thing: (runs[thing], why) for thing, why in self.failing().items() if thing in runs})
+        runs, me = self._changes.running_versions(), self._swim.me
+        failed.update({thing: (runs[thing], why) for thing, why in self.failures().items() if thing in runs})
         return Report(me.name, me.instance, runs, self._counting.classes, memory,
-                      processor_us, failed, LEVEL)  # fmt: skip
+                      processor_us, failed, FEATURE_LEVEL)  # fmt: skip
 
     # -- deciding
 
     def _handle_report(self, now: int, head: str, body: bytes) -> None:
         if self._controller is None:
             return
-        received = self._received.setdefault(head, Heard(head))
+        received = self._received.setdefault(head, ReportAssembler(head))
         try:
-            report = received.take(body)
+            report = received.handle_report(body)
         except MalformedReport:
             return  # ignored
         if isinstance(report, Baseline):
@@ -131,7 +133,7 @@
         elif report is not None:
             row = self._swim.view.find(head)
             zone = row.record.zone if row is not None else ""
-            self._controller.add_report(now, report, received.volumes, zone, asked(row))
+            self._controller.add_report(now, report, received.volumes, zone, ended_on_request(row))
 
     def _run(self) -> None:
         """Control the rollouts in progress while this head decides (a task)."""
--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -454,7 +454,7 @@
     Fault(
         "pages of two lives stand side by side",
         "weights-restart",
-        f"{WEIGHTS}._hear",
+        f"{WEIGHTS}._receive_pages",
         "self._shared.forget(row.record.name)",
         "pass",
     ),
@@ -560,7 +560,7 @@
         "a new write overtakes a trim",
         "close-write",
         f"{CLOSES}._close",
-        "core.hold_purged({(volume, extent) for volume, extent, _ in lefts if volume in core.volumes})",
+        "core.hold_purged({(volume, extent) for volume, extent, _ in purged if volume in core.volumes})",
         "pass",
     ),
     Fault(
@@ -573,7 +573,7 @@
     Fault(
         "a guard lets all pass",
         "close-write",
-        "gateway.fleet.closing.guard:Guard.refuses",
+        "gateway.fleet.closing.guard:Guard.refusal_hint_us",
         "or not self._fences.may_purge(volume)",
         "or True",
     ),
