--- a/harriertrack/lab/fleet/markets.py
+++ b/harriertrack/lab/fleet/markets.py
@@ -201,7 +201,9 @@
                     connection.address = rig.client_address(slot)
                     slot.connections.append(connection)
                     connections.append(connection)
-                    rig.scope.spawn(f"connection {volume.name} {number}", connection.stay_connected, rig.scope)
+                    rig.scope.spawn(
+                        f"connection {volume.name} {number}", connection.stay_connected, rig.scope
+                    )
                 client = BlockClient(rig.hub, rig.recorder, connections, number, rig.day.extent_bytes,
                                      self._random.getrandbits(32))  # fmt: skip
                 self._clients.append(client)
