--- a/harriertrack/lab/fleet/markets.py
+++ b/harriertrack/lab/fleet/markets.py
@@ -50,21 +50,21 @@
     On a day of two regions each pair of heads has one desk in each market, and there are no other volumes.
     """
     size = EXTENTS * extent_bytes
-    volumes = []
+    created = []
     for market in range(markets):
         if two_regions:
             for pair in range(regions.pairs(heads)):
                 desk = VolumeSettings(name=f"desk{market}-{pair}", size_bytes=size, plan="standard")
-                volumes.append(regions.across_regions(desk, pair))
+                created.append(regions.across_regions(desk, pair))
             continue
         shards = tuple((market + step) % nodes for step in range(min(nodes, 3)))
         names = (f"desk{market}-{head}" for head in range(heads if desks else 0))
-        volumes += [VolumeSettings(name=name, size_bytes=size, plan="standard") for name in names]
-        volumes.append(
+        created += [VolumeSettings(name=name, size_bytes=size, plan="standard") for name in names]
+        created.append(
             VolumeSettings(name=f"market{market}", size_bytes=size, plan="standard", hosts=min(hosts, heads),
                            shards=shards)
         )  # fmt: skip
-    return volumes
+    return created
 
 
 @dataclass(frozen=True, slots=True)
--- a/harriertrack/lab/fleet/rehearsal.py
+++ b/harriertrack/lab/fleet/rehearsal.py
@@ -1,7 +1,7 @@
-"""Bad versions for rehearsals: the same program, made worse in one class, or made to end by itself.
+"""Bad versions for rollout rehearsals: the same program with an injected defect.
 
-Asked for by `--rehearse`: `refuse:CLASS:PART` (attempts of a class fail before they leave), `crash:SECONDS`
-(the process ends so long after its start) or `mute` (it never says that it serves).
+Selected by `--rehearse`: `refuse:CLASS:PART` (this share of a class's attempts fail before they are sent),
+`crash:SECONDS` (the process ends this long after its start) or `mute` (it never reports that it serves).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rehearsal:
-    """What a version does wrong."""
+    """The injected defect of a version; without arguments, none."""
 
     class_name: str = ""
     part: float = 0.0
@@ -28,7 +28,7 @@
 
 
 def rehearsal_of(text: str) -> Rehearsal:
-    """Read what is asked for. Raises ValueError."""
+    """Parse the value of `--rehearse`. Raises ValueError."""
     match = FORM.match(text)
     if match is None:
         raise ValueError(f"{text}: expected refuse:CLASS:PART, crash:SECONDS or mute")
@@ -40,16 +40,16 @@
 
 
 class WorseLinks(Links):
-    """Links over which a part of one class's attempts fails before it leaves."""
+    """Links that fail a share of one class's attempts before they are sent."""
 
     def __init__(self, parts: HeadParts, rehearsal: Rehearsal) -> None:
         super().__init__(parts)
         self._hub, self._rehearsal = parts.hub, rehearsal
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt, or let it fail."""
-        bad = self._rehearsal
-        if attempt.part.class_name != bad.class_name or self._hub.random.random() >= bad.part:
+        """Start an attempt, or fail it at random."""
+        defect = self._rehearsal
+        if attempt.part.class_name != defect.class_name or self._hub.random.random() >= defect.part:
             super().send(attempt)
             return
         now = self._hub.now()
--- a/harriertrack/lab/fleet/staging.py
+++ b/harriertrack/lab/fleet/staging.py
@@ -1,4 +1,4 @@
-"""What a fleet's day records of versions that come in stages."""
+"""Records and checks of staged rollouts on a fleet's day."""
 
 from __future__ import annotations
 
@@ -15,31 +15,33 @@
 
 
 def facts_of(now: int, version: Version, slots: Iterable[HeadSlot]) -> rec.RolloutFacts:
-    """Return what a version that was proposed is to be judged by."""
+    """Return the facts that the rules need to judge a proposed version's rollout."""
     plan, heads = plan_of_version(version), list(slots)
     return rec.RolloutFacts(
         t=now, thing=version.thing, version=version.number, zones={slot.name: slot.zone for slot in heads},
-        volumes={slot.name: [one.name for one in slot.settings.volumes] for slot in heads},
-        stages=[rec.StageFacts(heads=one.heads, share=one.share) for one in plan.stages],
+        volumes={slot.name: [volume.name for volume in slot.settings.volumes] for slot in heads},
+        stages=[rec.StageFacts(heads=stage.heads, share=stage.share) for stage in plan.stages],
         away=plan.max_away(len(heads), False), back_away=plan.max_away(len(heads), True),
         missing=plan.missing,
     )  # fmt: skip
 
 
 def step_of(now: int, by: str, fields: Mapping[str, object]) -> rec.RolloutStep:
-    """Return the step that a head's log line tells of."""
-    told = {name: fields[name] for name in ("epoch", "thing", "version", "standing", "stage", "heads", "why")}
-    return msgspec.convert({**told, "t": now, "by": by}, rec.RolloutStep)
+    """Return the record of a rollout step that a head logged."""
+    logged = {
+        name: fields[name] for name in ("epoch", "thing", "version", "standing", "stage", "heads", "why")
+    }
+    return msgspec.convert({**logged, "t": now, "by": by}, rec.RolloutStep)
 
 
 def is_settled(last: rec.RolloutStep | rec.VersionProposed, stage: int) -> bool:
-    """Whether a version is in force or taken back, or (from 1) heads of a stage are named."""
+    """Whether a version is in force or finished, or (for a stage from 1) its heads are selected."""
     if VersionState(last.standing) in (*FINISHED, VersionState.IN_FORCE):
         return True
     return isinstance(last, rec.RolloutStep) and 0 < stage <= last.stage and bool(last.heads)
 
 
 def lacks_evidence(last: rec.RolloutStep | rec.VersionProposed) -> bool:
-    """Whether a version is paused for want of evidence, and of nothing else."""
+    """Whether a version is paused because evidence is insufficient, and for no other reason."""
     return (isinstance(last, rec.RolloutStep) and last.standing == VersionState.PAUSED.value
             and last.why.startswith(INSUFFICIENT_PREFIX))  # fmt: skip
--- a/harriertrack/lab/fleet/weights.py
+++ b/harriertrack/lab/fleet/weights.py
@@ -1,7 +1,7 @@
-"""Heads that lie of their weights, scorers that are broken, and what a day records of both.
+"""Heads that publish false weights, broken scorers, and the records of both on a day.
 
-A liar says of each node the contrary of what it thinks, as strongly as can be and with all evidence; what it
-passes on of others it leaves as it is. Scorers that are broken come as a plugin, as a stranger's would.
+A lying head publishes the inverse of its weight for each node, at maximum strength and with maximum evidence;
+weights of other heads that it forwards stay unchanged. Broken scorers come as a third-party plugin would.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 from harriertrack.rules import recording as rec
 from harriertrack.runtime.datagrams import Address, DatagramHandler, DatagramNetwork, DatagramPort
 
-MOST_STEPS = round(MAX_LOG_WEIGHT / WEIGHT_STEP)
+MAX_STEPS = round(MAX_LOG_WEIGHT / WEIGHT_STEP)
 SECOND_US = 1_000_000
 BROKEN = ("broken-raises", "broken-nan", "broken-state")
 WORST = "worst-first"
 
 
-def invert_weights(about: bytes) -> bytes:
-    """Return a page that says the contrary."""
-    page = weight_pages.decode(about)
+def invert_weights(encoded: bytes) -> bytes:
+    """Return a page of weights with each inverted, at maximum strength and evidence."""
+    page = weight_pages.decode(encoded)
     entries = tuple(
-        replace(one, steps=-MOST_STEPS if one.steps > 0 else MOST_STEPS, evidence=MAX_EVIDENCE)
-        for one in page.entries
+        replace(entry, steps=-MAX_STEPS if entry.steps > 0 else MAX_STEPS, evidence=MAX_EVIDENCE)
+        for entry in page.entries
     )
     return weight_pages.encode(replace(page, entries=entries))
 
 
 def falsify_datagram(data: bytes) -> bytes:
-    """Return a datagram as a liar sends it."""
+    """Return a datagram with the sender's own weights inverted."""
     if data[:1] == MARK:
         return data
     fields = msgspec.msgpack.decode(data)
@@ -56,95 +56,97 @@
 
 
 class LyingPort:
-    """A port whose datagrams are a liar's."""
+    """A port that inverts the head's weights in the datagrams it sends."""
 
     def __init__(self, port: DatagramPort) -> None:
         self._port, self.address, self.dropped = port, port.address, 0
 
     def send(self, data: bytes, address: Address) -> None:
-        """Send a datagram; if that can't be done at once it is lost."""
+        """Send a datagram; it is lost if the socket can't send at once."""
         self._port.send(falsify_datagram(data), address)
 
     def close(self) -> None:
-        """Take and send no more."""
+        """Stop receiving and sending."""
         self._port.close()
 
 
 class LyingDatagrams:
-    """A network over which this process lies of its weights."""
+    """A network over which this process publishes false weights."""
 
     def __init__(self, network: DatagramNetwork) -> None:
         self._network = network
 
     def bind(self, address: Address, take: DatagramHandler, name: str = "") -> DatagramPort:
-        """Bind an address; `take` is called with each datagram and its source. Raises OSError."""
+        """Bind an address; `take` is called with each datagram and its source address. Raises OSError."""
         return LyingPort(self._network.bind(address, take, name))
 
 
 class _Raises:
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
         raise RuntimeError("rehearsed")
 
 
 class _GivesNan:
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
-        return {one.node: math.nan for one in picture.nodes}
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
+        return {node.node: math.nan for node in snapshot.nodes}
 
 
 class _WorstFirst:
-    """It does nothing that a scorer must not, and throws all at the slowest nodes."""
+    """Obeys all rules of a scorer, but prefers the slowest nodes."""
 
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
-        return {one.node: (one.latency_us / 1e3) ** 4 for one in picture.nodes if one.latency_us > 0}
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
+        return {node.node: (node.latency_us / 1e3) ** 4 for node in snapshot.nodes if node.latency_us > 0}
 
 
 class _KeepsState:
     def __init__(self) -> None:
         self._calls = 0
 
-    def score(self, picture: Snapshot) -> Mapping[str, float]:
+    def score(self, snapshot: Snapshot) -> Mapping[str, float]:
         self._calls += 1
-        return {one.node: float(self._calls) for one in picture.nodes}
+        return {node.node: float(self._calls) for node in snapshot.nodes}
 
 
 @scorers
 def harriertrack_scorers() -> list[ScorerKind]:
-    """Offer the broken ones, and a bad one."""
-    makes: tuple[Callable[[], Scorer], ...] = (_Raises, _GivesNan, _KeepsState, _WorstFirst)
-    return [ScorerKind(name, 1, (), make) for name, make in zip((*BROKEN, WORST), makes, strict=True)]
+    """Offer the broken scorers, and one that is valid but bad."""
+    factories: tuple[Callable[[], Scorer], ...] = (_Raises, _GivesNan, _KeepsState, _WorstFirst)
+    return [
+        ScorerKind(name, 1, (), factory) for name, factory in zip((*BROKEN, WORST), factories, strict=True)
+    ]
 
 
-PLUGIN = sys.modules[__name__]  # as an entry point names it
+PLUGIN = sys.modules[__name__]  # the plugin's module, as an entry point names it
 
 
 class Tally:
-    """Counts what leaves heads in notes by topic, second by second."""
+    """Counts the bytes of topic notes that heads send, second by second."""
 
     def __init__(self, recorder: rec.Recorder) -> None:
         self._recorder = recorder
-        self._sums: dict[str, tuple[int, int]] = {}  # since when, and how many bytes
+        self._sums: dict[str, tuple[int, int]] = {}  # by head: start of the interval, bytes
 
     def passed(self, now: int, head: str, data: bytes) -> None:
-        """A datagram leaves a head."""
+        """Count the topic notes of a datagram that leaves a head."""
         if data[:1] == MARK:
             return
         try:
             topics = decode(data).topics
         except MalformedDatagram:
             return
-        since, total = self._sums.get(head, (now, 0))
-        if now >= since + SECOND_US:
-            self._recorder.add(rec.NotesSent(t=now, head=head, us=max(now - since, SECOND_US), bytes=total))
-            since, total = now, 0
-        self._sums[head] = since, total + sum(len(msgspec.msgpack.encode(note)) for note in topics)
+        began, total = self._sums.get(head, (now, 0))
+        if now >= began + SECOND_US:
+            self._recorder.add(rec.NotesSent(t=now, head=head, us=max(now - began, SECOND_US), bytes=total))
+            began, total = now, 0
+        self._sums[head] = began, total + sum(len(msgspec.msgpack.encode(note)) for note in topics)
 
 
 def record_from_log(now: int, head: str, event: str, fields: dict[str, object]) -> rec.Record | None:
-    """Return what a line of a head's log says of weights, if anything."""
+    """Return the record of a head's log line about weights or scorers; None for other lines."""
     if event == "fleet weights":
-        said = {"used": fields["weights"], "own": fields["own"], "joined": fields["joined"]}
-        return msgspec.convert({"t": now, "head": head, **said}, rec.Weights)
+        weights = {"used": fields["weights"], "own": fields["own"], "joined": fields["joined"]}
+        return msgspec.convert({"t": now, "head": head, **weights}, rec.Weights)
     if event in ("scorer lost its vote", "scorer has its vote back"):
-        has, scorer = event.endswith("back"), str(fields["scorer"])
-        return rec.ScorerVote(t=now, head=head, scorer=scorer, has=has, why=str(fields.get("why", "")))
+        has_vote, scorer = event.endswith("back"), str(fields["scorer"])
+        return rec.ScorerVote(t=now, head=head, scorer=scorer, has=has_vote, why=str(fields.get("why", "")))
     return None
