--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -338,7 +338,7 @@
                 shelf.faults.hang = True
                 site.hub.sleep(5_000 * MS)
                 shelf.faults.hang = False
-                shelf.wake()
+                shelf.resume()
             else:
                 shelf.stop()
                 site.hub.sleep(2_000 * MS)
@@ -418,7 +418,7 @@
         got = sum(type(one).__name__ == "AttemptReceived" for one in site.recorder.records)
         for shelf in site.shelves:
             shelf.faults.hang = False
-            shelf.wake()
+            shelf.resume()
         site.hub.sleep(5_000 * MS)
         assert sum(type(one).__name__ == "AttemptReceived" for one in site.recorder.records) == got
 
@@ -447,7 +447,7 @@
         assert all(reply.error == Errno.EIO for reply in replies) and len(replies) < 20  # sent into it
         for shelf in site.shelves:
             shelf.faults.hang = False
-            shelf.wake()
+            shelf.resume()
         site.hub.sleep(60_000 * MS)
         assert len(replies) > 16 * 128 - 20  # lost answers are awaited while their clients wait
         site.hub.sleep(220_000 * MS)
@@ -515,7 +515,7 @@
         assert len(replies) > 20 and {reply.error for reply in replies} == {Errno.ESHUTDOWN, Errno.EIO}
         site.shelves[0].faults.hang = site.shelves[1].faults.hang = False
         for shelf in site.shelves:
-            shelf.wake()
+            shelf.resume()
         site.hub.sleep(10_500 * MS)
         assert site.task.done
 
