--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Fleets of processes with faults between them, and what operators see of one."""
+"""Fleets of processes with faults between them, and the operators' commands that inspect one."""
 
 import json
 import os
@@ -39,23 +39,22 @@
     return found
 
 
-CHIEF = ("close-killed", "score-broken-plugin", "roll-crashing", "settings-lowered")  # of these kinds
-KINDS = ("close-", "score-", "roll-", "settings-")  # the others of them play in simulated time
+# Of these kinds of days only the selected ones run over processes here; the others run in simulated time.
+SELECTED = ("close-killed", "score-broken-plugin", "roll-crashing", "settings-lowered")
+KINDS = ("close-", "score-", "roll-", "settings-")
 
 
 def length_us(name):
-    """Return for how long a day rests at least."""
+    """Return the total time of a day's rests and jumps, a lower bound of its length."""
     steps = scenario.load(name).steps
-    return sum(one.for_us for one in steps if one.name in (scenario.Verb.REST, scenario.Verb.JUMP))
+    return sum(step.for_us for step in steps if step.name in (scenario.Verb.REST, scenario.Verb.JUMP))
 
 
-# The longest first: none is left to the end, where all other workers would wait for it.
-BY_THE_CLOCK = (
-    "region-paced-return",
-    "zone-restart",
-)  # bounds that a busy machine breaks: simulated in the suite
+# These days have time bounds that a busy machine breaks; the suite runs them in simulated time only.
+TIME_SENSITIVE = ("region-paced-return", "zone-restart")
+# The longest days come first, so that no worker runs one at the end while all others are idle.
 NAMES = sorted((name for name in scenario.names()
-                if (not name.startswith(KINDS) or name in CHIEF) and name not in BY_THE_CLOCK),
+                if (not name.startswith(KINDS) or name in SELECTED) and name not in TIME_SENSITIVE),
                key=length_us, reverse=True)  # fmt: skip
 
 
@@ -64,9 +63,9 @@
 def test_a_fleet_day_keeps_all_rules_over_processes(name, tmp_path):
     day, recorder = scenario.load(name), rec.Recorder()
     play_processes(day, HEADS, 1, recorder, tmp_path)
-    assert {what: found for what, found in check_all(recorder.records, day.detect_us).items() if found} == {}
-    assert any(isinstance(one, rec.AttemptReceived) for one in recorder.records), (
-        "nodes' recordings are part of it"
+    assert {rule: found for rule, found in check_all(recorder.records, day.detect_us).items() if found} == {}
+    assert any(isinstance(record, rec.AttemptReceived) for record in recorder.records), (
+        "the recording includes those of the nodes"
     )
     assert not running(tmp_path)
 
@@ -87,37 +86,39 @@
 
 
 @pytest.mark.timeout(200)
-def test_operators_see_members_and_why(tmp_path):
-    """While a day plays, its heads are asked."""
+def test_operators_see_members_and_the_reason_for_their_state(tmp_path):
+    """Queries the heads of a running day."""
     day = subprocess.Popen([*COMMAND, "day", small(tmp_path, '(step kill (who "head2")) (step rest (for 60s))'),
                             "--keep", str(tmp_path / "kept")], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)  # fmt: skip
     try:
-        settings, until, told = str(tmp_path / "kept" / "head0.sexp"), time.monotonic() + 80, None
-        while told is None or {one.name: one.state for one in told.members}.get("head2") != "dead":
-            assert time.monotonic() < until and day.poll() is None, told
+        settings, deadline, status = str(tmp_path / "kept" / "head0.sexp"), time.monotonic() + 80, None
+        while (
+            status is None or {member.name: member.state for member in status.members}.get("head2") != "dead"
+        ):
+            assert time.monotonic() < deadline and day.poll() is None, status
             done = fleet_command("members", "--settings", settings, "--json")
-            told = parse_document(done.stdout.encode()) if done.returncode == 0 else None
-        assert told.there == 2 and told.standing == "in"
+            status = parse_document(done.stdout.encode()) if done.returncode == 0 else None
+        assert status.there == 2 and status.standing == "in"
         table = fleet_command("members", "--settings", settings).stdout
-        assert "head2" in table and "dead" in table and told.digest in table
+        assert "head2" in table and "dead" in table and status.digest in table
         why = fleet_command("explain", "head2", "--settings", settings)
         assert why.returncode == 0 and "by the word of head" in why.stdout and "suspect" in why.stdout
-        one = json.loads(fleet_command("explain", "head1", "--settings", settings, "--json").stdout)
-        assert one["state"] == "alive" and one["about"]["volumes"] > 0
+        explained = json.loads(fleet_command("explain", "head1", "--settings", settings, "--json").stdout)
+        assert explained["state"] == "alive" and explained["about"]["volumes"] > 0
         watched = fleet_command("watch", "--settings", settings, "--times", "1").stdout
         assert "head2: unknown -> dead" in watched
         assert fleet_command("explain", "nobody", "--settings", settings).returncode == 2
     finally:
         day.send_signal(signal.SIGINT)
-        _, said = day.communicate(timeout=60)
-    assert day.returncode == 2 and "interrupted" in said
-    assert not running(tmp_path), "an interrupted day ends what it started"
+        _, errors = day.communicate(timeout=60)
+    assert day.returncode == 2 and "interrupted" in errors
+    assert not running(tmp_path), "an interrupted day must end the processes that it started"
 
 
-def test_bad_places_and_settings_are_one_line(tmp_path):
+def test_errors_in_addresses_and_settings_take_one_line(tmp_path):
     host, port = Places().next()
-    nobody = f"{host}:{port}"
-    for arguments in (["members"], ["members", "--at", "x"], ["members", "--at", nobody], ["day", "nothing"],
+    unused = f"{host}:{port}"
+    for arguments in (["members"], ["members", "--at", "x"], ["members", "--at", unused], ["day", "nothing"],
                       ["day", small(tmp_path, "(step rest)")], ["explain", "a", "--at", "1.2.3.4:99999"]):  # fmt: skip
         done = fleet_command(*arguments)
         assert done.returncode == 2 and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr, (
@@ -125,169 +126,170 @@
         )
 
 
-def at_first_rest(rig, act):
-    """Do something in place of the day's first rest, inside the rig."""
-    step, done = rig.step, []
+def replace_first_rest(rig, action):
+    """Run an action inside the rig in place of the day's first rest."""
+    run_step, replaced = rig.step, []
 
-    def instead(one):
-        if one.name is scenario.Verb.REST and not done:
-            done.append(one)
-            act()
+    def run_or_replace(step):
+        if step.name is scenario.Verb.REST and not replaced:
+            replaced.append(step)
+            action()
         else:
-            step(one)
+            run_step(step)
 
-    rig.step = instead
+    rig.step = run_or_replace
 
 
-def moved(rig, name, party):
-    """Write settings of a head that listens to its fleet elsewhere, behind a relay of its own."""
+def write_moved_settings(rig, name, party):
+    """Write settings of a head that has another fleet address, behind a relay of its own."""
     (slot,) = [slot for slot in rig.heads if slot.name == name]
-    inner = rig.places.next()
-    fleet_ = msgspec.structs.replace(
-        slot.settings.fleet, listen=inner, advertise=rig.relay.add_member(party, inner)
+    listen = rig.places.next()
+    fleet_settings = msgspec.structs.replace(
+        slot.settings.fleet, listen=listen, advertise=rig.relay.add_member(party, listen)
     )
     settings = msgspec.structs.replace(
-        slot.settings, fleet=fleet_, listen=rig.places.next(), state_dir=str(rig.path(party))
+        slot.settings, fleet=fleet_settings, listen=rig.places.next(), state_dir=str(rig.path(party))
     )
     rig.path(f"{party}.sexp").write_text(format_settings("head", settings))
     return slot
 
 
 @pytest.mark.timeout(200)
-def test_two_processes_of_one_name_and_the_first_returns_when_the_second_dies(tmp_path):
+def test_a_second_process_takes_over_a_name_and_the_first_returns_when_it_ends(tmp_path):
     day, seen = scenario.load(small(tmp_path, "(step rest (for 1s)) (step agree (within 30s))")), {}
 
-    def spoil(rig):
-        def told(life):
+    def prepare(rig):
+        def is_newer_seen(life):
             return any(isinstance(one, rec.ViewReported) and (one.member, one.about, one.state) == ("head0", "head1", "alive")
                        and one.life > life for one in rig.recorder.records)  # fmt: skip
 
-        def wait(what, life):
-            until = rig.hub.now() + 40_000_000
-            while not told(life):
-                assert rig.hub.now() < until, what
+        def wait_for_newer(life, expectation):
+            deadline = rig.hub.now() + 40_000_000
+            while not is_newer_seen(life):
+                assert rig.hub.now() < deadline, expectation
                 rig.hub.sleep(50_000)
 
-        def newest():
+        def newest_incarnation():
             return max(
-                one.life
-                for one in rig.recorder.records
-                if isinstance(one, rec.ViewReported) and one.about == "head1"
+                record.life
+                for record in rig.recorder.records
+                if isinstance(record, rec.ViewReported) and record.about == "head1"
             )
 
-        def twin():
-            moved(rig, "head1", "twin")
-            first = newest()
+        def run_duplicate():
+            write_moved_settings(rig, "head1", "twin")
+            first = newest_incarnation()
             process = rig.start_process("twin", ["head", str(rig.path("twin.sexp"))])
-            wait("the second holds the name", first)
-            second = newest()
-            until = rig.hub.now() + 40_000_000
+            wait_for_newer(first, "the second process holds the name")
+            second = newest_incarnation()
+            deadline = rig.hub.now() + 40_000_000
             while "fleet: displaced" not in rig.path("head1.log").read_text():
-                assert rig.hub.now() < until, "the first is told that another has its name"
+                assert rig.hub.now() < deadline, "the first process learns that another has its name"
                 rig.hub.sleep(50_000)
             process.end()
-            wait("the first comes back", second)
+            wait_for_newer(second, "the first process rejoins")
             seen["back"] = True
 
-        at_first_rest(rig, twin)
+        replace_first_rest(rig, run_duplicate)
 
-    play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=spoil)
+    play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=prepare)
     assert seen["back"]
 
 
 @pytest.mark.timeout(200)
-def test_a_head_that_comes_back_at_another_address_is_found_there(tmp_path):
+def test_a_head_that_restarts_at_another_address_is_found_there(tmp_path):
     day = scenario.load(small(tmp_path, '(step kill (who "head1")) (step rest (for 1s)) (step start) (step agree (within 30s))'
                                         '(step rest (for 6s)) (step agree (within 30s))'))  # fmt: skip
     recorder = rec.Recorder()
 
-    def spoil(rig):
+    def prepare(rig):
         def move():
-            moved(rig, "head1", "elsewhere")
+            write_moved_settings(rig, "head1", "elsewhere")
             rig.path("elsewhere.sexp").replace(rig.path("head1.sexp"))
 
-        at_first_rest(rig, move)
+        replace_first_rest(rig, move)
 
-    play_processes(day, 3, 1, recorder, tmp_path, started=spoil)
-    assert all(one.reached for one in recorder.records if isinstance(one, rec.AgreementCheck))
+    play_processes(day, 3, 1, recorder, tmp_path, started=prepare)
+    assert all(record.reached for record in recorder.records if isinstance(record, rec.AgreementCheck))
     assert fleet.check(recorder.records, day.detect_us) == []
 
 
 @pytest.mark.timeout(200)
-def test_a_head_that_ends_by_itself_ends_the_day_and_all_else(tmp_path):
+def test_an_unexpected_exit_of_a_head_ends_the_day_and_all_its_processes(tmp_path):
     day = scenario.load(small(tmp_path, "(step rest (for 60s))"))
 
-    def spoil(rig):
+    def prepare(rig):
         launch = rig.launch
 
-        def strange(slot, step):
+        def launch_with_broken_settings(slot, step):
             if slot.name == "head1":
                 rig.path("head1.sexp").write_text("(head")
             launch(slot, step)
 
-        rig.launch = strange
+        rig.launch = launch_with_broken_settings
 
     with pytest.raises(FleetProcessError, match="head1 ended by itself"):
-        play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=spoil)
+        play_processes(day, 3, 1, rec.Recorder(), tmp_path, started=prepare)
     assert not running(tmp_path)
 
 
 @pytest.mark.timeout(100)
-def test_a_witness_that_comes_back_slowly_is_awaited_before_it_goes_dark_again(tmp_path):
-    soon = SMALL.replace(
+def test_the_day_waits_for_a_slow_witness_restart_before_the_next_outage(tmp_path):
+    template = SMALL.replace(
         "(step start)",
         "(extent 32KiB) (limit 1) (limit-burst 200) (budgets (term 2s) (patience 1s) (budget limits (fixed 0.25))) (step start)",
     )
     path = tmp_path / "small.sexp"
     path.write_text(
-        soon % "(step dark (for 100ms)) (step rest (for 200ms)) (step dark (for 100ms)) (step rest (for 1s))"
+        template
+        % "(step dark (for 100ms)) (step rest (for 200ms)) (step dark (for 100ms)) (step rest (for 1s))"
     )
     starts = []
 
-    def count(rig):
+    def prepare(rig):
         start = rig.start_process
 
-        def counted(name, arguments, group=False):
+        def start_and_count(name, arguments, group=False):
             starts.append(name)
             return start(name, arguments, group)
 
-        rig.start_process = counted
+        rig.start_process = start_and_count
 
-    play_processes(scenario.load(str(path)), 2, 1, rec.Recorder(), tmp_path, started=count)
+    play_processes(scenario.load(str(path)), 2, 1, rec.Recorder(), tmp_path, started=prepare)
     assert starts.count("witness") >= 2
 
 
 @pytest.mark.parametrize(("waited_us", "found"), [
-    (0, None),  # it ran, or had nothing to do: what it is late by is its own
+    (0, None),  # it ran or was idle: any delay is its own
     (15_000, None),
     (25_000, (1_000_000, 30_000)),
-    (400_000, (630_000, 400_000)),  # counted when it ended: it began before the last look
+    (400_000, (630_000, 400_000)),  # the kernel counts a wait when it ends; this one began before the last look
 ])  # fmt: skip
-def test_a_head_without_a_processor_stood_still(waited_us, found):
+def test_a_head_without_a_processor_counts_as_suspended(waited_us, found):
     assert stood(1_000_000, 1_030_000, waited_us) == found
 
 
-def test_a_head_that_ran_for_most_of_a_long_look_did_not_stand_still():
+def test_a_head_that_ran_for_most_of_a_long_look_was_not_suspended():
     assert stood(1_000_000, 1_100_000, 40_000) is None
 
 
-def test_how_long_a_process_had_no_processor_is_what_the_kernel_counts():
+def test_the_time_without_a_processor_is_read_from_the_kernel():
     core = {min(os.sched_getaffinity(0))}
     busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"], preexec_fn=lambda: os.sched_setaffinity(0, core))
             for _ in range(2)]  # fmt: skip
     try:
-        until = time.monotonic() + 60
-        while min(waited_us(one.pid) for one in busy) < 100_000:  # two that never rest want one core
-            assert time.monotonic() < until
+        deadline = time.monotonic() + 60
+        while min(waited_us(process.pid) for process in busy) < 100_000:  # two busy loops share one core
+            assert time.monotonic() < deadline
             time.sleep(0.01)
     finally:
         for process in busy:
             process.kill()
             process.wait()
-    assert waited_us(busy[0].pid) == 0, "nothing is known of one that has ended"
+    assert waited_us(busy[0].pid) == 0, "the kernel reports nothing about a process that has ended"
 
 
-def test_the_rig_ends_only_what_it_started(tmp_path):
+def test_the_rig_ends_only_processes_that_it_started(tmp_path):
     other = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
     try:
         day = scenario.load(small(tmp_path, ""))
