--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -240,8 +240,8 @@
                 core.nodes_changed(nodes.replace([Member(api.NodeEntry("n", 0), ("n", 1))]))
                 swim = Swim(Rules(fleet="f"), Record("h", 1, 1, 0, State.ALIVE, "x", 1), (), 1)
                 swim.start(hub.now())
-                user = cast(Changes, SimpleNamespace(use=lambda *_: None, record=SimpleNamespace(revision=0),
-                                                     write=None))  # fmt: skip
+                user = cast(Changes, SimpleNamespace(register_user=lambda *_: None, write=None,
+                                                     record=SimpleNamespace(revision=0)))  # fmt: skip
                 closing = Closing(_parts(world, scope, core), CLOSING, swim, cast(FleetDecider, decider),
                                   user, places, link.epochs)  # fmt: skip
                 decider.taker = closing
