--- a/harriertrack/cli/interleave.py
+++ b/harriertrack/cli/interleave.py
@@ -12,7 +12,7 @@
 from harriertrack.lab.interleaving import bounded, machines, plain, reduced, registry, shortest, trace
 from harriertrack.lab.interleaving.execution import NotRepeatable, Outcome, replay
 from harriertrack.lab.interleaving.models.registry import MODELS
-from harriertrack.lab.interleaving.search import Found, Limits
+from harriertrack.lab.interleaving.search import Limits, SearchResult
 from harriertrack.lab.interleaving.world import Scenario
 
 
@@ -31,7 +31,7 @@
         fail(f"{name}: no such scenario; `harriertrack interleave --list` names them")
 
 
-def _search(scenario: Scenario, turns: int | None, newest: bool, every: bool, limits: Limits) -> Found:
+def _search(scenario: Scenario, turns: int | None, newest: bool, every: bool, limits: Limits) -> SearchResult:
     if every:
         return plain.enumerate_all(scenario, limits)
     if turns is not None:
@@ -42,7 +42,7 @@
     return found
 
 
-def _print_result(name: str, found: Found) -> None:
+def _print_result(name: str, found: SearchResult) -> None:
     result = "whole" if found.whole else "found" if found.breach else "not whole"
     bound = f" of at most {found.bound} turns" if found.bound is not None else ""
     click.echo(f"{name}: {result}; {found.schedules} schedules{bound}, {found.cut} cut, "
--- a/harriertrack/lab/interleaving/bounded.py
+++ b/harriertrack/lab/interleaving/bounded.py
@@ -13,7 +13,7 @@
 import heapq
 
 from harriertrack.lab.interleaving.execution import NEVER, Execution, execute, following
-from harriertrack.lab.interleaving.search import Found, Limits, Meter
+from harriertrack.lab.interleaving.search import Limits, Meter, SearchResult
 from harriertrack.lab.interleaving.world import Scenario
 
 
@@ -22,19 +22,19 @@
     return sum(event.step != event.offered[0] for event in one.events)
 
 
-def explore(scenario: Scenario, bound: int, limits: Limits = Limits(), newest: bool = False) -> Found:  # noqa: B008
+def explore(scenario: Scenario, bound: int, limits: Limits = Limits(), newest: bool = False) -> SearchResult:  # noqa: B008
     """Run all schedules of at most `bound` turns, up to the first breach.
 
     Turns are counted from the usual order, in which all go on side by side, or (`newest`) from one in which
     whoever began goes on for as long as it can: what needs one to be far ahead is few turns from that alone.
     """
-    found = Found(bound=bound)
+    found = SearchResult(bound=bound)
     meter = Meter(limits, found)
     waiting: list[tuple[int, int, tuple[str, ...]]] = [(0, 0, ())]  # turns, steps, how it begins
     while waiting and not meter.over():
         left, _, begins = heapq.heappop(waiting)
         one = execute(scenario, following(begins), newest)
-        found.take(one, len(one.events) - max(0, len(begins) - 1))
+        found.record(one, len(one.events) - max(0, len(begins) - 1))
         if found.breach is not None:
             break
         if left < bound:
--- a/harriertrack/lab/interleaving/execution.py
+++ b/harriertrack/lab/interleaving/execution.py
@@ -178,7 +178,7 @@
             touched.read(CLOCK)
         live = {id(item[2]) for item in world.hub._timers if item[2].act is not None}
         if running is None:
-            touched.take()
+            touched.finish_step()
         else:
             chosen, place, names, step = running
             done = {id(step.what)} if isinstance(step, Step) else set()
@@ -186,25 +186,25 @@
                 touched.read(CLOCK)  # a timer was called off: the next moment may be another one
             alone = chosen.startswith(NEVER) or (chosen == TIME and not self._scenario.lag)
             if alone:
-                touched.anything()
+                touched.mark_unknown()
             elif chosen == TIME:
                 pass
             elif place:
                 touched.write(place)
             else:
-                touched.anything()
+                touched.mark_unknown()
             for task, _ in world.hub._ready:
                 if task not in self._was_ready:
                     touched.write(place_name(task.group))
-            footprint = touched.take()
+            footprint = touched.finish_step()
             view = world.view()
             if view != self._view:
                 footprint = Footprint(footprint.reads, footprint.writes | {SEEN}, footprint.known)
-            touched.take()
+            touched.finish_step()
             at = world.time.peek() - START
             self.found.events.append(Event(chosen, footprint, names, self._since.pop(chosen), at, alone))
         self._view, self._live, self._running = world.view(), live, None
-        touched.take()
+        touched.finish_step()
 
 
 def execute(scenario: Scenario, pick: Pick, newest: bool = False) -> Execution:
--- a/harriertrack/lab/interleaving/footprints.py
+++ b/harriertrack/lab/interleaving/footprints.py
@@ -22,7 +22,7 @@
     writes: frozenset[str] = frozenset()
     known: bool = True  # else it may have touched anything
 
-    def meets(self, other: Footprint) -> bool:
+    def depends_on(self, other: Footprint) -> bool:
         """Whether the order of two steps may matter."""
         if not (self.known and other.known):
             return True
@@ -36,7 +36,7 @@
 ANYTHING = Footprint(known=False)
 
 
-class Touched:
+class FootprintRecorder:
     """Gathers the footprint of the step that runs."""
 
     def __init__(self) -> None:
@@ -52,11 +52,11 @@
         """The step changed something, or might have."""
         self._writes.add(name)
 
-    def anything(self) -> None:
+    def mark_unknown(self) -> None:
         """The step may have touched anything."""
         self._known = False
 
-    def take(self) -> Footprint:
+    def finish_step(self) -> Footprint:
         """Return what was gathered, and begin anew."""
         found = Footprint(frozenset(self._reads), frozenset(self._writes), self._known)
         self._reads, self._writes, self._known = set(), set(), True
--- a/harriertrack/lab/interleaving/machines.py
+++ b/harriertrack/lab/interleaving/machines.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class ModelResult:
     """What a search over a model saw."""
 
     states: int = 0
@@ -49,13 +49,13 @@
     seconds: float = 0.0
 
 
-def explore(model: Model, limits: Limits = Limits(), turns: int | None = None) -> Seen:  # noqa: B008
+def explore(model: Model, limits: Limits = Limits(), turns: int | None = None) -> ModelResult:  # noqa: B008
     """Look at all states of a model, up to the first breach; `limits.schedules` bounds the states.
 
     `turns`: at most so often anything but the first of the events that a model names; fewest turns come
     first then, and of equal ones the shorter. Without, the breach that is found is a shortest one.
     """
-    seen, began = Seen(states=1), time.process_time()
+    seen, began = ModelResult(states=1), time.process_time()
     start = pickle.dumps(pickle.loads(pickle.dumps(model.start())))
     ways: list[tuple[int, str]] = [(-1, "")]  # of each state: from which, by what
     known = {hash(start)}
--- a/harriertrack/lab/interleaving/models/closing.py
+++ b/harriertrack/lab/interleaving/models/closing.py
@@ -125,7 +125,7 @@
                 if state.fences[name].refusal_hint_us(state.reading(name), VOLUME, 0, 1) is None:
                     self._read(state, name)
             case _:
-                came = state.mail.take(event)
+                came = state.mail.apply(event)
                 if came is not None:
                     self._told(state, *came)
 
--- a/harriertrack/lab/interleaving/models/leases.py
+++ b/harriertrack/lab/interleaving/models/leases.py
@@ -148,7 +148,7 @@
                 for name in state.holders:
                     state.mail.send(name, state.ledger.term)
             case _:
-                came = state.mail.take(event)
+                came = state.mail.apply(event)
                 if came is not None:
                     self._arrive(state, *came)
 
--- a/harriertrack/lab/interleaving/models/mail.py
+++ b/harriertrack/lab/interleaving/models/mail.py
@@ -36,7 +36,7 @@
         """Name what may come that was slow."""
         yield from (f"late {at} to {to}" for at, (to, _) in enumerate(self.slow))
 
-    def take(self, event: str) -> tuple[str, Any] | None:
+    def apply(self, event: str) -> tuple[str, Any] | None:
         """Let it happen; return whom it reaches, and what."""
         verb, at = event.split()[0], int(event.split()[1])
         if verb == "double":
--- a/harriertrack/lab/interleaving/models/rollouts.py
+++ b/harriertrack/lab/interleaving/models/rollouts.py
@@ -176,7 +176,7 @@
                 state.told[name] = state.term, head.life, head.number
                 state.mail.send(state.holder, self._report(state, name))
             case _:
-                came = state.mail.take(event)
+                came = state.mail.apply(event)
                 if came is not None and came[0] == state.holder:
                     self._hear(state, came[1])
 
--- a/harriertrack/lab/interleaving/models/sweeps.py
+++ b/harriertrack/lab/interleaving/models/sweeps.py
@@ -124,7 +124,7 @@
                 if self._passes(state, name, int(at)):
                     self._reaches(state, self._epoch(state, name), int(at), NEW)
             case _:
-                self._came(state, state.mail.take(event))
+                self._came(state, state.mail.apply(event))
 
     def _begin(self, state: State, name: str) -> None:
         fence = state.fences[name].fence(CALENDAR)
--- a/harriertrack/lab/interleaving/models/weights.py
+++ b/harriertrack/lab/interleaving/models/weights.py
@@ -128,7 +128,7 @@
                 state.faults -= 1
                 self._answer(state, name, True)
             case _:
-                came = state.mail.take(event)
+                came = state.mail.apply(event)
                 if came is not None:
                     life, head, page = came[1]
                     if state.heads[head].life == life:  # the view turns down what a life before said
--- a/harriertrack/lab/interleaving/observed.py
+++ b/harriertrack/lab/interleaving/observed.py
@@ -4,7 +4,7 @@
 
 import random
 
-from harriertrack.lab.interleaving.footprints import CLOCK, RANDOM, Touched
+from harriertrack.lab.interleaving.footprints import CLOCK, RANDOM, FootprintRecorder
 from harriertrack.runtime.hub import VirtualTime
 
 START = 1_000_000_000
@@ -13,7 +13,7 @@
 class ObservedTime(VirtualTime):
     """Simulated time; `read` and `moved` become part of a step's footprint."""
 
-    def __init__(self, touched: Touched, start: int = START) -> None:
+    def __init__(self, touched: FootprintRecorder, start: int = START) -> None:
         super().__init__(start)
         self._touched = touched
 
@@ -39,7 +39,7 @@
 class ObservedRandom(random.Random):
     """Random numbers, drawn in the order of the steps: two steps that draw depend on each other."""
 
-    def __init__(self, touched: Touched, seed: int) -> None:
+    def __init__(self, touched: FootprintRecorder, seed: int) -> None:
         super().__init__(seed)
         self._touched = touched
 
--- a/harriertrack/lab/interleaving/plain.py
+++ b/harriertrack/lab/interleaving/plain.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from harriertrack.lab.interleaving.execution import Event, execute
-from harriertrack.lab.interleaving.search import Found, Limits, Meter
+from harriertrack.lab.interleaving.search import Limits, Meter, SearchResult
 from harriertrack.lab.interleaving.world import Scenario
 
 
@@ -15,9 +15,9 @@
     at: int = 0
 
 
-def enumerate_all(scenario: Scenario, limits: Limits = Limits()) -> Found:  # noqa: B008
+def enumerate_all(scenario: Scenario, limits: Limits = Limits()) -> SearchResult:  # noqa: B008
     """Run all schedules of a scenario, depth first, up to the first breach."""
-    found, turns = Found(), list[_Turn]()
+    found, turns = SearchResult(), list[_Turn]()
     meter = Meter(limits, found)
 
     def pick(events: list[Event], names: tuple[str, ...]) -> str:
@@ -28,7 +28,7 @@
 
     while not meter.over():
         before = len(turns)
-        found.take(execute(scenario, pick), len(turns) - before + 1)
+        found.record(execute(scenario, pick), len(turns) - before + 1)
         if found.breach is not None:
             break
         while turns and turns[-1].at + 1 == len(turns[-1].names):
--- a/harriertrack/lab/interleaving/reduced.py
+++ b/harriertrack/lab/interleaving/reduced.py
@@ -12,7 +12,7 @@
 
 from harriertrack.lab.interleaving.execution import Event, Execution, Outcome, execute
 from harriertrack.lab.interleaving.footprints import Footprint
-from harriertrack.lab.interleaving.search import Found, Limits, Meter
+from harriertrack.lab.interleaving.search import Limits, Meter, SearchResult
 from harriertrack.lab.interleaving.world import Scenario
 
 
@@ -47,14 +47,14 @@
         self._nodes: list[_Node] = []
         self._before: list[int] = []  # of each event of the path, which ones it follows from, as bits
 
-    def run(self) -> Found:
+    def run(self) -> SearchResult:
         """Run one schedule of each kind, up to the first breach."""
-        found, nodes = Found(), self._nodes
+        found, nodes = SearchResult(), self._nodes
         meter = Meter(self._limits, found)
         while not meter.over():
             start = max(0, len(nodes) - 1)  # the last node's choice is the first new event
             one = execute(self._scenario, self._pick)
-            found.take(one, len(one.events) - start)
+            found.record(one, len(one.events) - start)
             if one.outcome is Outcome.BREACH:
                 break
             self._learn(one, start)
@@ -75,7 +75,7 @@
             parent, ran = nodes[-1], events[-1].footprint
             others = {**parent.sleep, **parent.done}
             sleep = {name: one for name, one in others.items()
-                     if name != parent.chosen and name in names and not one.meets(ran)}  # fmt: skip
+                     if name != parent.chosen and name in names and not one.depends_on(ran)}  # fmt: skip
         node = _Node(names, sleep)
         nodes.append(node)
         node.todo.update(dict.fromkeys([name for name in names if name not in sleep][:1]))
@@ -88,7 +88,7 @@
         for at in range(start, len(events)):
             event = events[at]
             self._nodes[at].done[event.step] = event.footprint
-            meets = [i for i in range(at) if event.footprint.meets(events[i].footprint)]
+            meets = [i for i in range(at) if event.footprint.depends_on(events[i].footprint)]
             follows = _bits(meets) | (1 << event.since if event.since >= 0 else 0)
             closed = follows
             for i in range(at):
@@ -126,6 +126,6 @@
             self._nodes[at].todo.update(dict.fromkeys(gone))
 
 
-def explore(scenario: Scenario, limits: Limits = Limits()) -> Found:  # noqa: B008
+def explore(scenario: Scenario, limits: Limits = Limits()) -> SearchResult:  # noqa: B008
     """Run one schedule of each kind of a scenario, up to the first breach."""
     return Reduced(scenario, limits).run()
--- a/harriertrack/lab/interleaving/scenarios/witness.py
+++ b/harriertrack/lab/interleaving/scenarios/witness.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from harriertrack.gateway.witness import FAILURES, WitnessClient
-from harriertrack.lab.interleaving.footprints import Touched
+from harriertrack.lab.interleaving.footprints import FootprintRecorder
 from harriertrack.lab.interleaving.world import Scenario, World
 from harriertrack.membership.leases import KEY_PREFIX, HeldLocks, Session, VolumeRecord
 from harriertrack.runtime.hub import Event, Hub
@@ -26,7 +26,7 @@
 class ApartWitness(Witness):
     """The stand-in; each connection is a place of its own, and all meet in what the witness keeps."""
 
-    def __init__(self, hub: Hub, network: Network, touched: Touched) -> None:
+    def __init__(self, hub: Hub, network: Network, touched: FootprintRecorder) -> None:
         super().__init__(hub, network)
         self._touched = touched
         self.up = Event(hub)  # it listens
--- a/harriertrack/lab/interleaving/search.py
+++ b/harriertrack/lab/interleaving/search.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """What a search saw."""
 
     schedules: int = 0  # that ran to their end
@@ -32,7 +32,7 @@
     breach: Execution | None = None
     seconds: float = 0.0
 
-    def take(self, one: Execution, fresh: int) -> None:
+    def record(self, one: Execution, fresh: int) -> None:
         """Count a schedule of which so many states are new."""
         self.states += fresh
         self.steps += len(one.events)
@@ -52,7 +52,7 @@
 class Meter:
     """Holds a search to its limits, and times it."""
 
-    def __init__(self, limits: Limits, found: Found) -> None:
+    def __init__(self, limits: Limits, found: SearchResult) -> None:
         self._limits, self._found, self._began = limits, found, time.process_time()
 
     def over(self) -> bool:
--- a/harriertrack/lab/interleaving/shortest.py
+++ b/harriertrack/lab/interleaving/shortest.py
@@ -4,7 +4,7 @@
 
 from harriertrack.lab.interleaving import bounded, reduced
 from harriertrack.lab.interleaving.execution import Event, Execution, Outcome, execute
-from harriertrack.lab.interleaving.search import Found, Limits
+from harriertrack.lab.interleaving.search import Limits, SearchResult
 from harriertrack.lab.interleaving.world import Scenario
 
 
@@ -41,7 +41,7 @@
     return one
 
 
-def hunt(scenario: Scenario, bound: int, limits: Limits) -> Found:
+def find_breach(scenario: Scenario, bound: int, limits: Limits) -> SearchResult:
     """Look for a breach: by few turns first, then, if that shows none, through all kinds of schedules.
 
     A breach of the first search has the fewest turns there are; one of the second is shrunk.
--- a/harriertrack/lab/interleaving/wires.py
+++ b/harriertrack/lab/interleaving/wires.py
@@ -9,7 +9,7 @@
 import errno
 from collections.abc import Callable
 
-from harriertrack.lab.interleaving.footprints import Touched
+from harriertrack.lab.interleaving.footprints import FootprintRecorder
 from harriertrack.runtime.datagrams import Address, DatagramHandler, MemoryDatagrams, MemoryPort
 from harriertrack.runtime.hub import Hub
 from harriertrack.runtime.streams import MemoryListener, MemoryNetwork, MemoryStream
@@ -25,7 +25,7 @@
 class Wire(MemoryStream):
     """An end of a stream that knows whose it is."""
 
-    def __init__(self, hub: Hub, peer: str, touched: Touched, place: Place, name: str) -> None:
+    def __init__(self, hub: Hub, peer: str, touched: FootprintRecorder, place: Place, name: str) -> None:
         super().__init__(hub, peer, 0)
         self.place, self.name, self._touched = place, name, touched
 
@@ -60,7 +60,7 @@
 class Wires(MemoryNetwork):
     """Streams between places."""
 
-    def __init__(self, hub: Hub, touched: Touched) -> None:
+    def __init__(self, hub: Hub, touched: FootprintRecorder) -> None:
         super().__init__(hub, lambda _name, _address: 0)
         self._touched = touched
         self._owner: dict[Address, Place] = {}
@@ -79,7 +79,7 @@
     def apart(self, owner: Place) -> None:
         """Let each connection to a place be a place of its own.
 
-        For a server whose tasks share nothing but what they name by themselves (`Touched.write`).
+        For a server whose tasks share nothing but what they name by themselves (`FootprintRecorder.write`).
         """
         self._apart.add(owner)
 
@@ -87,7 +87,7 @@
         """Open a stream, or find at any later time that nobody listens."""
         self.hub.sleep_until(self.hub.now())
         here, there = place_name(self.hub.current().group), self._owner.get(address, "")
-        self._touched.write(there) if there else self._touched.anything()
+        self._touched.write(there) if there else self._touched.mark_unknown()
         listener = self.listeners.get(address)
         if listener is None:
             raise ConnectionRefusedError(errno.ECONNREFUSED, f"nobody listens at {address[0]}:{address[1]}")
@@ -114,7 +114,7 @@
 class Posts(MemoryDatagrams):
     """Datagrams between places; `fate` may lose or double them, and all come in any order."""
 
-    def __init__(self, hub: Hub, touched: Touched) -> None:
+    def __init__(self, hub: Hub, touched: FootprintRecorder) -> None:
         super().__init__(hub, lambda _source, _target, _size: (0,))
         self._touched = touched
 
--- a/harriertrack/lab/interleaving/world.py
+++ b/harriertrack/lab/interleaving/world.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
 
-from harriertrack.lab.interleaving.footprints import Touched
+from harriertrack.lab.interleaving.footprints import FootprintRecorder
 from harriertrack.lab.interleaving.observed import ObservedRandom, ObservedTime
 from harriertrack.lab.interleaving.wires import Place, Posts, Wires, place_name
 from harriertrack.runtime.hub import Cancelled, Task
@@ -33,7 +33,7 @@
     """What one schedule runs in."""
 
     def __init__(self, lead: StepChooser, seed: int = 0) -> None:
-        self.touched = Touched()
+        self.touched = FootprintRecorder()
         self.time = ObservedTime(self.touched)
         self.hub = SteppedHub(lead, self.time, None, seed)
         self.hub.random = ObservedRandom(self.touched, seed)
--- a/tests/interleaving/test_scenarios.py
+++ b/tests/interleaving/test_scenarios.py
@@ -70,7 +70,7 @@
     assert bounded.explore(LOST, least - 1).whole if least else True
     every = plain.enumerate_all(LOST)
     assert bounded.turns(shortest.shrink(LOST, every.breach)) == least
-    assert shortest.hunt(LOST, 9, Limits()).breach.schedule == found.breach.schedule
+    assert shortest.find_breach(LOST, 9, Limits()).breach.schedule == found.breach.schedule
 
 
 def test_a_schedule_that_can_not_be_run_is_told():
