--- a/harriertrack/lab/interleaving/execution.py
+++ b/harriertrack/lab/interleaving/execution.py
@@ -1,7 +1,8 @@
-"""One schedule of a scenario, from the start: greenlets can't be copied, so every schedule is run anew.
+"""Executes one schedule of a scenario from the initial state.
 
-The explorer names each step it wants, by a `Pick`; what ran is kept as events with their footprints, which is
-all that the searches need.
+The search is stateless: greenlets can't be copied, so every schedule is executed from the start. The explorer
+selects each step by name through a `Pick`; executed steps are recorded as events with their dependency
+footprints, which is all that the searches need.
 """
 
 from __future__ import annotations
@@ -19,55 +20,55 @@
 from harriertrack.runtime.led import Step, StepKind
 
 FAULT = "fault: "
-NEVER = "never: "  # this fault will not happen: said when nothing else can run
+NEVER = "never: "  # the fault does not occur: offered when no other step is enabled
 
 
 class NotRepeatable(RuntimeError):
-    """A schedule that ran before does not run again: the scenario depends on what is not its own."""
+    """A recorded schedule can't be replayed: the scenario depends on state outside its world."""
 
 
 class Outcome(Enum):
     """How a schedule ended."""
 
-    REST = "rest"  # nothing can run any more
+    REST = "rest"  # no step is enabled any more
     BREACH = "breach"
-    CUT = "cut"  # the explorer wants no more of it
+    CUT = "cut"  # the explorer abandoned the schedule
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A step that ran."""
+    """An executed step."""
 
     step: str
     footprint: Footprint
-    offered: tuple[str, ...]  # what could have run instead, in the usual loop's order
-    since: int  # the event after which it could run; -1: from the start
-    at: int  # microseconds since the start
-    alone: bool = False  # it can run only when nothing but faults can
+    offered: tuple[str, ...]  # the enabled steps, in the hub's default order
+    since: int  # index of the event that enabled it; -1: enabled from the start
+    at: int  # microseconds since the start of the schedule
+    alone: bool = False  # enabled only when nothing but faults is
 
 
-# From what ran and what may run now to what runs; None: no more of this schedule.
+# Maps the executed events and the enabled steps to the next step; None abandons the schedule.
 Pick = Callable[[list[Event], tuple[str, ...]], str | None]
 
 
 @dataclass(slots=True)
 class Execution:
-    """What came of one schedule."""
+    """The result of one schedule."""
 
     events: list[Event] = field(default_factory=list)
     outcome: Outcome = Outcome.CUT
     breach: str = ""
     end: View = ()
-    left: tuple[str, ...] = ()  # what could still run at the end
+    left: tuple[str, ...] = ()  # steps that were still enabled at the end
 
     @property
     def schedule(self) -> tuple[str, ...]:
-        """Return the names of what ran."""
+        """Return the names of the executed steps."""
         return tuple(event.step for event in self.events)
 
 
-class _Led:
-    """Chooses as a `Pick` says, and watches."""
+class _Scheduler:
+    """Chooses steps as a `Pick` selects them, and records their footprints."""
 
     def __init__(self, scenario: Scenario, pick: Pick, newest: bool) -> None:
         self._scenario, self._pick, self._newest = scenario, pick, newest
@@ -78,27 +79,29 @@
         self._since: dict[str, int] = {}
         self._running: tuple[str, str, tuple[str, ...], Step | Fault] | None = None
         self._live: set[int] = set()
-        self._polled: set[str] = set()  # descriptors' events that were handed over since a task ran last
+        self._polled: set[str] = set()  # descriptor events delivered since a task last ran
         self._was_ready: set[Task] = set()
 
     def choose(self, steps: list[Step]) -> Step | None:
-        """Return the step that runs next."""
+        """Return the step to run next; None ends the schedule."""
         while True:
-            self._note(steps)
+            self._record_step(steps)
             found, world = self.found, self.world
             if (breach := world.breach(self._view)) is not None:
-                return self._end(breach)
-            offered = self._offer(steps)
-            faults = self._faults(rest=not offered)
+                return self._report_breach(breach)
+            offered = self._enabled_steps(steps)
+            faults = self._enabled_faults(rest=not offered)
             number = len(found.events)
-            names = (*self._ordered(offered, number), *faults)
+            names = (*self._default_order(offered, number), *faults)
             if not names:
                 if (breach := world.breach_at_end()) is not None:
-                    return self._end(breach)
+                    return self._report_breach(breach)
                 found.outcome, found.end = Outcome.REST, self._view
                 return None
             if number >= self._scenario.most_steps:
-                return self._end(f"it does not come to rest within {self._scenario.most_steps} steps")
+                return self._report_breach(
+                    f"it does not come to rest within {self._scenario.most_steps} steps"
+                )
             self._since = {name: self._since.get(name, number - 1) for name in names}
             chosen = self._pick(found.events, names)
             if chosen is None:
@@ -123,23 +126,23 @@
                 world.hub._call(fault.place, fault.act)
             steps = world.hub.steps()
 
-    def _ordered(self, offered: dict[str, tuple[Step, Name]], number: int) -> list[str]:
-        """Return the order that a schedule keeps to but for its turns: time passes last."""
+    def _default_order(self, offered: dict[str, tuple[Step, Name]], number: int) -> list[str]:
+        """Return the default order, in which turns are counted; with `newest`, time passes last."""
         if not self._newest:
             return list(offered)
         return sorted(offered, key=lambda name: (name == TIME, -self._since.get(name, number)))
 
-    def _faults(self, rest: bool) -> dict[str, Fault]:
-        open_ = [one for one in self.world.faults if not one.done]
-        never = {f"{NEVER}{one.name}": one for one in open_ if rest}
-        return {**never, **{f"{FAULT}{one.name}": one for one in open_}}
+    def _enabled_faults(self, rest: bool) -> dict[str, Fault]:
+        pending = [fault for fault in self.world.faults if not fault.done]
+        never = {f"{NEVER}{fault.name}": fault for fault in pending if rest}
+        return {**never, **{f"{FAULT}{fault.name}": fault for fault in pending}}
 
-    def _end(self, breach: str) -> Step | None:
+    def _report_breach(self, breach: str) -> Step | None:
         self.found.outcome, self.found.breach = Outcome.BREACH, breach
         return None
 
-    def _offer(self, steps: list[Step]) -> dict[str, tuple[Step, Name]]:
-        """Return what may run: nothing of the dead, nothing out of an order that the networks keep."""
+    def _enabled_steps(self, steps: list[Step]) -> dict[str, tuple[Step, Name]]:
+        """Return the enabled steps: none of killed processes, none that breaks a channel's delivery order."""
         named = [(step, self.names.of(step)) for step in steps]
         dead = self.world.dead
         named = [(step, name) for step, name in named if name.place not in dead]
@@ -152,7 +155,7 @@
             match step.kind:
                 case StepKind.CALLBACK:
                     if name.place in ready:
-                        continue  # the round is not over
+                        continue  # the hub's round is not over
                 case StepKind.TIMER | StepKind.EVENT:
                     first = name.text not in self._polled
                     if name.channel:
@@ -169,8 +172,8 @@
             offered[name.text] = (step, name)
         return offered
 
-    def _note(self, steps: list[Step]) -> None:
-        """Keep what the step before did."""
+    def _record_step(self, steps: list[Step]) -> None:
+        """Record the footprint of the step that ran last."""
         world, running = self.world, self._running
         touched = world.touched
         maker = running[1] if running is not None else ""
@@ -183,7 +186,7 @@
             chosen, place, names, step = running
             done = {id(step.what)} if isinstance(step, Step) else set()
             if self._live - live - done:
-                touched.read(CLOCK)  # a timer was called off: the next moment may be another one
+                touched.read(CLOCK)  # a timer was cancelled: the next expiry may have changed
             alone = chosen.startswith(NEVER) or (chosen == TIME and not self._scenario.lag)
             if alone:
                 touched.mark_unknown()
@@ -208,13 +211,13 @@
 
 
 def execute(scenario: Scenario, pick: Pick, newest: bool = False) -> Execution:
-    """Run one schedule, from the start to where the pick or a breach ends it.
+    """Run one schedule, from the start until the pick or an invariant violation ends it.
 
-    What can run is offered in the usual loop's order, or `newest` first: then whoever began goes on, with all
-    who answer it, as far as it comes.
+    Enabled steps are offered in the hub's default order or, with `newest`, most recently enabled first: a
+    task that has started and those that respond to it then run as far as they can before any other.
     """
-    led = _Led(scenario, pick, newest)
-    world = led.world
+    scheduler = _Scheduler(scenario, pick, newest)
+    world = scheduler.world
 
     def main() -> None:
         scenario.build(world)
@@ -225,18 +228,18 @@
     except Deadlock:
         pass
     finally:
-        world.close(led.names.tasks())
-    return led.found
+        world.close(scheduler.names.tasks())
+    return scheduler.found
 
 
 def following(schedule: tuple[str, ...]) -> Pick:
-    """Return a pick that follows a schedule, and then the order of what is offered, without faults."""
+    """Return a pick that follows a schedule and then the default order, without faults."""
     return lambda events, names: schedule[len(events)] if len(events) < len(schedule) else names[0]
 
 
 def replay(scenario: Scenario, schedule: tuple[str, ...]) -> Execution:
-    """Run a schedule that was found, and from its end on as the usual loop would.
+    """Replay a recorded schedule, then continue in the hub's default order.
 
-    Raises NotRepeatable if it can't be run: the code or the scenario has changed since.
+    Raises NotRepeatable if a step is not enabled: the code or the scenario has changed since.
     """
     return execute(scenario, following(schedule))
--- a/harriertrack/lab/interleaving/reduced.py
+++ b/harriertrack/lab/interleaving/reduced.py
@@ -1,9 +1,9 @@
-"""One schedule of each kind: schedules that differ by exchanges of independent steps alone are of one kind.
+"""Partial-order reduction: one schedule per equivalence class under exchanges of independent steps.
 
 Dynamic partial-order reduction with source sets and sleep sets (Abdulla, Aronis, Jonsson, Sagonas, "Optimal
 dynamic partial order reduction", POPL 2014, algorithm 1; Flanagan and Godefroid, POPL 2005). Here a step's
-footprint is known once it has run, so races are looked for after each run, and a step that a later one took
-away (a timer called off, a process killed) counts as racing with that one.
+footprint is known only after it has run, so races are detected after each execution, and a step that a later
+one disabled (a cancelled timer, a killed process) counts as racing with that one.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True)
 class _Node:
-    """A state on the present path."""
+    """A state on the current path."""
 
-    names: tuple[str, ...]  # what may run
-    sleep: dict[str, Footprint]  # what need not run here first: other paths stand for that
+    names: tuple[str, ...]  # enabled steps
+    sleep: dict[str, Footprint]  # sleep set: steps that explored paths already cover from here
     chosen: str = ""
     todo: dict[str, None] = field(default_factory=dict)
     done: dict[str, Footprint] = field(default_factory=dict)
 
-    def turn(self) -> bool:
-        """Choose what is still to be looked at; return whether anything is."""
+    def choose_next(self) -> bool:
+        """Choose the next unexplored step of the source set; return whether there is one."""
         for name in self.todo:
             if name not in self.done and name not in self.sleep:
                 self.chosen = name
@@ -40,15 +40,15 @@
 
 
 class Reduced:
-    """The search."""
+    """Depth-first search with source sets and sleep sets."""
 
     def __init__(self, scenario: Scenario, limits: Limits = Limits()) -> None:  # noqa: B008
         self._scenario, self._limits = scenario, limits
         self._nodes: list[_Node] = []
-        self._before: list[int] = []  # of each event of the path, which ones it follows from, as bits
+        self._before: list[int] = []  # by event of the path: the events that happen before it, as a bit set
 
     def run(self) -> SearchResult:
-        """Run one schedule of each kind, up to the first breach."""
+        """Run one schedule per equivalence class, up to the first breach."""
         found, nodes = SearchResult(), self._nodes
         meter = Meter(self._limits, found)
         while not meter.over():
@@ -57,8 +57,8 @@
             found.record(one, len(one.events) - start)
             if one.outcome is Outcome.BREACH:
                 break
-            self._learn(one, start)
-            while nodes and not nodes[-1].turn():
+            self._add_backtrack_points(one, start)
+            while nodes and not nodes[-1].choose_next():
                 nodes.pop()
             if not nodes:
                 found.whole = True
@@ -79,46 +79,46 @@
         node = _Node(names, sleep)
         nodes.append(node)
         node.todo.update(dict.fromkeys([name for name in names if name not in sleep][:1]))
-        return node.chosen if node.turn() else None
+        return node.chosen if node.choose_next() else None
 
-    def _learn(self, one: Execution, start: int) -> None:
-        """Find the races of the new events, and what is to be looked at for them."""
+    def _add_backtrack_points(self, one: Execution, start: int) -> None:
+        """Detect the races of the new events and add backtrack points that reverse them."""
         events, before = one.events, self._before
         del before[start:]
         for at in range(start, len(events)):
             event = events[at]
             self._nodes[at].done[event.step] = event.footprint
-            meets = [i for i in range(at) if event.footprint.depends_on(events[i].footprint)]
-            follows = _bits(meets) | (1 << event.since if event.since >= 0 else 0)
-            closed = follows
+            dependent = [i for i in range(at) if event.footprint.depends_on(events[i].footprint)]
+            direct = _bits(dependent) | (1 << event.since if event.since >= 0 else 0)
+            closed = direct
             for i in range(at):
-                if follows >> i & 1:
+                if direct >> i & 1:
                     closed |= before[i]
             before.append(closed)
             later = 0
             for i in range(at):
                 if closed >> i & 1:
                     later |= before[i]
-            for i in meets:
+            for i in dependent:
                 if event.alone and event.step not in events[i].offered:
-                    continue  # it waited for that one
+                    continue  # the earlier event enabled it, so the two do not race
                 if i != event.since and not later >> i & 1:
                     self._race(events, i, at)
-        self._taken_away(one, start)
+        self._reverse_disabled(one, start)
 
     def _race(self, events: list[Event], first: int, second: int) -> None:
-        """Let what leads to the second event be tried before the first."""
+        """Add a step that leads to the second event to the source set at the first one."""
         node, before = self._nodes[first], self._before
         free = [i for i in range(first + 1, second) if not before[i] >> first & 1] + [second]
         among = _bits(free)
-        heads = [events[i].step for i in free if not before[i] & among]
-        if any(name in node.todo or name in node.sleep for name in heads):
+        initials = [events[i].step for i in free if not before[i] & among]
+        if any(name in node.todo or name in node.sleep for name in initials):
             return
-        able = [name for name in heads if name in node.names]
-        node.todo.update(dict.fromkeys(able[:1] or node.names))
+        enabled = [name for name in initials if name in node.names]
+        node.todo.update(dict.fromkeys(enabled[:1] or node.names))
 
-    def _taken_away(self, one: Execution, start: int) -> None:
-        """What could run before an event and not after it is tried before it too."""
+    def _reverse_disabled(self, one: Execution, start: int) -> None:
+        """Also explore the steps that an event disabled before that event."""
         events = one.events
         for at in range(max(0, start), len(events)):
             after = events[at + 1].offered if at + 1 < len(events) else one.left
@@ -127,5 +127,5 @@
 
 
 def explore(scenario: Scenario, limits: Limits = Limits()) -> SearchResult:  # noqa: B008
-    """Run one schedule of each kind of a scenario, up to the first breach."""
+    """Run one schedule per equivalence class of a scenario, up to the first breach."""
     return Reduced(scenario, limits).run()
--- a/harriertrack/lab/interleaving/wires.py
+++ b/harriertrack/lab/interleaving/wires.py
@@ -1,7 +1,7 @@
-"""Memory networks of an explored world: what is sent may arrive at any time, in order on one connection.
+"""In-memory networks of an explored world, with arbitrary delivery delay.
 
-Bytes and datagrams take no time of their own: their arrival is a step that the explorer puts wherever it
-likes. A stream's arrivals keep their order (`channel`), datagrams come in any.
+Transfers take no simulated time: each arrival is a separate step that the explorer schedules at any point.
+Arrivals on one stream are delivered in order (`channel`); datagrams are delivered in any order.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 
 def place_name(group: object) -> Place:
-    """Return how a group is called; "" for none, which is no place."""
+    """Return the name of a task group's place; "" for no group."""
     return "" if group is None else str(group)
 
 
 class Wire(MemoryStream):
-    """An end of a stream that knows whose it is."""
+    """One end of a stream, with the place that owns it."""
 
     def __init__(self, hub: Hub, peer: str, touched: FootprintRecorder, place: Place, name: str) -> None:
         super().__init__(hub, peer, 0)
         self.place, self.name, self._touched = place, name, touched
 
     def _taken(self, count: int) -> None:
-        # The peer's step reads here: all that its owner can see of it is room to write.
+        # Runs in the peer's step, which reads from this end: its owner only observes more room to write.
         self._touched.write(f"room of {self.name}")
         super()._taken(count)
 
@@ -40,11 +40,11 @@
         super().drain(deadline)
 
 
-class _Apart(MemoryListener):
-    """Hands each connection to a task in a place of its own."""
+class _IsolatingListener(MemoryListener):
+    """A listener that gives each connection a place of its own."""
 
     def accept(self, deadline: int | None = None) -> MemoryStream:
-        """Wait for the next stream; what the caller starts next belongs to that stream's place."""
+        """Wait for the next stream; tasks that the caller starts next belong to that stream's place."""
         hub, owner = self._network.hub, self._owner
         hub.enter_group(owner)
         stream = super().accept(deadline)
@@ -58,33 +58,33 @@
 
 
 class Wires(MemoryNetwork):
-    """Streams between places."""
+    """A stream network between places, which records the footprints of its operations."""
 
     def __init__(self, hub: Hub, touched: FootprintRecorder) -> None:
         super().__init__(hub, lambda _name, _address: 0)
         self._touched = touched
         self._owner: dict[Address, Place] = {}
-        self._apart: set[Place] = set()
+        self._isolated: set[Place] = set()
         self._count: dict[Place, int] = {}
         self.ends: list[Wire] = []
 
     def listen(self, address: Address) -> MemoryListener:
         """Listen at a host and port; port 0 picks a free one."""
         listener, owner = super().listen(address), place_name(self.hub.current().group)
-        if owner in self._apart:
-            listener = self.listeners[listener.address] = _Apart(self, listener.address, owner)
+        if owner in self._isolated:
+            listener = self.listeners[listener.address] = _IsolatingListener(self, listener.address, owner)
         self._owner[listener.address] = owner
         return listener
 
     def apart(self, owner: Place) -> None:
-        """Let each connection to a place be a place of its own.
+        """Make each connection to a place a place of its own.
 
-        For a server whose tasks share nothing but what they name by themselves (`FootprintRecorder.write`).
+        For a server whose tasks share no state but what they declare (`FootprintRecorder.write`).
         """
-        self._apart.add(owner)
+        self._isolated.add(owner)
 
     def connect(self, address: Address, deadline: int | None = None, name: str = "") -> MemoryStream:
-        """Open a stream, or find at any later time that nobody listens."""
+        """Open a stream. Raises ConnectionRefusedError, at any later time, if there is no listener."""
         self.hub.sleep_until(self.hub.now())
         here, there = place_name(self.hub.current().group), self._owner.get(address, "")
         self._touched.write(there) if there else self._touched.mark_unknown()
@@ -93,7 +93,7 @@
             raise ConnectionRefusedError(errno.ECONNREFUSED, f"nobody listens at {address[0]}:{address[1]}")
         number = self._count[here] = self._count.get(here, 0) + 1
         mine = Wire(self.hub, f"{address[0]}:{address[1]}", self._touched, here, f"{here}>{there}#{number}")
-        served = f"{there}/{here}#{number}" if there in self._apart else there
+        served = f"{there}/{here}#{number}" if there in self._isolated else there
         other = Wire(self.hub, name, self._touched, served, f"{there}<{here}#{number}")
         mine.other, other.other = other, mine
         self.ends += (mine, other)
@@ -101,7 +101,7 @@
         return mine
 
     def break_all(self, place: Place) -> None:
-        """The system closes what a dead process had open: what was sent still comes, then the end."""
+        """Close the streams of a killed process, as an OS does: sent bytes still arrive, then end of file."""
         for address, owner in self._owner.items():
             if owner == place and (listener := self.listeners.get(address)) is not None:
                 listener.close()
@@ -112,7 +112,7 @@
 
 
 class Posts(MemoryDatagrams):
-    """Datagrams between places; `fate` may lose or double them, and all come in any order."""
+    """Datagrams between places, delivered in any order; `fate` may drop or duplicate them."""
 
     def __init__(self, hub: Hub, touched: FootprintRecorder) -> None:
         super().__init__(hub, lambda _source, _target, _size: (0,))
@@ -125,7 +125,7 @@
         return port
 
     def carry(self, source: MemoryPort, data: bytes, address: Address) -> None:
-        """Bring a datagram to whoever is bound there when it arrives."""
+        """Send a datagram to the port that is bound to the address when it arrives."""
         self._touched.read(f"port {address}")
         super().carry(source, data, address)
 
@@ -134,7 +134,7 @@
         super()._arrive(data, source, address)
 
     def break_all(self, place: Place) -> None:
-        """The system closes the ports of a dead process."""
+        """Close the ports of a killed process, as an OS does."""
         for port in list(self.ports.values()):
             if place_name(port._group) == place:
                 self._touched.write(f"port {port.address}")
@@ -142,17 +142,17 @@
 
 
 def arrival(act: Callable[[], None]) -> tuple[str, Place, str] | None:
-    """Return (what, place, channel) of a timer that brings something over a network; None for others.
+    """Return (event, place, channel) of a timer that delivers over a network; None for other timers.
 
-    What a callback refers to is read from its closure: the networks are used as they are.
+    They are read from the callback's closure, so that the network classes need no change.
     """
     code = getattr(act, "__code__", None)
     if code is None or act.__closure__ is None:
         return None
-    held = dict(zip(code.co_freevars, (cell.cell_contents for cell in act.__closure__), strict=True))
-    if isinstance(other := held.get("other"), Wire):
-        return ("bytes arrive" if "copy" in held else "the end arrives"), other.place, other.name
-    network, address = held.get("self"), held.get("address")
+    closure = dict(zip(code.co_freevars, (cell.cell_contents for cell in act.__closure__), strict=True))
+    if isinstance(other := closure.get("other"), Wire):
+        return ("bytes arrive" if "copy" in closure else "the end arrives"), other.place, other.name
+    network, address = closure.get("self"), closure.get("address")
     if isinstance(network, Posts) and address is not None:
         port = network.ports.get(address)
         return "a datagram arrives", place_name(port._group) if port is not None else "nowhere", ""
