--- a/harriertrack/lab/interleaving/bounded.py
+++ b/harriertrack/lab/interleaving/bounded.py
@@ -1,11 +1,12 @@
-"""Schedules that leave the usual loop's order a few times only: for worlds too large to be seen whole.
-
-Most breaches need few turns (Musuvathi and Qadeer, "Iterative context bounding", PLDI 2007; Emmi, Qadeer and
-Rakamaric, "Delay-bounded scheduling", POPL 2011). Here tasks keep running until they wait, so what is counted
-is not preemptions but turns: steps chosen in place of the one that the hub's own loop would run. Fewest turns
-come first, so the first breach has the fewest. Nothing is left out within the bound, and no reduction is
-used: with a bound it would leave out schedules that have no other to stand for them (Coons, Musuvathi,
-McKinley, "Bounded partial-order reduction", OOPSLA 2013).
+"""Delay-bounded search: schedules with few deviations from the default order, for large state spaces.
+
+Most violations need few deviations (Musuvathi and Qadeer, "Iterative context bounding", PLDI 2007; Emmi,
+Qadeer and Rakamaric, "Delay-bounded scheduling", POPL 2011). Here tasks run until they wait, so the bound
+counts not preemptions but turns: steps chosen instead of the one that the hub's own loop would run.
+Schedules are explored by fewest turns, so the first counterexample has the minimum. The search is exhaustive
+within the bound and uses no partial-order reduction: combined with a bound, it would prune schedules whose
+equivalents lie outside the bound (Coons, Musuvathi, McKinley, "Bounded partial-order reduction", OOPSLA
+2013).
 """
 
 from __future__ import annotations
@@ -18,32 +19,32 @@
 
 
 def turns(one: Execution) -> int:
-    """Return how often a schedule leaves the usual order."""
+    """Return how often a schedule deviates from the default order."""
     return sum(event.step != event.offered[0] for event in one.events)
 
 
 def explore(scenario: Scenario, bound: int, limits: Limits = Limits(), newest: bool = False) -> SearchResult:  # noqa: B008
     """Run all schedules of at most `bound` turns, up to the first breach.
 
-    Turns are counted from the usual order, in which all go on side by side, or (`newest`) from one in which
-    whoever began goes on for as long as it can: what needs one to be far ahead is few turns from that alone.
+    Turns are counted from the default round-robin order or, with `newest`, from the order that runs the most
+    recently enabled step first: a violation that needs one task far ahead has few turns only in that order.
     """
     found = SearchResult(bound=bound)
     meter = Meter(limits, found)
-    waiting: list[tuple[int, int, tuple[str, ...]]] = [(0, 0, ())]  # turns, steps, how it begins
-    while waiting and not meter.over():
-        left, _, begins = heapq.heappop(waiting)
-        one = execute(scenario, following(begins), newest)
-        found.record(one, len(one.events) - max(0, len(begins) - 1))
+    queue: list[tuple[int, int, tuple[str, ...]]] = [(0, 0, ())]  # turns, steps, prefix
+    while queue and not meter.over():
+        used, _, prefix = heapq.heappop(queue)
+        one = execute(scenario, following(prefix), newest)
+        found.record(one, len(one.events) - max(0, len(prefix) - 1))
         if found.breach is not None:
             break
-        if left < bound:
+        if used < bound:
             ran = one.schedule
-            for at in range(len(begins), len(ran)):
+            for at in range(len(prefix), len(ran)):
                 for name in one.events[at].offered[1:]:
                     if name.startswith(NEVER):
-                        continue  # as if nothing were said
-                    heapq.heappush(waiting, (left + 1, at + 1, (*ran[:at], name)))
-    found.whole = not waiting and found.breach is None
+                        continue  # same as the default order
+                    heapq.heappush(queue, (used + 1, at + 1, (*ran[:at], name)))
+    found.whole = not queue and found.breach is None
     meter.over()
     return found
--- a/harriertrack/lab/interleaving/naming.py
+++ b/harriertrack/lab/interleaving/naming.py
@@ -1,8 +1,8 @@
-"""Names of steps that stay the same when independent steps change places.
+"""Names of steps that are invariant under exchanges of independent steps.
 
-A step is numbered within its place and kind: whatever makes steps of one place runs in that place, in an
-order that no exchange of independent steps alters. Numbers across places would differ between two schedules
-that are the same but for such exchanges.
+Steps are numbered per place and kind: the steps of a place are created by steps of that place, in an order
+that no exchange of independent steps alters. Global numbers would differ between two schedules that are
+equivalent up to such exchanges.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from harriertrack.runtime.led import Step, StepKind, SteppedHub
 
 TIME = "time passes"
-WORDS = {"Hub.park": "deadline", "Hub.sleep": "sleep is over", "Hub.freeze": "thaw"}
+EVENT_NAMES = {"Hub.park": "deadline", "Hub.sleep": "sleep is over", "Hub.freeze": "thaw"}
 
 
 @dataclass(frozen=True, slots=True)
 class Name:
-    """What a step is called, whose it is, and which steps it keeps its order with."""
+    """A step's name, its place, and the channel within which steps keep their order."""
 
     text: str
-    place: Place  # "": not known
+    place: Place  # "": unknown
     channel: str = ""
 
 
 def _called(act: Callable[[], None]) -> str:
     name = str(getattr(act, "__qualname__", type(act).__name__)).removesuffix(".<locals>.<lambda>")
-    return WORDS.get(name, name)
+    return EVENT_NAMES.get(name, name)
 
 
 class Names:
-    """Gives names to steps as they come up."""
+    """Assigns names to steps as they are created."""
 
     def __init__(self, hub: SteppedHub) -> None:
         self._hub = hub
@@ -55,11 +55,11 @@
 
     def _timer(self, timer: Timer, maker: Place) -> Name:
         assert timer.act is not None
-        came = arrival(timer.act)
-        if came is None:
+        delivery = arrival(timer.act)
+        if delivery is None:
             place = place_name(timer.group)
             return Name(self._number(f"{place}: {_called(timer.act)}"), place)
-        what, place, channel = came
+        what, place, channel = delivery
         return Name(self._number(f"{channel or f'from {maker}'}: {what}"), place, channel)
 
     def learn(self, maker: Place) -> bool:
@@ -70,12 +70,13 @@
             if callback not in self._callbacks:
                 place = place_name(group)
                 self._callbacks[callback] = Name(self._number(f"{place}: {_called(callback)}"), place)
-        fresh = sorted(item[1:] for item in self._hub._timers if item[1] > self._serial)
-        for serial, timer in fresh:
+        new_timers = sorted(item[1:] for item in self._hub._timers if item[1] > self._serial)
+        for serial, timer in new_timers:
             self._serial = serial
             if timer.act is not None:
-                self._timers[id(timer)] = (timer, self._timer(timer, maker))  # kept, so that ids stay its own
-        return bool(fresh)
+                # The entry references the timer, so that its id is not reused.
+                self._timers[id(timer)] = (timer, self._timer(timer, maker))
+        return bool(new_timers)
 
     def of(self, step: Step) -> Name:
         """Return a step's name."""
@@ -84,8 +85,12 @@
                 return self._task(task)
             case Timer() as timer:
                 name = self._timers[id(timer)][1]
-                if not name.channel and timer.act is not None and (came := arrival(timer.act)) is not None:
-                    return Name(name.text, came[1])  # a port may be bound while a datagram is on its way
+                if (
+                    not name.channel
+                    and timer.act is not None
+                    and (delivery := arrival(timer.act)) is not None
+                ):
+                    return Name(name.text, delivery[1])  # a port may be bound while a datagram is in transit
                 return name
             case None:
                 return Name(TIME, "")
@@ -94,10 +99,10 @@
         return Name(f"descriptor {step.what.fd} {step.events}", "")  # type: ignore[union-attr]
 
     def ran(self, step: Step) -> None:
-        """A callback that is asked for again is another step."""
+        """Forget a callback that ran: if it is registered again, it is a new step."""
         if step.kind is StepKind.CALLBACK:
             self._callbacks.pop(step.what, None)  # type: ignore[arg-type]
 
     def tasks(self) -> list[Task]:
-        """Return all tasks that were seen."""
+        """Return all tasks that were named."""
         return list(self._tasks)
--- a/harriertrack/lab/interleaving/observed.py
+++ b/harriertrack/lab/interleaving/observed.py
@@ -1,4 +1,4 @@
-"""The clock and the random numbers of an explored hub, which tell who looked at them."""
+"""The clock and random numbers of an explored hub, which record accesses in the step's footprint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ObservedTime(VirtualTime):
-    """Simulated time; `read` and `moved` become part of a step's footprint."""
+    """Simulated time; reads and advances are recorded in the step's footprint."""
 
     def __init__(self, touched: FootprintRecorder, start: int = START) -> None:
         super().__init__(start)
@@ -27,17 +27,17 @@
         return self.now()
 
     def peek(self) -> int:
-        """Return the time for who only watches."""
+        """Return the time without recording a read, for the explorer itself."""
         return self._now
 
     def wait(self, until: int | None) -> list[tuple[int, int]]:
-        """Jump to the next timer."""
+        """Advance to the next timer."""
         self._touched.write(CLOCK)
         return super().wait(until)
 
 
 class ObservedRandom(random.Random):
-    """Random numbers, drawn in the order of the steps: two steps that draw depend on each other."""
+    """Random numbers from one shared sequence: any two steps that draw from it are dependent."""
 
     def __init__(self, touched: FootprintRecorder, seed: int) -> None:
         super().__init__(seed)
@@ -49,6 +49,6 @@
         return super().random()
 
     def getrandbits(self, k: int, /) -> int:
-        """Draw so many bits."""
+        """Draw `k` random bits."""
         self._touched.write(RANDOM)
         return super().getrandbits(k)
--- a/harriertrack/lab/interleaving/plain.py
+++ b/harriertrack/lab/interleaving/plain.py
@@ -1,4 +1,4 @@
-"""Every schedule, one after another: what the other searches are compared with."""
+"""Exhaustive enumeration of schedules: the baseline that the other searches are compared with."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 @dataclass(slots=True)
-class _Turn:
+class _Choice:
     names: tuple[str, ...]
     at: int = 0
 
 
 def enumerate_all(scenario: Scenario, limits: Limits = Limits()) -> SearchResult:  # noqa: B008
     """Run all schedules of a scenario, depth first, up to the first breach."""
-    found, turns = SearchResult(), list[_Turn]()
+    found, choices = SearchResult(), list[_Choice]()
     meter = Meter(limits, found)
 
     def pick(events: list[Event], names: tuple[str, ...]) -> str:
-        if len(events) == len(turns):
-            turns.append(_Turn(names))
-        turn = turns[len(events)]
-        return turn.names[turn.at]
+        if len(events) == len(choices):
+            choices.append(_Choice(names))
+        choice = choices[len(events)]
+        return choice.names[choice.at]
 
     while not meter.over():
-        before = len(turns)
-        found.record(execute(scenario, pick), len(turns) - before + 1)
+        before = len(choices)
+        found.record(execute(scenario, pick), len(choices) - before + 1)
         if found.breach is not None:
             break
-        while turns and turns[-1].at + 1 == len(turns[-1].names):
-            turns.pop()
-        if not turns:
+        while choices and choices[-1].at + 1 == len(choices[-1].names):
+            choices.pop()
+        if not choices:
             found.whole = True
             break
-        turns[-1].at += 1
+        choices[-1].at += 1
     meter.over()
     return found
--- a/harriertrack/lab/interleaving/registry.py
+++ b/harriertrack/lab/interleaving/registry.py
@@ -1,4 +1,4 @@
-"""All scenarios, by name."""
+"""Registry of scenarios, by name."""
 
 from __future__ import annotations
 
--- a/harriertrack/lab/interleaving/search.py
+++ b/harriertrack/lab/interleaving/search.py
@@ -1,4 +1,4 @@
-"""What the searches over schedules have in common: their limits, and what they tell."""
+"""Limits and results that all searches over schedules share."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Where a search stops though it is not done."""
+    """Limits at which a search stops before it is complete."""
 
     schedules: int = 100_000
-    seconds: float = 60.0  # of processor time
+    seconds: float = 60.0  # of CPU time
 
 
 @dataclass(slots=True)
 class SearchResult:
-    """What a search saw."""
+    """Statistics of a search, and the counterexample if it found one."""
 
-    schedules: int = 0  # that ran to their end
-    cut: int = 0  # that were given up: others stand for them
-    states: int = 0  # different beginnings of schedules
-    steps: int = 0  # that ran in all, those of beginnings that were run again among them
+    schedules: int = 0  # executed to the end
+    cut: int = 0  # abandoned, since explored schedules already cover them
+    states: int = 0  # distinct schedule prefixes
+    steps: int = 0  # executed in total, including prefixes that were executed again
     deepest: int = 0
-    whole: bool = False  # nothing is left to be looked at, within the bound
-    bound: int | None = None  # turns from the usual order, at most; None: any
+    whole: bool = False  # the search is exhaustive within the bound
+    bound: int | None = None  # maximum number of turns (deviations from the default order); None: unbounded
     ends: set[View] = field(default_factory=set)
     breach: Execution | None = None
     seconds: float = 0.0
 
     def record(self, one: Execution, fresh: int) -> None:
-        """Count a schedule of which so many states are new."""
+        """Record a schedule that reached `fresh` new states."""
         self.states += fresh
         self.steps += len(one.events)
         self.deepest = max(self.deepest, len(one.events))
@@ -50,13 +50,13 @@
 
 
 class Meter:
-    """Holds a search to its limits, and times it."""
+    """Enforces the limits of a search and measures its CPU time."""
 
     def __init__(self, limits: Limits, found: SearchResult) -> None:
         self._limits, self._found, self._began = limits, found, time.process_time()
 
     def over(self) -> bool:
-        """Whether the search is to stop here."""
+        """Update the CPU time; return whether a limit has been reached."""
         self._found.seconds = time.process_time() - self._began
         ran = self._found.schedules + self._found.cut
         return ran >= self._limits.schedules or self._found.seconds >= self._limits.seconds
--- a/harriertrack/lab/interleaving/shortest.py
+++ b/harriertrack/lab/interleaving/shortest.py
@@ -1,4 +1,4 @@
-"""From a breach to its shortest schedule: fewest turns from the usual order, then fewest steps."""
+"""Minimizes counterexamples: fewest turns (deviations from the default order), then fewest steps."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from harriertrack.lab.interleaving.world import Scenario
 
 
-def _without(scenario: Scenario, schedule: tuple[str, ...], at: int) -> Execution:
-    """Run a schedule with the usual step at one place, and what was left out of it as soon as it can run."""
+def _without_turn(scenario: Scenario, schedule: tuple[str, ...], at: int) -> Execution:
+    """Run a schedule with the default step at one index; the replaced step runs once it is enabled."""
     rest = list(schedule[at:])
 
     def pick(events: list[Event], names: tuple[str, ...]) -> str:
@@ -25,7 +25,7 @@
 
 
 def shrink(scenario: Scenario, one: Execution, tries: int = 300) -> Execution:
-    """Take turns out of a breach's schedule for as long as it stays a breach."""
+    """Remove turns from a counterexample for as long as it still violates an invariant."""
     again = True
     while again and tries > 0:
         again = False
@@ -33,7 +33,7 @@
             if event.step == event.offered[0] or tries <= 0:
                 continue
             tries -= 1
-            other = _without(scenario, one.schedule, at)
+            other = _without_turn(scenario, one.schedule, at)
             before = (bounded.turns(one), len(one.events))
             if other.outcome is Outcome.BREACH and (bounded.turns(other), len(other.events)) < before:
                 one, again = other, True
@@ -42,15 +42,15 @@
 
 
 def find_breach(scenario: Scenario, bound: int, limits: Limits) -> SearchResult:
-    """Look for a breach: by few turns first, then, if that shows none, through all kinds of schedules.
+    """Search for a breach with bounded turns first, then by partial-order reduction.
 
-    A breach of the first search has the fewest turns there are; one of the second is shrunk.
+    A counterexample of the bounded search has the minimum number of turns; one of the second is shrunk.
     """
     for newest in (False, True):
         found = bounded.explore(scenario, bound, limits, newest)
         if found.breach is not None:
             return found
-    every = reduced.explore(scenario, limits)
-    if every.breach is not None:
-        every.breach = shrink(scenario, every.breach)
-    return every
+    result = reduced.explore(scenario, limits)
+    if result.breach is not None:
+        result.breach = shrink(scenario, result.breach)
+    return result
--- a/harriertrack/lab/interleaving/sockets.py
+++ b/harriertrack/lab/interleaving/sockets.py
@@ -1,7 +1,7 @@
-"""Stream sockets in simulated time: what the system's calls promise, with buffers of a few bytes.
+"""Simulated stream sockets with the semantics of the system calls and buffers of a few bytes.
 
 Source: POSIX `recv`, `sendmsg`, `poll`, and Linux `socket(7)`, `unix(7)`: end of file after the peer's close,
-a reset after a close with SO_LINGER 0 or with unread bytes, EPIPE for who writes to a closed peer.
+a reset after a close with SO_LINGER 0 or with unread bytes, EPIPE on a write to a closed peer.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 import socket
 from collections.abc import Sequence
 
-ROOM = 4  # bytes that a socket holds unread
+ROOM = 4  # receive buffer of a socket, in bytes
 
 
 class FakeSocket:
-    """One end of a pair."""
+    """One end of a socket pair."""
 
     family = socket.AF_UNIX
 
@@ -26,18 +26,18 @@
         self.ended = self.reset = self.closed = self._linger = False
 
     def setblocking(self, _on: bool) -> None:
-        """It never blocks."""
+        """Ignored: these sockets never block."""
 
     def setsockopt(self, _level: int, option: int, _value: object) -> None:
-        """SO_LINGER alone is understood: zero seconds."""
+        """Only SO_LINGER is supported; it is taken as zero seconds."""
         self._linger = self._linger or option == socket.SO_LINGER
 
     def fileno(self) -> int:
-        """Return its number."""
+        """Return the file descriptor."""
         return self._fd
 
     def recv(self, most: int, flags: int = 0) -> bytes:
-        """Return what came, b"" at the end. Raises BlockingIOError, ConnectionResetError."""
+        """Return received bytes, or b"" at end of file. Raises BlockingIOError, ConnectionResetError."""
         if self.closed:
             raise OSError(errno.EBADF, "closed")
         if self.reset:
@@ -52,7 +52,7 @@
         return data
 
     def sendmsg(self, parts: Sequence[bytes | memoryview]) -> int:
-        """Send as much as there is room for. Raises BlockingIOError, BrokenPipeError."""
+        """Send as much as the peer's buffer has room for. Raises BlockingIOError, BrokenPipeError."""
         if self.closed:
             raise OSError(errno.EBADF, "closed")
         peer = self.peer
@@ -65,7 +65,7 @@
         return len(data)
 
     def close(self) -> None:
-        """Close; the peer sees the end, or a reset."""
+        """Close the socket; the peer observes end of file or a reset."""
         if not self.closed:
             self.closed = True
             self._kernel.closed(self._fd)
@@ -76,7 +76,7 @@
                     self.peer.unread.clear()
 
     def events(self) -> int:
-        """Return what poll would tell of it."""
+        """Return the events that poll would report."""
         found = select.POLLIN if self.unread or self.ended or self.reset else 0
         peer = self.peer
         if peer is None or peer.closed or len(peer.unread) < ROOM:
@@ -87,7 +87,7 @@
 
 
 class Kernel:
-    """All sockets, and the poller that a hub waits on."""
+    """The set of all sockets, and the poller that a hub waits on."""
 
     def __init__(self) -> None:
         self._sockets: dict[int, FakeSocket] = {}
@@ -95,7 +95,7 @@
         self._free: list[int] = []
 
     def _open(self) -> FakeSocket:
-        fd = self._free.pop() if self._free else 3 + len(self._sockets)  # the number closed last comes first
+        fd = self._free.pop() if self._free else 3 + len(self._sockets)  # reuses the descriptor closed last
         self._sockets[fd] = one = FakeSocket(self, fd)
         return one
 
@@ -106,20 +106,20 @@
         return one, other
 
     def closed(self, fd: int) -> None:
-        """A number is free again. Raises RuntimeError where it is still polled."""
+        """Release a descriptor. Raises RuntimeError if it is still polled."""
         if fd in self._watched:
             raise RuntimeError(f"descriptor {fd} was closed while it is polled")
         self._free.append(fd)
 
     def watch(self, fd: int, events: int) -> None:
-        """Ask for these events of a descriptor; 0 forgets it."""
+        """Register a descriptor for these events; 0 unregisters it."""
         if events:
             self._watched[fd] = events
         else:
             self._watched.pop(fd, None)
 
     def wait(self, _until: int | None) -> list[tuple[int, int]]:
-        """Return what is there now."""
+        """Return the events that are pending now."""
         always = select.POLLHUP | select.POLLERR
         found = ((fd, self._sockets[fd].events() & (want | always)) for fd, want in self._watched.items())
         return [(fd, events) for fd, events in found if events]
