--- a/harriertrack/lab/interleaving/models/__init__.py
+++ b/harriertrack/lab/interleaving/models/__init__.py
@@ -1,1 +1,1 @@
-"""Pure machines in every order of their events, with two or three heads."""
+"""Models of the pure state machines, with two or three heads, explored in every order of events."""
--- a/harriertrack/lab/interleaving/models/mail.py
+++ b/harriertrack/lab/interleaving/models/mail.py
@@ -1,4 +1,4 @@
-"""Messages between heads of a model: they may come in any order, and a few may be lost or come twice."""
+"""Messages between heads of a model: delivered in any order; a few may be lost or duplicated."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(slots=True)
 class Mail:
-    """What is on its way."""
+    """The messages in transit."""
 
-    lost: int = 0  # how many may still be
-    twice: int = 0
-    most: int = 4  # on the way at a time; a sender beyond that loses its message
-    under_way: list[tuple[str, Any]] = field(default_factory=list)  # (to whom, what)
-    slow: list[tuple[str, Any]] = field(default_factory=list)  # that come at any later time, or never
+    lost: int = 0  # how many messages may still be lost
+    twice: int = 0  # how many may still be delivered twice
+    most: int = 4  # in transit at a time; messages sent beyond that are dropped
+    under_way: list[tuple[str, Any]] = field(default_factory=list)  # (recipient, message)
+    slow: list[tuple[str, Any]] = field(default_factory=list)  # delayed: delivered later or never
 
-    def send(self, to: str, what: Any) -> None:
-        """Put a message on its way."""
+    def send(self, to: str, message: Any) -> None:
+        """Send a message."""
         if len(self.under_way) < self.most:
-            self.under_way.append((to, what))
+            self.under_way.append((to, message))
 
     def events(self) -> Iterator[str]:
-        """Name what may happen to what is on its way."""
+        """Name the events of the messages in transit."""
         for at, (to, _) in enumerate(self.under_way):
             yield f"deliver {at} to {to}"
             yield f"slow {at} to {to}"
@@ -33,11 +33,11 @@
                 yield f"double {at} to {to}"
 
     def late(self) -> Iterator[str]:
-        """Name what may come that was slow."""
+        """Name the deliveries of delayed messages."""
         yield from (f"late {at} to {to}" for at, (to, _) in enumerate(self.slow))
 
     def apply(self, event: str) -> tuple[str, Any] | None:
-        """Let it happen; return whom it reaches, and what."""
+        """Apply an event; return the recipient and the message if it delivers one."""
         verb, at = event.split()[0], int(event.split()[1])
         if verb == "double":
             self.twice -= 1
--- a/harriertrack/lab/interleaving/models/registry.py
+++ b/harriertrack/lab/interleaving/models/registry.py
@@ -1,4 +1,4 @@
-"""All models, by name."""
+"""Registry of models, by name."""
 
 from __future__ import annotations
 
