--- a/harriertrack/lab/interleaving/models/sweeps.py
+++ b/harriertrack/lab/interleaving/models/sweeps.py
@@ -1,4 +1,4 @@
-"""Sweeps of a volume that two heads serve: trims on their way, words to who decides, a head that dies."""
+"""Model of sweeps of a volume that two heads serve: trims and reports in transit, a head that dies."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 OLD, NEW = "old", "new"
 
 
-def several(_volume: str) -> bool:
-    """Every volume is one of several heads."""
+def is_shared(_volume: str) -> bool:
+    """Return true: every volume is served by more than one head."""
     return True
 
 
 @dataclass(slots=True)
 class State:
-    """Two heads after a close, the node with its bytes, and who decides."""
+    """Two heads after a close, the node with its bytes, and the decider."""
 
     fences: dict[str, Fences] = field(default_factory=dict)
     sweeps: dict[str, Sweep] = field(default_factory=dict)
     lives: dict[str, int] = field(default_factory=lambda: dict.fromkeys(HEADS, 1))
-    told: dict[str, int] = field(default_factory=lambda: dict.fromkeys(HEADS, -1))
+    reported: dict[str, int] = field(default_factory=lambda: dict.fromkeys(HEADS, -1))
     byte: dict[int, str] = field(default_factory=lambda: dict.fromkeys(range(EXTENTS), OLD))
-    epoch: int = 0  # the newest that the node has heard of
+    epoch: int = 0  # the highest that the node has received
     swept: SweepProgress = field(default_factory=SweepProgress)
     schedule: Schedule = CLOSED
     mail: Mail = field(default_factory=lambda: Mail(lost=1))
@@ -44,22 +44,25 @@
 
 
 class SweepModel:
-    """No old byte is read after a close, no new one is trimmed, and what is open was trimmed whole."""
+    """Sweeps after a close.
+
+    Invariants: no old byte is read, no new one is trimmed, and extents are opened only once fully trimmed.
+    """
 
     name = "sweeps"
     about = "sweeps of a volume of two heads after a close: late trims, a head that dies, another term"
 
     def start(self) -> State:
-        """Nobody has stepped over the close."""
+        """Return the state in which no head has processed the close."""
         state = State()
         for name in HEADS:
-            state.fences[name] = Fences((VOLUME,), {}, several)
+            state.fences[name] = Fences((VOLUME,), {}, is_shared)
             state.fences[name].fence(CALENDAR).set_schedule(CLOSED)
             state.fences[name].confirm_until(10 * AT_US)
         return state
 
     def events(self, state: State) -> Iterator[str]:
-        """Name what can happen now."""
+        """Name the enabled events."""
         yield from state.mail.events()
         for name in HEADS:
             fence = state.fences[name].fence(CALENDAR)
@@ -69,7 +72,7 @@
             if name in state.sweeps:
                 sweep = state.sweeps[name]
                 yield from (f"{name} trims {at}" for left in sweep.remaining.values() for at in sorted(left))
-                if state.told[name] != sweep.done_slices:
+                if state.reported[name] != sweep.done_slices:
                     yield f"{name} tells"
         if state.swept.completed():
             yield "decide"
@@ -85,11 +88,11 @@
     def _epoch(self, state: State, name: str) -> int:
         return AT_US + (state.fences[name].fence(CALENDAR).schedule.last_swept(VOLUME) >= 1)
 
-    def _passes(self, state: State, name: str, extent: int) -> bool:
+    def _is_admitted(self, state: State, name: str, extent: int) -> bool:
         return state.fences[name].refusal_hint_us(NOW, VOLUME, extent * SIZE, SIZE) is None
 
     def apply(self, state: State, event: str) -> None:
-        """Let it happen."""
+        """Apply an event to the state, in place."""
         match event.split():
             case ["decide"]:
                 for key in state.swept.completed():
@@ -102,39 +105,40 @@
             case ["another", "term"]:
                 state.terms -= 1
                 state.swept = SweepProgress()
-                state.told = dict.fromkeys(HEADS, -1)
+                state.reported = dict.fromkeys(HEADS, -1)
             case [name, "purges"]:
                 state.fences[name].fence(CALENDAR).mark_purged(1)
-                self._begin(state, name)
+                self._start_sweep(state, name)
             case [name, "trims", at]:
                 state.mail.send("node", (name, state.lives[name], int(at), self._epoch(state, name)))
             case [name, "tells"]:
-                state.told[name] = state.sweeps[name].done_slices
+                state.reported[name] = state.sweeps[name].done_slices
                 state.mail.send("decider", state.sweeps[name].done_slices)
             case [name, "dies"]:
                 state.kills -= 1
                 state.lives[name] += 1
-                self._begin(state, name)  # from the start: what an earlier life trimmed is not on its disk
+                # From the start: the earlier process's progress is not on its disk.
+                self._start_sweep(state, name)
             case [name, "reads", at]:
                 state.uses -= 1
-                if self._passes(state, name, int(at)) and state.byte.get(int(at)) == OLD:
+                if self._is_admitted(state, name, int(at)) and state.byte.get(int(at)) == OLD:
                     state.wrong = f"{name} reads what was written before the close"
             case [name, "writes", at]:
                 state.uses -= 1
-                if self._passes(state, name, int(at)):
-                    self._reaches(state, self._epoch(state, name), int(at), NEW)
+                if self._is_admitted(state, name, int(at)):
+                    self._apply_at_node(state, self._epoch(state, name), int(at), NEW)
             case _:
-                self._came(state, state.mail.apply(event))
+                self._deliver(state, state.mail.apply(event))
 
-    def _begin(self, state: State, name: str) -> None:
+    def _start_sweep(self, state: State, name: str) -> None:
         fence = state.fences[name].fence(CALENDAR)
-        state.told[name] = -1
+        state.reported[name] = -1
         state.sweeps.pop(name, None)
         if fence.unswept_closes(VOLUME):
             extents = (at for at in range(EXTENTS) if fence.needs_sweep(VOLUME, at * SIZE, SIZE))
             state.sweeps[name] = Sweep.for_extents(KEY, extents)
 
-    def _reaches(self, state: State, epoch: int, extent: int, byte: str) -> bool:
+    def _apply_at_node(self, state: State, epoch: int, extent: int, byte: str) -> bool:
         if epoch < state.epoch:
             return False
         state.epoch = epoch
@@ -144,10 +148,10 @@
             state.wrong = f"what was written to extent {extent} after the close is trimmed"
         return True
 
-    def _came(self, state: State, what: tuple[str, object] | None) -> None:
-        match what:
+    def _deliver(self, state: State, delivery: tuple[str, object] | None) -> None:
+        match delivery:
             case ("node", (str(name), int(life), int(extent), int(epoch))):
-                if self._reaches(state, epoch, extent, "") and life == state.lives[name]:
+                if self._apply_at_node(state, epoch, extent, "") and life == state.lives[name]:
                     if name in state.sweeps:
                         state.sweeps[name].mark_trimmed(extent)
             case ("decider", int(done)):
@@ -162,5 +166,5 @@
                         state.sweeps.pop(name, None)
 
     def wrong(self, state: State) -> str | None:
-        """Return what must not be."""
+        """Return the violated invariant, if there is one."""
         return state.wrong or None
--- a/harriertrack/lab/interleaving/models/terms.py
+++ b/harriertrack/lab/interleaving/models/terms.py
@@ -1,4 +1,4 @@
-"""Who keeps a ledger: candidates and the witness's lock, with kills, stops and answers that come late."""
+"""Model of the election of the ledger's holder by the witness's lock: kills, partitions, late answers."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from harriertrack.decisions.fleet.terms import Candidate, LockAcquired, LockHeld, WitnessCall
 from harriertrack.lab.fleet.division import WitnessModel
 
-ERROR = 0.05
-RULES = BudgetRules(lease_us=400_000, clock_error=ERROR, term_us=1_000_000, patience_us=400_000)
+CLOCK_ERROR = 0.05
+RULES = BudgetRules(lease_us=400_000, clock_error=CLOCK_ERROR, term_us=1_000_000, patience_us=400_000)
 STEP_US = 200_000
-RATES = {"a": 1 - ERROR, "b": 1 + ERROR, "c": 1.0}  # of heads' clocks, by the witness's
+RATES = {"a": 1 - CLOCK_ERROR, "b": 1 + CLOCK_ERROR, "c": 1.0}  # of heads' clocks, relative to the witness's
 
 
 @dataclass(slots=True)
-class Asked:
-    """A call to the witness: on its way there, or its answer on its way back."""
+class PendingCall:
+    """A call to the witness in transit, or its answer in transit."""
 
     name: str
     call: WitnessCall
-    asked_at: int  # by the head's clock
+    sent_at: int  # by the head's clock
     done: bool = False
     answer: LockAcquired | LockHeld | bool | None = None
 
@@ -34,20 +34,20 @@
     heads: dict[str, Candidate]
     sessions: dict[str, int]
     witness: WitnessModel
-    calls: list[Asked] = field(default_factory=list)
+    calls: list[PendingCall] = field(default_factory=list)
     kills: int = 1
-    cut: str = ""  # who does not reach the witness
-    leased_until: int = 0  # the latest moment at which a lease of a term that was granted may end
+    cut: str = ""  # the head that is partitioned from the witness
+    leased_until: int = 0  # the latest expiry of any lease granted so far
     last_epoch: int = 0
-    opened: tuple[int, int] = (0, 0)  # epoch, and when its ledger opens by the witness's time
+    opened: tuple[int, int] = (0, 0)  # (epoch, opening time of its ledger by the witness's clock)
 
     def clock(self, name: str) -> int:
-        """Return the time by a head's own clock."""
+        """Return a head's local time."""
         return int(self.now * RATES[name])
 
 
-class _Middle:
-    """Draws nothing by chance: all patience is the same, and a state has no generator in it."""
+class _FixedRandom:
+    """A constant generator: all retry waits are equal, and states contain no generator state."""
 
     def random(self) -> float:
         return 0.5
@@ -58,12 +58,12 @@
 
 def _candidate(now: int) -> Candidate:
     one = Candidate(0, RULES, 0, now)
-    one._random = _Middle()  # type: ignore[assignment]
+    one._random = _FixedRandom()  # type: ignore[assignment]
     return one
 
 
 class TermModel:
-    """Never do two heads keep one ledger; a term grants nothing before the leases of the last are over."""
+    """Invariants: one holder of the ledger at a time; a term opens after all earlier leases have expired."""
 
     name = "terms"
     about = "who keeps a ledger: heads and the witness's lock, late answers, a kill, clocks that differ"
@@ -74,7 +74,7 @@
             self.name, self.about = "terms-cut", "the same where the keeper no longer reaches the witness"
 
     def start(self) -> State:
-        """Nobody keeps it yet, and all have been patient for long enough."""
+        """Return the state without a holder, in which every head may try to acquire the lock."""
         now = 1_000_000
         heads = {name: _candidate(0) for name in self._names}
         state = State(now, heads, dict.fromkeys(self._names, 0), WitnessModel(RULES.term_us))
@@ -86,7 +86,7 @@
         return state
 
     def events(self, state: State) -> Iterator[str]:
-        """Name what can happen now."""
+        """Name the enabled events."""
         for at, call in enumerate(state.calls):
             yield f"answer {at} to {call.name}" if call.done else f"witness takes {at} of {call.name}"
         busy = {call.name for call in state.calls}
@@ -101,14 +101,14 @@
             yield from (f"cut {name}" for name in state.heads)
 
     def apply(self, state: State, event: str) -> None:
-        """Let it happen."""
+        """Apply an event to the state, in place."""
         match event.split():
             case ["time"]:
-                state.now = self._next(state)
+                state.now = self._next_moment(state)
             case ["step", name]:
                 call = state.heads[name].next_call(state.clock(name), 0)
                 if call is not None:
-                    state.calls.append(Asked(name, call, state.clock(name)))
+                    state.calls.append(PendingCall(name, call, state.clock(name)))
             case ["kill", name]:
                 state.kills -= 1
                 state.heads[name] = _candidate(state.clock(name))
@@ -118,41 +118,41 @@
             case ["cut", name]:
                 state.cut = name
             case ["witness", _, at, *_]:
-                self._at_witness(state, state.calls[int(at)])
+                self._process_at_witness(state, state.calls[int(at)])
             case ["answer", at, *_]:
-                self._answered(state, state.calls.pop(int(at)))
+                self._handle_answer(state, state.calls.pop(int(at)))
 
-    def _at_witness(self, state: State, call: Asked) -> None:
+    def _process_at_witness(self, state: State, call: PendingCall) -> None:
         call.done = True
         if call.name.startswith("dead"):
             state.calls.remove(call)
             if call.call is WitnessCall.ACQUIRE:
-                state.witness.acquire(state.now, RULES.lease_us)  # its session ends by itself
+                state.witness.acquire(state.now, RULES.lease_us)  # the session of the killed head expires
             return
         if call.name == state.cut:
             return
         if call.call is WitnessCall.ACQUIRE:
-            taken = state.witness.acquire(state.now, RULES.lease_us)
+            acquired = state.witness.acquire(state.now, RULES.lease_us)
             call.answer = LockHeld(state.witness.epoch)
-            if taken is not None:
-                state.sessions[call.name], epoch, lease_us = taken
+            if acquired is not None:
+                state.sessions[call.name], epoch, lease_us = acquired
                 call.answer = LockAcquired(epoch, lease_us)
             return
         ledger = state.heads[call.name].ledger
         epoch = ledger.term.epoch if ledger is not None else 0
         call.answer = state.witness.renew(state.now, state.sessions[call.name], epoch)
 
-    def _answered(self, state: State, call: Asked) -> None:
+    def _handle_answer(self, state: State, call: PendingCall) -> None:
         head, now = state.heads[call.name], state.clock(call.name)
         if call.call is WitnessCall.RENEW:
-            head.handle_renewal(now, call.asked_at, call.answer if isinstance(call.answer, bool) else None)
+            head.handle_renewal(now, call.sent_at, call.answer if isinstance(call.answer, bool) else None)
             return
         found = call.answer if isinstance(call.answer, LockAcquired | LockHeld) else None
-        ledger = head.handle_acquire(now, call.asked_at, found)
+        ledger = head.handle_acquire(now, call.sent_at, found)
         if ledger is not None:
             state.opened = (ledger.term.epoch, int(ledger.opens_at / RATES[call.name]))
 
-    def _next(self, state: State) -> int:
+    def _next_moment(self, state: State) -> int:
         moments = [state.now + STEP_US, *state.witness.sessions.values()]
         for name, head in state.heads.items():
             if head.valid_until:
@@ -160,16 +160,16 @@
         return min(at for at in moments if at > state.now)
 
     def wrong(self, state: State) -> str | None:
-        """Return whether two keep it, or a term opens while leases of the one before may last."""
-        keeping = {name: head.ledger.term.epoch for name, head in state.heads.items()
+        """Return a violation: two holders, or a term that opens before earlier leases have expired."""
+        holders = {name: head.ledger.term.epoch for name, head in state.heads.items()
                    if head.holds_term(state.clock(name)) and head.ledger is not None}  # fmt: skip
-        if len(keeping) > 1:
-            return f"two keep the ledger: {keeping}"
+        if len(holders) > 1:
+            return f"two keep the ledger: {holders}"
         epoch, opens = state.opened
-        for name in keeping:
-            # A lease that this head grants now lasts for so long by the clock of its holder.
-            if keeping[name] > state.last_epoch:
-                state.last_epoch = keeping[name]
+        for name in holders:
+            # A lease that this head grants now lasts for `lease_us` by the clock of its holder.
+            if holders[name] > state.last_epoch:
+                state.last_epoch = holders[name]
                 if opens < state.leased_until:
                     return f"term {epoch} opens {state.leased_until - opens} us before earlier leases end"
             head = state.heads[name]
--- a/harriertrack/lab/interleaving/models/weights.py
+++ b/harriertrack/lab/interleaving/models/weights.py
@@ -1,4 +1,4 @@
-"""Shared weights at two or three heads: wrong scorers, nodes that turn, pages in any order, restarts."""
+"""Model of shared weights at two or three heads: faulty scorers, reordered pages, head restarts."""
 
 from __future__ import annotations
 
@@ -25,21 +25,22 @@
 
 @dataclass(slots=True)
 class Head:
-    """One life of a head."""
+    """One process instance of a head."""
 
     shared: SharedWeights
     began: int
     life: int = 1
     looked_at: int = 0
-    relapses: int = 0  # of its scorer, in a row
+    relapses: int = 0  # consecutive relapses of its scorer
     wrong_at: int = 0
-    turned: dict[str, int] = field(default_factory=dict)  # by node: which way its weight went last, and turns
-    owes: tuple[Snapshot, ...] = ()  # what its scorer was asked and has not answered
+    # By node: the sign is the direction of its last change, the absolute value counts reversals from 1.
+    reversals: dict[str, int] = field(default_factory=dict)
+    pending: tuple[Snapshot, ...] = ()  # queries that its scorer has not answered
 
 
 @dataclass(slots=True)
 class State:
-    """Heads, the pages between them, and which node is slow."""
+    """The heads, the pages in transit, and the node that is slow."""
 
     now: int
     heads: dict[str, Head]
@@ -53,14 +54,14 @@
     wrong: str = ""
 
 
-def _fresh(now: int, life: int = 1) -> Head:
+def _new_head(now: int, life: int = 1) -> Head:
     shared = SharedWeights(RULES)
     shared.set_scorers({NAME.scorer: NAME})
     return Head(shared, now, life)
 
 
 class WeightModel:
-    """Weights keep their bounds and their pace whatever comes, and who did wrong is not heard."""
+    """Invariants: weights stay within bounds and rate limits, and faulty scorers have no vote."""
 
     name = "weights"
     about = "shared weights: scorers that raise or hang, a best node that changes, late pages, a restart"
@@ -71,15 +72,15 @@
             self.name, self.about = "weights-three", "the same with three heads"
 
     def start(self) -> State:
-        """All begin at once."""
+        """Return the state in which all heads have just started."""
         now = 10 * LOOK_US
-        return State(now, {name: _fresh(now) for name in self._names})
+        return State(now, {name: _new_head(now) for name in self._names})
 
     def events(self, state: State) -> Iterator[str]:
-        """Name what can happen now."""
+        """Name the enabled events."""
         yield from state.mail.events()
         for name, head in state.heads.items():
-            if head.owes:
+            if head.pending:
                 yield f"{name} is answered"
                 if state.faults:
                     yield f"{name} is answered wrongly"
@@ -95,16 +96,16 @@
             yield f"{self._names[-1]} restarts"
         yield from state.mail.late()
 
-    def _picture(self, state: State) -> Snapshot:
-        sights = tuple(
+    def _snapshot(self, state: State) -> Snapshot:
+        observations = tuple(
             NodeObservation(one, "z", 5.0, 40_000.0 if one == state.slow else 10_000.0, evidence=20.0,
                             age_us=0, fill=0.2, cold=state.is_cold and one == "n2")
             for one in NODES
         )  # fmt: skip
-        return Snapshot("z", sights)
+        return Snapshot("z", observations)
 
     def apply(self, state: State, event: str) -> None:
-        """Let it happen."""
+        """Apply an event to the state, in place."""
         match event.split():
             case ["time"]:
                 state.now += LOOK_US
@@ -116,84 +117,85 @@
                 state.is_cold = True
             case [name, "restarts"]:
                 state.restarts -= 1
-                state.heads[name] = _fresh(state.now, state.heads[name].life + 1)
+                state.heads[name] = _new_head(state.now, state.heads[name].life + 1)
                 for other, head in state.heads.items():
                     if other != name:
-                        head.shared.forget(name)  # as the carrier does when it hears of another life
+                        head.shared.forget(name)  # as the gateway does when it sees a new process instance
             case [name, "looks"]:
-                self._look(state, name)
+                self._update_weights(state, name)
             case [name, "is", "answered"]:
                 self._answer(state, name, False)
             case [name, "is", "answered", "wrongly"]:
                 state.faults -= 1
                 self._answer(state, name, True)
             case _:
-                came = state.mail.apply(event)
-                if came is not None:
-                    life, head, page = came[1]
-                    if state.heads[head].life == life:  # the view turns down what a life before said
-                        state.heads[came[0]].shared.receive(state.now, head, page)
-
-    def _look(self, state: State, name: str) -> None:
-        head, picture = state.heads[name], self._picture(state)
+                delivery = state.mail.apply(event)
+                if delivery is not None:
+                    life, head, page = delivery[1]
+                    # The membership view rejects pages of an earlier process instance.
+                    if state.heads[head].life == life:
+                        state.heads[delivery[0]].shared.receive(state.now, head, page)
+
+    def _update_weights(self, state: State, name: str) -> None:
+        head, snapshot = state.heads[name], self._snapshot(state)
         head.looked_at = state.now
-        voter = head.shared.by_scorer[NAME.scorer].guard
-        lost_until = voter.suspended_until if voter.state is ScorerState.SUSPENDED else 0
-        questions = voter.next_queries(state.now, picture)
-        if questions and state.now < lost_until:
+        guard = head.shared.by_scorer[NAME.scorer].guard
+        suspended_until = guard.suspended_until if guard.state is ScorerState.SUSPENDED else 0
+        queries = guard.next_queries(state.now, snapshot)
+        if queries and state.now < suspended_until:
             state.wrong = f"{name} asks a scorer that has no vote"
-        head.owes = questions or head.owes
+        head.pending = queries or head.pending
         before = dict(head.shared.factors.logs)
         names = frozenset(state.heads)
-        moment = HeadContext(name, state.now, picture, names, _Runs(names))
-        for page in head.shared.update(state.now, moment):
+        context = HeadContext(name, state.now, snapshot, names, _Runs(names))
+        for page in head.shared.update(state.now, context):
             for other in state.heads:
                 if other != name:
                     state.mail.send(other, (head.life, name, page))
-        self._moved(state, name, before, head.shared.factors.logs)
+        self._check_changes(state, name, before, head.shared.factors.logs)
 
-    def _moved(self, state: State, name: str, before: Mapping[str, float],
+    def _check_changes(self, state: State, name: str, before: Mapping[str, float],
                after: Mapping[str, float]) -> None:  # fmt: skip
         head = state.heads[name]
         for node, log in after.items():
-            gone = log - before.get(node, 0.0)
-            turns = abs(head.turned.get(node, 0))
-            far = abs(gone) > DEAD_BAND  # what is less is no turn
-            if far and head.turned.get(node, 0) * gone < 0:
-                turns += 1
-            if far:
-                head.turned[node] = max(1, turns) if gone > 0 else -max(1, turns)
-            if abs(gone) > RULES.rate * 2 * LOOK_US / 1e6 + 1e-9:
-                state.wrong = f"{name}: {node} moves by {gone:g}"
+            change = log - before.get(node, 0.0)
+            reversals = abs(head.reversals.get(node, 0))
+            significant = abs(change) > DEAD_BAND  # smaller changes are not reversals
+            if significant and head.reversals.get(node, 0) * change < 0:
+                reversals += 1
+            if significant:
+                head.reversals[node] = max(1, reversals) if change > 0 else -max(1, reversals)
+            if abs(change) > RULES.rate * 2 * LOOK_US / 1e6 + 1e-9:
+                state.wrong = f"{name}: {node} moves by {change:g}"
             if abs(log) > min(MAX_LOG_WEIGHT, RULES.rate * (state.now - head.began) / 1e6) + 1e-9:
                 state.wrong = f"{name}: {node} is at {log:g}"
-            # Each turn halves the pace; what a second of calm brings back is 2^(1 / 8).
+            # Each reversal halves the rate limit; a second without one raises it by a factor of 2^(1 / 8).
             looks = (state.now - head.began) / LOOK_US
-            most = RULES.rate * max(RULES.least_gain, 0.5 ** (turns - 1) * 2 ** (looks / 8))
-            if turns > 1 and abs(gone) > 2 * most + 1e-9:
-                state.wrong = f"{name}: {node} moves by {gone:g} after {turns} turns"
+            most = RULES.rate * max(RULES.least_gain, 0.5 ** (reversals - 1) * 2 ** (looks / 8))
+            if reversals > 1 and abs(change) > 2 * most + 1e-9:
+                state.wrong = f"{name}: {node} moves by {change:g} after {reversals} turns"
         if state.is_cold and head.shared.desired.get("n2", 0.0) > 0:
             state.wrong = f"{name}: a cold node is wanted at {head.shared.desired['n2']:g}"
 
     def _answer(self, state: State, name: str, wrongly: bool) -> None:
         head = state.heads[name]
-        voter = head.shared.by_scorer[NAME.scorer].guard
-        hung = voter.state is ScorerState.HUNG
-        answers = [ScorerAnswer(one, SCORER.score(one)) for one in head.owes]
+        guard = head.shared.by_scorer[NAME.scorer].guard
+        hung = guard.state is ScorerState.HUNG
+        answers = [ScorerAnswer(one, SCORER.score(one)) for one in head.pending]
         if wrongly:
-            answers[-1] = ScorerAnswer(head.owes[-1], None, "LookupError: no")
-        head.owes = ()
-        heard = voter.handle_answers(state.now, answers)
-        if (hung or wrongly) and (heard or voter.scores):
+            answers[-1] = ScorerAnswer(head.pending[-1], None, "LookupError: no")
+        head.pending = ()
+        accepted = guard.handle_answers(state.now, answers)
+        if (hung or wrongly) and (accepted or guard.scores):
             state.wrong = f"{name} goes by a scorer that {'hung' if hung else 'did wrong'}"
         if wrongly and not hung:
-            span = voter.suspended_until - state.now
+            suspended_us = guard.suspended_until - state.now
             head.relapses += 1
-            if span < RULES.suspend_us * 2 ** (head.relapses - 1):
-                state.wrong = f"{name}: relapse {head.relapses} costs {span / 1e6:g} s"
+            if suspended_us < RULES.suspend_us * 2 ** (head.relapses - 1):
+                state.wrong = f"{name}: relapse {head.relapses} costs {suspended_us / 1e6:g} s"
 
     def wrong(self, state: State) -> str | None:
-        """Return what must not be."""
+        """Return the violated invariant, if there is one."""
         for name, head in state.heads.items():
             for node, log in head.shared.by_scorer[NAME.scorer].aggregated.items():
                 if abs(log) > MAX_LOG_WEIGHT:
@@ -203,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Runs:
-    """Who runs a scorer: all."""
+    """The heads that run a scorer: all."""
 
     names: frozenset[str]
 
