--- a/harriertrack/lab/interleaving/machines.py
+++ b/harriertrack/lab/interleaving/machines.py
@@ -55,7 +55,7 @@
     With `turns`, paths choose an event other than the first enabled one at most that often, and are explored
     by fewest turns, then by length. Without it, the counterexample found is a shortest one.
     """
-    seen, began = ModelResult(states=1), time.process_time()
+    result, began = ModelResult(states=1), time.process_time()
     start = pickle.dumps(pickle.loads(pickle.dumps(model.start())))
     parents: list[tuple[int, str]] = [(-1, "")]  # by state: its predecessor, and the event between
     known = {hash(start)}
@@ -69,34 +69,34 @@
         return tuple(reversed(events))
 
     while waiting:
-        seen.seconds = time.process_time() - began
-        if seen.states >= limits.schedules or seen.seconds >= limits.seconds:
-            return seen
+        result.seconds = time.process_time() - began
+        if result.states >= limits.schedules or result.seconds >= limits.seconds:
+            return result
         turns_used, depth, at, pickled = heapq.heappop(waiting)
         for place, event in enumerate(model.events(pickle.loads(pickled))):
             next_turns = turns_used + (turns is not None and place > 0)
             if turns is not None and next_turns > turns:
                 break
             state = pickle.loads(pickled)
-            seen.steps += 1
+            result.steps += 1
             try:
                 model.apply(state, event)
                 wrong = model.wrong(state)
             except Exception as error:  # an exception in a machine counts as a breach
                 wrong = f"{type(error).__name__}: {error}"
             if wrong is not None:
-                seen.breach, seen.events = wrong, (*path_to(at), event)
-                return seen
+                result.breach, result.events = wrong, (*path_to(at), event)
+                return result
             encoded = pickle.dumps(state)
             if hash(encoded) not in known:
                 known.add(hash(encoded))
                 parents.append((at, event))
-                seen.states += 1
-                seen.deepest = max(seen.deepest, depth + 1)
+                result.states += 1
+                result.deepest = max(result.deepest, depth + 1)
                 heapq.heappush(waiting, (next_turns, depth + 1, len(parents) - 1, encoded))
-    seen.whole = True
-    seen.seconds = time.process_time() - began
-    return seen
+    result.whole = True
+    result.seconds = time.process_time() - began
+    return result
 
 
 def replay(model: Model, events: Iterable[str]) -> str | None:
--- a/harriertrack/lab/interleaving/search.py
+++ b/harriertrack/lab/interleaving/search.py
@@ -32,9 +32,9 @@
     breach: Execution | None = None
     seconds: float = 0.0
 
-    def record(self, one: Execution, fresh: int) -> None:
-        """Record a schedule that reached `fresh` new states."""
-        self.states += fresh
+    def record(self, one: Execution, new_states: int) -> None:
+        """Record a schedule that added this many states."""
+        self.states += new_states
         self.steps += len(one.events)
         self.deepest = max(self.deepest, len(one.events))
         match one.outcome:
--- a/tests/interleaving/test_faults.py
+++ b/tests/interleaving/test_faults.py
@@ -1,4 +1,4 @@
-"""Each seeded fault is found, by the scenario or model that stands beside it, and replays from its trace."""
+"""Each seeded fault is found by its scenario or model, and its counterexample replays."""
 
 import pytest
 from faults import FAULTS
@@ -8,25 +8,25 @@
 from harriertrack.lab.interleaving.models.registry import MODELS
 from harriertrack.lab.interleaving.search import Limits
 
-ENOUGH = Limits(20_000, 20.0)
+LIMITS = Limits(20_000, 20.0)
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_a_seeded_fault_is_found_and_its_trace_shows_it_again(fault):
+def test_seeded_fault_is_found_and_its_counterexample_replays(fault):
     if fault.by in MODELS:
         model = MODELS[fault.by]
         with fault.made():
-            seen = machines.explore(model, ENOUGH, fault.turns)
-            assert seen.breach and machines.replay(model, seen.events) == seen.breach
+            result = machines.explore(model, LIMITS, fault.turns)
+            assert result.breach and machines.replay(model, result.events) == result.breach
         return
     scenario = registry.SCENARIOS[fault.by]
     with fault.made():
-        found = bounded.explore(scenario, fault.turns, ENOUGH, fault.newest)
+        found = bounded.explore(scenario, fault.turns, LIMITS, fault.newest)
         assert found.breach is not None
-        again = replay(scenario, found.breach.schedule)
-        assert (again.outcome, again.breach) == (Outcome.BREACH, found.breach.breach)
-        assert "BREACH" in trace.lines(again)[-1] and len(trace.lines(again)) > 2
+        replayed = replay(scenario, found.breach.schedule)
+        assert (replayed.outcome, replayed.breach) == (Outcome.BREACH, found.breach.breach)
+        assert "BREACH" in trace.lines(replayed)[-1] and len(trace.lines(replayed)) > 2
 
 
-def test_there_are_thirty_faults_and_more():
+def test_there_are_at_least_thirty_distinct_faults():
     assert len({fault.name for fault in FAULTS}) == len(FAULTS) >= 30
--- a/tests/interleaving/test_found.py
+++ b/tests/interleaving/test_found.py
@@ -1,12 +1,12 @@
-"""Schedules that once broke the production code, replayed: the defects that they showed stay mended."""
+"""Regression tests: schedules that once violated an invariant of the production code."""
 
 from harriertrack.lab.interleaving import registry
 from harriertrack.lab.interleaving.execution import Outcome, execute
 from harriertrack.runtime.hub import Cancelled, DeadlineExceeded, Event, Hub
 
 
-def test_a_watch_that_is_cancelled_at_its_deadline_leaves_the_next_one_alone():
-    """The list's source moves in the round in which the old call's deadline came: the head ended by that."""
+def test_watch_cancelled_at_its_deadline_does_not_affect_the_next_watch():
+    """The list's source moves in the hub round in which the old call's deadline expires; this ended the head."""
     moved = []
 
     def pick(events, names):
@@ -20,16 +20,16 @@
     assert moved and one.outcome is Outcome.REST, one.breach
 
 
-def test_a_cancel_stands_above_a_deadline_that_has_come():
-    hub, said = Hub.virtual(), []
+def test_cancel_takes_precedence_over_an_expired_deadline():
+    hub, outcomes = Hub.virtual(), []
 
     def waits():
         try:
             Event(hub).wait(hub.now() + 10)
         except DeadlineExceeded:
-            said.append("late")
+            outcomes.append("late")
         except Cancelled:
-            said.append("cancelled")
+            outcomes.append("cancelled")
             raise
 
     def main():
@@ -39,11 +39,11 @@
         hub.sleep(20)
 
     hub.run(main)
-    assert said == ["cancelled"]
+    assert outcomes == ["cancelled"]
 
 
-def test_what_a_head_said_in_its_last_life_does_not_stand_beside_what_it_says_in_this_one():
-    """A head that is back says one page at a time: the other of its life before counted on, for 20 s."""
+def test_page_of_an_earlier_process_instance_is_not_counted_after_a_restart():
+    """A restarted head sends one page at a time; another page of its earlier instance still counted for 20 s."""
     killed = []
 
     def pick(events, names):
@@ -57,13 +57,13 @@
     assert killed and one.outcome is Outcome.REST, one.breach
 
 
-def test_a_launcher_that_is_killed_as_it_starts_a_head_leaves_none_that_the_next_does_not_find():
-    """The token was written down after the start: the next launcher started a second head beside the first."""
+def test_launcher_killed_while_starting_a_head_leaves_no_head_unknown_to_the_next_launcher():
+    """The token was stored after the start, so the next launcher started a second head next to the first."""
     killed = []
 
     def pick(_events, names):
         step = "fault: the launcher is killed"
-        if step in names and "system: _System.start" in names:  # it runs, and that is not written down
+        if step in names and "system: _System.start" in names:  # it runs, which is not stored yet
             killed.append(step)
             return step
         return names[0]
--- a/tests/interleaving/test_reduction.py
+++ b/tests/interleaving/test_reduction.py
@@ -1,4 +1,4 @@
-"""The reduction loses nothing: on small worlds it ends where plain enumeration ends."""
+"""Partial-order reduction is sound: on small worlds it reaches the final states of full enumeration."""
 
 import random
 
@@ -9,31 +9,31 @@
 from harriertrack.lab.interleaving.world import Scenario
 from harriertrack.runtime.hub import Cancelled, DeadlineExceeded, Event
 
-MANY = Limits(40_000, 20.0)
-# Worlds that a few hundred schedules enumerate, without time passing while something can run, and with.
+LIMITS = Limits(40_000, 20.0)
+# Seeds by `lag` (time passes while steps are enabled): a few hundred schedules enumerate each world.
 SMALL = {False: (3, 13, 21, 28, 33, 41, 47, 48, 51, 65, 82, 87, 99, 117, 141), True: (47, 65, 92)}
 ACTS = ("send", "send", "sleep", "wait", "cancel", "draw", "note")
 
 
-def drawn(seed, lag):
-    """A world of two or three places at random: datagrams between them, timers, cancels, a kill."""
+def random_scenario(seed, lag):
+    """Generate a world of two or three places: datagrams between them, timers, cancels, a kill."""
     plan = random.Random(seed)
     places = "ab" if plan.random() < 0.6 else "abc"
     scripts = {
         one: [(plan.choice(ACTS), plan.choice(places)) for _ in range(plan.randint(1, 2))] for one in places
     }
-    dies = plan.choice(places) if plan.random() < 0.5 else None
+    killed = plan.choice(places) if plan.random() < 0.5 else None
 
     def build(world):
         hub, log = world.hub, {one: () for one in places}
         flags = {one: Event(hub) for one in places}
 
         def run(me, at):
-            def take(data, _source):
+            def receive(data, _source):
                 log[me] += (data,)
                 flags[me].set()
 
-            port = world.posts.bind(("x", at), take)
+            port = world.posts.bind(("x", at), receive)
             helper = hub.spawn("helper", sleeper, me)
             for act, other in scripts[me]:
                 try:
@@ -63,33 +63,38 @@
 
         for one in places:
             world.spawn(one, "run", run, one, ord(one))
-        if dies:
-            world.may_die(dies)
+        if killed:
+            world.may_die(killed)
         world.view = lambda: tuple(log[one] for one in places)
 
     return Scenario(f"drawn {seed}", "", build, lag=lag, until_us=20)
 
 
 @pytest.mark.parametrize("lag", [False, True])
-def test_the_reduction_ends_wherever_plain_enumeration_ends(lag):
-    compared = kinds = all_of_them = 0
-    for seed in SMALL[lag]:  # that few schedules enumerate
-        one = drawn(seed, lag)
-        every = plain.enumerate_all(one, MANY)
-        assert every.whole
-        few = reduced.explore(one, MANY)
-        assert few.whole and few.ends == every.ends, one.name
-        assert few.schedules <= every.schedules
-        compared, kinds, all_of_them = (
+def test_reduction_reaches_all_final_states_of_full_enumeration(lag):
+    compared = reduced_runs = all_runs = 0
+    for seed in SMALL[lag]:  # few schedules enumerate it
+        one = random_scenario(seed, lag)
+        full = plain.enumerate_all(one, LIMITS)
+        assert full.whole
+        reduction = reduced.explore(one, LIMITS)
+        assert reduction.whole and reduction.ends == full.ends, one.name
+        assert reduction.schedules <= full.schedules
+        compared, reduced_runs, all_runs = (
             compared + 1,
-            kinds + few.schedules + few.cut,
-            all_of_them + every.schedules,
+            reduced_runs + reduction.schedules + reduction.cut,
+            all_runs + full.schedules,
         )
-    assert compared == len(SMALL[lag]) and kinds < all_of_them / 2
-
-
-def test_without_bound_the_bounded_search_ends_there_too():
-    one = drawn(3, False)
-    every = plain.enumerate_all(one, MANY)
-    wide = bounded.explore(one, 50, MANY)
-    assert every.whole and wide.whole and wide.ends == every.ends and wide.schedules == every.schedules
+    assert compared == len(SMALL[lag]) and reduced_runs < all_runs / 2
+
+
+def test_bounded_search_with_a_large_bound_is_exhaustive():
+    one = random_scenario(3, False)
+    full = plain.enumerate_all(one, LIMITS)
+    unbounded = bounded.explore(one, 50, LIMITS)
+    assert (
+        full.whole
+        and unbounded.whole
+        and unbounded.ends == full.ends
+        and unbounded.schedules == full.schedules
+    )
--- a/tests/interleaving/test_scenarios.py
+++ b/tests/interleaving/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The production code holds in every order that is tried here; larger bounds are run by hand."""
+"""The production code keeps its invariants in all schedules explored here; larger bounds are run by hand."""
 
 import json
 
@@ -12,35 +12,35 @@
 from harriertrack.lab.interleaving.search import Limits
 from harriertrack.lab.interleaving.world import Scenario
 
-WHOLE = (
+EXHAUSTIVE = (
     "hub-cancel-wake", "hub-answer-late", "hub-two-wait", "hub-late-starter", "hub-scope-join",
     "socket-all-arrives", "memory-all-arrives", "socket-close-alone", "memory-close-alone", "memory-deadline-bytes",
     "socket-abort-write", "memory-abort-write",
 )  # fmt: skip
-FEW = [name for name in registry.SCENARIOS if name not in WHOLE]
+BOUNDED = [name for name in registry.SCENARIOS if name not in EXHAUSTIVE]
 
 
-@pytest.mark.parametrize("name", WHOLE)
-def test_a_small_scenario_holds_in_every_order(name):
+@pytest.mark.parametrize("name", EXHAUSTIVE)
+def test_small_scenario_keeps_its_invariants_in_every_schedule(name):
     found = reduced.explore(registry.SCENARIOS[name], Limits(2_000, 20.0))
     assert found.whole and found.breach is None, found.breach
 
 
 @pytest.mark.parametrize("newest", [False, True])
-@pytest.mark.parametrize("name", FEW)
-def test_a_larger_scenario_holds_in_orders_of_a_turn(name, newest):
+@pytest.mark.parametrize("name", BOUNDED)
+def test_larger_scenario_keeps_its_invariants_within_one_turn(name, newest):
     found = bounded.explore(registry.SCENARIOS[name], 1, Limits(3, 20.0), newest)
     assert found.schedules and found.breach is None, found.breach
 
 
 @pytest.mark.parametrize("name", MODELS)
-def test_a_model_holds_in_the_shortest_orders(name):
+def test_model_keeps_its_invariants_on_the_shortest_paths(name):
     seen = machines.explore(MODELS[name], Limits(150, 20.0))
     assert seen.states >= 150 and not seen.breach, seen
 
 
 def lost_wake(world):
-    """One that waits only if it looks too late: a breach of two turns."""
+    """A task checks a flag and then waits, without a wake-up when the flag is set: a breach of two turns."""
     hub, flag, said = world.hub, [], []
 
     def waits():
@@ -63,7 +63,7 @@
 LOST = Scenario("lost", "", lost_wake)
 
 
-def test_the_first_breach_has_the_fewest_turns_and_a_long_one_is_shrunk_to_as_few():
+def test_first_breach_has_fewest_turns_and_a_longer_one_shrinks_to_as_few():
     found = bounded.explore(LOST, 9)
     least = bounded.turns(found.breach)
     assert found.breach.breach == "here: waits waits for ever"
@@ -73,18 +73,18 @@
     assert shortest.find_breach(LOST, 9, Limits()).breach.schedule == found.breach.schedule
 
 
-def test_a_schedule_that_can_not_be_run_is_told():
+def test_replay_of_an_impossible_schedule_is_reported():
     with pytest.raises(NotRepeatable, match="step 1: 'nobody' can't run"):
         replay(LOST, (": main", "nobody"))
 
 
-def test_a_scenario_runs_the_same_way_twice():
+def test_scenario_execution_is_deterministic():
     for name in ("witness-lock", "watch-moves", "changes-terms"):
         one, other = (execute(registry.SCENARIOS[name], following(())) for _ in range(2))
         assert one.events == other.events and one.end == other.end
 
 
-def test_the_command_names_explores_keeps_and_replays(tmp_path, monkeypatch):
+def test_command_lists_explores_saves_and_replays(tmp_path, monkeypatch):
     run = CliRunner().invoke
     listed = run(main, ["interleave", "--list"])
     assert "watch-moves" in listed.output and "leases-end" in listed.output and listed.exit_code == 0
