--- a/harriertrack/lab/interleaving/models/zones.py
+++ b/harriertrack/lab/interleaving/models/zones.py
@@ -27,7 +27,7 @@
 
     now: int = 1_000_000
     decider: Evacuation = field(default_factory=lambda: Evacuation(RULES))
-    decisions: tuple[ZoneDecision, ...] = ()
+    published: tuple[ZoneDecision, ...] = ()
     reported: dict[str, tuple[str, int]] = field(default_factory=dict)  # by head: report and time
     lacks: dict[str, int] = field(default_factory=dict)  # by head: time since which it has not reached x
     deaths: int = 1
@@ -50,7 +50,7 @@
         """Return the state in which all zones are in use."""
         state = State(decider=Evacuation(RULES))
         state.decider.decide(state.now, ZONES, 2)
-        while self._evacuated_at_start and not state.decisions:
+        while self._evacuated_at_start and not state.published:
             for event in ("a: lacks x", "b: lacks x", "time"):
                 self.apply(state, event)
         return state
@@ -74,7 +74,7 @@
         elif event == "the decider dies":
             state.deaths -= 1
             state.decider = Evacuation(RULES)
-            state.decider.resume(state.now, state.decisions)
+            state.decider.resume(state.now, state.published)
         else:
             head, what = event.split(": ")
             state.reported[head] = (what, state.now)
@@ -86,9 +86,9 @@
             state.decider.record_report(state.now, head, observations)
 
     def _decide(self, state: State) -> None:
-        before = {decision.zone: decision.stage for decision in state.decisions}
+        before = {decision.zone: decision.stage for decision in state.published}
         state.decider.decide(state.now, ZONES, 2)
-        state.decisions = state.decider.decisions(state.now)
+        state.published = state.decider.decisions(state.now)
         steps = {
             ZoneStage.IN: (ZoneStage.IN, ZoneStage.OUT),
             ZoneStage.OUT: (ZoneStage.OUT, ZoneStage.TRYING),
