--- a/harriertrack/lab/interleaving/observed.py
+++ b/harriertrack/lab/interleaving/observed.py
@@ -1,19 +1,19 @@
-"""The clock and the random numbers of an explored hub, which tell who looked at them."""
+"""The clock and random numbers of an explored hub, which record accesses in the step's footprint."""
 
 from __future__ import annotations
 
 import random
 
-from harriertrack.lab.interleaving.footprints import CLOCK, RANDOM, Touched
+from harriertrack.lab.interleaving.footprints import CLOCK, RANDOM, FootprintRecorder
 from harriertrack.runtime.hub import VirtualTime
 
 START = 1_000_000_000
 
 
 class ObservedTime(VirtualTime):
-    """Simulated time; `read` and `moved` become part of a step's footprint."""
+    """Simulated time; reads and advances are recorded in the step's footprint."""
 
-    def __init__(self, touched: Touched, start: int = START) -> None:
+    def __init__(self, touched: FootprintRecorder, start: int = START) -> None:
         super().__init__(start)
         self._touched = touched
 
@@ -27,19 +27,19 @@
         return self.now()
 
     def peek(self) -> int:
-        """Return the time for who only watches."""
+        """Return the time without recording a read, for the explorer itself."""
         return self._now
 
     def wait(self, until: int | None) -> list[tuple[int, int]]:
-        """Jump to the next timer."""
+        """Advance to the next timer."""
         self._touched.write(CLOCK)
         return super().wait(until)
 
 
 class ObservedRandom(random.Random):
-    """Random numbers, drawn in the order of the steps: two steps that draw depend on each other."""
+    """Random numbers from one shared sequence: any two steps that draw from it are dependent."""
 
-    def __init__(self, touched: Touched, seed: int) -> None:
+    def __init__(self, touched: FootprintRecorder, seed: int) -> None:
         super().__init__(seed)
         self._touched = touched
 
@@ -49,6 +49,6 @@
         return super().random()
 
     def getrandbits(self, k: int, /) -> int:
-        """Draw so many bits."""
+        """Draw `k` random bits."""
         self._touched.write(RANDOM)
         return super().getrandbits(k)
