--- a/harriertrack/lab/interleaving/scenarios/budgets.py
+++ b/harriertrack/lab/interleaving/scenarios/budgets.py
@@ -1,7 +1,7 @@
-"""A budget's lease against its return at two heads: the lock, asks and grants, a head that stands still.
+"""Grant and return of a budget's lease at two heads: the lock, requests and grants, a frozen head.
 
-Production code are the carrier of budgets, the locks at the witness, holder, ledger and candidate; demand
-goes over from one head to the other while datagrams come in any order.
+Production code: the carrier of budgets, the locks at the witness, the lease holder, ledger and candidate.
+Demand moves from one head to the other while datagrams arrive in any order.
 """
 
 from __future__ import annotations
@@ -23,32 +23,34 @@
 from harriertrack.runtime.hub import Scope
 
 NAMES = ("a", "b")
-BUDGET, WHOLE = "limits/v", BudgetTotal(100.0, 20.0, 2, 0.1)
+BUDGET, BUDGET_TOTAL = "limits/v", BudgetTotal(100.0, 20.0, 2, 0.1)
 SETTINGS = FleetBudgetSettings(
     witness=(WITNESS, 8500), timeout_us=300_000, lease_us=400_000, ask_us=200_000, quick_us=100_000,
     round_us=50_000, clock_error=0.05, patience_us=100_000, term_us=1_000_000,
 )  # fmt: skip
-TURNS_US, UNTIL_US = 900_000, 1_500_000
+DEMAND_MOVES_US, UNTIL_US = 900_000, 1_500_000
 DEMAND_US = 100_000
-STANDS_AT_US, STANDS_US = TURNS_US - 20_000, 600_000  # longer than a lease
+FREEZE_AT_US, FREEZE_US = DEMAND_MOVES_US - 20_000, 600_000  # longer than a lease
 
 
 class _Head:
-    """One head's part."""
+    """One head with its budget shares and carrier."""
 
     def __init__(self, world: World, name: str) -> None:
         hub = world.hub
         self._world, self.name = world, name
-        self.portions = BudgetShares(rules_of(SETTINGS), 1, name, 10 + NAMES.index(name), 2, {}, hub.now())
+        self.budget_shares = BudgetShares(
+            rules_of(SETTINGS), 1, name, 10 + NAMES.index(name), 2, {}, hub.now()
+        )
         self.budgets: Budgets | None = None
 
     @property
     def busy(self) -> bool:
-        """Whether all the demand is here: first at a, later at b."""
-        return (self._world.hub.now() < START + TURNS_US) == (self.name == NAMES[0])
+        """Whether this head has the demand: a has all of it at first, b later."""
+        return (self._world.hub.now() < START + DEMAND_MOVES_US) == (self.name == NAMES[0])
 
     def run(self) -> None:
-        """Take part until the end (a task)."""
+        """Run the head until the end of the scenario (a task)."""
         world, hub = self._world, self._world.hub
         with hub.scope(self.name) as scope:
             swim = Swim(Rules(fleet="f"), _member(self.name), (), 1)
@@ -56,14 +58,14 @@
             for other in NAMES:
                 swim.view.apply(hub.now(), _member(other))
             port = world.posts.bind(
-                ("x", 1 + NAMES.index(self.name)), lambda data, source: self._come(data, source)
+                ("x", 1 + NAMES.index(self.name)), lambda data, source: self._receive(data, source)
             )
-            self.budgets = Budgets(self._parts(scope), SETTINGS, self.portions, "f", swim, port.send,
+            self.budgets = Budgets(self._parts(scope), SETTINGS, self.budget_shares, "f", swim, port.send,
                                    lambda _node, _number: None)  # fmt: skip
             self.budgets.start()
             scope.spawn("demand", self._demand)
 
-    def _come(self, data: bytes, source: tuple[str, int]) -> None:
+    def _receive(self, data: bytes, source: tuple[str, int]) -> None:
         if self.budgets is not None:
             self.budgets.receive(data, source)
 
@@ -74,21 +76,21 @@
         return cast(HeadParts, parts)
 
     def _demand(self) -> None:
-        hub, (holder,) = self._world.hub, self.portions.holders
+        hub, (holder,) = self._world.hub, self.budget_shares.holders
         while True:
-            portion = holder.open(hub.now(), BUDGET, WHOLE)
+            budget = holder.open(hub.now(), BUDGET, BUDGET_TOTAL)
             if self.busy:
-                portion.record_demand(WHOLE.rate * DEMAND_US / 1e6)
+                budget.record_demand(BUDGET_TOTAL.rate * DEMAND_US / 1e6)
             hub.sleep(DEMAND_US)
 
-    def share(self, now: int) -> float:
-        """Return what it may use now beyond its fixed part."""
-        (holder,) = self.portions.holders
+    def leased_share(self, now: int) -> float:
+        """Return the leased share that the head may use now, beyond its fixed part."""
+        (holder,) = self.budget_shares.holders
         held = holder.budgets.get(BUDGET)
         return held.share.leased if held is not None and holder.lease_valid(now) else 0.0
 
-    def keeps(self, now: int) -> int:
-        """Return the epoch of the term in which it keeps the ledger; 0: it does not."""
+    def ledger_epoch(self, now: int) -> int:
+        """Return the epoch of the term in which the head holds the ledger; 0: it does not."""
         if self.budgets is None:
             return 0
         candidate = self.budgets._locks[0].candidate
@@ -102,37 +104,41 @@
         hub = world.hub
         witness_of(world)
         heads = [_Head(world, name) for name in NAMES]
-        most = [0.0, 0.0]  # that each ever had
+        highest_shares = [0.0, 0.0]  # the largest share of each head so far
 
         for one in heads:
             world.spawn(one.name, "head", one.run)
 
-        def stand_still() -> None:
-            hub.sleep_until(START + STANDS_AT_US)
-            hub.freeze("a", STANDS_US)
+        def freeze_a() -> None:
+            hub.sleep_until(START + FREEZE_AT_US)
+            hub.freeze("a", FREEZE_US)
 
         if stands:
-            world.spawn("machine", "a stands still", stand_still)
-            world.fault("b stands still", "b", lambda: hub.freeze("b", STANDS_US))
+            world.spawn("machine", "a stands still", freeze_a)
+            world.fault("b stands still", "b", lambda: hub.freeze("b", FREEZE_US))
         if dies:
             world.may_die("a")
             world.may_die("b")
 
         def judge(_view: object) -> str | None:
             now = hub.now()
-            shares = [one.share(now) if one.name not in world.dead else 0.0 for one in heads]
-            most[:] = [max(pair) for pair in zip(most, shares, strict=True)]
-            if sum(shares) > WHOLE.movable * (1 + 1e-9):
-                return f"{sum(shares):.1f} of {WHOLE.movable:.1f} are in use: {shares}"
-            keepers = [one.name for one in heads if one.name not in world.dead and one.keeps(now)]
-            return f"{keepers} keep the ledger at one time" if len(keepers) > 1 else None
+            shares = [one.leased_share(now) if one.name not in world.dead else 0.0 for one in heads]
+            highest_shares[:] = [max(pair) for pair in zip(highest_shares, shares, strict=True)]
+            if sum(shares) > BUDGET_TOTAL.movable * (1 + 1e-9):
+                return f"{sum(shares):.1f} of {BUDGET_TOTAL.movable:.1f} are in use: {shares}"
+            ledger_holders = [
+                one.name for one in heads if one.name not in world.dead and one.ledger_epoch(now)
+            ]
+            return f"{ledger_holders} keep the ledger at one time" if len(ledger_holders) > 1 else None
 
         def finish() -> str | None:
-            if stands or world.dead or min(most) > WHOLE.movable / 2:
+            if stands or world.dead or min(highest_shares) > BUDGET_TOTAL.movable / 2:
                 return None
-            return f"the heads never had more than {most[0]:.1f} and {most[1]:.1f}"
+            return f"the heads never had more than {highest_shares[0]:.1f} and {highest_shares[1]:.1f}"
 
-        world.view = lambda: tuple((round(one.share(hub.now()), 6), one.keeps(hub.now())) for one in heads)
+        world.view = lambda: tuple(
+            (round(one.leased_share(hub.now()), 6), one.ledger_epoch(hub.now())) for one in heads
+        )
         world.judge, world.finish = judge, finish
 
     return build
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -1,8 +1,8 @@
 """A close against writes and reads in flight, slow nodes, and a calendar that changes: one head, one node.
 
-Production code are the core with its module, the guard, the carrier of closes and of their trims, the map of
-extents. Represented are who decides (its word may come late, and the record after or before it), the link to
-the node, and the node's bytes; a node turns down what comes under an older epoch than it has heard of.
+Production code: the core with its scheduler module, the guard, the carrier of closes and their trims, and the
+extent map. Modelled: the decider (its ruling may be late, and the record may arrive before or after it), the
+link to the node, and the node's bytes. The node rejects requests with an epoch older than the newest it saw.
 """
 
 from __future__ import annotations
@@ -54,10 +54,10 @@
 OLD = Plan(1, "tz", PURGES, ((START + 250_000, "first"), (START + 480_000, "second")))
 NEW = Plan(2, "tz", PURGES, ((START + 250_000, "first"), (START + 420_000, "earlier")))
 UNTIL_US = 600_000
-LATE_US = 280_000  # of a record: more than the notice
-SLOW_US = 90_000  # what a slow node takes for a request
+LATE_US = 280_000  # delay of a late record: longer than the notice
+SLOW_US = 90_000  # service time of a request at a slow node
 READ_US, WRITE_US = 150_000, 120_000  # deadlines
-TAKE_US = 2_000
+NODE_SERVICE_US = 2_000
 READS = (40_000, 200_000, 245_000, 255_000, 262_000, 300_000, 400_000, 450_000, 530_000, 590_000)
 WRITES = (10_000, 225_000, 290_000, 500_000)
 SETTINGS = HeadSettings(
@@ -79,51 +79,51 @@
 
 @dataclass(eq=False)
 class _Client:
-    """Who asked one thing, and what came of it."""
+    """The requester of one request, and the outcome of that request."""
 
     kind: Kind
-    taken_at: int
-    tag: int = 0  # that it writes
+    accepted_at_us: int
+    tag: int = 0  # the byte written or read
     answers: int = 0
-    ended_at: int = 0
+    ended_at_us: int = 0
     outcome: Outcome | None = None
-    hears: Callable[[_Client, ClientRequest], None] = lambda _one, _request: None
+    on_answer: Callable[[_Client, ClientRequest], None] = lambda _one, _request: None
 
     def answer(self, request: ClientRequest) -> None:
-        """Take the answer."""
+        """Record the answer."""
         self.answers += 1
         self.outcome = request.outcome
-        self.hears(self, request)
+        self.on_answer(self, request)
 
 
 class _Link:
-    """What a core asks of its surroundings: a link to a node whose requests take as long as it likes."""
+    """The core's environment: a link to one node whose response time is under the scenario's control."""
 
     def __init__(self, world: World) -> None:
         self._world, self._hub = world, world.hub
         self.core: Core
         self.alarm = Alarm(world.hub, lambda: self.core.flush(world.hub.now()))
         self.epochs = Epochs()
-        self.bytes: dict[int, int] = {}  # at the node: by extent, the tag that was written
-        self._epoch = 0  # the newest that the node heard of
-        self.slow = self.struck = False  # now, ever
+        self.bytes: dict[int, int] = {}  # at the node: the written tag, by extent
+        self._epoch = 0  # the newest epoch that the node received
+        self.slow = self.was_slow = False  # now; at any time so far
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
         epoch, now = self.epochs.epoch_of(VOLUME), self._hub.now()
-        self._hub.at_for(HEAD, now, lambda: self._leaves(attempt, epoch))
+        self._hub.at_for(HEAD, now, lambda: self._send_to_node(attempt, epoch))
 
-    def _leaves(self, attempt: Attempt, epoch: int) -> None:
+    def _send_to_node(self, attempt: Attempt, epoch: int) -> None:
         if not attempt.answer_needed:
-            return  # it was given up before
+            return  # it was cancelled before
         self.core.attempt_sent(attempt)
-        takes = SLOW_US if self.slow else TAKE_US
-        self._hub.at_for(NODE, self._hub.now() + takes, lambda: self._runs(attempt, epoch))
+        service_us = SLOW_US if self.slow else NODE_SERVICE_US
+        self._hub.at_for(NODE, self._hub.now() + service_us, lambda: self._run_at_node(attempt, epoch))
 
-    def _runs(self, attempt: Attempt, epoch: int) -> None:
+    def _run_at_node(self, attempt: Attempt, epoch: int) -> None:
         part, result, data = attempt.part, api.Result.OK, b""
         if epoch < self._epoch:
-            result = api.Result.CONNECT_FAILED  # it was not seen
+            result = api.Result.CONNECT_FAILED  # rejected by its epoch: it did not run
         else:
             self._epoch = epoch
             match part.request.kind:
@@ -133,24 +133,24 @@
                     data = bytes([self.bytes.get(part.extent, 0)]) * part.length
                 case Kind.TRIM:
                     self.bytes.pop(part.extent, None)
-        self._hub.at_for(HEAD, self._hub.now(), lambda: self._answered(attempt, result, data))
+        self._hub.at_for(HEAD, self._hub.now(), lambda: self._deliver_answer(attempt, result, data))
 
-    def _answered(self, attempt: Attempt, result: api.Result, data: bytes) -> None:
+    def _deliver_answer(self, attempt: Attempt, result: api.Result, data: bytes) -> None:
         if attempt.answer_needed:
             self.core.attempt_ended(self._hub.now(), attempt, result, data)
 
     def call_off(self, attempt: Attempt) -> None:
-        """The node goes on."""
+        """Does nothing: the node completes the request all the same."""
 
     def answer(self, request: ClientRequest) -> None:
-        """Give the client its answer."""
+        """Deliver the answer to the client."""
         request.requester.answer(request)
 
     def subscribe(self, on: bool) -> None:
-        """There is one list."""
+        """Does nothing: the node list never changes."""
 
     def ask_list(self) -> None:
-        """There is one list."""
+        """Does nothing: the node list never changes."""
 
     def wake_at(self, when: int) -> None:
         """Flush at a time."""
@@ -161,22 +161,22 @@
         self.alarm.soon()
 
     def note(self, text: str) -> None:
-        """Nobody reads it."""
+        """Does nothing: notes are not checked."""
 
 
 class _Decider:
-    """Says what time it is, and which closes there are."""
+    """The decider: announces the time and the schedule of closes."""
 
     def __init__(self, world: World) -> None:
         self._hub = world.hub
         self.schedule, self.number = Schedule(), 0
-        self.taker: Closing
+        self.closing: Closing
         self.on_report: dict[str, Callable[[int, str, bytes], None]] = {}
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}
         self.record_late_us = 0
 
     def change(self, plan: Plan) -> None:
-        """Work the closes out anew, once there are any."""
+        """Recompute the schedule; a new plan before the first one is ignored."""
         hub = self._hub
         if plan is not OLD and not self.number:
             return
@@ -185,28 +185,28 @@
         body = encode_schedule(self.schedule)
         version = Version(CALENDAR + CLOSES_SUFFIX, self.number, self.number - 1, body, "d", 1, "worked out")
 
-        def comes() -> None:
-            self.taker.apply(version.thing, version)
+        def deliver_record() -> None:
+            self.closing.apply(version.thing, version)
 
-        hub.at_for(HEAD, hub.now() + self.record_late_us, comes)
+        hub.at_for(HEAD, hub.now() + self.record_late_us, deliver_record)
 
     def report(self, _topic: str, body: bytes) -> None:
-        """A head asks."""
-        ask = decode_query(body)
-        assert ask is not None
-        self._hub.at_for(DECIDER, self._hub.now(), lambda: self._says(ask.at))
+        """Answer a head's query."""
+        query = decode_query(body)
+        assert query is not None
+        self._hub.at_for(DECIDER, self._hub.now(), lambda: self._send_ruling(query.at))
 
-    def _says(self, asked_at: int) -> None:
+    def _send_ruling(self, query_at_us: int) -> None:
         now, body = self._hub.now(), encode_schedule(self.schedule)
-        answer = Answer("h", asked_at, now)
-        said = encode(Ruling(now, digest_of({CALENDAR: body}), (-ERROR_US, ERROR_US), now, [answer], []))
-        self._hub.at_for(HEAD, now, lambda: self.on_ruling[TOPIC](self._hub.now(), Term(1, 1), said))
+        answer = Answer("h", query_at_us, now)
+        ruling = encode(Ruling(now, digest_of({CALENDAR: body}), (-ERROR_US, ERROR_US), now, [answer], []))
+        self._hub.at_for(HEAD, now, lambda: self.on_ruling[TOPIC](self._hub.now(), Term(1, 1), ruling))
 
     def deciding_term(self, _now: int) -> None:
-        """No head decides here but this one."""
+        """Does nothing: the decider is modelled, and the head never has the term."""
 
     def rule(self, _topic: str, _body: bytes) -> bool:
-        """No head decides here but this one."""
+        """Does nothing: the decider is modelled, and the head never has the term."""
         return False
 
 
@@ -215,14 +215,16 @@
         hub, link, decider = world.hub, _Link(world), _Decider(world)
         clients: list[_Client] = []
 
-        def heard(one: _Client, request: ClientRequest) -> None:
-            one.ended_at = hub.now()
+        def check_answer(one: _Client, request: ClientRequest) -> None:
+            one.ended_at_us = hub.now()
             if one.kind is Kind.READ and one.outcome is Outcome.SERVED:
                 one.tag = request.bytes_read()[0]
-                world.wrong += [said for said in [_stale(decider.schedule, clients, one)] if said]
+                world.wrong += [
+                    error for error in [_stale_read_error(decider.schedule, clients, one)] if error
+                ]
 
-        def ask(kind: Kind) -> None:
-            one = _Client(kind, hub.now(), 0, hears=heard)
+        def send_request(kind: Kind) -> None:
+            one = _Client(kind, hub.now(), 0, on_answer=check_answer)
             if kind is Kind.WRITE:
                 one.tag = sum(other.kind is kind for other in clients) + 1
             clients.append(one)
@@ -231,54 +233,60 @@
             link.core.accept(hub.now(), request)
 
         def head() -> None:
-            places = ExtentMap(None)
+            extent_map = ExtentMap(None)
             with hub.scope(HEAD) as scope:
                 nodes = NodeList()
                 module = Scheduler(module_settings(SETTINGS), 1)
-                core = Core(request_rules(SETTINGS), module, SETTINGS.volumes, link, nodes, places)
+                core = Core(request_rules(SETTINGS), module, SETTINGS.volumes, link, nodes, extent_map)
                 link.core = core
                 core.nodes_changed(nodes.replace([Member(api.NodeEntry("n", 0), ("n", 1))]))
                 swim = Swim(Rules(fleet="f"), Record("h", 1, 1, 0, State.ALIVE, "x", 1), (), 1)
                 swim.start(hub.now())
-                user = cast(Changes, SimpleNamespace(use=lambda *_: None, record=SimpleNamespace(revision=0),
-                                                     write=None))  # fmt: skip
+                record = SimpleNamespace(revision=0)
+                changes_carrier = cast(
+                    Changes, SimpleNamespace(use=lambda *_: None, record=record, write=None)
+                )
                 closing = Closing(_parts(world, scope, core), CLOSING, swim, cast(FleetDecider, decider),
-                                  user, places, link.epochs)  # fmt: skip
-                decider.taker = closing
+                                  changes_carrier, extent_map, link.epochs)  # fmt: skip
+                decider.closing = closing
                 closing.start()
                 decider.change(OLD)
                 scope.spawn("client", client)
 
         def client() -> None:
-            moments = [(at, Kind.READ) for at in READS] + [(at, Kind.WRITE) for at in WRITES]
-            for at, kind in sorted(moments, key=lambda one: one[0]):
+            request_times = [(at, Kind.READ) for at in READS] + [(at, Kind.WRITE) for at in WRITES]
+            for at, kind in sorted(request_times, key=lambda one: one[0]):
                 hub.sleep_until(START + at)
-                ask(kind)
+                send_request(kind)
 
-        def late() -> None:
+        def change_with_late_record() -> None:
             decider.record_late_us = LATE_US
             decider.change(NEW)
 
-        def changes_late() -> None:
+        def change_during_run() -> None:
             hub.sleep_until(START + late_at)
-            late()
+            change_with_late_record()
 
-        def slows() -> None:
-            link.slow = link.struck = True
+        def slow_down() -> None:
+            link.slow = link.was_slow = True
 
         def fast() -> None:
             link.slow = False
 
         world.spawn(HEAD, "head", head)
         if late_at:
-            world.spawn(DECIDER, "changes the calendar", changes_late)
-        world.fault("the node slows", NODE, slows)
+            world.spawn(DECIDER, "changes the calendar", change_during_run)
+        world.fault("the node slows", NODE, slow_down)
         world.fault("the node is quick again", NODE, fast)
-        world.fault("a client writes", HEAD, lambda: ask(Kind.WRITE) if hasattr(link, "core") else None)
-        world.fault("a client reads", HEAD, lambda: ask(Kind.READ) if hasattr(link, "core") else None)
+        world.fault(
+            "a client writes", HEAD, lambda: send_request(Kind.WRITE) if hasattr(link, "core") else None
+        )
+        world.fault(
+            "a client reads", HEAD, lambda: send_request(Kind.READ) if hasattr(link, "core") else None
+        )
         if changes:
             world.fault("the calendar changes", DECIDER, lambda: decider.change(NEW))
-            world.fault("it changes, and the record is late", DECIDER, late)
+            world.fault("it changes, and the record is late", DECIDER, change_with_late_record)
 
         def judge(_view: object) -> str | None:
             for one in clients:
@@ -287,10 +295,13 @@
             return None
 
         def finish() -> str | None:
-            open_ = [one for one in clients if not one.answers and one.taken_at + READ_US < hub.now()]
-            if open_:
-                return f"a {open_[0].kind.value} of {open_[0].taken_at - START} us was never answered"
-            if not link.struck and not any(one.kind is Kind.READ and one.tag for one in clients):
+            unanswered = [
+                one for one in clients if not one.answers and one.accepted_at_us + READ_US < hub.now()
+            ]
+            if unanswered:
+                first = unanswered[0]
+                return f"a {first.kind.value} of {first.accepted_at_us - START} us was never answered"
+            if not link.was_slow and not any(one.kind is Kind.READ and one.tag for one in clients):
                 return "no read brought anything"
             return None
 
@@ -309,25 +320,29 @@
 
 
 def _generation(schedule: Schedule, at: int) -> int:
-    """Return after which close an instant is."""
+    """Return the number of the last close at or before an instant."""
     return max((one.number for one in schedule.closes if one.at_us <= at), default=0)
 
 
-def _stale(schedule: Schedule, clients: list[_Client], read: _Client) -> str | None:
-    """Return what is wrong with what a read brought, if anything."""
-    closed = _generation(schedule, read.ended_at)
+def _stale_read_error(schedule: Schedule, clients: list[_Client], read: _Client) -> str | None:
+    """Return an error if a read returned data from before a close, or missed a later write."""
+    closed = _generation(schedule, read.ended_at_us)
     writes = [one for one in clients if one.kind is Kind.WRITE and one.answers]
-    told = f"a read answered at {read.ended_at - START} us"
+    read_text = f"a read answered at {read.ended_at_us - START} us"
     source = next((one for one in clients if one.kind is Kind.WRITE and one.tag == read.tag), None)
-    if source is not None and _generation(schedule, source.taken_at) < closed:
-        return f"{told} brought what was written at {source.taken_at - START} us, before close {closed}"
-    kept = [
+    if source is not None and _generation(schedule, source.accepted_at_us) < closed:
+        written_at_us = source.accepted_at_us - START
+        return f"{read_text} brought what was written at {written_at_us} us, before close {closed}"
+    current_writes = [
         one for one in writes
-        if one.outcome is Outcome.SERVED and one.ended_at < read.taken_at
-        and _generation(schedule, one.taken_at) == closed
+        if one.outcome is Outcome.SERVED and one.ended_at_us < read.accepted_at_us
+        and _generation(schedule, one.accepted_at_us) == closed
     ]  # fmt: skip
-    if kept and (source is None or source.taken_at < max(one.taken_at for one in kept)):
-        return f"{told} brought {read.tag} in place of {kept[-1].tag}, written after close {closed}"
+    if current_writes and (
+        source is None or source.accepted_at_us < max(one.accepted_at_us for one in current_writes)
+    ):
+        expected = current_writes[-1].tag
+        return f"{read_text} brought {read.tag} in place of {expected}, written after close {closed}"
     return None
 
 
--- a/harriertrack/lab/interleaving/scenarios/links.py
+++ b/harriertrack/lab/interleaving/scenarios/links.py
@@ -1,4 +1,4 @@
-"""A link to a storage node: attempts that are called off, a node that dies, a handshake under way."""
+"""A link to a storage node: attempts are cancelled and the node dies, also during the handshake."""
 
 from __future__ import annotations
 
@@ -24,53 +24,53 @@
 
 
 @dataclass(eq=False)
-class _Tried:
-    """An attempt, as links know it, and what became of it."""
+class _Attempt:
+    """An attempt with the attributes that links use, and its outcome."""
 
     part: Any
     number: int = 1
     volume: str = VOLUME
     sent_at: int = 0
     reported: bool = False
-    offered: bool = False  # to the links
+    offered: bool = False  # passed to the links
     sent: int = 0
-    dropped: bool = False  # called off before it was sent
+    cancelled_before_send: bool = False  # cancelled before it was sent
     ends: list[Result] = field(default_factory=list)
     member: Any = field(default_factory=lambda: SimpleNamespace(entry=SimpleNamespace(node=NODE)))
 
     @property
     def answer_needed(self) -> bool:
-        """Whether its answer is of use."""
+        """Whether the request still waits for this attempt."""
         return not self.reported
 
 
-def _tried(number: int) -> _Tried:
+def _attempt(number: int) -> _Attempt:
     request = SimpleNamespace(kind=Kind.READ, flags=0)
-    return _Tried(SimpleNamespace(number=number, request=request, offset=0, length=512))
+    return _Attempt(SimpleNamespace(number=number, request=request, offset=0, length=512))
 
 
 class _Core:
-    def may_begin(self, _now: int, _one: _Tried) -> bool:
-        return True  # client, time and node allow it; what was called off the link has to forget by itself
+    def may_begin(self, _now: int, _one: _Attempt) -> bool:
+        return True  # always: the link itself must discard a cancelled attempt
 
-    def attempt_sent(self, one: _Tried) -> None:
+    def attempt_sent(self, one: _Attempt) -> None:
         one.sent += 1
 
-    def attempt_ended(self, _now: int, one: _Tried, result: Result, *_more: object) -> None:
+    def attempt_ended(self, _now: int, one: _Attempt, result: Result, *_more: object) -> None:
         one.ends.append(result)
 
 
 def _link(dies: bool) -> Callable[[World], None]:
     def build(world: World) -> None:
-        hub, tried = world.hub, [_tried(1), _tried(2)]
-        found: list[Links] = []
+        hub, attempts = world.hub, [_attempt(1), _attempt(2)]
+        links_made: list[Links] = []
         volume = VolumeSettings(name=VOLUME, size_bytes=4 * EXTENT, plan="p")
         settings = NodeStandInSettings(listen=(NODE, 1), extent_bytes=EXTENT, unit_us=100, volumes=(volume,))
 
         def node() -> None:
             with hub.scope(NODE) as scope:
-                shelf = NodeServer(hub, world.network, settings, ShardStorage(EXTENT))
-                shelf.start(scope)
+                server = NodeServer(hub, world.network, settings, ShardStorage(EXTENT))
+                server.start(scope)
 
         def head_parts(scope: Scope) -> HeadParts:
             limits = SimpleNamespace(orphans=4, dial_us=100_000, idle_us=IDLE_US)
@@ -85,18 +85,18 @@
         def head() -> None:
             with hub.scope(HEAD) as scope:
                 links = Links(head_parts(scope))
-                found.append(links)
+                links_made.append(links)
                 hub.sleep(0)
-                for one in tried:
+                for one in attempts:
                     one.offered = True
                     links.send(cast(Attempt, one))
                     hub.sleep(0)
 
         def call_off() -> None:
-            one = tried[0]
+            one = attempts[0]
             if one.offered and not one.ends:
-                one.reported, one.dropped = True, not one.sent
-                found[0].call_off(cast(Attempt, one))
+                one.reported, one.cancelled_before_send = True, not one.sent
+                links_made[0].call_off(cast(Attempt, one))
 
         world.spawn(NODE, "node", node)
         world.spawn(HEAD, "head", head, ends=True)
@@ -105,21 +105,21 @@
             world.may_die(NODE)
 
         def judge(_view: object) -> str | None:
-            for number, one in enumerate(tried, 1):
+            for number, one in enumerate(attempts, 1):
                 if one.sent > 1 or len(one.ends) > 1:
                     return f"attempt {number} was sent {one.sent} times and ended {len(one.ends)} times"
-                if one.sent and one.dropped:
+                if one.sent and one.cancelled_before_send:
                     return f"attempt {number} was sent after it was called off"
                 if one.sent and Result.CONNECT_FAILED in one.ends:
                     return f"attempt {number} was sent, and told as never run"
             return None
 
         def finish() -> str | None:
-            if len(tried[1].ends) != 1 or (not tried[0].reported and len(tried[0].ends) != 1):
-                return f"an attempt has no end: {[one.ends for one in tried]}"
-            return f"{len(found[0])} links are left" if len(found[0]) else None
+            if len(attempts[1].ends) != 1 or (not attempts[0].reported and len(attempts[0].ends) != 1):
+                return f"an attempt has no end: {[one.ends for one in attempts]}"
+            return f"{len(links_made[0])} links are left" if len(links_made[0]) else None
 
-        world.view = lambda: tuple((one.sent, tuple(one.ends), one.reported) for one in tried)
+        world.view = lambda: tuple((one.sent, tuple(one.ends), one.reported) for one in attempts)
         world.judge, world.finish = judge, finish
 
     return build
