--- a/harriertrack/lab/interleaving/scenarios/changes.py
+++ b/harriertrack/lab/interleaving/scenarios/changes.py
@@ -1,4 +1,4 @@
-"""The fleet's record of changes at the witness: writers at once, a killed one, terms in turn."""
+"""The fleet's record of changes at the witness: concurrent writers, a killed writer, successive terms."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 from harriertrack.membership.fleet.change_record import PATH, decode, encode
 
 THING = "settings"
-Make = Callable[[Record], Record]
+Change = Callable[[Record], Record]
 
 
 class History:
-    """All records that the witness ever held, and what is wrong with how one followed the other."""
+    """All records that the witness ever stored; finds illegal steps from one to the next."""
 
     def __init__(self, witness: ApartWitness, start: Record) -> None:
         self._witness = witness
         self.records = [start]
 
     def now(self) -> Record:
-        """Return the present one, and remember it."""
+        """Read the stored record, add it to the history, and return it."""
         data = self._witness.stored(PATH)[0]
         record = decode(data) if data else Record()
         if record != self.records[-1]:
@@ -45,29 +45,35 @@
         return record
 
     def wrong(self) -> str | None:
-        """Return what can't be."""
+        """Return the first violation in the history, if any."""
         for before, after in zip(self.records, self.records[1:], strict=False):
             if after.revision != before.revision + 1:
                 return f"revision {after.revision} in place of {before.revision}"
             if after.epoch < before.epoch or after.level < before.level:
                 return f"epoch {before.epoch} was followed by {after.epoch}"
-            old = {(one.thing, one.number): one for one in before.versions}
+            old_versions = {(one.thing, one.number): one for one in before.versions}
             for one in after.versions:
-                was = old.get((one.thing, one.number))
-                if was is not None and was.standing is not one.standing:
-                    if one.standing not in TRANSITIONS[was.standing]:
-                        return f"version {one.number} went from {was.standing.value} to {one.standing.value}"
-                if one != was and one.reason.startswith("term ") and int(one.reason[5:]) < before.epoch:
+                old_version = old_versions.get((one.thing, one.number))
+                if old_version is not None and old_version.standing is not one.standing:
+                    if one.standing not in TRANSITIONS[old_version.standing]:
+                        return f"version {one.number} went from {old_version.standing.value} to {one.standing.value}"
+                if (
+                    one != old_version
+                    and one.reason.startswith("term ")
+                    and int(one.reason[5:]) < before.epoch
+                ):
                     return f"{one.reason} decided after term {before.epoch}"
-            lost = [
-                key for key, one in old.items() if one.standing not in FINISHED and after.find(*key) is None
+            missing = [
+                key
+                for key, one in old_versions.items()
+                if one.standing not in FINISHED and after.find(*key) is None
             ]
-            if lost:
-                return f"versions {lost} are gone"
-        last = self.records[-1]
-        if sum(one.standing in IN_PROGRESS for one in last.versions) > 1:
+            if missing:
+                return f"versions {missing} are gone"
+        latest = self.records[-1]
+        if sum(one.standing in IN_PROGRESS for one in latest.versions) > 1:
             return "two versions of one thing are under way"
-        if sum(one.standing is VersionState.IN_FORCE for one in last.versions) > 1:
+        if sum(one.standing is VersionState.IN_FORCE for one in latest.versions) > 1:
             return "two versions of one thing are in force"
         return None
 
@@ -79,46 +85,46 @@
     return record
 
 
-def _writers(start: Record, acts: dict[str, list[Make]], dies: str) -> Callable[[World], None]:
-    """Let each writer change the record in turn, and be told; judge every record that comes of it."""
+def _writers(start: Record, changes: dict[str, list[Change]], may_die: str) -> Callable[[World], None]:
+    """Let each writer make its changes and note their results; check every record that is stored."""
 
     def build(world: World) -> None:
         witness = witness_of(world, value=encode(start) if start.revision else None, path=PATH)
         history = History(witness, start)
-        said: dict[str, list[str]] = {name: [] for name in acts}
-        made: dict[str, list[int]] = {name: [] for name in acts}
+        results: dict[str, list[str]] = {name: [] for name in changes}
+        revisions_made: dict[str, list[int]] = {name: [] for name in changes}
 
-        def writer(me: str) -> None:
-            client = WitnessClient(world.hub, world.network, (WITNESS, 8500), CALL_US, me)
+        def writer(name: str) -> None:
+            client = WitnessClient(world.hub, world.network, (WITNESS, 8500), CALL_US, name)
             witness.up.wait()
-            for act in acts[me]:
+            for change in changes[name]:
                 try:
-                    found = stored_record.write(client, act)
-                    made[me].append(found.record.revision)
-                    said[me].append("done")
+                    found = stored_record.write(client, change)
+                    revisions_made[name].append(found.record.revision)
+                    results[name].append("done")
                 except ChangeConflict:
-                    said[me].append("conflict")
+                    results[name].append("conflict")
                 except (ChangeRefused, IllegalTransition) as error:
-                    said[me].append(type(error).__name__)
+                    results[name].append(type(error).__name__)
                 except FAILURES:
-                    said[me].append("unknown")
+                    results[name].append("unknown")
 
-        for me in acts:
-            world.spawn(me, "writes", writer, me, ends=True)
-        if dies:
-            world.may_die(dies)
+        for name in changes:
+            world.spawn(name, "writes", writer, name, ends=True)
+        if may_die:
+            world.may_die(may_die)
 
         def view() -> tuple[Record, tuple[tuple[str, ...], ...]]:
-            return history.now(), tuple(tuple(words) for words in said.values())
+            return history.now(), tuple(tuple(outcomes) for outcomes in results.values())
 
         def finish() -> str | None:
-            revisions = [number for numbers in made.values() for number in numbers]
+            revisions = [number for numbers in revisions_made.values() for number in numbers]
             if len(set(revisions)) < len(revisions):
-                return f"two were told that they made one revision: {made}"
-            tried = sum(words.count("done") for words in said.values())
-            unknown = sum(words.count("unknown") for words in said.values()) + len(world.dead)
-            gone = history.records[-1].revision - start.revision
-            return None if tried <= gone <= tried + unknown else f"{gone} changes were made, and {said} told"
+                return f"two were told that they made one revision: {revisions_made}"
+            done = sum(outcomes.count("done") for outcomes in results.values())
+            unknown = sum(outcomes.count("unknown") for outcomes in results.values()) + len(world.dead)
+            made = history.records[-1].revision - start.revision
+            return None if done <= made <= done + unknown else f"{made} changes were made, and {results} told"
 
         world.view, world.finish = view, finish
         world.judge = lambda _view: history.wrong()
@@ -126,26 +132,26 @@
     return build
 
 
-def _propose(body: str, by: str) -> Make:
+def _propose(body: str, by: str) -> Change:
     return lambda record: propose(record, THING, 0, body, by, 5, "wanted")
 
 
-def _step(epoch: int, standing: VersionState, *heads: str) -> Make:
+def _step(epoch: int, standing: VersionState, *heads: str) -> Change:
     return lambda record: set_state(record, epoch, THING, 1, standing, 6, f"term {epoch}", len(heads), heads)
 
 
-def _wish(standing: VersionState) -> Make:
+def _operator_step(standing: VersionState) -> Change:
     return lambda record: set_state_as_operator(record, THING, standing, "op", 7, "an operator's word")
 
 
-PROPOSALS: dict[str, list[Make]] = {"a": [_propose("A", "a")], "b": [_propose("B", "b")]}
-DECIDERS: dict[str, list[Make]] = {
+PROPOSALS: dict[str, list[Change]] = {"a": [_propose("A", "a")], "b": [_propose("B", "b")]}
+DECIDERS: dict[str, list[Change]] = {
     "old": [_step(1, VersionState.ADVANCING, "h1", "h2"), _step(1, VersionState.IN_FORCE)],
     "new": [_step(2, VersionState.ADVANCING, "h1", "h3")],
 }
-STOPPED: dict[str, list[Make]] = {
+ABORT_RACE: dict[str, list[Change]] = {
     "decider": [_step(1, VersionState.IN_FORCE)],
-    "operator": [_wish(VersionState.ABORTED)],
+    "operator": [_operator_step(VersionState.ABORTED)],
 }
 
 SCENARIOS = (
@@ -153,5 +159,5 @@
     Scenario("changes-terms", "a decider that was replaced, and dies, against its successor",
              _writers(_proposed(VersionState.ADVANCING), DECIDERS, "old"), most_steps=600),
     Scenario("changes-abort", "a step in force against an operator's abort",
-             _writers(_proposed(VersionState.ADVANCING), STOPPED, "decider")),
+             _writers(_proposed(VersionState.ADVANCING), ABORT_RACE, "decider")),
 )  # fmt: skip
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -1,7 +1,7 @@
-"""A rollout at two heads: who decides dies or loses its term, a named head comes back or turns it down.
+"""A rollout at two heads: the decider dies or loses its term, a target head restarts or rejects the version.
 
-Production code are the conductor, its carrier, the record with those who follow it, and the client of the
-witness. Represented are the term (who has it is handed in: models/terms.py looks at that) and the view.
+Production code: the rollout controller, its carrier, the change record with its followers, and the witness
+client. Modelled: the term (its holder is given; models/terms.py checks the election) and the membership view.
 """
 
 from __future__ import annotations
@@ -43,64 +43,64 @@
 )
 NAMES = ("d1", "d2")
 UNTIL_US = 1_250_000
-SETTLED_US = 1_050_000  # after the last blow it has come to an end
+SETTLE_US = 1_050_000  # longest time from the last fault to the end of the rollout
 
 
 class _Terms:
-    """Who decides: one head at a time, in terms that are counted."""
+    """The deciding term: one head holds it at a time, and its epoch grows with each holder."""
 
     def __init__(self, world: World) -> None:
         self._world, self.holder, self.epoch = world, NAMES[0], 1
 
-    def kept_by(self, name: str) -> Term | None:
-        """Return a head's term."""
+    def term_of(self, name: str) -> Term | None:
+        """Return the term of a head if it holds it."""
         self._world.touched.read(TERMS)
         return Term(self.epoch, self.epoch) if self.holder == name else None
 
-    def passes(self) -> None:
-        """The other head decides from now on."""
+    def pass_to_other_head(self) -> None:
+        """Give the term to the other head."""
         self._world.touched.write(TERMS)
         self.holder = next(one for one in NAMES if one != self.holder)
         self.epoch += 1
 
 
-class _Deciding:
-    """What a head tells and hears of who decides, in datagrams that may come in any order."""
+class _DeciderTransport:
+    """Reports to the decider and its rulings, in datagrams that may arrive in any order."""
 
     def __init__(self, world: World, name: str, terms: _Terms, witness: WitnessClient) -> None:
         self._world, self._name, self._terms, self.witness = world, name, terms, witness
         self.on_report: dict[str, Callable[[int, str, bytes], None]] = {}
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}
-        self._port = world.posts.bind(("x", 1 + NAMES.index(name)), self._come)
+        self._port = world.posts.bind(("x", 1 + NAMES.index(name)), self._receive)
 
     def deciding_term(self, _now: int) -> Term | None:
         """Return the term in which this head decides."""
-        return self._terms.kept_by(self._name)
+        return self._terms.term_of(self._name)
 
-    def _tell(self, name: str, *words: object) -> None:
+    def _send(self, name: str, *words: object) -> None:
         self._port.send(msgspec.msgpack.encode(words), ("x", 1 + NAMES.index(name)))
 
     def report(self, topic: str, body: bytes) -> None:
-        """Tell who decides."""
+        """Send a report to the decider."""
         now = self._world.hub.now()
         if self.deciding_term(now) is not None:
             self.on_report[topic](now, self._name, body)
         else:
-            self._tell(self._terms.holder, "report", topic, self._name, body)
+            self._send(self._terms.holder, "report", topic, self._name, body)
 
     def rule(self, topic: str, body: bytes) -> bool:
-        """Tell everybody."""
+        """Send a ruling to all heads; return whether this head decides."""
         now = self._world.hub.now()
         term = self.deciding_term(now)
         if term is None:
             return False
         for name in NAMES:
             if name != self._name:
-                self._tell(name, "ruling", topic, self._name, body)
+                self._send(name, "ruling", topic, self._name, body)
         self.on_ruling[topic](now, term, body)
         return True
 
-    def _come(self, data: bytes, _source: Address) -> None:
+    def _receive(self, data: bytes, _source: Address) -> None:
         what, topic, name, body = msgspec.msgpack.decode(data, type=tuple[str, str, str, bytes])
         now = self._world.hub.now()
         if what == "report" and self.deciding_term(now) is not None:
@@ -109,64 +109,66 @@
             self.on_ruling[topic](now, Term(self._terms.epoch, self._terms.epoch), body)
 
 
-class _User:
-    """What the thing is for in a head."""
+class _VersionUser:
+    """The user of the changed settings in a head: it applies or rejects versions."""
 
-    def __init__(self, runs: dict[str, int], name: str, turns_down: Callable[[], bool]) -> None:
-        self._runs, self._name, self._turns_down = runs, name, turns_down
+    def __init__(self, runs: dict[str, int], name: str, rejects: Callable[[], bool]) -> None:
+        self._runs, self._name, self._rejects = runs, name, rejects
 
     def apply(self, _thing: str, version: Version | None) -> str:
         """Apply a version."""
-        if version is not None and self._turns_down():
+        if version is not None and self._rejects():
             return "not here"
         self._runs[self._name] = version.number if version is not None else 0
         return ""
 
 
-def _rollout(dies: bool = False, returns: bool = False, falls: bool = False) -> Callable[[World], None]:
+def _rollout(
+    decider_may_die: bool = False, restarts: bool = False, rejects: bool = False
+) -> Callable[[World], None]:
     def build(world: World) -> None:
         hub, terms = world.hub, _Terms(world)
         start = propose(Changed(), THING, 0, "(settings)", "op", 1, "wanted", PLAN)
         witness = witness_of(world, value=encode(start), path=PATH)
         history = History(witness, start)
         disks = {name: ChangesCache(None) for name in NAMES}
-        runs = dict.fromkeys(NAMES, 0)  # by head: the version that it runs now
-        took: set[str] = set()  # heads that ever ran the version
-        refuses = [False]
-        struck = [0]  # when anything went wrong last
+        runs = dict.fromkeys(NAMES, 0)  # by head: the version that it runs now; 0: none
+        ran_version: set[str] = set()  # heads that have run the version at any time
+        d2_rejects = [False]
+        last_fault_us = [0]  # time of the last fault
         killed = Event(hub)
 
-        def struck_by(act: Callable[[], None]) -> Callable[[], None]:
-            def strike() -> None:
-                struck[0] = hub.now()
+        def as_fault(act: Callable[[], None]) -> Callable[[], None]:
+            def inject() -> None:
+                last_fault_us[0] = hub.now()
                 act()
 
-            return strike
+            return inject
 
         def parts(scope: Scope, place: str) -> HeadParts:
             settings = SimpleNamespace(volumes=(), state_dir=None)
-            one = SimpleNamespace(hub=hub, scope=scope, settings=settings, network=world.network, name=place,
+            head_parts = SimpleNamespace(hub=hub, scope=scope, settings=settings, network=world.network, name=place,
                                   note=lambda *_args, **_fields: None)  # fmt: skip
-            return cast(HeadParts, one)
+            return cast(HeadParts, head_parts)
 
-        def head(name: str, place: str, life: int) -> None:
+        def head(name: str, place: str, incarnation: int) -> None:
             with hub.scope(place) as scope:
-                swim = Swim(Rules(fleet="f"), _member(name, life), (), 1)
+                swim = Swim(Rules(fleet="f"), _member_record(name, incarnation), (), 1)
                 swim.start(hub.now())
                 for other in NAMES:
-                    swim.view.apply(hub.now(), _member(other, 1))
+                    swim.view.apply(hub.now(), _member_record(other, 1))
                 client = WitnessClient(hub, world.network, (WITNESS, 8500), CALL_US, place)
-                deciding = cast(FleetDecider, _Deciding(world, name, terms, client))
-                mine = parts(scope, place)
+                transport = cast(FleetDecider, _DeciderTransport(world, name, terms, client))
+                head_parts = parts(scope, place)
                 runs[name] = 0
                 witness.up.wait()
-                changes = Changes(mine, CHANGES, swim, deciding, lambda: None, disks[name])
-                user = _User(runs, name, lambda: name == "d2" and refuses[0])
+                changes = Changes(head_parts, CHANGES, swim, transport, lambda: None, disks[name])
+                user = _VersionUser(runs, name, lambda: name == "d2" and d2_rejects[0])
                 changes.register_user(Kind.SETTINGS, user)
-                Rollouts(mine, ROLLOUT, swim, deciding, changes, AnswerCounter({}), no_usage).start()
+                Rollouts(head_parts, ROLLOUT, swim, transport, changes, AnswerCounter({}), no_usage).start()
                 changes.start()
 
-        def again(name: str) -> None:
+        def run_again(name: str) -> None:
             killed.wait()
             head(name, f"{name} again", 2)
 
@@ -176,48 +178,48 @@
 
         for name in NAMES:
             world.spawn(name, "head", head, name, name, 1)
-        world.fault("the term passes", TERMS, struck_by(terms.passes))
-        if dies:
+        world.fault("the term passes", TERMS, as_fault(terms.pass_to_other_head))
+        if decider_may_die:
             world.may_die("d1")
-        if returns:
-            world.spawn("d2 again", "head", again, "d2")
-            world.fault("d2 is killed and comes back", "d2", struck_by(restart))
-        if falls:
-            world.fault("d2 does not take it", "d2", struck_by(lambda: refuses.__setitem__(0, True)))
+        if restarts:
+            world.spawn("d2 again", "head", run_again, "d2")
+            world.fault("d2 is killed and comes back", "d2", as_fault(restart))
+        if rejects:
+            world.fault("d2 does not take it", "d2", as_fault(lambda: d2_rejects.__setitem__(0, True)))
 
         def judge(_view: object) -> str | None:
-            took.update(name for name, number in runs.items() if number)
+            ran_version.update(name for name, number in runs.items() if number)
             for name, number in runs.items():
-                if number and not any(_may_run(record, name) for record in history.records):
+                if number and not any(_is_allowed_to_run(record, name) for record in history.records):
                     return f"{name} runs a version that was never to run there"
             for before, after in zip(history.records, history.records[1:], strict=False):
-                was, one = before.find(THING, 1), after.find(THING, 1)
-                assert was is not None and one is not None
-                if one.standing is VersionState.IN_FORCE and was.standing is not VersionState.IN_FORCE:
-                    if missing := set(was.heads) - took:
+                old, new = before.find(THING, 1), after.find(THING, 1)
+                assert old is not None and new is not None
+                if new.standing is VersionState.IN_FORCE and old.standing is not VersionState.IN_FORCE:
+                    if missing := set(old.heads) - ran_version:
                         return f"in force, and {sorted(missing)} never ran it"
-                    if len(was.heads) < len(NAMES):
-                        return f"in force after {was.heads} alone"
-                if one.stage > was.stage > 0 and not set(was.heads) <= took:
-                    return f"stage {one.stage} begins, and {was.heads} did not all run it"
+                    if len(old.heads) < len(NAMES):
+                        return f"in force after {old.heads} alone"
+                if new.stage > old.stage > 0 and not set(old.heads) <= ran_version:
+                    return f"stage {new.stage} begins, and {old.heads} did not all run it"
             return history.wrong()
 
         def finish() -> str | None:
             history.now()
-            one = history.records[-1].find(THING, 1)
-            assert one is not None
-            if hub.now() < struck[0] + SETTLED_US:
+            version = history.records[-1].find(THING, 1)
+            assert version is not None
+            if hub.now() < last_fault_us[0] + SETTLE_US:
                 return None
-            if refuses[0] and "d2" not in took:
-                goes_on = one.standing in (VersionState.ADVANCING, VersionState.IN_FORCE)
-                return f"it is {one.standing.value}, and a head does not take it" if goes_on else None
-            alive = [name for name in NAMES if name not in world.dead or (name == "d2" and returns)]
+            if d2_rejects[0] and "d2" not in ran_version:
+                is_active = version.standing in (VersionState.ADVANCING, VersionState.IN_FORCE)
+                return f"it is {version.standing.value}, and a head does not take it" if is_active else None
+            alive = [name for name in NAMES if name not in world.dead or (name == "d2" and restarts)]
             if (
                 terms.holder in alive
                 and len(alive) == len(NAMES)
-                and one.standing is not VersionState.IN_FORCE
+                and version.standing is not VersionState.IN_FORCE
             ):
-                return f"it came to rest {one.standing.value}, stage {one.stage}: {one.reason}"
+                return f"it came to rest {version.standing.value}, stage {version.stage}: {version.reason}"
             return None
 
         world.view = lambda: (history.now(), tuple(runs.items()), terms.epoch)
@@ -226,23 +228,23 @@
     return build
 
 
-def _member(name: str, life: int) -> Record:
+def _member_record(name: str, incarnation: int) -> Record:
     number = 1 + NAMES.index(name)
-    return Record(name, life, 10 * number + life, 0, State.ALIVE, "x", number)
+    return Record(name, incarnation, 10 * number + incarnation, 0, State.ALIVE, "x", number)
 
 
-def _may_run(record: Changed, name: str) -> bool:
-    one = record.find(THING, 1)
-    if one is None:
+def _is_allowed_to_run(record: Changed, name: str) -> bool:
+    version = record.find(THING, 1)
+    if version is None:
         return False
-    return one.standing is VersionState.IN_FORCE or (one.standing in ACTIVE and one.targets(name))
+    return version.standing is VersionState.IN_FORCE or (version.standing in ACTIVE and version.targets(name))
 
 
 SCENARIOS = (
     Scenario("rollout-decider", "a rollout whose decider loses its term, or dies, in any step",
-             _rollout(dies=True), until_us=UNTIL_US, most_steps=1500),
+             _rollout(decider_may_die=True), until_us=UNTIL_US, most_steps=1500),
     Scenario("rollout-restart", "a rollout of which a named head is killed and comes back",
-             _rollout(returns=True), until_us=UNTIL_US, most_steps=1500),
+             _rollout(restarts=True), until_us=UNTIL_US, most_steps=1500),
     Scenario("rollout-falls", "a rollout of which a named head does not take the version",
-             _rollout(falls=True), until_us=UNTIL_US, most_steps=1500),
+             _rollout(rejects=True), until_us=UNTIL_US, most_steps=1500),
 )  # fmt: skip
