--- a/harriertrack/lab/interleaving/scenarios/changes.py
+++ b/harriertrack/lab/interleaving/scenarios/changes.py
@@ -56,7 +56,8 @@
                 old_version = old_versions.get((one.thing, one.number))
                 if old_version is not None and old_version.standing is not one.standing:
                     if one.standing not in TRANSITIONS[old_version.standing]:
-                        return f"version {one.number} went from {old_version.standing.value} to {one.standing.value}"
+                        old, new = old_version.standing.value, one.standing.value
+                        return f"version {one.number} went from {old} to {new}"
                 if (
                     one != old_version
                     and one.reason.startswith("term ")
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -147,8 +147,10 @@
 
         def parts(scope: Scope, place: str) -> HeadParts:
             settings = SimpleNamespace(volumes=(), state_dir=None)
-            head_parts = SimpleNamespace(hub=hub, scope=scope, settings=settings, network=world.network, name=place,
-                                  note=lambda *_args, **_fields: None)  # fmt: skip
+            head_parts = SimpleNamespace(
+                hub=hub, scope=scope, settings=settings, network=world.network, name=place,
+                note=lambda *_args, **_fields: None,
+            )  # fmt: skip
             return cast(HeadParts, head_parts)
 
         def head(name: str, place: str, incarnation: int) -> None:
--- a/harriertrack/lab/interleaving/scenarios/streams.py
+++ b/harriertrack/lab/interleaving/scenarios/streams.py
@@ -1,4 +1,4 @@
-"""Streams over sockets and in memory: close against read, an end against a watch, room against a writer."""
+"""Streams over sockets and in memory: close, deadline and abort race reads and writes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from harriertrack.runtime.streams import SocketStream, Stream
 
 HERE = "here"
-SOON = 10
+DELAY_US = 10
 Pair = Callable[[World], tuple[Stream, Stream]]
-TEXT = b"abcdefg"  # longer than what a socket holds
+TEXT = b"abcdefg"  # longer than the socket buffer of the emulated kernel
 
 
-def sockets(world: World) -> tuple[Stream, Stream]:
-    """Return a pair over sockets."""
+def socket_pair(world: World) -> tuple[Stream, Stream]:
+    """Return two connected streams over sockets."""
     if not isinstance(world.hub.poller, Kernel):
         world.hub.poller = Kernel()
     one, other = world.hub.poller.pair()
     return SocketStream(world.hub, one, "other"), SocketStream(world.hub, other, "one")  # type: ignore[arg-type]
 
 
-def memory(world: World) -> tuple[Stream, Stream]:
-    """Return a pair in memory."""
+def memory_pair(world: World) -> tuple[Stream, Stream]:
+    """Return two connected streams in memory."""
     one = Wire(world.hub, "other", world.touched, HERE, "one")
     other = Wire(world.hub, "one", world.touched, HERE, "other")
     one.other, other.other = other, one
@@ -33,16 +33,16 @@
 
 
 class _Reader:
-    """Reads to the end and keeps what came, and how it ended."""
+    """Reads to the end; records the bytes received and how the stream ended."""
 
     def __init__(self, stream: Stream, deadline: int | None = None) -> None:
         self._stream, self._deadline = stream, deadline
-        self.got, self.end = b"", ""
+        self.received, self.end = b"", ""
 
     def run(self) -> None:
         try:
             while data := self._stream.read(self._deadline):
-                self.got += data
+                self.received += data
             self.end = "end"
         except OSError as error:
             self.end = type(error).__name__
@@ -57,7 +57,7 @@
         one, other = pair(world)
         reader = _Reader(other)
 
-        def writes() -> None:
+        def write() -> None:
             one.write(TEXT[:3])
             one.write(TEXT[3:])
             if isinstance(one, SocketStream):
@@ -65,45 +65,49 @@
             one.close()
             one.write(b"after")
 
-        world.spawn(HERE, "writes", writes, ends=True)
+        world.spawn(HERE, "writes", write, ends=True)
         world.spawn(HERE, "reads", reader.run, ends=True)
-        world.view = lambda: (reader.got, reader.end)
-        world.judge = lambda _view: None if TEXT.startswith(reader.got) else f"not as sent: {reader.got!r}"
-        world.finish = lambda: None if (reader.got, reader.end) == (TEXT, "end") else f"lost: {reader.got!r}"
+        world.view = lambda: (reader.received, reader.end)
+        world.judge = lambda _view: (
+            None if TEXT.startswith(reader.received) else f"not as sent: {reader.received!r}"
+        )
+        world.finish = lambda: (
+            None if (reader.received, reader.end) == (TEXT, "end") else f"lost: {reader.received!r}"
+        )
 
     return build
 
 
-def _close_against_read(pair: Pair) -> Callable[[World], None]:
-    """One task reads, another closes the same stream, the peer writes and hangs up: the read ends once."""
+def _close_races_read(pair: Pair) -> Callable[[World], None]:
+    """One task reads, another closes the same stream, the peer writes and closes: the read ends once."""
 
     def build(world: World) -> None:
         one, other = pair(world)
-        reader, ends = _Reader(one), list[str]()
-        one.watch_end(lambda: ends.append("end"))
+        reader, end_notifications = _Reader(one), list[str]()
+        one.watch_end(lambda: end_notifications.append("end"))
 
         def peer() -> None:
             other.write(b"abc")
             world.hub.sleep(0)
             other.close()
 
-        def closes() -> None:
+        def close_twice() -> None:
             world.hub.sleep(0)
             one.close()
             one.close()
 
         world.spawn(HERE, "reads", reader.run, ends=True)
-        world.spawn(HERE, "closes", closes, ends=True)
+        world.spawn(HERE, "closes", close_twice, ends=True)
         world.spawn(HERE, "peer", peer, ends=True)
 
         def finish() -> str | None:
-            if ends != ["end"]:
-                return f"the end is told once: {ends}"
+            if end_notifications != ["end"]:
+                return f"the end is told once: {end_notifications}"
             if reader.end not in ("end", "StreamClosed", "ConnectionResetError"):
                 return f"the read ended by {reader.end!r}"
-            return None if reader.got in (b"", b"abc") else f"not what was sent: {reader.got!r}"
+            return None if reader.received in (b"", b"abc") else f"not what was sent: {reader.received!r}"
 
-        world.view = lambda: (reader.got, reader.end, tuple(ends))
+        world.view = lambda: (reader.received, reader.end, tuple(end_notifications))
         world.finish = finish
 
     return build
@@ -123,54 +127,56 @@
     return build
 
 
-def _deadline_against_bytes(pair: Pair) -> Callable[[World], None]:
-    """A read gives up at its deadline while bytes come: they are not lost for the next read."""
+def _deadline_races_bytes(pair: Pair) -> Callable[[World], None]:
+    """Bytes arrive as a read reaches its deadline: the next read returns them."""
 
     def build(world: World) -> None:
         one, other = pair(world)
-        first, second = _Reader(one, world.hub.now() + SOON), _Reader(one)
+        first, second = _Reader(one, world.hub.now() + DELAY_US), _Reader(one)
 
-        def reads() -> None:
+        def read_twice() -> None:
             first.run()
             if first.end == "late":
                 second.run()
 
         def peer() -> None:
-            world.hub.sleep(SOON)
+            world.hub.sleep(DELAY_US)
             other.write(b"abc")
             other.close()
 
-        world.spawn(HERE, "reads", reads, ends=True)
+        world.spawn(HERE, "reads", read_twice, ends=True)
         world.spawn(HERE, "peer", peer, ends=True)
-        world.view = lambda: (first.got, first.end, second.got, second.end)
-        world.finish = lambda: None if first.got + second.got == b"abc" else f"lost: {first.got!r}"
+        world.view = lambda: (first.received, first.end, second.received, second.end)
+        world.finish = lambda: (
+            None if first.received + second.received == b"abc" else f"lost: {first.received!r}"
+        )
 
     return build
 
 
-def _abort_against_write(pair: Pair) -> Callable[[World], None]:
-    """The peer breaks the stream while one writes and waits for room: nobody waits for ever."""
+def _abort_races_write(pair: Pair) -> Callable[[World], None]:
+    """The peer aborts the stream while a writer waits for buffer space: no task waits forever."""
 
     def build(world: World) -> None:
         one, other = pair(world)
         reader, pushed = _Reader(one), list[str]()
 
-        def writes() -> None:
+        def write() -> None:
             one.write(TEXT)
             one.push(lambda: pushed.append("pushed"))
             if isinstance(one, SocketStream):
                 one.flush()
             one.drain()
 
-        def breaks() -> None:
+        def abort() -> None:
             world.hub.sleep(0)
             other.abort()
 
-        world.spawn(HERE, "writes", writes, ends=True)
+        world.spawn(HERE, "writes", write, ends=True)
         world.spawn(HERE, "reads", reader.run, ends=True)
-        world.spawn(HERE, "breaks", breaks, ends=True)
+        world.spawn(HERE, "breaks", abort, ends=True)
         world.view = lambda: (reader.end, tuple(pushed))
-        # TEXT does not fit, and the peer never reads: over a socket it has not left.
+        # TEXT exceeds the buffer and the peer never reads: a socket cannot have sent all of it.
         world.judge = lambda _view: (
             "told as sent what was not" if pushed and isinstance(one, SocketStream) else None
         )
@@ -182,42 +188,42 @@
     return build
 
 
-def _reused_number(world: World) -> None:
-    """A descriptor is closed and its number opened again in one round: old events are not the new's."""
-    one, other = sockets(world)
+def _reused_descriptor(world: World) -> None:
+    """A descriptor is closed and its number reused in one round: old events do not reach the new stream."""
+    one, other = socket_pair(world)
     readers: list[_Reader] = []
 
-    def turns() -> None:
+    def reuse_descriptor() -> None:
         world.hub.sleep(0)
         one.close()
-        fresh, peer = sockets(world)
-        reader = _Reader(fresh)
+        new_stream, peer = socket_pair(world)
+        reader = _Reader(new_stream)
         readers.append(reader)
         world.spawn(HERE, "reads", reader.run, ends=True)
         peer.write(b"new")
         world.hub.sleep(0)
         peer.close()
 
-    def hangs_up() -> None:
+    def close_peer() -> None:
         world.hub.sleep(0)
         other.close()
 
-    world.spawn(HERE, "turns", turns, ends=True)
-    world.spawn(HERE, "hangs up", hangs_up, ends=True)
-    world.view = lambda: tuple((reader.got, reader.end) for reader in readers)
+    world.spawn(HERE, "turns", reuse_descriptor, ends=True)
+    world.spawn(HERE, "hangs up", close_peer, ends=True)
+    world.view = lambda: tuple((reader.received, reader.end) for reader in readers)
     world.finish = lambda: None if world.view() == ((b"new", "end"),) else f"the new stream: {world.view()}"
 
 
-def _both(name: str, about: str, make: Callable[[Pair], Callable[[World], None]]) -> list[Scenario]:
+def _for_both_kinds(name: str, about: str, make: Callable[[Pair], Callable[[World], None]]) -> list[Scenario]:
     return [Scenario(f"{kind}-{name}", f"{about} ({kind})", make(pair), until_us=100)
-            for kind, pair in (("socket", sockets), ("memory", memory))]  # fmt: skip
+            for kind, pair in (("socket", socket_pair), ("memory", memory_pair))]  # fmt: skip
 
 
 SCENARIOS = (
-    *_both("all-arrives", "bytes before a close", _all_arrives),
-    *_both("close-read", "close against read", _close_against_read),
-    *_both("close-alone", "close against read, and a silent peer", _close_alone),
-    *_both("deadline-bytes", "deadline against bytes", _deadline_against_bytes),
-    *_both("abort-write", "abort against write", _abort_against_write),
-    Scenario("socket-reused", "a descriptor's number used again", _reused_number, until_us=100),
+    *_for_both_kinds("all-arrives", "bytes before a close", _all_arrives),
+    *_for_both_kinds("close-read", "close against read", _close_races_read),
+    *_for_both_kinds("close-alone", "close against read, and a silent peer", _close_alone),
+    *_for_both_kinds("deadline-bytes", "deadline against bytes", _deadline_races_bytes),
+    *_for_both_kinds("abort-write", "abort against write", _abort_races_write),
+    Scenario("socket-reused", "a descriptor's number used again", _reused_descriptor, until_us=100),
 )
--- a/harriertrack/lab/interleaving/scenarios/witness.py
+++ b/harriertrack/lab/interleaving/scenarios/witness.py
@@ -20,155 +20,162 @@
 PATH = f"{KEY_PREFIX}{VOLUME}"
 TTL_US = 1_000_000
 CALL_US = 400_000
-ERROR = 0.01  # of a clock's rate
+ERROR = 0.01  # bound of the error of a clock's rate
 
 
 class ApartWitness(Witness):
-    """The stand-in; each connection is a place of its own, and all meet in what the witness keeps."""
+    """The stand-in witness; each connection is a place of its own, and all share the stored keys."""
 
     def __init__(self, hub: Hub, network: Network, touched: Touched) -> None:
         super().__init__(hub, network)
         self._touched = touched
-        self.up = Event(hub)  # it listens
+        self.up = Event(hub)  # set once it listens
 
-    def _handle(self, asked: HttpRequest) -> HttpResponse | None:
+    def _handle(self, request: HttpRequest) -> HttpResponse | None:
         self._touched.write(WITNESS)
-        return super()._handle(asked)
+        return super()._handle(request)
 
     def stored(self, path: str) -> tuple[bytes, str, int]:
-        """Return a key's value, holder, and count of holders."""
+        """Return a key's value, the session that holds it, and the number of holders so far."""
         key = json.loads(self.backup())["keys"].get(path.removeprefix("/v1/kv/"), ["", "", 0, 0])
         return base64.b64decode(key[0]), key[1], key[2]
 
 
 def witness_of(world: World, sessions: tuple[str, ...] = (), value: bytes | None = None,
                path: str = PATH) -> ApartWitness:  # fmt: skip
-    """Start a witness that knows some sessions, and a key if it has a value."""
-    one = ApartWitness(world.hub, world.network, world.touched)
+    """Start a witness with some sessions and, if a value is given, one key."""
+    witness = ApartWitness(world.hub, world.network, world.touched)
     keys = {}
     if value is not None:
         keys[path.removeprefix("/v1/kv/")] = [base64.b64encode(value).decode(), "", 0, 1]
-    kept = {"sessions": dict.fromkeys(sessions, 60 * TTL_US), "keys": keys, "number": 0, "index": 1}
-    one.restore(json.dumps(kept).encode())
+    backup = {"sessions": dict.fromkeys(sessions, 60 * TTL_US), "keys": keys, "number": 0, "index": 1}
+    witness.restore(json.dumps(backup).encode())
 
     def serve() -> None:
         with world.hub.scope(WITNESS) as scope:
-            one.start(scope, (WITNESS, 8500))
-            one.up.set()
+            witness.start(scope, (WITNESS, 8500))
+            witness.up.set()
 
     world.network.apart(WITNESS)
     world.spawn(WITNESS, "serves", serve)
-    return one
+    return witness
 
 
-def _client(world: World, me: str) -> WitnessClient:
-    return WitnessClient(world.hub, world.network, (WITNESS, 8500), CALL_US, me)
+def _client(world: World, name: str) -> WitnessClient:
+    return WitnessClient(world.hub, world.network, (WITNESS, 8500), CALL_US, name)
 
 
-def _two_writers(rounds: int, dies: bool) -> Callable[[World], None]:
-    """Two heads change one record; each was told the truth of what became of its change."""
+def _two_writers(rounds: int, may_die: bool) -> Callable[[World], None]:
+    """Two heads change one record; the result that each gets agrees with what the witness stored."""
 
     def build(world: World) -> None:
         witness = witness_of(world, ("s-a", "s-b"), b"0")
-        said: dict[str, list[str]] = {"a": [], "b": []}
+        results: dict[str, list[str]] = {"a": [], "b": []}
 
-        def writer(me: str) -> None:
-            client = _client(world, me)
+        def writer(name: str) -> None:
+            client = _client(world, name)
             witness.up.wait()
             for _ in range(rounds):
                 try:
                     key = client.key(PATH)
                     assert key is not None
-                    value = key.value + me.encode()
-                    index = client.change(PATH, "lock", f"s-{me}", value, key.index)
+                    value = key.value + name.encode()
+                    index = client.change(PATH, "lock", f"s-{name}", value, key.index)
                     if index:
-                        client.change(PATH, "unlock", f"s-{me}", value, index)
-                    said[me].append("won" if index else "lost")
+                        client.change(PATH, "unlock", f"s-{name}", value, index)
+                    results[name].append("won" if index else "lost")
                 except FAILURES:
-                    said[me].append("unknown")
+                    results[name].append("unknown")
 
-        for me in ("a", "b"):
-            world.spawn(me, "writes", writer, me, ends=True)
-        if dies:
+        for name in ("a", "b"):
+            world.spawn(name, "writes", writer, name, ends=True)
+        if may_die:
             world.may_die("a")
 
         def judge(_view: object) -> str | None:
             value = witness.stored(PATH)[0].decode()
-            for me, words in said.items():
-                if words.count("won") > value.count(me):
-                    return f"{me} was told that it won, and its change is gone: {value}, {said}"
-                if value.count(me) > words.count("won") + words.count("unknown") + 1:
-                    return f"a change was made twice: {value}, {said}"
+            for name, outcomes in results.items():
+                if outcomes.count("won") > value.count(name):
+                    return f"{name} was told that it won, and its change is gone: {value}, {results}"
+                if value.count(name) > outcomes.count("won") + outcomes.count("unknown") + 1:
+                    return f"a change was made twice: {value}, {results}"
             return None
 
         def finish() -> str | None:
             value = witness.stored(PATH)[0].decode()
-            for me, words in said.items():
-                if me not in world.dead and "unknown" not in words and words.count("won") != value.count(me):
-                    return f"{me} was told {words}, and the record says {value}"
+            for name, outcomes in results.items():
+                if (
+                    name not in world.dead
+                    and "unknown" not in outcomes
+                    and outcomes.count("won") != value.count(name)
+                ):
+                    return f"{name} was told {outcomes}, and the record says {value}"
             return None if len(value) > 1 or world.dead else "of two changes of one version one wins"
 
-        world.view = lambda: (witness.stored(PATH)[0], tuple(said["a"]), tuple(said["b"]))
+        world.view = lambda: (witness.stored(PATH)[0], tuple(results["a"]), tuple(results["b"]))
         world.judge, world.finish = judge, finish
 
     return build
 
 
-def _lock_and_death(world: World) -> None:
-    """Two heads want a volume, one may be killed: never do two act for it, and one gets it."""
+def _lock_holder_dies(world: World) -> None:
+    """Two heads compete for a volume, one may be killed: at most one acts for it, and one gets it."""
     hub = world.hub
     witness = witness_of(world)
-    holding = {me: HeldLocks(Session(TTL_US, ERROR)) for me in ("a", "b")}
+    locks_by_head = {name: HeldLocks(Session(TTL_US, ERROR)) for name in ("a", "b")}
     epochs: list[str] = []
 
-    def head(me: str) -> None:
-        mine, client = holding[me], _client(world, me)
+    def head(name: str) -> None:
+        locks, client = locks_by_head[name], _client(world, name)
         witness.up.wait()
         for _ in range(4):
             hub.sleep(TTL_US // 2)
             try:
-                _keep_session(client, mine.session)
-                if not mine.epoch(VOLUME, hub.now()):
-                    _take(client, mine)
+                _renew_or_create_session(client, locks.session)
+                if not locks.epoch(VOLUME, hub.now()):
+                    _acquire(client, locks)
             except FAILURES:
                 continue
 
-    def _keep_session(client: WitnessClient, session: Session) -> None:
-        asked_at = hub.now()
-        if session.valid(asked_at) and client.renew_session(session.id):
-            session.record_grant(session.id, asked_at)
+    def _renew_or_create_session(client: WitnessClient, session: Session) -> None:
+        requested_at_us = hub.now()
+        if session.valid(requested_at_us) and client.renew_session(session.id):
+            session.record_grant(session.id, requested_at_us)
             return
         session.invalidate()
-        asked_at = hub.now()
-        session.record_grant(client.create_session(TTL_US), asked_at)
+        requested_at_us = hub.now()
+        session.record_grant(client.create_session(TTL_US), requested_at_us)
 
-    def _take(client: WitnessClient, mine: HeldLocks) -> None:
+    def _acquire(client: WitnessClient, locks: HeldLocks) -> None:
         lock = client.lock(VOLUME)
         if lock is None or not lock.session:
             index = lock.index if lock is not None else 0
-            if not client.acquire_lock(VOLUME, mine.session.id, VolumeRecord("a", ("a",)), index):
+            if not client.acquire_lock(VOLUME, locks.session.id, VolumeRecord("a", ("a",)), index):
                 return
             lock = client.lock(VOLUME)
-        if lock is not None and lock.session == mine.session.id:
-            mine.add(VOLUME, lock.epoch)  # also if the answer to an earlier take was lost
-            epochs.append(f"{lock.epoch}{mine.session.id}")
+        if lock is not None and lock.session == locks.session.id:
+            locks.add(VOLUME, lock.epoch)  # also if the answer to an earlier request for the lock was lost
+            epochs.append(f"{lock.epoch}{locks.session.id}")
 
-    for me in holding:
-        world.spawn(me, "head", head, me, ends=True)
+    for name in locks_by_head:
+        world.spawn(name, "head", head, name, ends=True)
     world.may_die("a")
     world.fault("a stands still", "a", lambda: hub.freeze("a", 3 * TTL_US))
 
-    def acting() -> tuple[int, ...]:
-        return tuple(0 if me in world.dead else mine.epoch(VOLUME, hub.now()) for me, mine in holding.items())
+    def acting_epochs() -> tuple[int, ...]:
+        return tuple(
+            0 if name in world.dead else locks.epoch(VOLUME, hub.now())
+            for name, locks in locks_by_head.items()
+        )
 
     def judge(_view: object) -> str | None:
-        if sum(epoch > 0 for epoch in acting()) > 1:
-            return f"two act for one volume, under epochs {acting()}"
+        if sum(epoch > 0 for epoch in acting_epochs()) > 1:
+            return f"two act for one volume, under epochs {acting_epochs()}"
         if len({one.partition("s")[0] for one in epochs}) < len(set(epochs)):
             return f"an epoch was given twice: {epochs}"
         return None
 
-    world.view = lambda: (*acting(), witness.stored(PATH)[1:])
+    world.view = lambda: (*acting_epochs(), witness.stored(PATH)[1:])
     world.judge = judge
     world.finish = lambda: None if epochs else "nobody ever got it"
 
@@ -178,8 +185,8 @@
     Scenario("witness-killed-writer", "the same, and one may be killed", _two_writers(1, True)),
     Scenario("witness-record", "two writers, each twice, one may be killed", _two_writers(2, True),
              most_steps=600),
-    Scenario("witness-lock", "a volume's lock and its holder's death", _lock_and_death,
+    Scenario("witness-lock", "a volume's lock and its holder's death", _lock_holder_dies,
              until_us=9_000_000, most_steps=900),
-    Scenario("witness-lock-slow", "the same on slow machines", _lock_and_death,
+    Scenario("witness-lock-slow", "the same on slow machines", _lock_holder_dies,
              lag=True, until_us=9_000_000, most_steps=900),
 )  # fmt: skip
