--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -244,7 +244,7 @@
                 swim.start(hub.now())
                 record = SimpleNamespace(revision=0)
                 changes_carrier = cast(
-                    Changes, SimpleNamespace(use=lambda *_: None, record=record, write=None)
+                    Changes, SimpleNamespace(register_user=lambda *_: None, record=record, write=None)
                 )
                 closing = Closing(_parts(world, scope, core), CLOSING, swim, cast(FleetDecider, decider),
                                   changes_carrier, extent_map, link.epochs)  # fmt: skip
