--- a/harriertrack/lab/interleaving/scenarios/__init__.py
+++ b/harriertrack/lab/interleaving/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Worlds of production code that are explored."""
+"""Scenarios: production objects with tasks, faults and invariants, for the model checker to explore."""
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -1,7 +1,7 @@
-"""Weights of scorers against a restart: two heads share them, one comes back as another life of itself.
+"""Scorers' weights across a restart: two heads share them, and one restarts as a new incarnation.
 
-What a scorer's thread answers may come at any later time, and so may every note: those of the life before
-after those of the life that follows it. Production code are the carrier, the view, and all that is decided.
+A scorer thread's answers may arrive at any later time, and so may every note: a note of the old incarnation
+may follow one of the new. Production code: the carrier, the membership view, and all decisions.
 """
 
 from __future__ import annotations
@@ -34,62 +34,62 @@
 LOOK_US, RATE = 500_000, 0.5
 NAME = latency.KIND.name
 THING = f"scorer/{NAME}"
-OTHER = Version(THING, 1, 0, f'(scorer "{NAME}" (parameter "power" (value 2)))', "op", 0, "wanted")
+OTHER_VERSION = Version(THING, 1, 0, f'(scorer "{NAME}" (parameter "power" (value 2)))', "op", 0, "wanted")
 SETTINGS = ScoringSettings(
     scorers=(ScorerSettings(name=NAME),), rate=RATE, look_us=LOOK_US, say_us=300_000, again_us=600_000,
     hung_looks=2, suspend_us=600_000,
 )  # fmt: skip
-LATE_US, HANGS_US, STANDS_US = 1_550_000, 1_400_000, 2_200_000
-QUICK_US = 10_000
+LATE_US, HANG_US, FREEZE_US = 1_550_000, 1_400_000, 2_200_000
+FAST_US = 10_000
 NODES = ("n1", "n2", "n3")
-EARLY_STEPS = 12  # about the farthest that a weight of an early life is, in sixteenths of a power of two
+EARLY_STEPS = 12  # about the largest weight of the first incarnation: log2 in sixteenths
 
 
-class _OnThread:
-    """A scorer's thread: what it was asked it answers at any later time."""
+class _ThreadRunner:
+    """A modelled scorer thread: it answers a round at any later time."""
 
     def __init__(self, world: World, hub: Hub, scorer: Scorer, place: str) -> None:
         self._world, self._hub, self._place = world, hub, place
-        self._inner = InlineRunner(scorer)
+        self._runner = InlineRunner(scorer)
         self._ready = False
         self.hangs_until = 0
 
-    def start_round(self, pictures: Sequence[Snapshot]) -> None:
-        """Begin a round."""
+    def start_round(self, snapshots: Sequence[Snapshot]) -> None:
+        """Start a round on the thread."""
 
         def work() -> None:
-            self._inner.start_round(pictures)
+            self._runner.start_round(snapshots)
             self._ready = True
             self._world.touched.write(f"answers at {self._place}")
 
         self._hub.at_for(f"{self._place}'s thread", max(self._hub.now(), self.hangs_until), work)
 
     def answers(self) -> list[ScorerAnswer] | None:
-        """Return what came of the round, once."""
+        """Return the answers of a round that is ready, once; None if there are none."""
         self._world.touched.write(f"answers at {self._place}")
         if not self._ready:
             return None
         self._ready = False
-        return self._inner.answers()
+        return self._runner.answers()
 
     def close(self) -> None:
-        """Ask nothing more."""
+        """Does nothing: there is no real thread to end."""
 
 
-class _Telling(Swim):
-    """A member whose notes by topic leave in datagrams of their own, all at once."""
+class _NoteSendingSwim(Swim):
+    """A member that sends each topic note at once, in a datagram of its own."""
 
     send: Callable[[bytes], None]
 
     def set_topic_note(self, topic: str, about: bytes) -> None:
-        """Say something on a topic to all."""
+        """Set the note of a topic and send it to the peer."""
         super().set_topic_note(topic, about)
         row = self.view.find(self.me.name)
         assert row is not None
-        self.send(self.told([row.topics[topic]]))
+        self.send(self.pack_gossip([row.topics[topic]]))
 
-    def told(self, topics: Sequence[TopicNote]) -> bytes:
-        """Return a datagram with the word on oneself and some notes."""
+    def pack_gossip(self, topics: Sequence[TopicNote]) -> bytes:
+        """Return a gossip datagram with this member's own record and some notes."""
         draft = Draft("fleet", Kind.GOSSIP, self.me.name, self.me.process, 0, 0)
         draft.add(encode_item(self.me))
         for note in topics:
@@ -98,94 +98,100 @@
 
 
 class _Head:
-    """One life of a head."""
+    """One incarnation of a head."""
 
-    def __init__(self, world: World, place: str, name: str, life: int, port: int, to: int, slow: str,
-                 times: int = 2) -> None:  # fmt: skip
+    def __init__(self, world: World, place: str, name: str, incarnation: int, port: int, peer_port: int,
+                 slow_node: str, slowdown: int = 2) -> None:  # fmt: skip
         hub = world.hub
-        self.place, self.began = place, hub.now()
-        me = Record(name, life, 10 * port + life, 0, State.ALIVE, "x", port)
-        self.swim = _Telling(Rules(fleet="fleet"), me, (), life)
+        self.place, self.started_at_us = place, hub.now()
+        record = Record(name, incarnation, 10 * port + incarnation, 0, State.ALIVE, "x", port)
+        self.swim = _NoteSendingSwim(Rules(fleet="fleet"), record, (), incarnation)
         self.shared = SharedWeights(rules_of(SETTINGS))
-        self._world, self._port, self._to, self._slow, self._times = world, port, to, slow, times
+        self._world, self._port, self._peer_port = world, port, peer_port
+        self._slow_node, self._slowdown = slow_node, slowdown
         self.scoring: Scoring | None = None
-        self.thread: _OnThread | None = None
-        self.late_us = 0  # of the next datagram that it sends
-        self._logs: dict[str, float] = {}  # as they were at the step before
-
-    def _seen(self) -> NodeObserver:
-        now, sights = self._world.hub.now(), NodeObserver("z", 0)
-        entries = [NodeEntry(one, number, zone="z", started_us=1) for number, one in enumerate(NODES)]
-        sights.follow(now, [NodesChanged(ListKind.FULL, entries)], [])
+        self.thread: _ThreadRunner | None = None
+        self.late_us = 0  # delay of the next datagram that it sends
+        self._previous_logs: dict[str, float] = {}  # at the step before
+
+    def _observe_nodes(self) -> NodeObserver:
+        now, observer = self._world.hub.now(), NodeObserver("z", 0)
+        entries = [NodeEntry(node, number, zone="z", started_us=1) for number, node in enumerate(NODES)]
+        observer.follow(now, [NodesChanged(ListKind.FULL, entries)], [])
         ends = [
-            AttemptEnded(1, 1, one, Result.OK, QUICK_US * (self._times if one == self._slow else 1), True)
-            for one in NODES for _ in range(4)
+            AttemptEnded(
+                1, 1, node, Result.OK, FAST_US * (self._slowdown if node == self._slow_node else 1), True
+            )
+            for node in NODES for _ in range(4)
         ]  # fmt: skip
-        sights.follow(now, ends, [])
-        return sights
+        observer.follow(now, ends, [])
+        return observer
 
     def run(self) -> None:
-        """Take part until the end (a task)."""
+        """Run the head until the end of the scenario (a task)."""
         world, hub = self._world, self._world.hub
         with hub.scope(self.place) as scope:
-            port = world.posts.bind(("x", self._port), self._come)
+            port = world.posts.bind(("x", self._port), self._receive)
 
             def send(data: bytes) -> None:
                 late_us, self.late_us = self.late_us, 0
                 if late_us:
-                    hub.at_for("network", hub.now() + late_us, lambda: port.send(data, ("x", self._to)))
+                    hub.at_for(
+                        "network", hub.now() + late_us, lambda: port.send(data, ("x", self._peer_port))
+                    )
                 else:
-                    port.send(data, ("x", self._to))
+                    port.send(data, ("x", self._peer_port))
 
             self.swim.send = send
             self.swim.start(hub.now())
-            self.swim.send(self.swim.told([]))
-            choice = ScorerSelection({(NAME, latency.KIND.version): latency.KIND}, SETTINGS.scorers)
-            scored = ScoringState(self._seen(), self.shared, choice)
-            self.scoring = Scoring(self._parts(scope), SETTINGS, scored, self.swim, self._asking)
+            self.swim.send(self.swim.pack_gossip([]))
+            selection = ScorerSelection({(NAME, latency.KIND.version): latency.KIND}, SETTINGS.scorers)
+            state = ScoringState(self._observe_nodes(), self.shared, selection)
+            self.scoring = Scoring(self._parts(scope), SETTINGS, state, self.swim, self._create_runner)
             self.scoring.start()
 
-    def _come(self, data: bytes, source: Address) -> None:
+    def _receive(self, data: bytes, source: Address) -> None:
         before = self.swim.view.changes
         self.swim.receive(self._world.hub.now(), data, source)
         if self.swim.view.changes > before:
-            self.swim.send(self.swim.told([]))  # who is new hears of this one
+            self.swim.send(self.swim.pack_gossip([]))  # announces this member to the new one
 
     def _parts(self, scope: Scope) -> HeadParts:
         parts = SimpleNamespace(hub=self._world.hub, scope=scope, note=lambda *_args, **_fields: None)
         return cast(HeadParts, parts)
 
-    def _asking(self, hub: Hub, scorer: Scorer, _name: str) -> ScorerRunner:
-        self.thread = _OnThread(self._world, hub, scorer, self.place)
+    def _create_runner(self, hub: Hub, scorer: Scorer, _name: str) -> ScorerRunner:
+        self.thread = _ThreadRunner(self._world, hub, scorer, self.place)
         return self.thread
 
     def wrong(self, now: int) -> str | None:
-        """Return what can't be of its weights."""
-        most = RATE * (now - self.began) / 1e6 + 1e-9
+        """Return the first violation in its weights and scorer states, if any."""
+        limit = RATE * (now - self.started_at_us) / 1e6 + 1e-9
         for node, log in self.shared.factors.logs.items():
-            if abs(log) > most or not 0.25 <= weight_factor(log) <= 4:
-                return f"{self.place}: {node} is at 2^{log:g} after {(now - self.began) / 1e6:g} s"
+            if abs(log) > limit or not 0.25 <= weight_factor(log) <= 4:
+                return f"{self.place}: {node} is at 2^{log:g} after {(now - self.started_at_us) / 1e6:g} s"
         logs = self.shared.factors.logs
-        for node in logs.keys() & self._logs.keys():
-            if abs(logs[node] - self._logs[node]) > RATE * 2 * LOOK_US / 1e6 + 1e-9:
-                return f"{self.place}: {node} goes from 2^{self._logs[node]:g} to 2^{logs[node]:g} at once"
-        self._logs = dict(logs)
-        for one in self.shared.by_scorer.values():
-            if one.guard.state in (ScorerState.SUSPENDED, ScorerState.HUNG) and one.guard.scores:
+        previous = self._previous_logs
+        for node in logs.keys() & previous.keys():
+            if abs(logs[node] - previous[node]) > RATE * 2 * LOOK_US / 1e6 + 1e-9:
+                return f"{self.place}: {node} goes from 2^{previous[node]:g} to 2^{logs[node]:g} at once"
+        self._previous_logs = dict(logs)
+        for scorer in self.shared.by_scorer.values():
+            if scorer.guard.state in (ScorerState.SUSPENDED, ScorerState.HUNG) and scorer.guard.scores:
                 return f"{self.place}: a scorer that lost its vote is heard"
             if (
-                one.guard.state in (ScorerState.ACTIVE, ScorerState.PENDING)
-                and now < one.guard.suspended_until
+                scorer.guard.state in (ScorerState.ACTIVE, ScorerState.PENDING)
+                and now < scorer.guard.suspended_until
             ):
                 return f"{self.place}: a scorer has its vote back before its time"
-            power = dict(one.namespace.parameters)["power"]
-            scores = one.guard.scores
-            if scores and abs(max(scores.values()) / min(scores.values()) - self._times**power) > 1e-6:
+            power = dict(scorer.namespace.parameters)["power"]
+            scores = scorer.guard.scores
+            if scores and abs(max(scores.values()) / min(scores.values()) - self._slowdown**power) > 1e-6:
                 return f"{self.place}: another version's scores count as those of power {power:g}: {scores}"
         return None
 
 
-def _restart(swaps: bool, hangs: bool = False) -> Callable[[World], None]:
+def _restart(swaps_version: bool, may_hang: bool = False) -> Callable[[World], None]:
     def build(world: World) -> None:
         hub = world.hub
         heads = {
@@ -193,15 +199,15 @@
             "b": _Head(world, "b", "b", 1, 2, 1, "n2"),
         }
         a = heads["a"]
-        back: list[_Head] = []
+        restarted: list[_Head] = []
 
         killed = Event(hub)
 
-        def comes_back() -> None:
+        def run_second_incarnation() -> None:
             killed.wait()
-            again = _Head(world, "b again", "b", 2, 2, 1, "n3", 4)
-            back.append(again)
-            again.run()
+            head = _Head(world, "b again", "b", 2, 2, 1, "n3", 4)
+            restarted.append(head)
+            head.run()
 
         def restart() -> None:
             world.kill("b")
@@ -209,64 +215,65 @@
 
         for one in heads.values():
             world.spawn(one.place, "head", one.run)
-        world.spawn("b again", "head", comes_back)
+        world.spawn("b again", "head", run_second_incarnation)
         world.fault("b is killed and comes back", "b", restart)
         b = heads["b"]
         world.fault("b's next word is late", "b", lambda: setattr(b, "late_us", LATE_US))
-        if swaps:
+        if swaps_version:
 
-            def swap() -> None:
+            def swap_version() -> None:
                 if a.scoring is not None:
-                    world.wrong += [why for why in [a.scoring.apply(THING, OTHER)] if why]
+                    world.wrong += [error for error in [a.scoring.apply(THING, OTHER_VERSION)] if error]
 
-            world.fault("a is to run another version", "a", swap)
-        if hangs:
+            world.fault("a is to run another version", "a", swap_version)
+        if may_hang:
 
-            def hang() -> None:
+            def hang_scorer() -> None:
                 if a.thread is not None:
-                    a.thread.hangs_until = hub.now() + HANGS_US
+                    a.thread.hangs_until = hub.now() + HANG_US
 
-            world.fault("a's scorer hangs", "a", hang)
-            world.fault("a stands still", "a", lambda: hub.freeze("a", STANDS_US))
-        serials: dict[tuple[int, int], int] = {}  # life and page: the newest that a counted
-        lives = {"b": 1}
+            world.fault("a's scorer hangs", "a", hang_scorer)
+            world.fault("a stands still", "a", lambda: hub.freeze("a", FREEZE_US))
+        # By incarnation and page: the newest serial that a used.
+        newest_serials: dict[tuple[int, int], int] = {}
+        newest_incarnations = {"b": 1}
 
-        def held() -> tuple[tuple[int, int, int], ...]:
-            """Return life, page and serial of what a counts of b's."""
+        def used_pages() -> tuple[tuple[int, int, int], ...]:
+            """Return incarnation, page and serial of each page of b that a uses."""
             found = []
             for one in a.shared.by_scorer.values():
                 for number, (_, page) in one.peers._received.get("b", {}).items():
-                    found.append((_life_of(page.entries), number, page.serial))
+                    found.append((_incarnation_of(page.entries), number, page.serial))
             return tuple(sorted(found))
 
         def judge(_view: object) -> str | None:
-            for one in (*heads.values(), *back):
-                if one.place not in world.dead and (wrong := one.wrong(hub.now())) is not None:
+            for head in (*heads.values(), *restarted):
+                if head.place not in world.dead and (wrong := head.wrong(hub.now())) is not None:
                     return wrong
-            pages = held()
-            for life, number, serial in pages:
-                if life < lives["b"]:
+            pages = used_pages()
+            for incarnation, number, serial in pages:
+                if incarnation < newest_incarnations["b"]:
                     return f"a counts what the life before said, after it heard the next: {pages}"
-                lives["b"] = max(lives["b"], life)
-                if serial < serials.get((life, number), 0):
-                    return f"a goes back to page {serial} of life {life}"
-                serials[life, number] = serial
+                newest_incarnations["b"] = max(newest_incarnations["b"], incarnation)
+                if serial < newest_serials.get((incarnation, number), 0):
+                    return f"a goes back to page {serial} of life {incarnation}"
+                newest_serials[incarnation, number] = serial
             return None
 
         def finish() -> str | None:
             row = a.swim.view.find("b")
-            if back and (row is None or row.record.started != 2):
+            if restarted and (row is None or row.record.started != 2):
                 return f"a did not hear of the second life: {row and row.record}"
             return None
 
-        world.view = lambda: (held(), tuple(sorted(a.shared.factors.logs.items())))
+        world.view = lambda: (used_pages(), tuple(sorted(a.shared.factors.logs.items())))
         world.judge, world.finish = judge, finish
 
     return build
 
 
-def _life_of(entries: Sequence[Entry]) -> int:
-    """Return in which life b said a page: the second sees the slow node slower."""
+def _incarnation_of(entries: Sequence[Entry]) -> int:
+    """Return which incarnation of b sent a page: the second observes its slow node as slower."""
     return 2 if any(not -EARLY_STEPS <= entry.steps <= EARLY_STEPS // 2 for entry in entries) else 1
 
 
