--- a/tests/interleaving/faults.py
+++ b/tests/interleaving/faults.py
@@ -1,4 +1,4 @@
-"""Small wrong changes of the production code, made in memory: one text of one function in place of another."""
+"""Seeded faults in the production code, made in memory: one text of one function is replaced by another."""
 
 import importlib
 import inspect
@@ -11,38 +11,40 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """`where`: module:Class.function or module:function; `by`: the scenario or model that finds it."""
+    """`where`: module:Class.function or module:function; `found_by`: the scenario or model that finds it."""
 
     name: str
-    by: str
+    found_by: str
     where: str
-    right: str
-    wrong: str
+    original: str
+    replacement: str
     turns: int = 1
     newest: bool = False
 
     @contextmanager
-    def made(self):
+    def injected(self):
         module, _, path = self.where.partition(":")
         owner = module = importlib.import_module(f"harriertrack.{module}")
         *outer, name = path.split(".")
         for part in outer:
             owner = getattr(owner, part)
-        whole = inspect.getattr_static(owner, name)
-        function = whole.fget if isinstance(whole, property) else whole
+        attribute = inspect.getattr_static(owner, name)
+        function = attribute.fget if isinstance(attribute, property) else attribute
         source = textwrap.dedent(inspect.getsource(function))
-        assert source.count(self.right) == 1, f"{self.where} does not say {self.right!r} once"
-        changed = source.replace(self.right, self.wrong)
+        assert source.count(self.original) == 1, f"{self.where} does not say {self.original!r} once"
+        changed_source = source.replace(self.original, self.replacement)
         scope: dict = {}
         exec(
-            compile("from __future__ import annotations\n" + changed, self.where, "exec"), vars(module), scope
+            compile("from __future__ import annotations\n" + changed_source, self.where, "exec"),
+            vars(module),
+            scope,
         )  # noqa: S102
-        fresh = scope[name]  # decorated as in the source
+        changed_function = scope[name]  # with the decorators of the source
         with ExitStack() as stack:
-            stack.enter_context(patch.object(owner, name, fresh))
-            for user in [one for key, one in sys.modules.items() if key.startswith("harriertrack.")]:
-                if user is not module and vars(user).get(name) is whole:
-                    stack.enter_context(patch.object(user, name, fresh))
+            stack.enter_context(patch.object(owner, name, changed_function))
+            for importer in [one for key, one in sys.modules.items() if key.startswith("harriertrack.")]:
+                if importer is not module and vars(importer).get(name) is attribute:
+                    stack.enter_context(patch.object(importer, name, changed_function))
             yield
 
 
@@ -50,7 +52,7 @@
 SOCKET, MEMORY = f"{STREAMS}:SocketStream", f"{STREAMS}:MemoryStream"
 WITNESS, LEASES = "gateway.witness:WitnessClient", "membership.leases"
 STORED_RECORD, WRITING = "gateway.fleet.changes.stored_record", "decisions.fleet.changes.operations"
-WATCH, LIST = "decisions.discovery_watch:DiscoveryWatch", "service.discovery:Discovery"
+WATCH, DISCOVERY = "decisions.discovery_watch:DiscoveryWatch", "service.discovery:Discovery"
 LEDGER, HOLDER = "decisions.fleet.ledger", "decisions.fleet.holder:LeaseHolder"
 LINK = "decisions.link_lifecycle:LinkLifecycle"
 CLOSING = "decisions.fleet.closing"
@@ -60,7 +62,7 @@
 WEIGHTS = "gateway.fleet.scoring.carrier:Scoring"
 LAUNCHING = "decisions.fleet.rollout.launch_state:LaunchStateMachine"
 LAUNCHER = "gateway.fleet.rollout.launcher.launcher:Launcher"
-CLOSES, CLOSE_OFF = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closes:CloseHandling"
+CLOSES, CLOSE_HANDLING = "gateway.fleet.closing.carrier:Closing", "decisions.requests.closes:CloseHandling"
 ROLLOUT = "decisions.fleet.rollout.rollout:Rollout"
 FOLLOWING = "decisions.fleet.changes.follower:Follower"
 
@@ -281,18 +283,20 @@
         "if current is not None:",
         "if False:",
     ),
-    Fault("the old watch is not cancelled", "watch-moves", f"{LIST}._start", "self._task.cancel()", "pass"),
+    Fault(
+        "the old watch is not cancelled", "watch-moves", f"{DISCOVERY}._start", "self._task.cancel()", "pass"
+    ),
     Fault(
         "news are not taken",
         "watch-late",
-        f"{LIST}._apply",
+        f"{DISCOVERY}._apply",
         "if outcome is UpdateOutcome.APPLY:",
         "if targets.full:",
     ),
     Fault(
         "a call has no end",
         "watch-moves",
-        f"{LIST}._follow",
+        f"{DISCOVERY}._follow",
         "call.done.wait(call.started_at + call.spec.timeout_us)",
         "call.done.wait()",
     ),
@@ -590,7 +594,7 @@
     Fault(
         "what is open at a close goes on",
         "close-write",
-        f"{CLOSE_OFF}.close_off",
+        f"{CLOSE_HANDLING}.close_off",
         "if not covers(request.volume.settings.name, part.offset, part.length):",
         "if True:",
     ),
--- a/tests/interleaving/test_faults.py
+++ b/tests/interleaving/test_faults.py
@@ -13,14 +13,14 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
 def test_a_seeded_fault_is_found_and_its_trace_shows_it_again(fault):
-    if fault.by in MODELS:
-        model = MODELS[fault.by]
-        with fault.made():
+    if fault.found_by in MODELS:
+        model = MODELS[fault.found_by]
+        with fault.injected():
             seen = machines.explore(model, ENOUGH, fault.turns)
             assert seen.breach and machines.replay(model, seen.events) == seen.breach
         return
-    scenario = registry.SCENARIOS[fault.by]
-    with fault.made():
+    scenario = registry.SCENARIOS[fault.found_by]
+    with fault.injected():
         found = bounded.explore(scenario, fault.turns, ENOUGH, fault.newest)
         assert found.breach is not None
         again = replay(scenario, found.breach.schedule)
