--- a/harriertrack/lab/interleaving/scenarios/budgets.py
+++ b/harriertrack/lab/interleaving/scenarios/budgets.py
@@ -99,45 +99,45 @@
         )
 
 
-def _budgets(stands: bool = False, dies: bool = False) -> Callable[[World], None]:
+def _budgets(freezes: bool = False, may_be_killed: bool = False) -> Callable[[World], None]:
     def build(world: World) -> None:
         hub = world.hub
         witness_of(world)
         heads = [_Head(world, name) for name in NAMES]
         highest_shares = [0.0, 0.0]  # the largest share of each head so far
 
-        for one in heads:
-            world.spawn(one.name, "head", one.run)
+        for head in heads:
+            world.spawn(head.name, "head", head.run)
 
         def freeze_a() -> None:
             hub.sleep_until(START + FREEZE_AT_US)
             hub.freeze("a", FREEZE_US)
 
-        if stands:
+        if freezes:
             world.spawn("machine", "a stands still", freeze_a)
             world.fault("b stands still", "b", lambda: hub.freeze("b", FREEZE_US))
-        if dies:
+        if may_be_killed:
             world.may_die("a")
             world.may_die("b")
 
         def judge(_view: object) -> str | None:
             now = hub.now()
-            shares = [one.leased_share(now) if one.name not in world.dead else 0.0 for one in heads]
+            shares = [head.leased_share(now) if head.name not in world.dead else 0.0 for head in heads]
             highest_shares[:] = [max(pair) for pair in zip(highest_shares, shares, strict=True)]
             if sum(shares) > BUDGET_TOTAL.movable * (1 + 1e-9):
                 return f"{sum(shares):.1f} of {BUDGET_TOTAL.movable:.1f} are in use: {shares}"
             ledger_holders = [
-                one.name for one in heads if one.name not in world.dead and one.ledger_epoch(now)
+                head.name for head in heads if head.name not in world.dead and head.ledger_epoch(now)
             ]
             return f"{ledger_holders} keep the ledger at one time" if len(ledger_holders) > 1 else None
 
         def finish() -> str | None:
-            if stands or world.dead or min(highest_shares) > BUDGET_TOTAL.movable / 2:
+            if freezes or world.dead or min(highest_shares) > BUDGET_TOTAL.movable / 2:
                 return None
             return f"the heads never had more than {highest_shares[0]:.1f} and {highest_shares[1]:.1f}"
 
         world.view = lambda: tuple(
-            (round(one.leased_share(hub.now()), 6), one.ledger_epoch(hub.now())) for one in heads
+            (round(head.leased_share(hub.now()), 6), head.ledger_epoch(hub.now())) for head in heads
         )
         world.judge, world.finish = judge, finish
 
@@ -153,7 +153,7 @@
     Scenario("budgets-return", "a budget's lease goes from one head to the other", _budgets(),
              until_us=UNTIL_US, most_steps=1500),
     Scenario("budgets-stands", "the same, and who has most stands still for longer than its lease",
-             _budgets(stands=True), until_us=UNTIL_US, most_steps=1500),
+             _budgets(freezes=True), until_us=UNTIL_US, most_steps=1500),
     Scenario("budgets-dies", "the same, and a head may be killed, the ledger's keeper too",
-             _budgets(dies=True), until_us=UNTIL_US, most_steps=1500),
+             _budgets(may_be_killed=True), until_us=UNTIL_US, most_steps=1500),
 )  # fmt: skip
--- a/harriertrack/lab/interleaving/scenarios/changes.py
+++ b/harriertrack/lab/interleaving/scenarios/changes.py
@@ -51,30 +51,30 @@
                 return f"revision {after.revision} in place of {before.revision}"
             if after.epoch < before.epoch or after.level < before.level:
                 return f"epoch {before.epoch} was followed by {after.epoch}"
-            old_versions = {(one.thing, one.number): one for one in before.versions}
-            for one in after.versions:
-                old_version = old_versions.get((one.thing, one.number))
-                if old_version is not None and old_version.standing is not one.standing:
-                    if one.standing not in TRANSITIONS[old_version.standing]:
-                        old, new = old_version.standing.value, one.standing.value
-                        return f"version {one.number} went from {old} to {new}"
+            old_versions = {(version.thing, version.number): version for version in before.versions}
+            for version in after.versions:
+                old_version = old_versions.get((version.thing, version.number))
+                if old_version is not None and old_version.standing is not version.standing:
+                    if version.standing not in TRANSITIONS[old_version.standing]:
+                        old, new = old_version.standing.value, version.standing.value
+                        return f"version {version.number} went from {old} to {new}"
                 if (
-                    one != old_version
-                    and one.reason.startswith("term ")
-                    and int(one.reason[5:]) < before.epoch
+                    version != old_version
+                    and version.reason.startswith("term ")
+                    and int(version.reason[5:]) < before.epoch
                 ):
-                    return f"{one.reason} decided after term {before.epoch}"
+                    return f"{version.reason} decided after term {before.epoch}"
             missing = [
                 key
-                for key, one in old_versions.items()
-                if one.standing not in FINISHED and after.find(*key) is None
+                for key, version in old_versions.items()
+                if version.standing not in FINISHED and after.find(*key) is None
             ]
             if missing:
                 return f"versions {missing} are gone"
         latest = self.records[-1]
-        if sum(one.standing in IN_PROGRESS for one in latest.versions) > 1:
+        if sum(version.standing in IN_PROGRESS for version in latest.versions) > 1:
             return "two versions of one thing are under way"
-        if sum(one.standing is VersionState.IN_FORCE for one in latest.versions) > 1:
+        if sum(version.standing is VersionState.IN_FORCE for version in latest.versions) > 1:
             return "two versions of one thing are in force"
         return None
 
--- a/harriertrack/lab/interleaving/scenarios/closes.py
+++ b/harriertrack/lab/interleaving/scenarios/closes.py
@@ -215,21 +215,21 @@
         hub, link, decider = world.hub, _Link(world), _Decider(world)
         clients: list[_Client] = []
 
-        def check_answer(one: _Client, request: ClientRequest) -> None:
-            one.ended_at_us = hub.now()
-            if one.kind is Kind.READ and one.outcome is Outcome.SERVED:
-                one.tag = request.bytes_read()[0]
+        def check_answer(requester: _Client, request: ClientRequest) -> None:
+            requester.ended_at_us = hub.now()
+            if requester.kind is Kind.READ and requester.outcome is Outcome.SERVED:
+                requester.tag = request.bytes_read()[0]
                 world.wrong += [
-                    error for error in [_stale_read_error(decider.schedule, clients, one)] if error
+                    error for error in [_stale_read_error(decider.schedule, clients, requester)] if error
                 ]
 
         def send_request(kind: Kind) -> None:
-            one = _Client(kind, hub.now(), 0, on_answer=check_answer)
+            requester = _Client(kind, hub.now(), 0, on_answer=check_answer)
             if kind is Kind.WRITE:
-                one.tag = sum(other.kind is kind for other in clients) + 1
-            clients.append(one)
-            data = bytes([one.tag]) * BLOCK if kind is Kind.WRITE else b""
-            request = ClientRequest(link.core.volumes[VOLUME], kind, 0, BLOCK, data, 0, one)
+                requester.tag = sum(other.kind is kind for other in clients) + 1
+            clients.append(requester)
+            data = bytes([requester.tag]) * BLOCK if kind is Kind.WRITE else b""
+            request = ClientRequest(link.core.volumes[VOLUME], kind, 0, BLOCK, data, 0, requester)
             link.core.accept(hub.now(), request)
 
         def head() -> None:
@@ -289,9 +289,9 @@
             world.fault("it changes, and the record is late", DECIDER, change_with_late_record)
 
         def judge(_view: object) -> str | None:
-            for one in clients:
-                if one.answers > 1:
-                    return f"a request was answered {one.answers} times"
+            for requester in clients:
+                if requester.answers > 1:
+                    return f"a request was answered {requester.answers} times"
             return None
 
         def finish() -> str | None:
--- a/harriertrack/lab/interleaving/scenarios/launching.py
+++ b/harriertrack/lab/interleaving/scenarios/launching.py
@@ -168,8 +168,8 @@
 
         def crash() -> None:
             system.last_fault_us = hub.now()
-            for one in system.running_heads()[:1]:
-                system.process_ended(one)
+            for process in system.running_heads()[:1]:
+                system.process_ended(process)
 
         def crash_once() -> None:
             hub.sleep(CRASH_US)
--- a/harriertrack/lab/interleaving/scenarios/links.py
+++ b/harriertrack/lab/interleaving/scenarios/links.py
@@ -50,14 +50,14 @@
 
 
 class _Core:
-    def may_begin(self, _now: int, _one: _Attempt) -> bool:
+    def may_begin(self, _now: int, _attempt: _Attempt) -> bool:
         return True  # always: the link itself must discard a cancelled attempt
 
-    def attempt_sent(self, one: _Attempt) -> None:
-        one.sent += 1
+    def attempt_sent(self, attempt: _Attempt) -> None:
+        attempt.sent += 1
 
-    def attempt_ended(self, _now: int, one: _Attempt, result: Result, *_more: object) -> None:
-        one.ends.append(result)
+    def attempt_ended(self, _now: int, attempt: _Attempt, result: Result, *_more: object) -> None:
+        attempt.ends.append(result)
 
 
 def _link(dies: bool) -> Callable[[World], None]:
@@ -87,16 +87,16 @@
                 links = Links(head_parts(scope))
                 links_made.append(links)
                 hub.sleep(0)
-                for one in attempts:
-                    one.offered = True
-                    links.send(cast(Attempt, one))
+                for attempt in attempts:
+                    attempt.offered = True
+                    links.send(cast(Attempt, attempt))
                     hub.sleep(0)
 
         def call_off() -> None:
-            one = attempts[0]
-            if one.offered and not one.ends:
-                one.reported, one.cancelled_before_send = True, not one.sent
-                links_made[0].call_off(cast(Attempt, one))
+            attempt = attempts[0]
+            if attempt.offered and not attempt.ends:
+                attempt.reported, attempt.cancelled_before_send = True, not attempt.sent
+                links_made[0].call_off(cast(Attempt, attempt))
 
         world.spawn(NODE, "node", node)
         world.spawn(HEAD, "head", head, ends=True)
@@ -105,12 +105,14 @@
             world.may_die(NODE)
 
         def judge(_view: object) -> str | None:
-            for number, one in enumerate(attempts, 1):
-                if one.sent > 1 or len(one.ends) > 1:
-                    return f"attempt {number} was sent {one.sent} times and ended {len(one.ends)} times"
-                if one.sent and one.cancelled_before_send:
+            for number, attempt in enumerate(attempts, 1):
+                if attempt.sent > 1 or len(attempt.ends) > 1:
+                    return (
+                        f"attempt {number} was sent {attempt.sent} times and ended {len(attempt.ends)} times"
+                    )
+                if attempt.sent and attempt.cancelled_before_send:
                     return f"attempt {number} was sent after it was called off"
-                if one.sent and Result.CONNECT_FAILED in one.ends:
+                if attempt.sent and Result.CONNECT_FAILED in attempt.ends:
                     return f"attempt {number} was sent, and told as never run"
             return None
 
--- a/harriertrack/lab/interleaving/scenarios/rollouts.py
+++ b/harriertrack/lab/interleaving/scenarios/rollouts.py
@@ -60,7 +60,7 @@
     def pass_to_other_head(self) -> None:
         """Give the term to the other head."""
         self._world.touched.write(TERMS)
-        self.holder = next(one for one in NAMES if one != self.holder)
+        self.holder = next(name for name in NAMES if name != self.holder)
         self.epoch += 1
 
 
--- a/harriertrack/lab/interleaving/scenarios/streams.py
+++ b/harriertrack/lab/interleaving/scenarios/streams.py
@@ -20,16 +20,16 @@
     """Return two connected streams over sockets."""
     if not isinstance(world.hub.poller, Kernel):
         world.hub.poller = Kernel()
-    one, other = world.hub.poller.pair()
-    return SocketStream(world.hub, one, "other"), SocketStream(world.hub, other, "one")  # type: ignore[arg-type]
+    first, second = world.hub.poller.pair()
+    return SocketStream(world.hub, first, "other"), SocketStream(world.hub, second, "one")  # type: ignore[arg-type]
 
 
 def memory_pair(world: World) -> tuple[Stream, Stream]:
     """Return two connected streams in memory."""
-    one = Wire(world.hub, "other", world.touched, HERE, "one")
-    other = Wire(world.hub, "one", world.touched, HERE, "other")
-    one.other, other.other = other, one
-    return one, other
+    first = Wire(world.hub, "other", world.touched, HERE, "one")
+    second = Wire(world.hub, "one", world.touched, HERE, "other")
+    first.other, second.other = second, first
+    return first, second
 
 
 class _Reader:
@@ -54,16 +54,16 @@
     """What is written before a close arrives, in order, and then the end."""
 
     def build(world: World) -> None:
-        one, other = pair(world)
-        reader = _Reader(other)
+        stream, peer_stream = pair(world)
+        reader = _Reader(peer_stream)
 
         def write() -> None:
-            one.write(TEXT[:3])
-            one.write(TEXT[3:])
-            if isinstance(one, SocketStream):
-                one.flush()
-            one.close()
-            one.write(b"after")
+            stream.write(TEXT[:3])
+            stream.write(TEXT[3:])
+            if isinstance(stream, SocketStream):
+                stream.flush()
+            stream.close()
+            stream.write(b"after")
 
         world.spawn(HERE, "writes", write, ends=True)
         world.spawn(HERE, "reads", reader.run, ends=True)
@@ -82,19 +82,19 @@
     """One task reads, another closes the same stream, the peer writes and closes: the read ends once."""
 
     def build(world: World) -> None:
-        one, other = pair(world)
-        reader, end_notifications = _Reader(one), list[str]()
-        one.watch_end(lambda: end_notifications.append("end"))
+        stream, peer_stream = pair(world)
+        reader, end_notifications = _Reader(stream), list[str]()
+        stream.watch_end(lambda: end_notifications.append("end"))
 
         def peer() -> None:
-            other.write(b"abc")
+            peer_stream.write(b"abc")
             world.hub.sleep(0)
-            other.close()
+            peer_stream.close()
 
         def close_twice() -> None:
             world.hub.sleep(0)
-            one.close()
-            one.close()
+            stream.close()
+            stream.close()
 
         world.spawn(HERE, "reads", reader.run, ends=True)
         world.spawn(HERE, "closes", close_twice, ends=True)
@@ -117,10 +117,10 @@
     """One task reads, another closes the same stream, the peer is silent: the read ends."""
 
     def build(world: World) -> None:
-        one, _other = pair(world)
-        reader = _Reader(one)
+        stream, _peer_stream = pair(world)
+        reader = _Reader(stream)
         world.spawn(HERE, "reads", reader.run, ends=True)
-        world.spawn(HERE, "closes", one.close, ends=True)
+        world.spawn(HERE, "closes", stream.close, ends=True)
         world.view = lambda: (reader.end,)
         world.finish = lambda: None if reader.end == "StreamClosed" else f"the read ended by {reader.end!r}"
 
@@ -131,8 +131,8 @@
     """Bytes arrive as a read reaches its deadline: the next read returns them."""
 
     def build(world: World) -> None:
-        one, other = pair(world)
-        first, second = _Reader(one, world.hub.now() + DELAY_US), _Reader(one)
+        stream, peer_stream = pair(world)
+        first, second = _Reader(stream, world.hub.now() + DELAY_US), _Reader(stream)
 
         def read_twice() -> None:
             first.run()
@@ -141,8 +141,8 @@
 
         def peer() -> None:
             world.hub.sleep(DELAY_US)
-            other.write(b"abc")
-            other.close()
+            peer_stream.write(b"abc")
+            peer_stream.close()
 
         world.spawn(HERE, "reads", read_twice, ends=True)
         world.spawn(HERE, "peer", peer, ends=True)
@@ -158,19 +158,19 @@
     """The peer aborts the stream while a writer waits for buffer space: no task waits forever."""
 
     def build(world: World) -> None:
-        one, other = pair(world)
-        reader, pushed = _Reader(one), list[str]()
+        stream, peer_stream = pair(world)
+        reader, pushed = _Reader(stream), list[str]()
 
         def write() -> None:
-            one.write(TEXT)
-            one.push(lambda: pushed.append("pushed"))
-            if isinstance(one, SocketStream):
-                one.flush()
-            one.drain()
+            stream.write(TEXT)
+            stream.push(lambda: pushed.append("pushed"))
+            if isinstance(stream, SocketStream):
+                stream.flush()
+            stream.drain()
 
         def abort() -> None:
             world.hub.sleep(0)
-            other.abort()
+            peer_stream.abort()
 
         world.spawn(HERE, "writes", write, ends=True)
         world.spawn(HERE, "reads", reader.run, ends=True)
@@ -178,7 +178,7 @@
         world.view = lambda: (reader.end, tuple(pushed))
         # TEXT exceeds the buffer and the peer never reads: a socket cannot have sent all of it.
         world.judge = lambda _view: (
-            "told as sent what was not" if pushed and isinstance(one, SocketStream) else None
+            "told as sent what was not" if pushed and isinstance(stream, SocketStream) else None
         )
         world.finish = lambda: (
             None if reader.end == "ConnectionResetError" or reader.end == "BrokenPipeError"
@@ -190,12 +190,12 @@
 
 def _reused_descriptor(world: World) -> None:
     """A descriptor is closed and its number reused in one round: old events do not reach the new stream."""
-    one, other = socket_pair(world)
+    stream, peer_stream = socket_pair(world)
     readers: list[_Reader] = []
 
     def reuse_descriptor() -> None:
         world.hub.sleep(0)
-        one.close()
+        stream.close()
         new_stream, peer = socket_pair(world)
         reader = _Reader(new_stream)
         readers.append(reader)
@@ -206,7 +206,7 @@
 
     def close_peer() -> None:
         world.hub.sleep(0)
-        other.close()
+        peer_stream.close()
 
     world.spawn(HERE, "turns", reuse_descriptor, ends=True)
     world.spawn(HERE, "hangs up", close_peer, ends=True)
--- a/harriertrack/lab/interleaving/scenarios/weights.py
+++ b/harriertrack/lab/interleaving/scenarios/weights.py
@@ -213,8 +213,8 @@
             world.kill("b")
             killed.set()
 
-        for one in heads.values():
-            world.spawn(one.place, "head", one.run)
+        for head in heads.values():
+            world.spawn(head.place, "head", head.run)
         world.spawn("b again", "head", run_second_incarnation)
         world.fault("b is killed and comes back", "b", restart)
         b = heads["b"]
@@ -241,8 +241,8 @@
         def used_pages() -> tuple[tuple[int, int, int], ...]:
             """Return incarnation, page and serial of each page of b that a uses."""
             found = []
-            for one in a.shared.by_scorer.values():
-                for number, (_, page) in one.peers._received.get("b", {}).items():
+            for scorer in a.shared.by_scorer.values():
+                for number, (_, page) in scorer.peers._received.get("b", {}).items():
                     found.append((_incarnation_of(page.entries), number, page.serial))
             return tuple(sorted(found))
 
