--- a/tests/interleaving/test_faults.py
+++ b/tests/interleaving/test_faults.py
@@ -13,14 +13,14 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
 def test_seeded_fault_is_found_and_its_counterexample_replays(fault):
-    if fault.by in MODELS:
-        model = MODELS[fault.by]
-        with fault.made():
+    if fault.found_by in MODELS:
+        model = MODELS[fault.found_by]
+        with fault.injected():
             result = machines.explore(model, LIMITS, fault.turns)
             assert result.breach and machines.replay(model, result.events) == result.breach
         return
-    scenario = registry.SCENARIOS[fault.by]
-    with fault.made():
+    scenario = registry.SCENARIOS[fault.found_by]
+    with fault.injected():
         found = bounded.explore(scenario, fault.turns, LIMITS, fault.newest)
         assert found.breach is not None
         replayed = replay(scenario, found.breach.schedule)
