--- a/tests/closing/test_closing_regions.py
+++ b/tests/closing/test_closing_regions.py
@@ -314,30 +314,30 @@
 
 
 REGIONAL, COPIES = "gateway.regional:Regional", "decisions.copies:Copies"
-fault = partial(_FAULTS.Fault, by="")
+fault = partial(_FAULTS.Fault, found_by="")
 FAULTS = [
     (copy_in_transit, fault("a copy survives a close", where=f"{REGIONAL}._crossed",
-                              right="if work.number not in copies:", wrong="if True:")),
+                              original="if work.number not in copies:", replacement="if True:")),
     (write_across_the_boundary, fault("a partly purged copy survives", where=f"{REGIONAL}._crossed",
-                                  right="if work.number not in copies:", wrong="if True:")),
+                                  original="if work.number not in copies:", replacement="if True:")),
     (write_across_the_boundary, fault("a partly purged write is not read back", where=f"{REGIONAL}._after_unknown",
-                                  right="work.close_overlap is CloseOverlap.FULL", wrong="work.close_overlap is not CloseOverlap.NONE")),
+                                  original="work.close_overlap is CloseOverlap.FULL", replacement="work.close_overlap is not CloseOverlap.NONE")),
     (copy_region_behind, fault("the generation of a region behind is not checked", where=f"{REGIONAL}.copy_opened",
-                               right="not self.generations.admits(volume, generation)", wrong="False")),
+                               original="not self.generations.admits(volume, generation)", replacement="False")),
     (copy_region_ahead, fault("the generation of a region ahead is not checked", where=f"{REGIONAL}.copy_opened",
-                              right="not self.generations.admits(volume, generation)", wrong="False")),
+                              original="not self.generations.admits(volume, generation)", replacement="False")),
     (extent_read_for_catch_up, fault("an extent read before a close is stored after it", where=f"{REGIONAL}._pull",
-                                           right=" or generation != self._generation(volume.name)", wrong="")),
+                                           original=" or generation != self._generation(volume.name)", replacement="")),
     (region_behind_catches_up, fault("a region of an older generation catches up", where=f"{REGIONAL}.same_generation",
-                                              right="theirs == self._generation(volume)", wrong="True")),
+                                              original="theirs == self._generation(volume)", replacement="True")),
     (region_was_down, fault("the log of missed extents is not purged", where="decisions.catchup:CatchUp.note_purged",
-                              right="self.log.remove_purged(self.volume, is_purged)", wrong="pass")),
+                              original="self.log.remove_purged(self.volume, is_purged)", replacement="pass")),
     (relayed_read, fault("a relayed read is answered across a close", where=f"{REGIONAL}.closed",
-                                      right="self._refuse(request, CLOSED)", wrong="pass")),
+                                      original="self._refuse(request, CLOSED)", replacement="pass")),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("script, wrong", FAULTS, ids=lambda one: getattr(one, "name", ""))
 def test_seeded_fault_is_found(script, wrong):
-    with wrong.made(), pytest.raises(AssertionError):
+    with wrong.injected(), pytest.raises(AssertionError):
         play(script)
