--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -68,8 +68,8 @@
 def search(fault, max_storms=MAX_STORMS):
     """Return the first storm that finds a fault; None if the first `max_storms` with its part do not."""
     days = ((seed, storm(seed)) for seed in count())
-    for seed, day in islice((one for one in days if exercises(one[1], fault.by)), max_storms):
-        with fault.made():
+    for seed, day in islice((one for one in days if exercises(one[1], fault.found_by)), max_storms):
+        with fault.injected():
             verdict = playing.play_and_judge(day)
         if verdict.broken_rules and not playing.play_and_judge(day).broken_rules:
             return Found(seed, tuple(sorted(f"{what} {rule}" for what, rule in verdict.broken_rules)))
--- a/tests/storms/test_playing.py
+++ b/tests/storms/test_playing.py
@@ -115,7 +115,7 @@
 
 def test_a_fault_is_found_shrunk_and_written_as_a_failing_day(tmp_path):
     day = scenario.parse(read_text(DAY, "x"), "x")
-    with NEVER_DEAD.made():
+    with NEVER_DEAD.injected():
         verdict = playing.play_and_judge(day)
         assert ("views", 1) in verdict.broken_rules
         smallest = playing.shrink(day, verdict.broken_rules, 16)
