--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -328,7 +328,7 @@
         ]
         latest = [1.0 if decision is None else decision.share for decision in decisions[-11:]]
         # Heads of two trial rounds may make trials at once, and so may heads whose member lists differ.
-        assert len(users) <= rules.CROWD * max(latest) * 60 + 2 * RULES.tries + rules.MORE
+        assert len(users) <= rules.SHARE_TOLERANCE * max(latest) * 60 + 2 * RULES.tries + rules.EXTRA_HEADS
 
 
 # -- the cost of leaving
