--- a/harriertrack/cli/cells.py
+++ b/harriertrack/cli/cells.py
@@ -54,10 +54,8 @@
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 def cells_plan(fleet: str, current_map: str | None, out: str | None, seconds: float, seed: int) -> None:
     """Find the map for FLEET that satisfies its rules and moves least. Exit code 1 if there is none."""
-    fleet_plan, before = (
-        _load_fleet(fleet),
-        maps.to_cell_map(_load_map(current_map)) if current_map else CellMap(0),
-    )
+    fleet_plan = _load_fleet(fleet)
+    before = maps.to_cell_map(_load_map(current_map)) if current_map else CellMap(0)
     planned = planner.plan(fleet_plan, before, seconds, seed)
     if planned.cells is None:
         click.echo(f"harriertrack: no plan: {planned.outcome.value}", err=True)
--- a/harriertrack/cli/changes.py
+++ b/harriertrack/cli/changes.py
@@ -96,9 +96,8 @@
         try:
             apply_overrides(load_settings(settings_path, HeadSettings), texts[0], file)
         except SettingsError as error:
-            fail(
-                str(error)
-            )  # this head would reject it, and so would others that were started with its settings
+            # This head would reject it, and so would others that were started with its settings.
+            fail(str(error))
 
     def add_proposal(record: Record) -> Record:
         in_force = record.in_force(thing)
--- a/harriertrack/cli/fleet.py
+++ b/harriertrack/cli/fleet.py
@@ -198,10 +198,8 @@
                  _format_amount(entry.wanted), f"{entry.ends_s:.2f}s", "yes" if entry.there else "no")
                 for entry in of_budget
             ]  # fmt: skip
-            total, absent = (
-                sum(entry.counted for entry in of_budget),
-                sum(entry.counted for entry in of_budget if not entry.there),
-            )
+            total = sum(entry.counted for entry in of_budget)
+            absent = sum(entry.counted for entry in of_budget if not entry.there)
             movable = ledger.movable.get(budget, 0.0)
             rows.append((f"{budget} in all", f"of {_format_amount(movable)}", "", _format_amount(total), "",
                          "", f"{_format_amount(absent)} lent to who is gone"))  # fmt: skip
--- a/harriertrack/cli/list_service.py
+++ b/harriertrack/cli/list_service.py
@@ -33,10 +33,8 @@
     def publish(self, settings: ListServiceSettings) -> None:
         """Publish the changes of the nodes; entrances can not be added or removed while the process runs."""
         for entrance in settings.entrances:
-            service, published = (
-                self.services.get(entrance.name),
-                self._published.setdefault(entrance.name, {}),
-            )
+            service = self.services.get(entrance.name)
+            published = self._published.setdefault(entrance.name, {})
             if service is None:
                 continue
             current = {node.name: node for node in entrance.nodes}
--- a/harriertrack/decisions/fleet/budget_shares.py
+++ b/harriertrack/decisions/fleet/budget_shares.py
@@ -58,9 +58,8 @@
                  specs: Mapping[BudgetKind, BudgetSpec], now: int) -> None:  # fmt: skip
         self.rules, self.heads, self.specs = rules, heads, dict(specs)
         self.holders = [LeaseHolder(number, name, instance, rules, now) for number in range(ledgers)]
-        self.on_wake: Callable[[], None] = lambda: (
-            None
-        )  # called when a budget was opened or changed: requests are due
+        # Called when a budget was opened or changed: requests are due.
+        self.on_wake: Callable[[], None] = lambda: None
 
     def __iter__(self) -> Iterator[tuple[str, BudgetShare]]:
         for holder in self.holders:
--- a/harriertrack/decisions/fleet/budgets.py
+++ b/harriertrack/decisions/fleet/budgets.py
@@ -199,10 +199,8 @@
         if total.concurrent:
             self.rate, self.capacity = 0.0, total.rate * part
         else:
-            self.rate, self.capacity = (
-                self.clock_factor * total.rate * part,
-                max(total.burst * part, total.min_burst),
-            )
+            self.rate = self.clock_factor * total.rate * part
+            self.capacity = max(total.burst * part, total.min_burst)
 
     def record_demand(self, units: float) -> None:
         """Count requested units, whether or not they are granted."""
--- a/harriertrack/decisions/fleet/changes/version_state.py
+++ b/harriertrack/decisions/fleet/changes/version_state.py
@@ -34,9 +34,8 @@
 IN_PROGRESS = frozenset(
     {VersionState.PROPOSED, VersionState.ADVANCING, VersionState.PAUSED, VersionState.REVERTING}
 )
-ACTIVE = frozenset(
-    {VersionState.ADVANCING, VersionState.PAUSED, VersionState.REVERTING}
-)  # states in which the named heads run the version
+# States in which the named heads run the version.
+ACTIVE = frozenset({VersionState.ADVANCING, VersionState.PAUSED, VersionState.REVERTING})
 FINISHED = frozenset({VersionState.REPLACED, VersionState.STOPPED, VersionState.ABORTED})
 
 
--- a/harriertrack/decisions/fleet/holder.py
+++ b/harriertrack/decisions/fleet/holder.py
@@ -31,13 +31,11 @@
     """All shares that one head holds of one ledger."""
 
     def __init__(self, number: int, name: str, instance: int, rules: BudgetRules, now: int) -> None:
-        self.number, self.name, self.instance, self.rules, self.started_at = (
-            number,
-            name,
-            instance,
-            rules,
-            now,
-        )
+        self.number = number
+        self.name = name
+        self.instance = instance
+        self.rules = rules
+        self.started_at = now
         self.lease = Lease()
         self.term: Term | None = None
         self.tenure = 1
--- a/harriertrack/decisions/fleet/rollout/controller.py
+++ b/harriertrack/decisions/fleet/rollout/controller.py
@@ -206,11 +206,9 @@
             return
         fresh = tracked.test is None or tracked.stage != version.stage
         if tracked.test is None or fresh:
-            tracked.test, tracked.stage, tracked.reported_baselines = (
-                SequentialTest(plan, tracked.evidence.baseline),
-                version.stage,
-                {},
-            )
+            tracked.test = SequentialTest(plan, tracked.evidence.baseline)
+            tracked.stage = version.stage
+            tracked.reported_baselines = {}
         if tracked.taken_over:
             self._apply_baselines(version, tracked, tracked.test)
         ticks = list(tracked.evidence.take_ticks(now))
--- a/harriertrack/decisions/fleet/rollout/rollout.py
+++ b/harriertrack/decisions/fleet/rollout/rollout.py
@@ -78,9 +78,8 @@
     thing: str
     number: int
     plan: Plan
-    running_since: dict[str, int] = field(
-        default_factory=dict
-    )  # when each head first reported that it runs it
+    # When each head first reported that it runs it.
+    running_since: dict[str, int] = field(default_factory=dict)
     first_seen_at: int = -1  # when this deciding head first processed it
     changed_at: int = -1  # ... and last found that its state had changed
     last_state: tuple[VersionState, int, int, int] | None = None
--- a/harriertrack/decisions/fleet/rollout/sequential_test.py
+++ b/harriertrack/decisions/fleet/rollout/sequential_test.py
@@ -59,9 +59,8 @@
     baseline: Mapping[tuple[str, str], Tally]
     outliers: Mapping[str, str] = field(default_factory=dict)  # left out while they run the new version; why
     comparisons: dict[Key, Comparison] = field(default_factory=dict)
-    _fleet: dict[Measure, tuple[float, float]] = field(
-        default_factory=dict
-    )  # log ratio, expected bad answers
+    # Log ratio, expected bad answers.
+    _fleet: dict[Measure, tuple[float, float]] = field(default_factory=dict)
     _old_counts: dict[tuple[str, str], Tally] = field(default_factory=dict)  # of old heads in this stage
     _expected: ExpectedRates | None = None
     _ticks: int = 0
--- a/harriertrack/decisions/fleet/zones/evacuation.py
+++ b/harriertrack/decisions/fleet/zones/evacuation.py
@@ -211,9 +211,8 @@
             and 1 - summary.silent_share >= rules.answers
             and now >= zone.since + rules.gone_us
         ):
-            first = min(
-                1.0, max(rules.first, rules.tries / max(1, heads))
-            )  # the heads that made trials continue
+            # The heads that made trials continue.
+            first = min(1.0, max(rules.first, rules.tries / max(1, heads)))
             self._change(now, zone, ZoneStage.RETURNING, first, f"{summary.responding} nodes answer")
             zone.stepped_at = zone.returned_at = now
         elif now >= zone.since + rules.turn_us:
--- a/harriertrack/decisions/requests/core.py
+++ b/harriertrack/decisions/requests/core.py
@@ -287,12 +287,10 @@
 
     def flush(self, now: int) -> None:
         """Pass pending events to the module, execute its actions, and give the answers that are due."""
-        state, placement, dispatcher, patience = (
-            self._state,
-            self._placement,
-            self._dispatcher,
-            self._retry_queue.patience,
-        )
+        state = self._state
+        placement = self._placement
+        dispatcher = self._dispatcher
+        patience = self._retry_queue.patience
         self.check_standstill(now)
         while True:
             dispatcher.run_timers(now)
--- a/harriertrack/decisions/requests/dispatch.py
+++ b/harriertrack/decisions/requests/dispatch.py
@@ -19,12 +19,10 @@
     def __init__(
         self, state: CoreState, completion: Completion, admission: Admission, attempts: Attempts
     ) -> None:
-        self._state, self._completion, self._admission, self._attempts = (
-            state,
-            completion,
-            admission,
-            attempts,
-        )
+        self._state = state
+        self._completion = completion
+        self._admission = admission
+        self._attempts = attempts
 
     def run_timers(self, now: int) -> None:
         """Run the timers that are due: time-outs, and timers of the module."""
--- a/harriertrack/decisions/shares.py
+++ b/harriertrack/decisions/shares.py
@@ -198,10 +198,8 @@
         if busy >= MIN_LOAD and done:
             measured = done * 1e6 / (now - since) / busy
             self.rate += (RATE_GAIN if self.rate else 1.0) * (measured - self.rate)
-        before, self.overloaded = (
-            self.overloaded,
-            busy >= OVERLOAD_BEGINS or (self.overloaded and busy >= OVERLOAD_ENDS),
-        )
+        before = self.overloaded
+        self.overloaded = busy >= OVERLOAD_BEGINS or (self.overloaded and busy >= OVERLOAD_ENDS)
         if not self.overloaded or not self._cells:
             return
         rate = TARGET_LOAD * self.rate / len(self._cells)
--- a/harriertrack/gateway/fleet/changes/carrier.py
+++ b/harriertrack/gateway/fleet/changes/carrier.py
@@ -279,11 +279,9 @@
         record, follower = self.record, self._follower
         things = []
         for thing in record.things():
-            in_force, in_progress, applied = (
-                record.in_force(thing),
-                record.in_progress(thing),
-                follower.applied.get(thing),
-            )
+            in_force = record.in_force(thing)
+            in_progress = record.in_progress(thing)
+            applied = follower.applied.get(thing)
             last = in_progress or in_force or record.versions_of(thing)[-1]
             things.append(
                 ChangeStatus(
--- a/harriertrack/gateway/fleet/decider.py
+++ b/harriertrack/gateway/fleet/decider.py
@@ -28,9 +28,7 @@
 
     def __init__(self, hub: Hub, name: str, budgets: Budgets) -> None:
         self._hub, self._name, self._budgets = hub, name, budgets
-        self.on_zone_report: Callable[[int, ZoneObservations], None] = lambda _now, _seen: (
-            None
-        )  # zone observations
+        self.on_zone_report: Callable[[int, ZoneObservations], None] = lambda _now, _seen: None
         self.on_zone_decisions: Callable[[int, ZoneDecisions], None] = lambda _now, _told: None
         self.on_report: dict[str, Callable[[int, str, bytes], None]] = {}  # by topic: (now, head, body)
         self.on_ruling: dict[str, Callable[[int, Term, bytes], None]] = {}  # by topic: (now, term, body)
--- a/harriertrack/gateway/fleet/member.py
+++ b/harriertrack/gateway/fleet/member.py
@@ -166,10 +166,8 @@
         """Publish the head's load periodically (a task)."""
         settings, core = self._settings, self._parts.core
         while True:
-            accepted, refused = (
-                core.counts.accepted - self._accepted_before,
-                core.counts.refused - self._refused_before,
-            )
+            accepted = core.counts.accepted - self._accepted_before
+            refused = core.counts.refused - self._refused_before
             self._accepted_before, self._refused_before = core.counts.accepted, core.counts.refused
             self._load_note = ActivityNote(
                 volumes=len(self._parts.settings.volumes), open=core.open_requests,
--- a/harriertrack/gateway/fleet/scoring/carrier.py
+++ b/harriertrack/gateway/fleet/scoring/carrier.py
@@ -219,10 +219,8 @@
 
     def scorers_without_vote(self) -> dict[str, str]:
         """Return the record's scorers that have no vote here, by thing, with the reason."""
-        run, votes = (
-            self._selection.selected(),
-            {name: one.guard for name, one in self._shared.by_scorer.items()},
-        )
+        run = self._selection.selected()
+        votes = {name: one.guard for name, one in self._shared.by_scorer.items()}
         return {
             one.thing: f"it has no vote, {votes[name].reason}" for name, one in run.items()
             if one.thing and name in votes and votes[name].state in (ScorerState.SUSPENDED, ScorerState.HUNG)
--- a/harriertrack/lab/arrivals.py
+++ b/harriertrack/lab/arrivals.py
@@ -130,9 +130,8 @@
 
     def times(self, counts: np.ndarray) -> np.ndarray:
         """Return the times in microseconds at which the expected number of requests reaches each count."""
-        rising = np.concatenate(
-            ([True], np.diff(self._sums) > 0)
-        )  # the integral has no inverse where the rate is 0
+        # The integral has no inverse where the rate is 0.
+        rising = np.concatenate(([True], np.diff(self._sums) > 0))
         return np.interp(counts, self._sums[rising], self._edges[rising])
 
 
--- a/harriertrack/lab/fleet/division/division.py
+++ b/harriertrack/lab/fleet/division/division.py
@@ -282,9 +282,8 @@
                         self._send(member, name, ledger.term)
         for request in member.holder.due_requests(now):
             if member.ledger_owner == member.name:
-                self.records.append(
-                    shares.share_request_record(self.now, request)
-                )  # handled without the network
+                # Handled without the network.
+                self.records.append(shares.share_request_record(self.now, request))
                 self._handle_message(member, now, request, member.name)
             else:
                 self._send(member, member.ledger_owner, request)
--- a/harriertrack/lab/fleet/regions.py
+++ b/harriertrack/lab/fleet/regions.py
@@ -17,11 +17,8 @@
     from harriertrack.lab.fleet.rig import FleetRig
 
 REGION_COUNT = len(REGIONS)
-PLANS = (
-    "basic",
-    "priority",
-    "standard",
-)  # lowest reservation first, so that sorting by name gives a wrong order
+# Lowest reservation first, so that sorting by name gives a wrong order.
+PLANS = ("basic", "priority", "standard")
 
 
 def region_of(name: str) -> str:
--- a/harriertrack/lab/fleet/staged.py
+++ b/harriertrack/lab/fleet/staged.py
@@ -24,9 +24,8 @@
 from harriertrack.decisions.fleet.rollout.plan import DEFAULT_PLAN, Plan
 
 SECOND_US = 1_000_000
-LATENCY_SHARES = np.array(
-    [0.02, 0.10, 0.40, 0.30, 0.10, 0.05, 0.03] + [0.0] * (LATENCY_BUCKETS - 7)
-)  # share of served requests in each latency bucket
+# Share of served requests in each latency bucket.
+LATENCY_SHARES = np.array([0.02, 0.10, 0.40, 0.30, 0.10, 0.05, 0.03] + [0.0] * (LATENCY_BUCKETS - 7))
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,11 +121,9 @@
                  classes: dict[str, ClassOutcomes] | None = None, report_s: int = 1) -> None:  # fmt: skip
         self.random = np.random.default_rng(seed)
         self.plan, self.rate, self.clumps, self.lost, self.restart_s = plan, rate, clumps, lost, restart_s
-        self.outcomes, self.regressions, self.report_s = (
-            classes or USUAL_OUTCOMES,
-            regressions or {},
-            report_s,
-        )
+        self.outcomes = classes or USUAL_OUTCOMES
+        self.regressions = regressions or {}
+        self.report_s = report_s
         self.record, self.now, self.epoch = Record(), 0, 1
         volumes_by_head: dict[int, set[int]] = {}
         for volume in range(heads):
--- a/harriertrack/lab/interleaving/models/sweeps.py
+++ b/harriertrack/lab/interleaving/models/sweeps.py
@@ -158,9 +158,8 @@
                 state.swept.record_done(KEY, done)
             case (str(name), Schedule() as schedule):
                 fence = state.fences[name].fence(CALENDAR)
-                if schedule.last_swept(VOLUME) >= fence.schedule.last_swept(
-                    VOLUME
-                ):  # the record never goes back
+                # The record never goes back.
+                if schedule.last_swept(VOLUME) >= fence.schedule.last_swept(VOLUME):
                     fence.set_schedule(schedule)
                     if fence.schedule.last_swept(VOLUME):
                         state.sweeps.pop(name, None)
--- a/harriertrack/lab/load.py
+++ b/harriertrack/lab/load.py
@@ -309,10 +309,8 @@
             near = self._random.choice(model.written) if kind == "read" and model.written else -1
             within = self.hot_sectors if kind == "read" else None
             if kind == "read" and self.next_scan_sector >= 0:
-                near, self.next_scan_sector = (
-                    self.next_scan_sector,
-                    (self.next_scan_sector + self._max_sectors) % model.sectors,
-                )
+                near = self.next_scan_sector
+                self.next_scan_sector = (self.next_scan_sector + self._max_sectors) % model.sectors
             start, length = model.place(kind, self._max_sectors, within, -1 if within else near)
         if kind == "write":
             self._tags += 1
--- a/harriertrack/protocol/nbd/server.py
+++ b/harriertrack/protocol/nbd/server.py
@@ -266,9 +266,8 @@
     def _start_transmission(self, export: ExportInfo, events: list[ServerEvent]) -> None:
         self.export, self._export_flags = export, int(export.flags)
         self.state = ServerState.TRANSMISSION
-        if (
-            self._context_export != export.name
-        ):  # contexts are valid only for the export that they were negotiated for
+        # Contexts are valid only for the export that they were negotiated for.
+        if self._context_export != export.name:
             self.contexts = {}
         events.append(ExportOpened(export, tuple(self.contexts.values())))
 
--- a/harriertrack/rules/changes.py
+++ b/harriertrack/rules/changes.py
@@ -45,9 +45,8 @@
                 used_by_head[record.head], latest_revision = record, max(latest_revision, record.revision)
             case rec.VersionApplied():
                 # Things that no operator proposes have versions that the decider writes: not checked.
-                proposed_versions = proposed.get(
-                    record.thing
-                )  # versions that operators don't propose are written by the decider
+                # Versions that operators don't propose are written by the decider.
+                proposed_versions = proposed.get(record.thing)
                 if (
                     record.version
                     and not record.why
--- a/harriertrack/rules/checker.py
+++ b/harriertrack/rules/checker.py
@@ -322,10 +322,8 @@
     """Rule 8, for a fleet divided into cells: requests go only to nodes of their volume's cell."""
     facts = run.facts
     for attempt in run.received if facts.cell_of_volume else ():
-        cell, node_cell = (
-            facts.cell_of_volume.get(attempt.volume),
-            facts.cell_of_shard.get(str(attempt.shard)),
-        )
+        cell = facts.cell_of_volume.get(attempt.volume)
+        node_cell = facts.cell_of_shard.get(str(attempt.shard))
         if cell is not None and cell != node_cell:
             yield Breach(
                 8, attempt.t, f"{attempt.volume} to {attempt.node}", f"{cell} reached a node of {node_cell}"
--- a/harriertrack/rules/closing.py
+++ b/harriertrack/rules/closing.py
@@ -90,10 +90,8 @@
             (alive.discard if record.how in ("killed", "ended", "leaving") else alive.add)(record.member)
         if not isinstance(record, rec.CloseDone):
             continue
-        key, who = (
-            (record.calendar, record.number),
-            f"{record.head}: close {record.number} of {record.calendar}",
-        )
+        key = (record.calendar, record.number)
+        who = f"{record.head}: close {record.number} of {record.calendar}"
         if due_times.setdefault(key, record.at) != record.at:
             yield Breach(RULE, record.t, who, f"at {record.at}, elsewhere at {due_times[key]}")
         previous = last_done.get((record.head, record.calendar), 0)
@@ -154,10 +152,8 @@
         self, t: int, attempt: rec.AttemptReceived, closes: list[rec.CloseDue]
     ) -> Iterator[Breach]:
         extent = attempt.offset // self._extent_bytes
-        writes, who = (
-            self._writes[attempt.node, attempt.volume, extent],
-            f"{attempt.node} {attempt.volume} extent {extent}",
-        )
+        writes = self._writes[attempt.node, attempt.volume, extent]
+        who = f"{attempt.node} {attempt.volume} extent {extent}"
         sent = self._sent.get((attempt.head, attempt.key, attempt.attempt))
         operation = (
             ExecutedWrite(attempt.t - MAX_FLIGHT_US, attempt.t) if sent is None else ExecutedWrite(sent, sent)
--- a/harriertrack/rules/fleet.py
+++ b/harriertrack/rules/fleet.py
@@ -136,10 +136,8 @@
     for record in history.records:
         views.apply(record)
         if isinstance(record, rec.ViewReported) and record.state == "dead" and views.alive.get(record.about):
-            observer_runs, is_current_instance = (
-                views.alive.get(record.member),
-                views.own_instance.get(record.about) == record.life,
-            )
+            observer_runs = views.alive.get(record.member)
+            is_current_instance = views.own_instance.get(record.about) == record.life
             if observer_runs and is_current_instance and history.is_fault_free(record.t, record.t):
                 yield Breach(
                     2, record.t, record.member, f"holds {record.about} dead, by {record.by}, which lives"
--- a/harriertrack/rules/regions.py
+++ b/harriertrack/rules/regions.py
@@ -27,9 +27,8 @@
         (record for record in all_records if isinstance(record, rec.VolumeMoved)), key=lambda record: record.t
     )
     moves = [record for record in moves if record.volume in facts.homes]
-    paced = [
-        record for record in moves if record.region != facts.homes[record.volume]
-    ]  # out of the home region, or back
+    # Out of the home region, or back.
+    paced = [record for record in moves if record.region != facts.homes[record.volume]]
     paced = _without_renewals(paced)
     return [*_too_fast(facts, paced), *_out_of_order(facts, paced), *_not_at_home(facts, moves)]
 
--- a/harriertrack/rules/scoring.py
+++ b/harriertrack/rules/scoring.py
@@ -76,9 +76,8 @@
         if faulty:
             unchecked_until_us = record.t + window  # until all heads have received each other's notes again
         elif MAX_LIAR_SHARE * len(awake) < len(awake & set(facts.liars)):
-            unchecked_until_us = max(
-                unchecked_until_us, record.t + 2 * REPORT_PERIOD_US
-            )  # a new head starts with half a vote
+            # A new head starts with half a vote.
+            unchecked_until_us = max(unchecked_until_us, record.t + 2 * REPORT_PERIOD_US)
         if not isinstance(record, rec.Weights) or record.head in facts.liars:
             continue
         for scorer, logs in record.own.items():
--- a/harriertrack/rules/zones.py
+++ b/harriertrack/rules/zones.py
@@ -41,9 +41,8 @@
     alive: set[str] = field(default_factory=set)
     unused: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))  # zones by head
     returns: dict[str, _ZoneReturn] = field(default_factory=dict)  # by zone
-    newcomers: dict[tuple[str, str], int] = field(
-        default_factory=dict
-    )  # by head and zone: up since; -1: not yet up
+    # By head and zone: up since; -1: not yet up.
+    newcomers: dict[tuple[str, str], int] = field(default_factory=dict)
     breaches: list[Breach] = field(default_factory=list)
 
     def apply_start(self, head: str) -> None:
--- a/harriertrack/service/front.py
+++ b/harriertrack/service/front.py
@@ -197,9 +197,8 @@
         remaining = LINGER_BYTES
         while remaining > 0 and (data := self._stream.read()):
             remaining -= len(data)
-        while (
-            remaining <= 0 and not self._closed
-        ):  # the client keeps sending: the linger timeout closes it soon
+        # The client keeps sending: the linger timeout closes it soon.
+        while remaining <= 0 and not self._closed:
             self._changed.wait()
 
     def _answer_readiness(self) -> None:
--- a/harriertrack/service/storage_nodes.py
+++ b/harriertrack/service/storage_nodes.py
@@ -236,9 +236,8 @@
     def _receive(self, data: bytes) -> bool:
         """Handle received bytes; return whether the connection stays open."""
         owner = self._owner
-        if (
-            not data or self._exchange is None or self._attempt is None
-        ):  # end of stream, or bytes without a request
+        # End of stream, or bytes without a request.
+        if not data or self._exchange is None or self._attempt is None:
             owner.counts.surplus += bool(data)
             return False
         assert self._stream is not None
--- a/harriertrack/standin/node.py
+++ b/harriertrack/standin/node.py
@@ -458,10 +458,8 @@
             return None
         served, head_volume = self._served.get(work.volume, 0.0), (work.head, work.volume)
         served_to_others = served - self._served_to.get(head_volume, 0.0)
-        newly_served, self._reported_others[head_volume] = (
-            served_to_others - self._reported_others.get(head_volume, 0.0),
-            served_to_others,
-        )
+        newly_served = served_to_others - self._reported_others.get(head_volume, 0.0)
+        self._reported_others[head_volume] = served_to_others
         percent = self.meter.encoded_percent(self.timing.now(), work.volume)
         return extension.Report(percent, newly_served, (float(len(self._queue)),))
 
--- a/tests/closing/test_closing_clocks.py
+++ b/tests/closing/test_closing_clocks.py
@@ -106,11 +106,9 @@
 
 
 def test_estimate_does_not_wait_for_heads_without_calendars():
-    estimator, own, there = (
-        TimeEstimator(RULES, 3_000_000, since=0),
-        Interval(-RULES.error_us, RULES.error_us),
-        9,
-    )
+    estimator = TimeEstimator(RULES, 3_000_000, since=0)
+    own = Interval(-RULES.error_us, RULES.error_us)
+    there = 9
     for name in ("a", "b"):
         estimator.add_query(1_000_000, name, ClockQuery(0, 0, Interval(0, 0)))
     assert estimator.estimate(1_000_000, own, there) is None, "other heads may still send queries"
--- a/tests/closing/test_closing_fences.py
+++ b/tests/closing/test_closing_fences.py
@@ -186,9 +186,8 @@
             low, high = rng.randrange(60), rng.randrange(60)
             reading = None if rng.random() < 0.1 else Interval(now - low, now + high)
             if rng.random() < 0.2:
-                one.confirm_until(
-                    now - rng.randrange(50) + 400
-                )  # sent a while ago: no other closes within the notice
+                # Sent a while ago: no other closes within the notice.
+                one.confirm_until(now - rng.randrange(50) + 400)
             if rng.random() < 0.02:  # it restarts: its state on disk survives, the confirmation does not
                 heads[number] = one = Fences(["m*"], {"c": one.fence("c").last_purged})
                 assert one.fence("c").set_schedule(Schedule(1, "a", closes)) == ""
--- a/tests/endings/test_attempt_ends.py
+++ b/tests/endings/test_attempt_ends.py
@@ -108,10 +108,8 @@
 
     def act(site):
         _, node_end = send_to_blocked_node(site)
-        (way,), (part,) = (
-            site.head.storage_nodes._connection_of.values(),
-            site.head.core._state.parts.values(),
-        )
+        (way,) = site.head.storage_nodes._connection_of.values()
+        (part,) = site.head.core._state.parts.values()
         site.until(lambda: node_end.receive(512) and way._stream.buffered <= SMALL)
         unsent = way._stream.buffered
         assert unsent
@@ -386,9 +384,8 @@
         assert client.until_answered()[0] == 200
         site.hub.sleep(REUSE_DELAY_US)
         client.send(site.request())
-        if (
-            round_ == "last moment"
-        ):  # the head has read the request, and its module sends at the end of this round
+        # The head has read the request, and its module sends at the end of this round.
+        if round_ == "last moment":
             site.hub.sleep(0)
         end(node_end)
         node.accept().serve()
@@ -432,9 +429,8 @@
                 site.until(lambda: not site.head.core.open_requests)
             client = RawClient(site)
             client.send(site.request())
-            assert (
-                client.until_answered()[0] == 503 and len(site.head.storage_nodes.pool) == limit
-            )  # limit reached
+            # Limit reached.
+            assert client.until_answered()[0] == 503 and len(site.head.storage_nodes.pool) == limit
             client.close()
             for node_end in node_ends:
                 node_end.reset() if end == "reset" else None
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -471,9 +471,8 @@
                 discovery.reset_connections()
                 site.until(lambda: len(discovery.calls) > calls + 1)  # the previous one was answered
                 assert answered(request_bytes()) == 200
-                assert (
-                    max(descriptors) < SMALL
-                )  # some stay free: 42 are for clients, 10 for nodes, the rest for everything else
+                # Some stay free: 42 are for clients, 10 for nodes, the rest for everything else.
+                assert max(descriptors) < SMALL
             finally:
                 process.kill()
                 assert "Traceback" not in process.communicate()[1]
--- a/tests/endings/test_crowded_discovery.py
+++ b/tests/endings/test_crowded_discovery.py
@@ -161,9 +161,8 @@
         site.discovery.set_server("s0", site.shelfs[0].address, 0)
         site.hub.sleep(8 * S)
         assert held and site.head.nodes.find("s1") is None
-        assert all(
-            "since" in target for _, target in site.discovery.calls
-        )  # no full list was requested again
+        # No full list was requested again.
+        assert all("since" in target for _, target in site.discovery.calls)
 
     played(site_of(tmp_path), act)
 
@@ -239,9 +238,8 @@
             site.hub, site.net, version=300, servers=copy.deepcopy(old.servers)
         )
         site.discovery.start(site.scope)
-        site.discovery.queue = CallQueue(
-            site.hub, other_callers_us=3 * S
-        )  # the old source's answer would arrive first
+        # The old source's answer would arrive first.
+        site.discovery.queue = CallQueue(site.hub, other_callers_us=3 * S)
         old.version = 900
         old.set_server("s1", site.shelfs[1].address, 1, "terminated")
         site.given["discovery"] = f"127.0.0.1:{site.discovery.address[1]}"
--- a/tests/endings/test_standstill.py
+++ b/tests/endings/test_standstill.py
@@ -164,9 +164,8 @@
             active.wait()
             number += CLIENTS
             stream.write(f"{REQUEST}{number:016x}\r\n\r\n".encode())
-            if not stream.read(
-                site.hub.now() + 30 * S
-            ):  # it was idle for too long, and the head has closed it
+            # It was idle for too long, and the head has closed it.
+            if not stream.read(site.hub.now() + 30 * S):
                 stream = site.net.connect(site.place)
 
     def act(site):
--- a/tests/interleaving/test_reduction.py
+++ b/tests/interleaving/test_reduction.py
@@ -80,11 +80,9 @@
         reduction = reduced.explore(one, LIMITS)
         assert reduction.whole and reduction.ends == full.ends, one.name
         assert reduction.schedules <= full.schedules
-        compared, reduced_runs, all_runs = (
-            compared + 1,
-            reduced_runs + reduction.schedules + reduction.cut,
-            all_runs + full.schedules,
-        )
+        compared += 1
+        reduced_runs += reduction.schedules + reduction.cut
+        all_runs += full.schedules
     assert compared == len(SMALL[lag]) and reduced_runs < all_runs / 2
 
 
--- a/tests/live/test_budget_totals.py
+++ b/tests/live/test_budget_totals.py
@@ -271,16 +271,12 @@
 
 
 def test_update_totals_changes_only_the_budgets_of_changed_plans_and_specs():
-    shares, gold, tin = (
-        budget_shares(),
-        Plan("gold", limit=200.0, limit_burst=40.0),
-        Plan("tin", limit=10.0, limit_burst=5.0),
-    )
+    shares = budget_shares()
+    gold = Plan("gold", limit=200.0, limit_burst=40.0)
+    tin = Plan("tin", limit=10.0, limit_burst=5.0)
     arrival = RequestArrived(1, "read", "gold", "v0", "", 0, 1.0, S)
-    gold_bucket, tin_bucket = (
-        shares.limit(0, arrival, gold),
-        shares.limit(0, replace(arrival, volume="v1"), tin),
-    )
+    gold_bucket = shares.limit(0, arrival, gold)
+    tin_bucket = shares.limit(0, replace(arrival, volume="v1"), tin)
     before = tin_bucket.rate
     shares.acquire_link(0, "node")
     wakes = []
--- a/tests/live/test_head_live.py
+++ b/tests/live/test_head_live.py
@@ -81,12 +81,10 @@
             scope.spawn("head", head.run)
             head.ready.wait()
             hub.sleep(100_000)
-            head.user, head.shelf, head.notes, head.scope = (
-                SettingsUser(settings, head.apply_settings, head._note),
-                shelf,
-                notes,
-                scope,
-            )
+            head.user = SettingsUser(settings, head.apply_settings, head._note)
+            head.shelf = shelf
+            head.notes = notes
+            head.scope = scope
             test(head)
             scope.cancel()
 
--- a/tests/rollout/test_launching.py
+++ b/tests/rollout/test_launching.py
@@ -77,9 +77,8 @@
                     self.launcher.child_ready(self.now)
             if self.launcher is not None:
                 if self.wanted is not None and self.launcher.phase is not Phase.IDLE:
-                    self.launcher.request_program(
-                        self.now, self.wanted
-                    )  # the file persists until it is replaced
+                    # The file persists until it is replaced.
+                    self.launcher.request_program(self.now, self.wanted)
                 self.launcher.advance(self.now)
                 self.act()
 
--- a/tests/test_cell_scheduler.py
+++ b/tests/test_cell_scheduler.py
@@ -104,11 +104,8 @@
     left, right = one.modules()
     one.handle(0, [arrival(1, "v", 0), arrival(2, "v", 1), arrival(3, "v", -1), arrival(4, "v", 9)])
     assert [e.request for e in left.events] == [1]
-    assert [e.request for e in right.events] == [
-        2,
-        3,
-        4,
-    ]  # 9 is in no cell: the module of its volume refuses it
+    # 9 is in no cell: the module of its volume refuses it.
+    assert [e.request for e in right.events] == [2, 3, 4]
 
 
 def test_a_late_result_of_an_answered_request_still_reaches_its_module():
--- a/tests/test_fleet_carrier.py
+++ b/tests/test_fleet_carrier.py
@@ -43,10 +43,8 @@
     def test(hub, _scope):
         net = SocketDatagrams(hub) if real else MemoryDatagrams(hub)
         received = []
-        here, there = (
-            net.bind(ADDRESS, lambda *one: None),
-            net.bind(ADDRESS, lambda *one: received.append(one)),
-        )
+        here = net.bind(ADDRESS, lambda *one: None)
+        there = net.bind(ADDRESS, lambda *one: received.append(one))
         here.send(b"x", there.address)
         until = hub.now() + 2_000_000
         while not received and hub.now() < until:
@@ -248,10 +246,9 @@
 @pytest.mark.real_time
 def test_over_sockets_two_heads_find_each_other():
     def test(hub, scope):
-        net, places = (
-            SocketNetwork(hub),
-            LoopbackAddresses(),
-        )  # a port that is free for datagrams may be taken for streams
+        # a port that is free for datagrams may be taken for streams
+        net = SocketNetwork(hub)
+        places = LoopbackAddresses()
         one = Site(hub, net, scope, fleet=fleet_of(0, listen=places.next(), seeds=()))
         first = one.head.fleet.address
         seeds = (FleetSeedSettings(name="h0", address=first),)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -39,12 +39,8 @@
     return pids
 
 
-MAIN_DAYS = (
-    "close-killed",
-    "score-broken-plugin",
-    "roll-crashing",
-    "settings-lowered",
-)  # the days of KINDS that run here
+# The days of KINDS that run here.
+MAIN_DAYS = ("close-killed", "score-broken-plugin", "roll-crashing", "settings-lowered")
 KINDS = ("close-", "score-", "roll-", "settings-")  # their other days run in simulated time only
 
 
@@ -55,10 +51,8 @@
 
 
 # The longest first, so that no worker is left with a long day while the others are idle.
-TIMING_SENSITIVE = (
-    "region-paced-return",
-    "zone-restart",
-)  # a busy machine breaks their time bounds; the suite runs them in simulated time
+# A busy machine breaks their time bounds; the suite runs them in simulated time.
+TIMING_SENSITIVE = ("region-paced-return", "zone-restart")
 NAMES = sorted((name for name in scenario.names()
                 if (not name.startswith(KINDS) or name in MAIN_DAYS) and name not in TIMING_SENSITIVE),
                key=length_us, reverse=True)  # fmt: skip
--- a/tests/test_generator.py
+++ b/tests/test_generator.py
@@ -103,10 +103,8 @@
     assert result.served == server_latencies.total_count == result.planned
     # The client's times also include two network hops and both event loops, hence the larger tolerance.
     for percent in (50, 90, 99):
-        client_us, server_us = (
-            merged(result).get_value_at_percentile(percent),
-            server_latencies.get_value_at_percentile(percent),
-        )
+        client_us = merged(result).get_value_at_percentile(percent)
+        server_us = server_latencies.get_value_at_percentile(percent)
         assert is_close(client_us, server_us, 0.1)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -196,10 +196,11 @@
         (tmp_path / name).write_text(text)
         found[name] = list(traces.read(str(tmp_path / name), TraceNotes()))
     assert found["fio3"] == [TraceRequest(7_000, "read", 4096, 8192), TraceRequest(10_000, "flush", 0, 0)]
+    # 98.171 us.
     assert found["blk"] == [
         TraceRequest(0, "write", 223490 * 512, 4096),
         TraceRequest(99, "read", 4096, 8192),
-    ]  # 98.171 us
+    ]
     assert found["msr"] == [
         TraceRequest(0, "read", 383496192, 32768),
         TraceRequest(10, "write", 383528960, 4096),
--- a/tests/test_nvme_front.py
+++ b/tests/test_nvme_front.py
@@ -288,11 +288,9 @@
                 client.heed_delays()
                 queue = client.io(site.scope)
             for _ in range(60):
-                block, blocks, kind = (
-                    rng.randrange(0, 8000),
-                    rng.choice([1, 8, 200]),
-                    rng.choice(["read", "write", "zero"]),
-                )
+                block = rng.randrange(0, 8000)
+                blocks = rng.choice([1, 8, 200])
+                kind = rng.choice(["read", "write", "zero"])
                 data = bytes(blocks * 512) if kind == "write" else b""
                 if nbd is not None:
                     command = {"read": Command.READ, "write": Command.WRITE, "zero": Command.WRITE_ZEROES}[
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -379,9 +379,8 @@
     def act(site):
         site.ask(site.request(**{"X-Expires-In-Ms": "999999999"}))
         (request,) = [event for event in site.head.module.events if isinstance(event, api.RequestArrived)]
-        assert (
-            request.time_left_us <= 1500 * MS
-        )  # the module treats the longest deadline as that of a first try
+        # The module treats the longest deadline as that of a first try.
+        assert request.time_left_us <= 1500 * MS
 
     site.run(act)
 
@@ -590,9 +589,8 @@
             stream.close()
             site.hub.sleep(20 * MS)
         assert site.head.module.results() == [api.Result.MOOT] * 3 and not site.shelfs[1].requests
-        assert not [
-            fields for event, fields in site.notes if event == "module"
-        ]  # no node is considered unreachable
+        # No node is considered unreachable.
+        assert not [fields for event, fields in site.notes if event == "module"]
         assert site.ask(site.request())[0] == 200
 
     site.run(act)
--- a/tests/test_platform_clock.py
+++ b/tests/test_platform_clock.py
@@ -138,9 +138,8 @@
 
 def test_a_head_that_starts_sends_nothing_to_a_node_that_drains_according_to_the_agent(tmp_path):
     site = site_of(tmp_path, PUSHED)
-    site.discovery.set_server(
-        "s1", site.shelfs[1].address, 1, "terminating"
-    )  # after the list that the previous process saved
+    # After the list that the previous process saved.
+    site.discovery.set_server("s1", site.shelfs[1].address, 1, "terminating")
 
     def act(site):
         end = site.hub.now() + 3 * S
--- a/tests/test_platform_states.py
+++ b/tests/test_platform_states.py
@@ -211,9 +211,8 @@
     assert leaving.advance(S + 3_650_000, 1) is Phase.ENDED  # the kill comes at 3.7 s
     quick = GracefulShutdown(6 * S)
     quick.begin(0)
-    assert (
-        quick.advance(3_400_000, 0) is Phase.DRAINING
-    )  # connections waiting at the listener are not counted yet
+    # Connections waiting at the listener are not counted yet.
+    assert quick.advance(3_400_000, 0) is Phase.DRAINING
     assert quick.advance(3_400_000, 0) is Phase.ENDED
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -298,15 +298,12 @@
     assert lock_action(other, seen(), "me", False, "", 0) is LockAction.LEAVE  # the home goes first
     assert lock_action(other, seen(), "me", False, "", 300) is LockAction.ACQUIRE
     assert lock_action(other, seen("them"), "me", False, "", 400) is LockAction.LEAVE
-    assert (
-        lock_action(other, seen(), "me", False, "", 500) is LockAction.LEAVE
-    )  # free again: the wait starts again
-    assert (
-        lock_action(view_of("b"), seen("", "a"), "me", False, "b", 9000) is LockAction.LEAVE
-    )  # out of sync, never
-    assert (
-        lock_action(view_of("b"), seen(), "me", False, "b", 0) is LockAction.ACQUIRE
-    )  # requested by operators
+    # Free again: the wait starts again.
+    assert lock_action(other, seen(), "me", False, "", 500) is LockAction.LEAVE
+    # Out of sync, never.
+    assert lock_action(view_of("b"), seen("", "a"), "me", False, "b", 9000) is LockAction.LEAVE
+    # Requested by operators.
+    assert lock_action(view_of("b"), seen(), "me", False, "b", 0) is LockAction.ACQUIRE
 
 
 def test_an_acquired_volume_is_activated_once_and_then_maintained():
@@ -572,9 +569,8 @@
     )
     one = FencedRig(hub, MemoryNetwork(hub), day, 5, rec.Recorder())
     hub.run(one.run)
-    assert not all(one.before) and all(
-        one.after
-    )  # b took over only after a was fenced, since b was out of sync
+    # B took over only after a was fenced, since b was out of sync.
+    assert not all(one.before) and all(one.after)
     assert broken(one.recorder.records) - {0} == set()
     layers = [one.slots[region].head.regional for region in "ab"]
     for volume in one.volumes:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -95,9 +95,8 @@
     rig.run(2 * MS)
     assert request.outcome is Outcome.REFUSED and rig.core.waiting_parts == 0
     assert not [one for one in rig.port.sent if one.part.request is request]
-    assert {one.request.kind for one in rig.core._state.parts.values()} <= {
-        Kind.FLUSH
-    }  # a probe of the silent shard
+    # A probe of the silent shard.
+    assert {one.request.kind for one in rig.core._state.parts.values()} <= {Kind.FLUSH}
 
 
 def test_a_reoffered_request_without_answer_is_offered_again_as_a_further_attempt():
@@ -262,9 +261,8 @@
     rig.flush()
     assert [one.parts[0].state for one in requests] == [PartState.SUBMITTED] * 2
     rig.core._admission.handle_refusal(rig.now, requests[0].parts[0], 20 * MS)
-    rig.core._state.queue_event(
-        api.ClientLeft(requests[0].parts[0].number)
-    )  # as if the module had given it up
+    # As if the module had given it up.
+    rig.core._state.queue_event(api.ClientLeft(requests[0].parts[0].number))
     rig.flush()
     assert [one.parts[0].state for one in requests] == [PartState.QUEUED] * 2
     rig.end(rig.port.sent[-1])
