--- a/harriertrack/gateway/peer.py
+++ b/harriertrack/gateway/peer.py
@@ -47,7 +47,7 @@
         length: int,
         data: bytes,
         flags: int,
-        token: int,
+        tick: int,
         until: int,
         then: Then,
     ) -> None:
@@ -67,7 +67,7 @@
             if self._client is None:
                 once(None)
             else:
-                self._client.start(command, offset, length, data, once, flags | token << TICK_SHIFT)
+                self._client.start(command, offset, length, data, once, flags | tick << TICK_SHIFT)
 
         timer = self._hub.at(until, lambda: once(None))
         if self._client is not None:
@@ -132,7 +132,7 @@
         self._relays: dict[str, PeerLink] = {}
         self._catch_up_links: dict[str, tuple[int, PeerLink]] = {}
         self._copies: dict[str, tuple[tuple[int, int], PeerLink]] = {}
-        self.token = 0  # the newest tick received from the other head
+        self.newest_tick = 0  # received from the other head
 
     def relay(self, volume: str, generation: int = 0) -> PeerLink:
         """Return the link that relays requests on a volume to its holder.
--- a/harriertrack/gateway/regional.py
+++ b/harriertrack/gateway/regional.py
@@ -339,7 +339,7 @@
 
         flags, until = request.flags & 0b01, volume.copies.due_at(work.number)
         offset, length = (0, 0) if kind is Kind.FLUSH else (request.offset, request.length)
-        link.call(COMMANDS[kind], offset, length, data, flags, self._peer.token, until, then)
+        link.call(COMMANDS[kind], offset, length, data, flags, self._peer.newest_tick, until, then)
 
     def _copy_ends(self, work: Work, outcome: Outcome) -> None:
         work.volume.copies.finish(work.number)
@@ -416,7 +416,7 @@
 
     def _relay(self, volume: RegionalVolume, request: ClientRequest) -> None:
         until = request.deadline - self._tick
-        changes, token = request.kind in MODIFYING_KINDS, self._peer.token
+        changes, tick = request.kind in MODIFYING_KINDS, self._peer.newest_tick
 
         def then(reply: Reply | None) -> None:
             now = self._hub.now()
@@ -442,7 +442,7 @@
                 return
             offset, length = (0, 0) if request.kind is Kind.FLUSH else (request.offset, request.length)
             link, flags = self._peer.relay(volume.name), request.flags & 0b01
-            link.call(COMMANDS[request.kind], offset, length, request.data, flags, token, until, then)
+            link.call(COMMANDS[request.kind], offset, length, request.data, flags, tick, until, then)
 
         volume.relayed[request] = None
         send()
@@ -520,12 +520,12 @@
             if reply is None:
                 self._heartbeat.drop()
             elif not reply.error and reply.report is not None and reply.report.load:
-                self._peer.token = int(reply.report.load[0])
+                self._peer.newest_tick = int(reply.report.load[0])
                 for volume in self.volumes.values():
                     volume.view.note_contact(sent_at)
 
         until = sent_at + self.region.fresh_us
-        self._heartbeat.call(Command.TICK, 0, length, b"", 0, self._peer.token, until, then)
+        self._heartbeat.call(Command.TICK, 0, length, b"", 0, self._peer.newest_tick, until, then)
 
     def missing(self, volume: str, offset: int, length: int, generation: int) -> list[tuple[int, int]] | None:
         """Return which extents the other head misses, as (length, flag); None if it is across a close.
@@ -725,11 +725,11 @@
                   flags: int = 0) -> Reply | None:  # fmt: skip
         """Send a request to the holder and wait for its reply; None if it fails or there is no reply."""
         link = self._peer.relay(volume.name, self._generation(volume.name))
-        token = self._peer.token
+        tick = self._peer.newest_tick
         until = self._hub.now() + 4 * self.region.fresh_us
 
         def send(then: Callable[[Reply | None], None]) -> None:
-            link.call(command, offset, length, b"", flags, token, until, then)
+            link.call(command, offset, length, b"", flags, tick, until, then)
 
         reply = answer_of(self._hub, send)
         return None if reply is None or reply.error else reply
--- a/harriertrack/protocol/nbd/client.py
+++ b/harriertrack/protocol/nbd/client.py
@@ -118,7 +118,6 @@
         self.structured = False
         self.contexts: dict[int, str] = {}
         self._pending_option: OptionEnded | None = None
-        self._sent_export_name = False
         self._no_zeroes = False
         self._pending: dict[int, _Pending] = {}
 
