--- a/tests/live/test_budget_totals.py
+++ b/tests/live/test_budget_totals.py
@@ -124,27 +124,28 @@
     division.run(5 * S)
 
 
+def use_raised_total(division):
+    """Raise the total, let all heads apply it, and use it."""
+    change_total(division, replace(HIGH, burst=4000.0))
+    for name in division.names:
+        division.apply_totals(name)
+    set_demand(division, 3000.0)
+    division.run(S)
+
+
 def raise_idle_total(division):
     """The budget is idle until it is closed; then the total is raised and all heads use it."""
     set_demand(division, 5.0)
     division.run(3 * S)
     set_demand(division, 0.0)
     division.run(12 * S)
-    change_total(division, replace(HIGH, burst=4000.0))
-    for name in division.names:
-        division.apply_totals(name)
-    set_demand(division, 3000.0)
-    division.run(S)
+    use_raised_total(division)
 
 
 def raise_used_total(division):
     set_demand(division, 20.0)
     division.run(3 * S)
-    change_total(division, replace(HIGH, burst=4000.0))
-    for name in division.names:
-        division.apply_totals(name)
-    set_demand(division, 3000.0)
-    division.run(S)
+    use_raised_total(division)
 
 
 FAULTS = {
