--- a/tests/storms/faults.py
+++ b/tests/storms/faults.py
@@ -47,7 +47,7 @@
           "newer = found is not None and (found.revision, digest) > (self.record.revision, self.digest)",
           "newer = found is not None"),
     Fault("what is newer is not fetched", "record", f"{FOLLOWING}.observe_revision", "if revision > max(self.highest_seen, self.record.revision):", "if False:"),
-    Fault("a zone that is out stays out", "zones", f"{ZONES}.resume", "ZoneState(word.stage, now", "ZoneState(word.stage, now + 10**9"),
+    Fault("a zone that is out stays out", "zones", f"{ZONES}.resume", "one.stage, returned_at, one.share", "one.stage, now + 10**9, one.share"),
     Fault("a head alone leaves a zone", "zones", f"{ZONES}.summarize", "if not any(one.responding for one in report.observations) and len(report.observations) != 1:", "if False:"),
     Fault("a fence opens in doubt", "closes", f"{CLOSING}.fences:Fence.state", "reading.high < after[0].at_us", "reading.low < after[0].at_us"),
     Fault("a close fires in doubt", "closes", f"{CLOSING}.fences:Fence.closes_to_purge", "min(reading.low, confirmed_until)", "min(reading.high, confirmed_until)"),
--- a/tests/storms/test_playing.py
+++ b/tests/storms/test_playing.py
@@ -129,6 +129,13 @@
     assert not playing.play_and_judge(smallest).broken_rules
 
 
+@pytest.mark.parametrize("fault", faults.FAULTS, ids=lambda fault: fault.name)
+def test_each_seeded_fault_can_be_injected(fault):
+    """A fault replaces a text of its function, so a rename can leave it without one."""
+    with fault.injected():
+        pass
+
+
 def test_the_command_prints_each_seed_and_rejects_invalid_options(tmp_path):
     runner = CliRunner()
     result = runner.invoke(main, ["fleet", "storm", "--virtual", "--heads", "3", "--minutes", "0.1", "--seed", "3",
